--- a/crates/cli/tests/ctl.rs
+++ b/crates/cli/tests/ctl.rs
@@ -1,5 +1,4 @@
 //! `paddlemount ctl` against a node in this process.
-#![allow(missing_docs)]
 
 #[path = "../../node/tests/admin/support.rs"]
 #[allow(dead_code)]
--- a/crates/core/src/request/phase.rs
+++ b/crates/core/src/request/phase.rs
@@ -47,6 +47,7 @@
 }
 
 impl Attempt {
+    /// The engine that the attempt was sent to.
     pub fn engine(&self) -> EngineId {
         self.precondition.engine.clone()
     }
--- a/crates/forward/src/journal.rs
+++ b/crates/forward/src/journal.rs
@@ -27,13 +27,9 @@
 /// Bytes that are written at once, about.
 const BATCH_BYTES: usize = 64 << 10;
 
-/// What a line tells. Keys of callers are never among it.
+/// What a line tells. Keys of callers are never among it. `docs/operations/logs.md` lists the fields of each event.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-#[expect(
-    missing_docs,
-    reason = "docs/operations/logs.md lists the fields of each event, and a test compares the two"
-)]
 pub enum Event<'a> {
     /// The process has started and listens.
     Started {
--- a/crates/node/examples/watch_cost.rs
+++ b/crates/node/examples/watch_cost.rs
@@ -5,7 +5,7 @@
 //! an engine, in microseconds, from the decision records.
 
 #[path = "../tests/admin/support.rs"]
-#[allow(dead_code, missing_docs)]
+#[allow(dead_code)]
 mod support;
 
 use std::{sync::Arc, time::Duration};
--- a/crates/node/src/admin/rows/engines.rs
+++ b/crates/node/src/admin/rows/engines.rs
@@ -33,6 +33,7 @@
 }
 
 impl EngineView {
+    /// The model that the engine last reported as loaded.
     pub fn loaded(&self) -> Option<&LoadedModel> {
         self.report.as_ref().and_then(|report| report.status.loaded.as_ref())
     }
--- a/crates/node/tests/admin/main.rs
+++ b/crates/node/tests/admin/main.rs
@@ -1,5 +1,4 @@
 //! The administration interface of running nodes, with stand-ins for engines and the platform.
-#![allow(missing_docs)]
 
 mod feeds;
 mod first_minutes;
--- a/crates/standins/tests/support/mod.rs
+++ b/crates/standins/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A small HTTP client and shared values for the tests of stand-in servers.
-#![allow(dead_code, missing_docs)]
+#![allow(dead_code)]
 
 use std::net::SocketAddr;
 
