--- a/crates/core/src/forwarding/announcements/mod.rs
+++ b/crates/core/src/forwarding/announcements/mod.rs
@@ -29,7 +29,7 @@
 pub use division::Member;
 
 use self::rate_limit::{RateLimit, TreePosition};
-use super::backends::{Backend, BackendEntry, BackendId, Backends, Standing};
+use super::backends::{Backend, BackendEntry, BackendId, BackendState, Backends};
 use crate::rest::MAX_BACK_OFF;
 
 /// How long it is remembered that a process leaves, beyond its last word. Its entry is gone by then.
@@ -237,45 +237,45 @@
         let is_news = self.announcements.leaves(process, now);
         // A later process of this identity may have started since it was asked.
         let known = self.get(&process.id).filter(|known| known.entry.born <= process.born);
-        match known.map(|known| known.standing) {
-            Some(Standing::Ready) => {
-                self.stand(&process.id, Standing::Departing { since: now });
+        match known.map(|known| known.state) {
+            Some(BackendState::Ready) => {
+                self.set_state(&process.id, BackendState::Departing { since: now });
                 Departure::Leaves
             }
-            Some(Standing::Doubted { .. }) => {
+            Some(BackendState::Suspect { .. }) => {
                 self.drop(&process.id);
                 Departure::Dropped
             }
-            Some(Standing::Replaced) if is_news => Departure::Leaves,
-            Some(Standing::Departing { .. } | Standing::Leaving | Standing::Replaced) | None => {
+            Some(BackendState::Replaced) if is_news => Departure::Leaves,
+            Some(BackendState::Departing { .. } | BackendState::Leaving | BackendState::Replaced) | None => {
                 Departure::Known
             }
         }
     }
 
     /// How a back end stands with this entry, where nothing is known of it but what it has announced.
-    pub(super) fn standing_with(&self, entry: &BackendEntry) -> Standing {
+    pub(super) fn state_with(&self, entry: &BackendEntry) -> BackendState {
         match self.announcements.leaving_since(entry) {
-            _ if entry.leaving => Standing::Leaving,
-            Some(since) => Standing::Departing { since },
-            None => Standing::Ready,
+            _ if entry.leaving => BackendState::Leaving,
+            Some(since) => BackendState::Departing { since },
+            None => BackendState::Ready,
         }
     }
 
     /// Whether a back end leaves, by its own word or the registry's; also where its entry has gone since.
     pub fn leaves(&self, id: &BackendId) -> bool {
         match self.get(id) {
-            Some(known) => known.standing.is_leaving(),
+            Some(known) => known.state.is_leaving(),
             None => self.announcements.any_leaves(id),
         }
     }
 
     /// Whether a back end may be sent a request now, where one that departs may for `parting` after that was first heard.
     pub fn takes_requests(&self, backend: &Backend, parting: Duration, now: Timestamp) -> bool {
-        let stays = match backend.standing {
-            Standing::Ready | Standing::Doubted { .. } => true,
-            Standing::Departing { since } => now.saturating_since(since) < parting,
-            Standing::Leaving | Standing::Replaced => false,
+        let stays = match backend.state {
+            BackendState::Ready | BackendState::Suspect { .. } => true,
+            BackendState::Departing { since } => now.saturating_since(since) < parting,
+            BackendState::Leaving | BackendState::Replaced => false,
         };
         stays
             && self.announcements.backed_off_until(&backend.entry, now).is_none()
--- a/crates/core/src/forwarding/backends.rs
+++ b/crates/core/src/forwarding/backends.rs
@@ -68,7 +68,7 @@
 
 /// Whether a back end may get new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum BackendState {
     /// It may.
     Ready,
     /// It must not: the registry says that it is leaving.
@@ -80,7 +80,7 @@
         since: Timestamp,
     },
     /// Its entry vanished while the registry was away or returning.
-    Doubted {
+    Suspect {
         /// When the entry vanished.
         since: Timestamp,
     },
@@ -88,7 +88,7 @@
     Replaced,
 }
 
-impl Standing {
+impl BackendState {
     /// Whether the back end is leaving, by the registry's word or its own.
     pub const fn is_leaving(self) -> bool {
         matches!(self, Self::Leaving | Self::Departing { .. })
@@ -101,7 +101,7 @@
     /// Its entry, as last seen.
     pub entry: BackendEntry,
     /// Whether it may get new work.
-    pub standing: Standing,
+    pub state: BackendState,
     /// It is being given new weights, until then at most.
     pub loading_until: Option<Timestamp>,
     /// Whether an answer or a report has shown weights that the registry's last word did not.
@@ -133,7 +133,7 @@
 
 /// What changed with an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum EntryChange {
     /// A back end that was not known.
     Appeared,
     /// It is now leaving.
@@ -141,54 +141,54 @@
     /// Something else of the entry.
     Updated,
     /// Its process has started again under its identity: nothing of what was known of it holds.
-    StartedAgain,
+    Restarted,
     /// The entry is as it was.
     None,
     /// The entry is gone, and the back end with it.
     Removed,
     /// The entry is gone while the registry is away or returning.
-    Doubted,
+    Suspect,
 }
 
 impl Backends {
     /// Takes an entry in.
-    pub fn put(&mut self, entry: BackendEntry) -> Change {
-        let standing = self.standing_with(&entry);
+    pub fn put(&mut self, entry: BackendEntry) -> EntryChange {
+        let state = self.state_with(&entry);
         let Some(known) = self.by_id.get_mut(&entry.id) else {
-            let backend = Backend { entry: entry.clone(), standing, loading_until: None, seen_beside: false };
+            let backend = Backend { entry: entry.clone(), state, loading_until: None, seen_beside: false };
             self.pools.entry(entry.service.clone()).or_default().enter(&backend);
             self.addresses.enter(&entry);
             self.by_id.insert(entry.id, backend);
-            return Change::Appeared;
+            return EntryChange::Appeared;
         };
         // Listings, snapshots and relays repeat the entry of a process that is gone.
-        if known.standing == Standing::Replaced && known.entry.is_repeated_by(&entry) {
-            return Change::None;
+        if known.state == BackendState::Replaced && known.entry.is_repeated_by(&entry) {
+            return EntryChange::None;
         }
         known.seen_beside = false;
         let started_again =
             matches!((known.entry.born, entry.born), (Some(before), Some(now)) if before != now);
         // A process that said once that it is leaving does not stay.
-        let standing = match known.standing {
-            Standing::Leaving if !started_again => Standing::Leaving,
-            Standing::Departing { .. } if !started_again && standing == Standing::Ready => known.standing,
-            _ => standing,
+        let state = match known.state {
+            BackendState::Leaving if !started_again => BackendState::Leaving,
+            BackendState::Departing { .. } if !started_again && state == BackendState::Ready => known.state,
+            _ => state,
         };
-        let change = match (known.standing == standing, known.entry == entry) {
-            _ if started_again => Change::StartedAgain,
-            (true, true) => Change::None,
-            (false, _) if standing == Standing::Leaving => Change::Leaving,
-            _ => Change::Updated,
+        let change = match (known.state == state, known.entry == entry) {
+            _ if started_again => EntryChange::Restarted,
+            (true, true) => EntryChange::None,
+            (false, _) if state == BackendState::Leaving => EntryChange::Leaving,
+            _ => EntryChange::Updated,
         };
         if known.entry.weights != entry.weights {
             known.loading_until = None;
         }
-        if change != Change::None {
+        if change != EntryChange::None {
             let left = known.entry.address;
             self.pools.entry(known.entry.service.clone()).or_default().leave(known);
             self.addresses.leave(&known.entry);
             self.addresses.enter(&entry);
-            known.standing = standing;
+            known.state = state;
             known.entry = entry;
             self.pools.entry(known.entry.service.clone()).or_default().enter(known);
             self.reopen(left);
@@ -197,31 +197,31 @@
     }
 
     /// An entry is gone.
-    pub fn remove(&mut self, id: &BackendId, now: Timestamp) -> Change {
-        let Some(known) = self.by_id.get(id) else { return Change::None };
+    pub fn remove(&mut self, id: &BackendId, now: Timestamp) -> EntryChange {
+        let Some(known) = self.by_id.get(id) else { return EntryChange::None };
         let doubtful = self.registry.lacks_entries(now);
-        match known.standing {
-            Standing::Ready if doubtful => {
-                self.stand(id, Standing::Doubted { since: now });
-                return Change::Doubted;
+        match known.state {
+            BackendState::Ready if doubtful => {
+                self.set_state(id, BackendState::Suspect { since: now });
+                return EntryChange::Suspect;
             }
-            Standing::Doubted { .. } if doubtful => return Change::None,
-            Standing::Ready
-            | Standing::Doubted { .. }
-            | Standing::Leaving
-            | Standing::Departing { .. }
-            | Standing::Replaced => {}
+            BackendState::Suspect { .. } if doubtful => return EntryChange::None,
+            BackendState::Ready
+            | BackendState::Suspect { .. }
+            | BackendState::Leaving
+            | BackendState::Departing { .. }
+            | BackendState::Replaced => {}
         }
         self.drop(id);
-        Change::Removed
+        EntryChange::Removed
     }
 
     /// A back end stands otherwise from now on.
-    pub(super) fn stand(&mut self, id: &BackendId, standing: Standing) {
+    pub(super) fn set_state(&mut self, id: &BackendId, state: BackendState) {
         let Some(known) = self.by_id.get_mut(id) else { return };
         let pool = self.pools.entry(known.entry.service.clone()).or_default();
         pool.leave(known);
-        known.standing = standing;
+        known.state = state;
         pool.enter(known);
     }
 
@@ -238,9 +238,12 @@
     /// Drops back ends that are still missing after the registry's return.
     pub fn expire(&mut self, now: Timestamp) -> Vec<BackendId> {
         let returned = !self.registry.lacks_entries(now);
-        let expired = |backend: &Backend| match backend.standing {
-            Standing::Doubted { since } => returned || now.saturating_since(since) >= LONGEST_DOUBT,
-            Standing::Ready | Standing::Leaving | Standing::Departing { .. } | Standing::Replaced => false,
+        let expired = |backend: &Backend| match backend.state {
+            BackendState::Suspect { since } => returned || now.saturating_since(since) >= LONGEST_DOUBT,
+            BackendState::Ready
+            | BackendState::Leaving
+            | BackendState::Departing { .. }
+            | BackendState::Replaced => false,
         };
         let ids: Vec<BackendId> =
             self.by_id.iter().filter(|(_, backend)| expired(backend)).map(|(id, _)| id.clone()).collect();
@@ -311,7 +314,7 @@
         let Some(pool) = self.pools.get(service) else { return Vec::new() };
         let mut versions: Vec<(WeightsVersion, usize)> = pool.versions(model).collect();
         for backend in self.loading.iter().filter_map(|id| self.get(id)) {
-            let counted = backend.entry.service == *service && backend.standing == Standing::Ready;
+            let counted = backend.entry.service == *service && backend.state == BackendState::Ready;
             let version = backend.entry.weights.get(model).filter(|_| counted && backend.is_loading(now));
             let count = versions.iter_mut().find(|(known, _)| Some(known) == version);
             if let Some((_, count)) = count {
@@ -328,12 +331,12 @@
 
     /// Back ends of `service` that may get work: the ready ones, and the doubted ones where fewer than half are ready.
     pub fn usable<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Backend> {
-        let with_doubted = self.pool(service).is_some_and(Pool::uses_doubted);
+        let with_doubted = self.pool(service).is_some_and(Pool::uses_suspect);
         let of_service = self.by_id.values().filter(|backend| backend.entry.service == *service);
-        of_service.filter(move |backend| match backend.standing {
-            Standing::Ready => true,
-            Standing::Doubted { .. } => with_doubted,
-            Standing::Leaving | Standing::Departing { .. } | Standing::Replaced => false,
+        of_service.filter(move |backend| match backend.state {
+            BackendState::Ready => true,
+            BackendState::Suspect { .. } => with_doubted,
+            BackendState::Leaving | BackendState::Departing { .. } | BackendState::Replaced => false,
         })
     }
 }
--- a/crates/core/src/forwarding/pool.rs
+++ b/crates/core/src/forwarding/pool.rs
@@ -5,7 +5,7 @@
 use paddlemount_protocol::identity::{ModelId, WeightsVersion};
 
 use super::{
-    backends::{Backend, BackendId, Standing},
+    backends::{Backend, BackendId, BackendState},
     ranks::rank,
 };
 
@@ -33,16 +33,16 @@
     /// A back end has come, or come back, with this standing.
     pub(super) fn enter(&mut self, backend: &Backend) {
         let ranked = Ranked { rank: rank(&backend.entry.id), id: backend.entry.id.clone() };
-        let list = match backend.standing {
-            Standing::Ready => &mut self.ready,
-            Standing::Doubted { .. } => &mut self.doubted,
-            Standing::Departing { .. } => &mut self.departing,
-            Standing::Leaving | Standing::Replaced => return,
+        let list = match backend.state {
+            BackendState::Ready => &mut self.ready,
+            BackendState::Suspect { .. } => &mut self.doubted,
+            BackendState::Departing { .. } => &mut self.departing,
+            BackendState::Leaving | BackendState::Replaced => return,
         };
         if let Err(place) = list.binary_search(&ranked) {
             list.insert(place, ranked);
         }
-        if backend.standing == Standing::Ready {
+        if backend.state == BackendState::Ready {
             for (model, version) in &backend.entry.weights {
                 *self.versions.entry(model.clone()).or_default().entry(*version).or_default() += 1;
             }
@@ -57,7 +57,7 @@
                 list.remove(place);
             }
         }
-        if backend.standing == Standing::Ready {
+        if backend.state == BackendState::Ready {
             for (model, version) in &backend.entry.weights {
                 self.forget_version(model, *version);
             }
@@ -95,7 +95,7 @@
     }
 
     /// Whether doubted back ends are in use.
-    pub fn uses_doubted(&self) -> bool {
+    pub fn uses_suspect(&self) -> bool {
         self.ready.len() < self.doubted.len()
     }
 
@@ -109,7 +109,7 @@
     }
 
     fn doubted_in_use(&self) -> &[Ranked] {
-        if self.uses_doubted() { &self.doubted } else { &[] }
+        if self.uses_suspect() { &self.doubted } else { &[] }
     }
 
     /// How many of the ready back ends have which version of a model's weights, the oldest first.
--- a/crates/core/src/forwarding/replacement.rs
+++ b/crates/core/src/forwarding/replacement.rs
@@ -12,7 +12,7 @@
     net::SocketAddr,
 };
 
-use super::backends::{Backend, BackendEntry, BackendId, Backends, Change, Standing};
+use super::backends::{Backend, BackendEntry, BackendId, BackendState, Backends, EntryChange};
 
 /// How an entry was heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TakenIn {
     /// What changed with the entry.
-    pub change: Change,
+    pub change: EntryChange,
     /// Who was replaced.
     pub replaced: Vec<Replacement>,
 }
@@ -81,12 +81,12 @@
     /// Takes an entry in, and settles who has its address.
     pub fn take_in(&mut self, entry: BackendEntry, heard: Heard) -> TakenIn {
         let id = entry.id.clone();
-        let before = self.get(&id).map(|known| (known.entry.address, known.standing));
+        let before = self.get(&id).map(|known| (known.entry.address, known.state));
         let change = self.put(entry);
         let comes = match (change, before, self.get(&id)) {
-            (Change::Appeared | Change::StartedAgain, _, _) => true,
-            (Change::Updated, Some((address, standing)), Some(known)) => {
-                address != known.entry.address || standing != known.standing
+            (EntryChange::Appeared | EntryChange::Restarted, _, _) => true,
+            (EntryChange::Updated, Some((address, state)), Some(known)) => {
+                address != known.entry.address || state != known.state
             }
             _ => false,
         };
@@ -102,9 +102,9 @@
             return false;
         }
         let by_is_there = is_there(by);
-        let standing = self.get(id).map(|known| known.standing);
+        let state = self.get(id).map(|known| known.state);
         // Of an answer that is no news a later process may have come there since.
-        if !matches!(standing, Some(Standing::Ready | Standing::Doubted { .. })) {
+        if !matches!(state, Some(BackendState::Ready | BackendState::Suspect { .. })) {
             return false;
         }
         if by_is_there {
@@ -122,7 +122,7 @@
     /// of them may be alive: an entry that outlived its process may have been heard of after that of the present one.
     pub(super) fn reopen(&mut self, address: SocketAddr) {
         let named: Vec<&Backend> = self.addresses.at(address).iter().filter_map(|id| self.get(id)).collect();
-        if named.iter().any(|backend| backend.standing != Standing::Replaced) {
+        if named.iter().any(|backend| backend.state != BackendState::Replaced) {
             return;
         }
         let latest = named.into_iter().max_by_key(|backend| backend.entry.born);
@@ -146,7 +146,7 @@
                 _ if heard == Heard::AsChange => Some(true),
                 _ => None,
             };
-            let is_gone = known.standing == Standing::Replaced;
+            let is_gone = known.state == BackendState::Replaced;
             let (backend, by) = match other_is_earlier {
                 Some(true) => (other, id.clone()),
                 Some(false) if !is_gone => (id.clone(), other),
@@ -161,17 +161,19 @@
 
     /// A back end is gone though its entry stands. One whose entry has vanished as well is dropped.
     fn replace(&mut self, id: &BackendId) -> bool {
-        match self.get(id).map(|known| known.standing) {
-            Some(Standing::Ready) => self.stand(id, Standing::Replaced),
-            Some(Standing::Doubted { .. }) => self.drop(id),
-            Some(Standing::Leaving | Standing::Departing { .. } | Standing::Replaced) | None => return false,
+        match self.get(id).map(|known| known.state) {
+            Some(BackendState::Ready) => self.set_state(id, BackendState::Replaced),
+            Some(BackendState::Suspect { .. }) => self.drop(id),
+            Some(BackendState::Leaving | BackendState::Departing { .. } | BackendState::Replaced) | None => {
+                return false;
+            }
         }
         true
     }
 
     fn come_back(&mut self, id: &BackendId) {
-        let Some(known) = self.get(id).filter(|known| known.standing == Standing::Replaced) else { return };
-        let standing = self.standing_with(&known.entry);
-        self.stand(id, standing);
+        let Some(known) = self.get(id).filter(|known| known.state == BackendState::Replaced) else { return };
+        let state = self.state_with(&known.entry);
+        self.set_state(id, state);
     }
 }
--- a/crates/core/src/forwarding/rollout.rs
+++ b/crates/core/src/forwarding/rollout.rs
@@ -16,7 +16,7 @@
 };
 
 use super::{
-    backends::{Backend, BackendId, Standing},
+    backends::{Backend, BackendId, BackendState},
     namings::{Naming, Namings},
 };
 
@@ -209,7 +209,7 @@
     ) -> Vec<Target> {
         self.set_aside_until.retain(|_, until| now < *until);
         let ready: Vec<&Backend> = backends
-            .filter(|backend| backend.standing == Standing::Ready && !backend.entry.weights.is_empty())
+            .filter(|backend| backend.state == BackendState::Ready && !backend.entry.weights.is_empty())
             .filter(|backend| !self.set_aside_until.contains_key(&backend.entry.id))
             .collect();
         let at_once = self.at_once(ready.len());
--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -6,7 +6,7 @@
 use paddlemount_core::{
     forwarding::{
         announcements::{Announcements, BackOff, Departure},
-        backends::{BackendEntry, BackendId, Backends, Standing},
+        backends::{BackendEntry, BackendId, BackendState, Backends},
         replacement::Heard,
     },
     rest::MAX_BACK_OFF,
@@ -51,8 +51,8 @@
     Timestamp::from_millis(ms)
 }
 
-fn standing(backends: &Backends, number: u8) -> Option<Standing> {
-    backends.get(&id(number)).map(|known| known.standing)
+fn state(backends: &Backends, number: u8) -> Option<BackendState> {
+    backends.get(&id(number)).map(|known| known.state)
 }
 
 fn takes_requests(backends: &Backends, number: u8, now: Timestamp) -> bool {
@@ -69,16 +69,16 @@
     backends.take_in(entry(0, 1), Heard::AsChange);
     assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Leaves);
     assert_eq!(backends.observe_draining(&process(0, 1), at(5)), Departure::Known);
-    let departing = Some(Standing::Departing { since: at(0) });
+    let departing = Some(BackendState::Departing { since: at(0) });
     backends.take_in(BackendEntry { slots: 2, ..entry(0, 1) }, Heard::AsChange);
-    assert_eq!(standing(&backends, 0), departing);
+    assert_eq!(state(&backends, 0), departing);
     backends.remove(&id(0), at(10));
     backends.take_in(entry(0, 1), Heard::InListing);
-    assert_eq!(standing(&backends, 0), departing, "it counts from when it was first heard");
+    assert_eq!(state(&backends, 0), departing, "it counts from when it was first heard");
     backends.take_in(BackendEntry { leaving: true, ..entry(0, 1) }, Heard::AsChange);
-    assert_eq!(standing(&backends, 0), Some(Standing::Leaving));
+    assert_eq!(state(&backends, 0), Some(BackendState::Leaving));
     backends.take_in(entry(0, 2), Heard::AsChange);
-    assert_eq!(standing(&backends, 0), Some(Standing::Ready));
+    assert_eq!(state(&backends, 0), Some(BackendState::Ready));
 }
 
 #[test]
@@ -86,13 +86,13 @@
     let mut backends = Backends::default();
     backends.take_in(entry(0, 2), Heard::AsChange);
     assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Known);
-    assert_eq!(standing(&backends, 0), Some(Standing::Ready));
+    assert_eq!(state(&backends, 0), Some(BackendState::Ready));
     backends.announcements.rests(&process(0, 1), Duration::from_secs(60), at(0));
     // The registry tells of a start some time after it: this may be the word of the new process.
     assert!(!takes_requests(&backends, 0, at(2_999)) && takes_requests(&backends, 0, at(3_000)));
     assert_eq!(backends.observe_draining(&process(0, 2), at(2)), Departure::Leaves);
     assert_eq!(backends.observe_draining(&process(0, 1), at(3)), Departure::Known);
-    assert_eq!(standing(&backends, 0), Some(Standing::Departing { since: at(2) }));
+    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(2) }));
 }
 
 /// A store that had come back from a copy told an entry of the start before, and a rest of 2 s ended after 0.5 s: the entry was
@@ -105,11 +105,11 @@
     backends.take_in(entry(0, 1), Heard::InListing);
     assert!(!takes_requests(&backends, 0, at(530)) && takes_requests(&backends, 0, at(2_000)));
     backends.observe_draining(&process(0, 2), at(3_000));
-    assert_eq!(standing(&backends, 0), Some(Standing::Departing { since: at(3_000) }));
+    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(3_000) }));
     backends.take_in(entry(0, 2), Heard::AsChange);
-    assert_eq!(standing(&backends, 0), Some(Standing::Departing { since: at(3_000) }));
+    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(3_000) }));
     backends.take_in(entry(0, 3), Heard::AsChange);
-    assert_eq!(standing(&backends, 0), Some(Standing::Ready), "a new start ends it");
+    assert_eq!(state(&backends, 0), Some(BackendState::Ready), "a new start ends it");
 }
 
 #[test]
@@ -121,7 +121,7 @@
     assert_eq!(backends.observe_draining(&process(0, 1), at(1)), Departure::Dropped);
     assert_eq!(backends.iter().count(), 0);
     backends.take_in(entry(0, 1), Heard::AsChange);
-    assert_eq!(standing(&backends, 0), Some(Standing::Departing { since: at(1) }));
+    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(1) }));
 }
 
 #[test]
@@ -191,7 +191,7 @@
     assert_eq!(backends.announcements.pending_draining_gossip(at(23_000)).len(), 128);
     let first = BackendProcess { id: BackendId::from("p0"), born: None };
     backends.take_in(BackendEntry { id: first.id, ..entry(0, 1) }, Heard::AsChange);
-    assert_eq!(backends.iter().next().map(|known| known.standing), Some(Standing::Ready), "forgotten");
+    assert_eq!(backends.iter().next().map(|known| known.state), Some(BackendState::Ready), "forgotten");
 }
 
 #[derive(Debug, TypeGenerator)]
@@ -301,14 +301,14 @@
         for backend in 0..BACKENDS {
             let Some(known) = self.backends.get(&id(backend)) else { continue };
             let born = known.entry.born.expect("entries of this test tell");
-            let (standing, takes) = (known.standing, self.backends.takes_requests(known, PARTING, now));
+            let (state, takes) = (known.state, self.backends.takes_requests(known, PARTING, now));
             let is_present = born == self.born(backend);
             let rest_of_earlier = (1..born).any(|earlier| {
                 let told = self.told(backend, earlier);
                 at(self_now) < at(told.backed_off_until).min(at(told.back_off_requested_at) + LATE_NEWS)
             });
             let told = self.told(backend, born);
-            told.registry_says_leaving |= standing == Standing::Leaving;
+            told.registry_says_leaving |= state == BackendState::Leaving;
             let leaves = told.left_at.is_some() || told.registry_says_leaving;
             let left_for = told.left_at.map(|left| now.saturating_since(at(left)));
             let rests = now < at(told.backed_off_until);
@@ -319,7 +319,7 @@
                 assert!(!takes, "b{backend} has said that it leaves {left_for:?} ago");
             }
             if is_present && !leaves && !rests && !rest_of_earlier {
-                assert!(takes, "b{backend} lives, and is left out as {standing:?}");
+                assert!(takes, "b{backend} lives, and is left out as {state:?}");
             }
         }
     }
--- a/crates/core/tests/forwarding_decisions.rs
+++ b/crates/core/tests/forwarding_decisions.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::forwarding::{
     attempt::{AttemptEnd, Next, Spent, next},
-    backends::{BackendEntry, BackendId, Backends, Change},
+    backends::{BackendEntry, BackendId, Backends, EntryChange},
     document::{Document, LOWEST_RANK, Route, RouteKind, Share, Tenant, rank},
     events::{EventSplitter, event_id},
     freshness::Freshness,
@@ -189,9 +189,9 @@
 #[test]
 fn a_back_end_that_is_leaving_gets_nothing_and_does_not_come_back() {
     let mut backends = Backends::default();
-    assert_eq!(backends.put(entry("a", false)), Change::Appeared);
-    assert_eq!(backends.put(entry("a", true)), Change::Leaving);
-    assert_eq!(backends.put(entry("a", false)), Change::Updated);
+    assert_eq!(backends.put(entry("a", false)), EntryChange::Appeared);
+    assert_eq!(backends.put(entry("a", true)), EntryChange::Leaving);
+    assert_eq!(backends.put(entry("a", false)), EntryChange::Updated);
     assert!(usable(&backends).is_empty());
 }
 
@@ -203,19 +203,19 @@
         backends.put(entry(id, false));
     }
     backends.registry.failed();
-    assert_eq!(backends.remove(&BackendId::from("a"), at(0)), Change::Doubted);
+    assert_eq!(backends.remove(&BackendId::from("a"), at(0)), EntryChange::Suspect);
     assert_eq!(usable(&backends), ["b", "c"]);
-    assert_eq!(backends.remove(&BackendId::from("b"), at(0)), Change::Doubted);
+    assert_eq!(backends.remove(&BackendId::from("b"), at(0)), EntryChange::Suspect);
     assert_eq!(usable(&backends), ["a", "b", "c"]);
     assert!(backends.expire(at(10_000)).is_empty(), "nothing is gone while the registry is away");
     backends.registry.answered(at(10_000));
-    assert_eq!(backends.remove(&BackendId::from("c"), at(10_500)), Change::Doubted);
+    assert_eq!(backends.remove(&BackendId::from("c"), at(10_500)), EntryChange::Suspect);
     backends.put(entry("a", false));
     assert!(backends.expire(at(12_000)).is_empty(), "entries are still being written anew");
     assert_eq!(backends.expire(at(12_400)).len(), 2, "what is missing now is gone");
     assert_eq!(usable(&backends), ["a"]);
     backends.registry.answered(at(12_400));
-    assert_eq!(backends.remove(&BackendId::from("a"), at(12_500)), Change::Removed);
+    assert_eq!(backends.remove(&BackendId::from("a"), at(12_500)), EntryChange::Removed);
 }
 
 #[test]
@@ -225,7 +225,7 @@
     backends.put(entry("a", false));
     backends.registry.failed();
     backends.registry.answered(at(0));
-    assert_eq!(backends.remove(&BackendId::from("a"), at(2_400)), Change::Removed);
+    assert_eq!(backends.remove(&BackendId::from("a"), at(2_400)), EntryChange::Removed);
 }
 
 #[test]
--- a/crates/core/tests/forwarding_pool.rs
+++ b/crates/core/tests/forwarding_pool.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use paddlemount_core::forwarding::{
-    backends::{BackendEntry, BackendId, Backends, Standing},
+    backends::{BackendEntry, BackendId, BackendState, Backends},
     choice::{Candidate, Choice, Chooser, Placement},
     pool::Pool,
     prompt::{Part, PartId, Prompt},
@@ -56,7 +56,7 @@
     let mut versions: BTreeMap<WeightsVersion, usize> = BTreeMap::new();
     let ready: Vec<_> = backends
         .iter()
-        .filter(|backend| backend.standing == Standing::Ready && backend.entry.service == service)
+        .filter(|backend| backend.state == BackendState::Ready && backend.entry.service == service)
         .collect();
     for backend in &ready {
         *versions.entry(backend.entry.weights[&model()]).or_default() += 1;
--- a/crates/core/tests/forwarding_replacement.rs
+++ b/crates/core/tests/forwarding_replacement.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use paddlemount_core::forwarding::{
-    backends::{BackendEntry, BackendId, Backends, Change, Standing},
+    backends::{BackendEntry, BackendId, BackendState, Backends, EntryChange},
     replacement::{Heard, Replacement},
 };
 use paddlemount_protocol::{
@@ -51,7 +51,7 @@
     let replaced = changed(&mut backends, entry("b", 1, None));
     assert_eq!(replaced, [Replacement { backend: id("a"), by: id("b") }]);
     for heard in [Heard::AsChange, Heard::InListing] {
-        assert_eq!(backends.take_in(entry("a", 1, None), heard).change, Change::None);
+        assert_eq!(backends.take_in(entry("a", 1, None), heard).change, EntryChange::None);
     }
     let older = BTreeMap::from([(model(), WeightsVersion(2))]);
     changed(&mut backends, BackendEntry { weights: older, ..entry("a", 1, None) });
@@ -111,9 +111,9 @@
     changed(&mut backends, entry("a", 1, None));
     changed(&mut backends, entry("b", 1, None));
     backends.registry.failed();
-    assert_eq!(backends.remove(&id("a"), Timestamp::ZERO), Change::Removed);
+    assert_eq!(backends.remove(&id("a"), Timestamp::ZERO), EntryChange::Removed);
     changed(&mut backends, entry("c", 2, None));
-    assert_eq!(backends.remove(&id("c"), Timestamp::ZERO), Change::Doubted);
+    assert_eq!(backends.remove(&id("c"), Timestamp::ZERO), EntryChange::Suspect);
     assert_eq!(changed(&mut backends, entry("d", 2, None)).len(), 1);
     assert!(backends.get(&id("c")).is_none(), "nothing would ever tell that it is gone");
 }
@@ -174,7 +174,7 @@
                 _ => drop(backends.misdirected(&id(&name), at, &id(&format!("b{}", kind % 6)))),
             }
             let mut holders: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-            for backend in backends.iter().filter(|backend| backend.standing == Standing::Ready) {
+            for backend in backends.iter().filter(|backend| backend.state == BackendState::Ready) {
                 *holders.entry(backend.entry.address).or_default() += 1;
             }
             assert!(holders.values().all(|holders| *holders == 1), "{holders:?}");
--- a/crates/forward/src/announced.rs
+++ b/crates/forward/src/announced.rs
@@ -153,7 +153,7 @@
     pub(crate) fn announced_gauges(&self) -> [Gauge; 3] {
         let beliefs = self.beliefs.borrow();
         let resting = beliefs.backends.announcements.count_backed_off(self.now());
-        let leaving = beliefs.backends.iter().filter(|backend| backend.standing.is_leaving()).count();
+        let leaving = beliefs.backends.iter().filter(|backend| backend.state.is_leaving()).count();
         [
             Gauge { name: "paddlemount_forward_backends_resting", value: resting as f64 },
             Gauge { name: "paddlemount_forward_backends_leaving", value: leaving as f64 },
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/beliefs.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::{
     forwarding::{
-        backends::{BackendId, Backends, Standing},
+        backends::{BackendId, BackendState, Backends},
         budget::{WindowBudget, WindowBudgetSettings, reserve_of},
         change_log::ChangeLog,
         choice::{Chooser, Store},
@@ -194,7 +194,7 @@
     /// Whether a back end may get work and has these weights.
     pub fn has_weights(&self, id: &BackendId, model: &ModelId, version: WeightsVersion) -> bool {
         self.backends.get(id).is_some_and(|backend| {
-            backend.standing == Standing::Ready && backend.entry.weights.get(model) == Some(&version)
+            backend.state == BackendState::Ready && backend.entry.weights.get(model) == Some(&version)
         })
     }
 
--- a/crates/forward/src/kept.rs
+++ b/crates/forward/src/kept.rs
@@ -9,7 +9,7 @@
 };
 
 use paddlemount_core::forwarding::{
-    backends::{BackendId, Standing},
+    backends::{BackendId, BackendState},
     readers::{are_worth_following, followed},
 };
 use paddlemount_protocol::fleet::KeptNews;
@@ -113,7 +113,7 @@
     let engines = beliefs
         .backends
         .iter()
-        .filter(|backend| backend.standing != Standing::Replaced && !backend.entry.weights.is_empty());
+        .filter(|backend| backend.state != BackendState::Replaced && !backend.entry.weights.is_empty());
     stores.chain(engines.map(|backend| (backend.entry.id.clone(), backend.entry.address))).collect()
 }
 
--- a/crates/forward/src/learned_backends.rs
+++ b/crates/forward/src/learned_backends.rs
@@ -2,7 +2,7 @@
 
 use paddlemount_core::{
     forwarding::{
-        backends::{BackendEntry, BackendId, Change, Standing},
+        backends::{BackendEntry, BackendId, BackendState, EntryChange},
         choice::Choice,
         replacement::{Heard, Replacement, TakenIn},
     },
@@ -17,7 +17,7 @@
         let mut beliefs = self.beliefs.borrow_mut();
         let id = entry.id.clone();
         let TakenIn { change, replaced } = beliefs.backends.take_in(entry, heard);
-        if change == Change::StartedAgain {
+        if change == EntryChange::Restarted {
             // The process that was known has ended, with its connections and all that it kept.
             beliefs.forget(&id);
             self.pool.borrow_mut().close(&id);
@@ -52,7 +52,7 @@
     /// Follows the health of a back end from now on. Those that were replaced count for no share of their pool.
     fn note_seen(&self, beliefs: &mut Beliefs, id: &BackendId) {
         let Some(known) = beliefs.backends.get(id) else { return };
-        if known.standing != Standing::Replaced {
+        if known.state != BackendState::Replaced {
             let pool = PoolId::from(known.entry.service.as_str());
             let seen = HealthEvent::Seen { pool: &pool, incarnation: Incarnation(1) };
             beliefs.health.apply(id, seen, self.now());
@@ -77,7 +77,7 @@
         let service = beliefs.backends.get(id).map(|backend| backend.entry.service.clone());
         let change = beliefs.backends.remove(id, now);
         self.note_reopened(&mut beliefs);
-        if let (Change::Removed, Some(service)) = (change, service) {
+        if let (EntryChange::Removed, Some(service)) = (change, service) {
             beliefs.forget(id);
             self.pool.borrow_mut().close(id);
             let event = Event::BackendChanged {
@@ -93,14 +93,14 @@
         }
     }
 
-    fn tell_backend(&self, beliefs: &Beliefs, id: &BackendId, change: Change, revision: Revision) {
+    fn tell_backend(&self, beliefs: &Beliefs, id: &BackendId, change: EntryChange, revision: Revision) {
         let change = match change {
-            Change::Appeared => "appeared",
-            Change::Leaving => "leaving",
-            Change::Updated => "updated",
-            Change::Doubted => "doubted",
-            Change::StartedAgain => "started_again",
-            Change::Removed | Change::None => return,
+            EntryChange::Appeared => "appeared",
+            EntryChange::Leaving => "leaving",
+            EntryChange::Updated => "updated",
+            EntryChange::Suspect => "doubted",
+            EntryChange::Restarted => "started_again",
+            EntryChange::Removed | EntryChange::None => return,
         };
         // What only adds to a back end is told by the nodes that ask the store for others: hundreds would tell the same.
         if matches!(change, "appeared" | "updated") && self.is_told_by_others() {
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use paddlemount_core::forwarding::{
-    backends::{Backend, BackendId, Standing},
+    backends::{Backend, BackendId, BackendState},
     rollout::{EngineReport, Manner, SET_ASIDE, Step, Target, after_report},
 };
 use paddlemount_protocol::{identity::FencingToken, time::Timestamp};
@@ -124,7 +124,7 @@
 fn address_of(node: &Node, id: &BackendId) -> Option<SocketAddr> {
     let beliefs = node.beliefs.borrow();
     let backend = beliefs.backends.get(id)?;
-    let stays = matches!(backend.standing, Standing::Ready | Standing::Doubted { .. });
+    let stays = matches!(backend.state, BackendState::Ready | BackendState::Suspect { .. });
     stays.then_some(backend.entry.address)
 }
 
@@ -221,7 +221,7 @@
     let engines = beliefs
         .backends
         .iter()
-        .filter(|backend| backend.standing == Standing::Ready && !backend.entry.weights.is_empty());
+        .filter(|backend| backend.state == BackendState::Ready && !backend.entry.weights.is_empty());
     beliefs.rollout.loads_at_once(engines.count())
 }
 
--- a/crates/forward/src/placing.rs
+++ b/crates/forward/src/placing.rs
@@ -3,7 +3,7 @@
 use paddlemount_core::{
     forwarding::{
         announcements::limits::Opening,
-        backends::{Backend, BackendId, Standing},
+        backends::{Backend, BackendId, BackendState},
         choice::{Candidate, Choice, Field, Placement, shard_of},
         even_part::even_part,
         pool::Pool,
@@ -212,7 +212,7 @@
         let (beliefs, now, id) = (self.beliefs, self.now, &backend.entry.id);
         let loading = self.ask.prompt.is_some() && backend.is_loading(now);
         let refused = beliefs.refused_until.get(id).is_some_and(|until| now < *until);
-        backend.standing == Standing::Ready
+        backend.state == BackendState::Ready
             && !loading
             && !refused
             && !matches!(beliefs.health.verdict(id, 0.0, now), HealthVerdict::Ejected { .. })
@@ -247,11 +247,11 @@
 
     fn find(&self, id: &BackendId) -> Option<Candidate<'_>> {
         let backend = self.beliefs.backends.get(id)?;
-        let in_use = match backend.standing {
-            Standing::Ready => true,
-            Standing::Doubted { .. } => self.pool.uses_doubted(),
-            Standing::Departing { .. } => self.pool.uses_departing(),
-            Standing::Leaving | Standing::Replaced => false,
+        let in_use = match backend.state {
+            BackendState::Ready => true,
+            BackendState::Suspect { .. } => self.pool.uses_suspect(),
+            BackendState::Departing { .. } => self.pool.uses_departing(),
+            BackendState::Leaving | BackendState::Replaced => false,
         };
         let of_service = backend.entry.service == *self.ask.service;
         (in_use && of_service).then(|| self.describe(backend))
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use paddlemount_core::forwarding::{
-    backends::{Backend, BackendEntry, Standing},
+    backends::{Backend, BackendEntry, BackendState},
     change_log::Subject,
 };
 use paddlemount_protocol::identity::ModelId;
@@ -72,11 +72,11 @@
 /// A back end's entry; nothing where the registry holds none any more. One that was replaced is told as the registry has
 /// it: the nodes below conclude by themselves who has its address, and none of them takes over another's mistake.
 fn entry_fact(backend: &Backend) -> Option<Fact> {
-    let leaving = match backend.standing {
+    let leaving = match backend.state {
         // Of those that depart nodes tell each other beside.
-        Standing::Ready | Standing::Departing { .. } | Standing::Replaced => false,
-        Standing::Leaving => true,
-        Standing::Doubted { .. } => return None,
+        BackendState::Ready | BackendState::Departing { .. } | BackendState::Replaced => false,
+        BackendState::Leaving => true,
+        BackendState::Suspect { .. } => return None,
     };
     Some(Fact::Backend(BackendEntry { leaving, ..backend.entry.clone() }))
 }
