--- a/crates/core/src/forwarding/replacement.rs
+++ b/crates/core/src/forwarding/replacement.rs
@@ -16,16 +16,16 @@
 
 /// How an entry was heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum EntrySource {
     /// As a change: it is later than all that is known.
-    AsChange,
+    Update,
     /// In a listing or a snapshot of all, which is in no order of time.
-    InListing,
+    Listing,
 }
 
 /// What followed an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TakenIn {
+pub struct AppliedEntry {
     /// What changed with the entry.
     pub change: EntryChange,
     /// Who was replaced.
@@ -79,7 +79,7 @@
 
 impl Backends {
     /// Takes an entry in, and settles who has its address.
-    pub fn take_in(&mut self, entry: BackendEntry, heard: Heard) -> TakenIn {
+    pub fn apply_entry(&mut self, entry: BackendEntry, heard: EntrySource) -> AppliedEntry {
         let id = entry.id.clone();
         let before = self.get(&id).map(|known| (known.entry.address, known.state));
         let change = self.put(entry);
@@ -91,7 +91,7 @@
             _ => false,
         };
         let replaced = if comes { self.settle(&id, heard) } else { Vec::new() };
-        TakenIn { change, replaced }
+        AppliedEntry { change, replaced }
     }
 
     /// An answer from `address` named `by` in place of `id`, which was asked there. Whether that is news.
@@ -132,7 +132,7 @@
     }
 
     /// A back end has come to the address in its entry: the earlier ones there are gone, or it is itself.
-    fn settle(&mut self, id: &BackendId, heard: Heard) -> Vec<Replacement> {
+    fn settle(&mut self, id: &BackendId, heard: EntrySource) -> Vec<Replacement> {
         let Some(newcomer) = self.get(id).map(|known| known.entry.clone()) else { return Vec::new() };
         // One that is heard of for the first time as it leaves may have left long ago.
         if newcomer.leaving || self.announcements.leaving_since(&newcomer).is_some() {
@@ -143,7 +143,7 @@
             let Some(known) = self.get(&other) else { continue };
             let other_is_earlier = match (known.entry.born, newcomer.born) {
                 (Some(known), Some(born)) if known != born => Some(known < born),
-                _ if heard == Heard::AsChange => Some(true),
+                _ if heard == EntrySource::Update => Some(true),
                 _ => None,
             };
             let is_gone = known.state == BackendState::Replaced;
--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -7,7 +7,7 @@
     forwarding::{
         announcements::{Announcements, BackOff, Departure},
         backends::{BackendEntry, BackendId, BackendState, Backends},
-        replacement::Heard,
+        replacement::EntrySource,
     },
     rest::MAX_BACK_OFF,
 };
@@ -66,25 +66,25 @@
 #[test]
 fn an_older_entry_takes_nothing_back_and_a_new_start_ends_it() {
     let mut backends = Backends::default();
-    backends.take_in(entry(0, 1), Heard::AsChange);
+    backends.apply_entry(entry(0, 1), EntrySource::Update);
     assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Leaves);
     assert_eq!(backends.observe_draining(&process(0, 1), at(5)), Departure::Known);
     let departing = Some(BackendState::Departing { since: at(0) });
-    backends.take_in(BackendEntry { slots: 2, ..entry(0, 1) }, Heard::AsChange);
+    backends.apply_entry(BackendEntry { slots: 2, ..entry(0, 1) }, EntrySource::Update);
     assert_eq!(state(&backends, 0), departing);
     backends.remove(&id(0), at(10));
-    backends.take_in(entry(0, 1), Heard::InListing);
+    backends.apply_entry(entry(0, 1), EntrySource::Listing);
     assert_eq!(state(&backends, 0), departing, "it counts from when it was first heard");
-    backends.take_in(BackendEntry { leaving: true, ..entry(0, 1) }, Heard::AsChange);
+    backends.apply_entry(BackendEntry { leaving: true, ..entry(0, 1) }, EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Leaving));
-    backends.take_in(entry(0, 2), Heard::AsChange);
+    backends.apply_entry(entry(0, 2), EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Ready));
 }
 
 #[test]
 fn what_an_earlier_process_said_is_no_news_of_the_one_that_has_started_since() {
     let mut backends = Backends::default();
-    backends.take_in(entry(0, 2), Heard::AsChange);
+    backends.apply_entry(entry(0, 2), EntrySource::Update);
     assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Known);
     assert_eq!(state(&backends, 0), Some(BackendState::Ready));
     backends.announcements.rests(&process(0, 1), Duration::from_secs(60), at(0));
@@ -100,27 +100,27 @@
 #[test]
 fn an_entry_of_an_earlier_start_ends_nothing_that_a_later_process_has_said() {
     let mut backends = Backends::default();
-    backends.take_in(entry(0, 2), Heard::AsChange);
+    backends.apply_entry(entry(0, 2), EntrySource::Update);
     backends.announcements.rests(&process(0, 2), Duration::from_secs(2), at(0));
-    backends.take_in(entry(0, 1), Heard::InListing);
+    backends.apply_entry(entry(0, 1), EntrySource::Listing);
     assert!(!takes_requests(&backends, 0, at(530)) && takes_requests(&backends, 0, at(2_000)));
     backends.observe_draining(&process(0, 2), at(3_000));
     assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(3_000) }));
-    backends.take_in(entry(0, 2), Heard::AsChange);
+    backends.apply_entry(entry(0, 2), EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(3_000) }));
-    backends.take_in(entry(0, 3), Heard::AsChange);
+    backends.apply_entry(entry(0, 3), EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Ready), "a new start ends it");
 }
 
 #[test]
 fn one_whose_entry_had_lapsed_is_dropped_and_leaves_still_when_the_entry_is_back() {
     let mut backends = Backends::default();
-    backends.take_in(entry(0, 1), Heard::AsChange);
+    backends.apply_entry(entry(0, 1), EntrySource::Update);
     backends.registry.failed();
     backends.remove(&id(0), at(0));
     assert_eq!(backends.observe_draining(&process(0, 1), at(1)), Departure::Dropped);
     assert_eq!(backends.iter().count(), 0);
-    backends.take_in(entry(0, 1), Heard::AsChange);
+    backends.apply_entry(entry(0, 1), EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(1) }));
 }
 
@@ -128,7 +128,7 @@
 fn those_that_depart_serve_only_where_nobody_else_is_left_and_for_a_while() {
     let mut backends = Backends::default();
     for number in 0..2 {
-        backends.take_in(entry(number, 1), Heard::AsChange);
+        backends.apply_entry(entry(number, 1), EntrySource::Update);
     }
     backends.observe_draining(&process(0, 1), at(0));
     assert_eq!(usable(&backends), 1);
@@ -136,7 +136,7 @@
     assert_eq!(usable(&backends), 2, "nobody else is left");
     assert!(takes_requests(&backends, 0, at(999)) && takes_requests(&backends, 1, at(999)));
     assert!(!takes_requests(&backends, 0, at(1_000)) && takes_requests(&backends, 1, at(1_000)));
-    backends.take_in(entry(2, 1), Heard::AsChange);
+    backends.apply_entry(entry(2, 1), EntrySource::Update);
     assert_eq!(usable(&backends), 1, "somebody else is there");
 }
 
@@ -162,7 +162,7 @@
 fn callers_may_come_back_when_the_first_rest_is_over_and_only_where_all_rest() {
     let mut backends = Backends::default();
     for number in 0..2 {
-        backends.take_in(entry(number, 1), Heard::AsChange);
+        backends.apply_entry(entry(number, 1), EntrySource::Update);
     }
     let least =
         |backends: &Backends, now| backends.next_opening(backends.iter(), at(now)).map(|opening| opening.at);
@@ -190,7 +190,7 @@
     }
     assert_eq!(backends.announcements.pending_draining_gossip(at(23_000)).len(), 128);
     let first = BackendProcess { id: BackendId::from("p0"), born: None };
-    backends.take_in(BackendEntry { id: first.id, ..entry(0, 1) }, Heard::AsChange);
+    backends.apply_entry(BackendEntry { id: first.id, ..entry(0, 1) }, EntrySource::Update);
     assert_eq!(backends.iter().next().map(|known| known.state), Some(BackendState::Ready), "forgotten");
 }
 
@@ -245,7 +245,7 @@
             Step::Entry { backend, leaving, is_older, slots, in_listing } => {
                 let backend = backend % BACKENDS;
                 let born = self.born(backend) - u64::from(is_older && self.born(backend) > 1);
-                self.take_in(
+                self.apply_entry(
                     BackendEntry { leaving, slots: slots.into(), ..entry(backend, born) },
                     in_listing,
                 );
@@ -258,7 +258,7 @@
                 let backend = backend % BACKENDS;
                 let born = self.born(backend) + 1;
                 self.born.insert(backend, born);
-                self.take_in(entry(backend, born), false);
+                self.apply_entry(entry(backend, born), false);
             }
             Step::Leaves { backend, is_older } => {
                 let backend = backend % BACKENDS;
@@ -291,9 +291,9 @@
         }
     }
 
-    fn take_in(&mut self, entry: BackendEntry, in_listing: bool) {
-        let heard = if in_listing { Heard::InListing } else { Heard::AsChange };
-        self.backends.take_in(entry, heard);
+    fn apply_entry(&mut self, entry: BackendEntry, in_listing: bool) {
+        let heard = if in_listing { EntrySource::Listing } else { EntrySource::Update };
+        self.backends.apply_entry(entry, heard);
     }
 
     fn check(&mut self) {
--- a/crates/core/tests/forwarding_limits.rs
+++ b/crates/core/tests/forwarding_limits.rs
@@ -9,7 +9,7 @@
         rate_limit::{Advertised, TreePosition},
     },
     backends::{BackendEntry, BackendId, Backends},
-    replacement::Heard,
+    replacement::EntrySource,
 };
 use paddlemount_protocol::{
     fleet::BackendProcess,
@@ -61,7 +61,7 @@
         weights: std::collections::BTreeMap::new(),
         born: Some(1),
     };
-    backends.take_in(entry, Heard::AsChange);
+    backends.apply_entry(entry, EntrySource::Update);
     backends
 }
 
--- a/crates/core/tests/forwarding_replacement.rs
+++ b/crates/core/tests/forwarding_replacement.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::forwarding::{
     backends::{BackendEntry, BackendId, BackendState, Backends, EntryChange},
-    replacement::{Heard, Replacement},
+    replacement::{EntrySource, Replacement},
 };
 use paddlemount_protocol::{
     identity::{ModelId, ServiceId, WeightsVersion, ZoneId},
@@ -41,7 +41,7 @@
 }
 
 fn changed(backends: &mut Backends, entry: BackendEntry) -> Vec<Replacement> {
-    backends.take_in(entry, Heard::AsChange).replaced
+    backends.apply_entry(entry, EntrySource::Update).replaced
 }
 
 #[test]
@@ -50,8 +50,8 @@
     changed(&mut backends, entry("a", 1, None));
     let replaced = changed(&mut backends, entry("b", 1, None));
     assert_eq!(replaced, [Replacement { backend: id("a"), by: id("b") }]);
-    for heard in [Heard::AsChange, Heard::InListing] {
-        assert_eq!(backends.take_in(entry("a", 1, None), heard).change, EntryChange::None);
+    for heard in [EntrySource::Update, EntrySource::Listing] {
+        assert_eq!(backends.apply_entry(entry("a", 1, None), heard).change, EntryChange::None);
     }
     let older = BTreeMap::from([(model(), WeightsVersion(2))]);
     changed(&mut backends, BackendEntry { weights: older, ..entry("a", 1, None) });
@@ -85,8 +85,8 @@
         (Some(7), None, vec!["a", "b"]),
     ] {
         let mut backends = Backends::default();
-        backends.take_in(entry("a", 1, first), Heard::InListing);
-        backends.take_in(entry("b", 1, second), Heard::InListing);
+        backends.apply_entry(entry("a", 1, first), EntrySource::Listing);
+        backends.apply_entry(entry("b", 1, second), EntrySource::Listing);
         assert_eq!(usable(&backends), left);
     }
 }
--- a/crates/forward/src/learned_backends.rs
+++ b/crates/forward/src/learned_backends.rs
@@ -4,7 +4,7 @@
     forwarding::{
         backends::{BackendEntry, BackendId, BackendState, EntryChange},
         choice::Choice,
-        replacement::{Heard, Replacement, TakenIn},
+        replacement::{AppliedEntry, EntrySource, Replacement},
     },
     health::HealthEvent,
 };
@@ -13,10 +13,10 @@
 use crate::{beliefs::Beliefs, journal::Event, node::Node};
 
 impl Node {
-    pub(crate) fn learn_backend(&self, entry: BackendEntry, revision: Revision, heard: Heard) {
+    pub(crate) fn learn_backend(&self, entry: BackendEntry, revision: Revision, heard: EntrySource) {
         let mut beliefs = self.beliefs.borrow_mut();
         let id = entry.id.clone();
-        let TakenIn { change, replaced } = beliefs.backends.take_in(entry, heard);
+        let AppliedEntry { change, replaced } = beliefs.backends.apply_entry(entry, heard);
         if change == EntryChange::Restarted {
             // The process that was known has ended, with its connections and all that it kept.
             beliefs.forget(&id);
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/learning.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, rc::Rc};
 
 use paddlemount_core::forwarding::{
-    change_log::Subject, document::Document, namings::NamingProof, replacement::Heard, rollout::Learned,
-    table::RouteTable,
+    change_log::Subject, document::Document, namings::NamingProof, replacement::EntrySource,
+    rollout::Learned, table::RouteTable,
 };
 use paddlemount_protocol::{
     fleet::NamedLately,
@@ -18,7 +18,7 @@
 struct Telling {
     learned: Learned,
     /// Whether they come in the order of time.
-    heard: Heard,
+    heard: EntrySource,
     /// What another node, or a leader's record in the store, proves of when versions were named.
     named: Vec<NamingProof>,
 }
@@ -26,7 +26,7 @@
 impl Telling {
     /// A watch tells that a record was written, and not that it is still there: it proves nothing.
     const fn by_a_watch() -> Self {
-        Self { learned: Learned::Watched, heard: Heard::AsChange, named: Vec::new() }
+        Self { learned: Learned::Watched, heard: EntrySource::Update, named: Vec::new() }
     }
 
     /// A listing that began at `listed_at` shows the records that are there.
@@ -36,10 +36,10 @@
             _ => None,
         };
         let records: Vec<NamedLately> = facts.iter().filter_map(record).collect();
-        Self { learned, heard: Heard::InListing, named: proofs(&records, listed_at) }
+        Self { learned, heard: EntrySource::Listing, named: proofs(&records, listed_at) }
     }
 
-    const fn by_another(heard: Heard, named: Vec<NamingProof>) -> Self {
+    const fn by_another(heard: EntrySource, named: Vec<NamingProof>) -> Self {
         Self { learned: Learned::Told, heard, named }
     }
 }
@@ -59,7 +59,7 @@
         proved_at: Timestamp,
         named: &[NamedLately],
     ) {
-        let telling = Telling::by_another(Heard::AsChange, proofs(named, proved_at));
+        let telling = Telling::by_another(EntrySource::Update, proofs(named, proved_at));
         self.learn_changes(facts, revision, proved_at, &telling);
     }
 
@@ -77,7 +77,7 @@
 
     /// Takes in what another node goes by that only rises, whatever this one has read of the store.
     pub(crate) fn learn_rising(&self, facts: Vec<Fact>, revision: Revision) {
-        let telling = Telling::by_another(Heard::AsChange, Vec::new());
+        let telling = Telling::by_another(EntrySource::Update, Vec::new());
         let rising =
             facts.into_iter().filter(|fact| matches!(fact, Fact::Document(_) | Fact::WeightsNamed { .. }));
         rising.for_each(|fact| self.learn_one(fact, revision, &telling));
@@ -115,7 +115,7 @@
         proved_at: Timestamp,
         named: &[NamedLately],
     ) {
-        let telling = Telling::by_another(Heard::InListing, proofs(named, proved_at));
+        let telling = Telling::by_another(EntrySource::Listing, proofs(named, proved_at));
         self.learn_whole(facts, revision, proved_at, &telling);
     }
 
