--- a/crates/core/src/forwarding/mod.rs
+++ b/crates/core/src/forwarding/mod.rs
@@ -25,7 +25,7 @@
 //! | [`registry`] | whether an entry that has vanished says that its back end is gone |
 //! | [`replacement`] | which of several back ends has an address |
 //! | [`change_log`] | what another node must be told of the store |
-//! | [`namings`] | from when on a named version of weights counts |
+//! | [`target_versions`] | from when on a named version of weights counts |
 //! | [`rollout`] | which back end gets new weights next |
 //!
 //! Everything here is pure: the present time is an argument.
@@ -45,7 +45,6 @@
 pub mod fleet;
 pub mod freshness;
 pub mod load;
-pub mod namings;
 pub mod news;
 pub mod planned_stop;
 pub mod pool;
@@ -58,4 +57,5 @@
 pub mod replacement;
 pub mod rollout;
 pub mod table;
+pub mod target_versions;
 pub mod uplink;
--- a/crates/core/src/forwarding/rollout.rs
+++ b/crates/core/src/forwarding/rollout.rs
@@ -17,7 +17,7 @@
 
 use super::{
     backends::{Backend, BackendId, BackendState},
-    namings::{Naming, Namings},
+    target_versions::{TargetVersion, TargetVersions},
 };
 
 /// What becomes of requests that run while an engine takes new weights.
@@ -127,7 +127,7 @@
 pub struct Rollout {
     settings: RolloutSettings,
     /// The named versions.
-    pub namings: Namings,
+    pub target_versions: TargetVersions,
     active: BTreeSet<BackendId>,
     /// Back ends that could not be brought to their version, and until when they are left alone.
     set_aside_until: BTreeMap<BackendId, Timestamp>,
@@ -170,7 +170,7 @@
     pub fn new(settings: RolloutSettings) -> Self {
         Self {
             settings,
-            namings: Namings::default(),
+            target_versions: TargetVersions::default(),
             active: BTreeSet::new(),
             set_aside_until: BTreeMap::new(),
         }
@@ -178,7 +178,7 @@
 
     /// The newest named version of a model.
     pub fn newest(&self, model: &ModelId) -> Option<WeightsVersion> {
-        self.namings.newest(model).map(|naming| naming.version)
+        self.target_versions.newest(model).map(|naming| naming.version)
     }
 
     /// The oldest version of a model on which a request may still begin, where it begins up to `waits` after it was
@@ -187,16 +187,16 @@
     /// Where nobody knows when a version was named it may have been long ago: older ones get nothing from then on.
     pub fn required(&self, model: &ModelId, waits: Duration, now: Timestamp) -> Option<WeightsVersion> {
         let after = self.settings.bound.saturating_sub(self.settings.margin + waits.min(LONGEST_WAIT));
-        let is_due = |naming: &&Naming| naming.may_be_older_than(after, now);
-        self.namings.of(model).iter().rev().find(is_due).map(|naming| naming.version)
+        let is_due = |naming: &&TargetVersion| naming.may_be_older_than(after, now);
+        self.target_versions.of(model).iter().rev().find(is_due).map(|naming| naming.version)
     }
 
     /// Until when a request that was sent to a back end with `held` must have begun; after that it would begin on a
     /// version that is too old. This is long over where nobody knows when a newer one was named.
     pub fn begin_by(&self, model: &ModelId, held: WeightsVersion) -> Option<Timestamp> {
-        let newer = self.namings.first_newer(model, held)?;
+        let newer = self.target_versions.first_newer(model, held)?;
         let lasts = self.settings.bound.saturating_sub(BEGIN_MARGIN);
-        Some(newer.after.map_or(Timestamp::ZERO, |after| after + lasts))
+        Some(newer.not_before.map_or(Timestamp::ZERO, |after| after + lasts))
     }
 
     /// Back ends to begin with now. Each counts as active until [`Rollout::ended`]. Those whose versions are oldest
@@ -257,8 +257,8 @@
 
     /// The version of a model that requests rather begin on, where one was named long enough ago.
     pub fn preferred(&self, model: &ModelId, now: Timestamp) -> Option<WeightsVersion> {
-        let is_ripe = |naming: &&Naming| naming.may_be_older_than(PREFERRED_AFTER, now);
-        self.namings.of(model).iter().rev().find(is_ripe).map(|naming| naming.version)
+        let is_ripe = |naming: &&TargetVersion| naming.may_be_older_than(PREFERRED_AFTER, now);
+        self.target_versions.of(model).iter().rev().find(is_ripe).map(|naming| naming.version)
     }
 
     fn target(&self, backend: &Backend) -> Option<(WeightsVersion, Target)> {
@@ -284,7 +284,8 @@
         at_once: usize,
         now: Timestamp,
     ) -> Duration {
-        let Some(after) = self.namings.first_newer(model, held).and_then(|naming| naming.after) else {
+        let Some(after) = self.target_versions.first_newer(model, held).and_then(|naming| naming.not_before)
+        else {
             return Duration::ZERO;
         };
         let due = after + self.settings.bound.saturating_sub(self.settings.margin + RESERVE);
--- a/crates/core/src/forwarding/namings.rs
+++ b/crates/core/src/forwarding/target_versions.rs
@@ -18,17 +18,17 @@
 
 /// A version that the operator has named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Naming {
+pub struct TargetVersion {
     /// The version.
     pub version: WeightsVersion,
     /// Up to when nothing newer than the version before it had been named; none where nobody knows.
-    pub after: Option<Timestamp>,
+    pub not_before: Option<Timestamp>,
 }
 
-impl Naming {
+impl TargetVersion {
     /// How long ago it was named at most; none where nobody knows.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.after.map(|after| now.saturating_since(after))
+        self.not_before.map(|after| now.saturating_since(after))
     }
 
     /// Whether it may have been named `time` ago.
@@ -39,7 +39,7 @@
 
 /// A proof that up to a moment no version of a model newer than `above` had been named.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NamingProof {
+pub struct TargetVersionProof {
     /// The model.
     pub model: ModelId,
     /// The version before; none where none had been named.
@@ -52,31 +52,31 @@
 
 /// The versions that the operator has named.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Namings {
+pub struct TargetVersions {
     /// By model, the oldest first.
-    named: BTreeMap<ModelId, Vec<Naming>>,
+    named: BTreeMap<ModelId, Vec<TargetVersion>>,
     complete_at: Option<Timestamp>,
 }
 
-impl Namings {
+impl TargetVersions {
     /// All that had been named up to `at` is known.
-    pub fn complete(&mut self, at: Timestamp) {
+    pub fn confirm_complete(&mut self, at: Timestamp) {
         self.complete_at = self.complete_at.max(Some(at));
     }
 
     /// A version was named, after the moment up to which all was known. Tells whether it is news.
-    pub fn name(&mut self, model: ModelId, version: WeightsVersion) -> bool {
+    pub fn announce(&mut self, model: ModelId, version: WeightsVersion) -> bool {
         let named = self.named.entry(model).or_default();
         if named.last().is_some_and(|last| last.version >= version) {
             return false;
         }
-        named.push(Naming { version, after: self.complete_at });
+        named.push(TargetVersion { version, not_before: self.complete_at });
         forget_oldest(named);
         true
     }
 
     /// Takes in what another node has proof of.
-    pub fn take_proof(&mut self, proof: &NamingProof) {
+    pub fn merge_proof(&mut self, proof: &TargetVersionProof) {
         let Some(named) = self.named.get_mut(&proof.model) else { return };
         for version in proof.above.into_iter().chain([proof.version]) {
             insert_missed(named, version);
@@ -86,18 +86,18 @@
         let before = place.checked_sub(1).map(|before| named[before].version);
         // Of versions between `above` and the one before here the proof tells nothing.
         if before >= proof.above {
-            named[place].after = named[place].after.max(Some(proof.at));
+            named[place].not_before = named[place].not_before.max(Some(proof.at));
         }
     }
 
     /// What this node has proof of, for others: of versions that were named less than `within` ago.
-    pub fn proofs(&self, within: Duration, now: Timestamp) -> Vec<NamingProof> {
-        let of_model = |(model, named): (&ModelId, &Vec<Naming>)| {
+    pub fn proofs(&self, within: Duration, now: Timestamp) -> Vec<TargetVersionProof> {
+        let of_model = |(model, named): (&ModelId, &Vec<TargetVersion>)| {
             let before = std::iter::once(None).chain(named.iter().map(|naming| Some(naming.version)));
             let proofs = before.zip(named).filter(|(_, naming)| !naming.may_be_older_than(within, now));
-            let proof = |(above, naming): (Option<WeightsVersion>, &Naming)| {
-                let at = naming.after?;
-                Some(NamingProof { model: model.clone(), above, version: naming.version, at })
+            let proof = |(above, naming): (Option<WeightsVersion>, &TargetVersion)| {
+                let at = naming.not_before?;
+                Some(TargetVersionProof { model: model.clone(), above, version: naming.version, at })
             };
             proofs.filter_map(proof).collect::<Vec<_>>()
         };
@@ -110,41 +110,41 @@
     }
 
     /// The named versions of a model, the oldest first.
-    pub fn of(&self, model: &ModelId) -> &[Naming] {
+    pub fn of(&self, model: &ModelId) -> &[TargetVersion] {
         self.named.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// The newest named version of a model.
-    pub fn newest(&self, model: &ModelId) -> Option<&Naming> {
+    pub fn newest(&self, model: &ModelId) -> Option<&TargetVersion> {
         self.of(model).last()
     }
 
     /// The first version of a model newer than `held`.
-    pub fn first_newer(&self, model: &ModelId, held: WeightsVersion) -> Option<&Naming> {
+    pub fn first_newer(&self, model: &ModelId, held: WeightsVersion) -> Option<&TargetVersion> {
         self.of(model).iter().find(|naming| naming.version > held)
     }
 
     /// The version in force, of any model, that may have been named longest ago.
-    pub fn oldest_in_force(&self) -> Option<&Naming> {
-        self.named.values().filter_map(|named| named.last()).min_by_key(|naming| naming.after)
+    pub fn oldest_in_force(&self) -> Option<&TargetVersion> {
+        self.named.values().filter_map(|named| named.last()).min_by_key(|naming| naming.not_before)
     }
 }
 
 /// Puts a version in its place that this node has not heard of when it was named, as where a listing told of the next one.
-fn insert_missed(named: &mut Vec<Naming>, version: WeightsVersion) {
+fn insert_missed(named: &mut Vec<TargetVersion>, version: WeightsVersion) {
     let Some(place) = named.iter().position(|naming| naming.version >= version) else { return };
     let next = named[place];
     if next.version > version {
-        named.insert(place, Naming { version, after: next.after });
+        named.insert(place, TargetVersion { version, not_before: next.not_before });
     }
 }
 
 /// Forgets the oldest versions where there are many: the next one counts as named as early as they were.
-fn forget_oldest(named: &mut Vec<Naming>) {
+fn forget_oldest(named: &mut Vec<TargetVersion>) {
     while named.len() > MOST_NAMED {
         let forgotten = named.remove(0);
         if let Some(first) = named.first_mut() {
-            first.after = forgotten.after;
+            first.not_before = forgotten.not_before;
         }
     }
 }
--- a/crates/core/tests/forwarding_rollout.rs
+++ b/crates/core/tests/forwarding_rollout.rs
@@ -47,8 +47,8 @@
 
 /// A version was named just after the moment up to which all was known.
 fn heard(rollout: &mut Rollout, version: u64, at: Timestamp) {
-    rollout.namings.complete(at);
-    rollout.namings.name(model(), WeightsVersion(version));
+    rollout.target_versions.confirm_complete(at);
+    rollout.target_versions.announce(model(), WeightsVersion(version));
 }
 
 #[test]
@@ -81,7 +81,7 @@
     // request began on version 2, 11,546 ms after the naming, under a bound of 8 s. What a node finds may have been named
     // at any time, so that it asks for it at once, whether or not any back end has it.
     let mut rollout = rollout();
-    rollout.namings.name(model(), WeightsVersion(4));
+    rollout.target_versions.announce(model(), WeightsVersion(4));
     assert_eq!(rollout.required(&model(), Duration::ZERO, at(1)), Some(WeightsVersion(4)));
     assert_eq!(rollout.preferred(&model(), at(1)), Some(WeightsVersion(4)));
     assert!(rollout.begin_by(&model(), WeightsVersion(3)).is_some_and(|begin_by| begin_by <= at(1)));
@@ -95,9 +95,9 @@
 fn a_node_that_heard_nothing_for_a_while_counts_from_before_that() {
     // A node that stood still, or was cut off, counted the whole bound from when it heard of a version.
     let mut rollout = rollout();
-    rollout.namings.complete(at(1_000));
-    rollout.namings.name(model(), WeightsVersion(2));
-    rollout.namings.complete(at(9_500));
+    rollout.target_versions.confirm_complete(at(1_000));
+    rollout.target_versions.announce(model(), WeightsVersion(2));
+    rollout.target_versions.confirm_complete(at(9_500));
     assert_eq!(rollout.required(&model(), Duration::ZERO, at(9_500)), Some(WeightsVersion(2)));
     assert_eq!(rollout.begin_by(&model(), WeightsVersion(1)), Some(at(8_750)));
 }
--- a/crates/core/tests/forwarding_namings.rs
+++ b/crates/core/tests/forwarding_target_versions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bolero::TypeGenerator;
-use paddlemount_core::forwarding::namings::{Naming, NamingProof, Namings};
+use paddlemount_core::forwarding::target_versions::{TargetVersion, TargetVersionProof, TargetVersions};
 use paddlemount_protocol::{
     identity::{ModelId, WeightsVersion},
     time::Timestamp,
@@ -20,71 +20,71 @@
     Timestamp::from_millis(milliseconds)
 }
 
-fn proof(above: Option<u64>, version: u64, milliseconds: u64) -> NamingProof {
+fn proof(above: Option<u64>, version: u64, milliseconds: u64) -> TargetVersionProof {
     let (above, version) = (above.map(WeightsVersion), WeightsVersion(version));
-    NamingProof { model: model(), above, version, at: at(milliseconds) }
+    TargetVersionProof { model: model(), above, version, at: at(milliseconds) }
 }
 
 /// Versions with the moments that they count from.
-fn known(namings: &Namings) -> Vec<(u64, Option<Timestamp>)> {
-    namings.of(&model()).iter().map(|naming| (naming.version.0, naming.after)).collect()
+fn known(target_versions: &TargetVersions) -> Vec<(u64, Option<Timestamp>)> {
+    target_versions.of(&model()).iter().map(|naming| (naming.version.0, naming.not_before)).collect()
 }
 
 #[test]
 fn a_version_counts_from_the_last_moment_up_to_which_all_was_known() {
-    let mut namings = Namings::default();
-    namings.complete(at(1_000));
-    assert!(namings.name(model(), WeightsVersion(2)));
-    namings.complete(at(5_000));
-    assert!(!namings.name(model(), WeightsVersion(2)), "no news");
-    assert!(namings.name(model(), WeightsVersion(3)));
-    assert_eq!(known(&namings), [(2, Some(at(1_000))), (3, Some(at(5_000)))]);
+    let mut target_versions = TargetVersions::default();
+    target_versions.confirm_complete(at(1_000));
+    assert!(target_versions.announce(model(), WeightsVersion(2)));
+    target_versions.confirm_complete(at(5_000));
+    assert!(!target_versions.announce(model(), WeightsVersion(2)), "no news");
+    assert!(target_versions.announce(model(), WeightsVersion(3)));
+    assert_eq!(known(&target_versions), [(2, Some(at(1_000))), (3, Some(at(5_000)))]);
 }
 
 #[test]
 fn what_another_node_has_proof_of_moves_a_version_on_and_never_back() {
-    let mut namings = Namings::default();
-    namings.name(model(), WeightsVersion(2));
-    namings.take_proof(&proof(None, 2, 4_000));
-    assert_eq!(known(&namings), [(2, Some(at(4_000)))]);
-    namings.take_proof(&proof(None, 2, 3_000));
-    assert_eq!(known(&namings), [(2, Some(at(4_000)))]);
+    let mut target_versions = TargetVersions::default();
+    target_versions.announce(model(), WeightsVersion(2));
+    target_versions.merge_proof(&proof(None, 2, 4_000));
+    assert_eq!(known(&target_versions), [(2, Some(at(4_000)))]);
+    target_versions.merge_proof(&proof(None, 2, 3_000));
+    assert_eq!(known(&target_versions), [(2, Some(at(4_000)))]);
 }
 
 #[test]
 fn a_proof_tells_nothing_of_versions_that_were_named_before_and_missed_here() {
     // This node knew version 1 last and missed version 2, so that weights of version 1 count as too old from its naming.
-    let mut namings = Namings::default();
-    namings.name(model(), WeightsVersion(1));
-    namings.complete(at(1_000));
-    namings.name(model(), WeightsVersion(3));
-    namings.take_proof(&proof(Some(2), 3, 9_000));
-    assert_eq!(known(&namings), [(1, None), (2, Some(at(1_000))), (3, Some(at(9_000)))]);
-    let newer = namings.first_newer(&model(), WeightsVersion(1)).and_then(|naming| naming.after);
+    let mut target_versions = TargetVersions::default();
+    target_versions.announce(model(), WeightsVersion(1));
+    target_versions.confirm_complete(at(1_000));
+    target_versions.announce(model(), WeightsVersion(3));
+    target_versions.merge_proof(&proof(Some(2), 3, 9_000));
+    assert_eq!(known(&target_versions), [(1, None), (2, Some(at(1_000))), (3, Some(at(9_000)))]);
+    let newer = target_versions.first_newer(&model(), WeightsVersion(1)).and_then(|naming| naming.not_before);
     assert_eq!(newer, Some(at(1_000)));
 }
 
 #[test]
 fn a_proof_of_a_version_that_is_not_known_here_is_passed_over() {
-    let mut namings = Namings::default();
-    namings.take_proof(&proof(None, 2, 4_000));
-    assert_eq!(namings.models().count(), 0);
-    namings.name(model(), WeightsVersion(1));
-    namings.take_proof(&proof(Some(1), 2, 4_000));
-    assert_eq!(known(&namings), [(1, None)]);
+    let mut target_versions = TargetVersions::default();
+    target_versions.merge_proof(&proof(None, 2, 4_000));
+    assert_eq!(target_versions.models().count(), 0);
+    target_versions.announce(model(), WeightsVersion(1));
+    target_versions.merge_proof(&proof(Some(1), 2, 4_000));
+    assert_eq!(known(&target_versions), [(1, None)]);
 }
 
 #[test]
 fn where_many_versions_are_named_the_oldest_remembered_one_counts_from_before_the_forgotten_ones() {
-    let mut namings = Namings::default();
+    let mut target_versions = TargetVersions::default();
     for version in 1..=40 {
-        namings.complete(at(version * 100));
-        namings.name(model(), WeightsVersion(version));
+        target_versions.confirm_complete(at(version * 100));
+        target_versions.announce(model(), WeightsVersion(version));
     }
     // A proof that tells of the time since a forgotten version tells nothing of the time before.
-    let oldest = namings.of(&model()).first().map_or(0, |naming| naming.version.0);
-    namings.take_proof(&proof(Some(oldest - 1), oldest, 9_000));
-    let known = known(&namings);
+    let oldest = target_versions.of(&model()).first().map_or(0, |naming| naming.version.0);
+    target_versions.merge_proof(&proof(Some(oldest - 1), oldest, 9_000));
+    let known = known(&target_versions);
     assert!(known.len() <= 16, "{known:?}");
     assert_eq!(known.first(), Some(&(oldest, Some(at(100)))));
     assert_eq!(known.last(), Some(&(40, Some(at(4_000)))));
@@ -92,13 +92,13 @@
 
 #[test]
 fn only_versions_that_were_named_lately_are_told() {
-    let mut namings = Namings::default();
-    namings.name(model(), WeightsVersion(1));
-    namings.complete(at(1_000));
-    namings.name(model(), WeightsVersion(2));
-    namings.complete(at(7_000));
-    namings.name(model(), WeightsVersion(3));
-    assert_eq!(namings.proofs(Duration::from_secs(8), at(9_500)), [proof(Some(2), 3, 7_000)]);
+    let mut target_versions = TargetVersions::default();
+    target_versions.announce(model(), WeightsVersion(1));
+    target_versions.confirm_complete(at(1_000));
+    target_versions.announce(model(), WeightsVersion(2));
+    target_versions.confirm_complete(at(7_000));
+    target_versions.announce(model(), WeightsVersion(3));
+    assert_eq!(target_versions.proofs(Duration::from_secs(8), at(9_500)), [proof(Some(2), 3, 7_000)]);
 }
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
@@ -116,7 +116,7 @@
 
 #[derive(Default)]
 struct Knowing {
-    namings: Namings,
+    target_versions: TargetVersions,
     /// Versions that the store told or another node did; none before all is known for the first time.
     upto: Option<usize>,
     proved_at: Timestamp,
@@ -126,7 +126,7 @@
     fn complete(&mut self, upto: usize, proved_at: Timestamp) {
         self.upto = Some(upto);
         self.proved_at = self.proved_at.max(proved_at);
-        self.namings.complete(proved_at);
+        self.target_versions.confirm_complete(proved_at);
     }
 }
 
@@ -143,7 +143,7 @@
 /// What a leader writes into the store.
 #[derive(Clone, Debug)]
 struct Record {
-    proof: NamingProof,
+    proof: TargetVersionProof,
     /// How old the name is at most when the lease is over.
     before: Duration,
 }
@@ -169,7 +169,7 @@
         let knowing = &mut self.nodes[node];
         let Some(upto) = knowing.upto else { return };
         for (version, _) in &self.named[upto..] {
-            knowing.namings.name(model(), *version);
+            knowing.target_versions.announce(model(), *version);
         }
         let sent_at = at(self.now.saturating_sub(u64::from(sent_ago))).max(knowing.proved_at);
         knowing.complete(self.named.len(), sent_at);
@@ -180,17 +180,19 @@
         let sent_at = at(self.now.saturating_sub(u64::from(sent_ago)));
         let knowing = &mut self.nodes[node];
         if let Some((version, _)) = self.named.last() {
-            knowing.namings.name(model(), *version);
+            knowing.target_versions.announce(model(), *version);
         }
         if let Some((record, _)) = self.record.as_ref().filter(|(_, over_at)| sent_at < *over_at) {
-            knowing.namings.take_proof(&NamingProof { at: sent_at - record.before, ..record.proof.clone() });
+            knowing
+                .target_versions
+                .merge_proof(&TargetVersionProof { at: sent_at - record.before, ..record.proof.clone() });
         }
         knowing.complete(self.named.len(), sent_at);
     }
 
     /// A node records the newest version that it has proof of, bound to a lease that is granted now.
     fn write_record(&mut self, node: usize, lasts: u8) {
-        let Some(proof) = self.nodes[node].namings.proofs(ALWAYS, at(self.now)).pop() else { return };
+        let Some(proof) = self.nodes[node].target_versions.proofs(ALWAYS, at(self.now)).pop() else { return };
         let lasts = Duration::from_millis(u64::from(lasts));
         let before = lasts + at(self.now).saturating_since(proof.at);
         self.record = Some((Record { proof, before }, at(self.now) + lasts));
@@ -200,13 +202,13 @@
     fn tell(&mut self, from: usize, to: usize) {
         let (upto, proved_at) = (self.nodes[from].upto, self.nodes[from].proved_at);
         let Some(known) = upto.filter(|_| from != to && upto >= self.nodes[to].upto) else { return };
-        let proofs = self.nodes[from].namings.proofs(ALWAYS, at(self.now));
-        let newest = self.nodes[from].namings.newest(&model()).copied();
+        let proofs = self.nodes[from].target_versions.proofs(ALWAYS, at(self.now));
+        let newest = self.nodes[from].target_versions.newest(&model()).copied();
         let knowing = &mut self.nodes[to];
         if let Some(newest) = newest {
-            knowing.namings.name(model(), newest.version);
+            knowing.target_versions.announce(model(), newest.version);
         }
-        proofs.iter().for_each(|proof| knowing.namings.take_proof(proof));
+        proofs.iter().for_each(|proof| knowing.target_versions.merge_proof(proof));
         knowing.complete(known, proved_at);
     }
 
@@ -215,8 +217,8 @@
             for held in 0..=self.named.last().map_or(0, |(version, _)| version.0) {
                 let held = WeightsVersion(held);
                 let truth = self.named.iter().find(|(version, _)| *version > held);
-                let believed = knowing.namings.first_newer(&model(), held);
-                let Some(Naming { after: Some(after), version }) = believed else { continue };
+                let believed = knowing.target_versions.first_newer(&model(), held);
+                let Some(TargetVersion { not_before: Some(after), version }) = believed else { continue };
                 let (_, named_at) = truth.expect("what is known was named");
                 assert!(after <= named_at, "{held:?} counts from {after:?} for {version:?}, {named_at:?}");
             }
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/learning.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, rc::Rc};
 
 use paddlemount_core::forwarding::{
-    change_log::Subject, document::Document, namings::NamingProof, replacement::EntrySource,
-    rollout::Learned, table::RouteTable,
+    change_log::Subject, document::Document, replacement::EntrySource, rollout::Learned, table::RouteTable,
+    target_versions::TargetVersionProof,
 };
 use paddlemount_protocol::{
     fleet::NamedLately,
@@ -20,7 +20,7 @@
     /// Whether they come in the order of time.
     heard: EntrySource,
     /// What another node, or a leader's record in the store, proves of when versions were named.
-    named: Vec<NamingProof>,
+    named: Vec<TargetVersionProof>,
 }
 
 impl Telling {
@@ -39,7 +39,7 @@
         Self { learned, heard: EntrySource::Listing, named: proofs(&records, listed_at) }
     }
 
-    const fn by_another(heard: EntrySource, named: Vec<NamingProof>) -> Self {
+    const fn by_another(heard: EntrySource, named: Vec<TargetVersionProof>) -> Self {
         Self { learned: Learned::Told, heard, named }
     }
 }
@@ -238,13 +238,13 @@
 
     fn learn_weights(&self, model: &ModelId, version: WeightsVersion, revision: Revision, telling: &Telling) {
         let mut beliefs = self.beliefs.borrow_mut();
-        let namings = &mut beliefs.rollout.namings;
-        if !namings.name(model.clone(), version) {
+        let target_versions = &mut beliefs.rollout.target_versions;
+        if !target_versions.announce(model.clone(), version) {
             return;
         }
-        telling.named.iter().for_each(|proof| namings.take_proof(proof));
+        telling.named.iter().for_each(|proof| target_versions.merge_proof(proof));
         let now = self.now();
-        let age = namings.newest(model).and_then(|naming| naming.age(now));
+        let age = target_versions.newest(model).and_then(|naming| naming.age(now));
         // Requests that wait at back ends may have to be taken back.
         self.weights_named.notify_waiters();
         let event = Event::WeightsNamed {
--- a/crates/forward/src/named.rs
+++ b/crates/forward/src/named.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use paddlemount_core::forwarding::namings::NamingProof;
+use paddlemount_core::forwarding::target_versions::TargetVersionProof;
 use paddlemount_protocol::{fleet::NamedLately, time::Timestamp};
 
 use crate::beliefs::Beliefs;
 
 impl Beliefs {
     /// All that had been named up to `proved_at` is known, and what another node has proof of.
-    pub(crate) fn know_namings(&mut self, proved_at: Timestamp, proofs: &[NamingProof]) {
-        self.rollout.namings.complete(proved_at);
+    pub(crate) fn know_namings(&mut self, proved_at: Timestamp, proofs: &[TargetVersionProof]) {
+        self.rollout.target_versions.confirm_complete(proved_at);
         self.take_naming_proofs(proofs);
     }
 
     /// What others have proof of, where it is not certain that all that had been named is known.
-    pub(crate) fn take_naming_proofs(&mut self, proofs: &[NamingProof]) {
-        let namings = &mut self.rollout.namings;
-        proofs.iter().for_each(|proof| namings.take_proof(proof));
+    pub(crate) fn take_naming_proofs(&mut self, proofs: &[TargetVersionProof]) {
+        let target_versions = &mut self.rollout.target_versions;
+        proofs.iter().for_each(|proof| target_versions.merge_proof(proof));
     }
 
     /// How lately versions of weights were named, for another node that is told what is known with the proof of
@@ -28,21 +28,21 @@
         proved_at: Timestamp,
         now: Timestamp,
     ) -> Vec<NamedLately> {
-        let named = |proof: NamingProof| NamedLately {
+        let named = |proof: TargetVersionProof| NamedLately {
             model: proof.model,
             above: proof.above,
             version: proof.version,
             // The next whole millisecond: earlier is safe.
             before_ms: proved_at.saturating_since(proof.at).as_millis() as u64 + 1,
         };
-        self.rollout.namings.proofs(bound, now).into_iter().map(named).collect()
+        self.rollout.target_versions.proofs(bound, now).into_iter().map(named).collect()
     }
 }
 
 /// What another node has proof of, by this node's clock: counted from a moment that is no later than its proof, so that
 /// none is too late.
-pub(crate) fn proofs(named: &[NamedLately], proved_at: Timestamp) -> Vec<NamingProof> {
-    let proof = |named: &NamedLately| NamingProof {
+pub(crate) fn proofs(named: &[NamedLately], proved_at: Timestamp) -> Vec<TargetVersionProof> {
+    let proof = |named: &NamedLately| TargetVersionProof {
         model: named.model.clone(),
         above: named.above,
         version: named.version,
--- a/crates/forward/src/naming_record.rs
+++ b/crates/forward/src/naming_record.rs
@@ -8,7 +8,7 @@
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
-use paddlemount_core::forwarding::namings::NamingProof;
+use paddlemount_core::forwarding::target_versions::TargetVersionProof;
 use paddlemount_protocol::{
     fleet::NamedLately,
     identity::{ModelId, WeightsVersion},
@@ -55,22 +55,22 @@
 }
 
 /// The names that this node, while it leads, has proof of and has not recorded: the newest of each model, where it may help.
-fn to_record(node: &Node, recorded: &BTreeMap<ModelId, WeightsVersion>) -> Vec<NamingProof> {
+fn to_record(node: &Node, recorded: &BTreeMap<ModelId, WeightsVersion>) -> Vec<TargetVersionProof> {
     if node.token().is_none() {
         return Vec::new();
     }
     let beliefs = node.beliefs.borrow();
-    let namings = &beliefs.rollout.namings;
-    let is_newest = |proof: &NamingProof| {
-        namings.newest(&proof.model).is_some_and(|newest| newest.version == proof.version)
+    let target_versions = &beliefs.rollout.target_versions;
+    let is_newest = |proof: &TargetVersionProof| {
+        target_versions.newest(&proof.model).is_some_and(|newest| newest.version == proof.version)
     };
-    let is_new = |proof: &NamingProof| recorded.get(&proof.model) != Some(&proof.version);
-    let young = namings.proofs(lease_time(node), node.now());
+    let is_new = |proof: &TargetVersionProof| recorded.get(&proof.model) != Some(&proof.version);
+    let young = target_versions.proofs(lease_time(node), node.now());
     young.into_iter().filter(|proof| is_newest(proof) && is_new(proof)).collect()
 }
 
 /// Writes one record. A record that comes late, after that of a newer version, ends with its own lease.
-async fn record(node: &Node, proof: NamingProof) -> Result<(), StoreError> {
+async fn record(node: &Node, proof: TargetVersionProof) -> Result<(), StoreError> {
     let granted = ask_store(node, &StoreCall::Grant { ttl: lease_time(node) }, PATIENCE).await?;
     let StoreAnswer::Lease { lease, ttl } = granted else { return Err(StoreError::Unexpected) };
     // The lease runs from before this moment, so that the name was no older when it was granted.
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -362,6 +362,6 @@
 /// How long ago the oldest name of weights in force was given, at most, in seconds: infinite where nobody knows, and not a
 /// number where there is none.
 fn named_age(beliefs: &Beliefs, now: Timestamp) -> f64 {
-    let Some(naming) = beliefs.rollout.namings.oldest_in_force() else { return f64::NAN };
+    let Some(naming) = beliefs.rollout.target_versions.oldest_in_force() else { return f64::NAN };
     naming.age(now).map_or(f64::INFINITY, |age| age.as_secs_f64())
 }
--- a/crates/forward/src/peers/rising.rs
+++ b/crates/forward/src/peers/rising.rs
@@ -15,7 +15,7 @@
     /// What this node goes by that only rises.
     pub(crate) fn in_force(&self) -> InForce {
         let mut hash = Xxh3::new();
-        for model in self.rollout.namings.models() {
+        for model in self.rollout.target_versions.models() {
             let version = self.rollout.newest(model).map_or(0, |version| version.0);
             hash.update(model.as_str().as_bytes());
             hash.update(&version.to_le_bytes());
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -60,7 +60,7 @@
 
     /// The versions of all models' weights that were named.
     pub(crate) fn weights_facts(&self) -> impl Iterator<Item = Fact> {
-        self.rollout.namings.models().filter_map(|model| self.weights_fact(model))
+        self.rollout.target_versions.models().filter_map(|model| self.weights_fact(model))
     }
 
     fn weights_fact(&self, model: &ModelId) -> Option<Fact> {
