--- a/crates/core/src/forwarding/rollout.rs
+++ b/crates/core/src/forwarding/rollout.rs
@@ -22,7 +22,7 @@
 
 /// What becomes of requests that run while an engine takes new weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum LoadMode {
     /// They end first. None of them pauses, and the engine takes no others meanwhile.
     FinishRunning,
     /// They go on under the new weights, after a pause as long as the load.
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutSettings {
     /// Back ends that may load weights at the same time, also where the share of the pool is fewer.
-    pub least_loads: usize,
+    pub min_loads: usize,
     /// Back ends that may load weights at the same time, in thousandths of the pool.
     pub loads_per_mille: usize,
     /// The time after which no request may begin on an older version than the named one.
@@ -44,22 +44,22 @@
 
 /// How a node learned that a version was named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
+pub enum LearnedFrom {
     /// It watched the store, and knew all that had been named before.
-    Watched,
+    Watch,
     /// Another node told it.
-    Told,
+    Node,
     /// It was there when this node first looked.
-    Found,
+    FirstRead,
 }
 
-impl Learned {
+impl LearnedFrom {
     /// Its name in log lines.
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Watched => "watched",
-            Self::Told => "told",
-            Self::Found => "found",
+            Self::Watch => "watched",
+            Self::Node => "told",
+            Self::FirstRead => "found",
         }
     }
 }
@@ -106,7 +106,7 @@
         /// The number of orders that it has taken.
         sequence: u64,
         /// What becomes of the requests that run there.
-        manner: Manner,
+        mode: LoadMode,
     },
 }
 
@@ -116,9 +116,9 @@
     match report.weights.get(&target.model) {
         Some(version) if *version >= target.version => Step::Done,
         _ if report.busy => Step::Wait,
-        _ if report.requests == 0 => Step::Order { sequence, manner: Manner::FinishRunning },
+        _ if report.requests == 0 => Step::Order { sequence, mode: LoadMode::FinishRunning },
         _ if drained < target.drain => Step::Drain,
-        _ => Step::Order { sequence, manner: Manner::KeepRunning },
+        _ => Step::Order { sequence, mode: LoadMode::KeepRunning },
     }
 }
 
@@ -130,7 +130,7 @@
     pub target_versions: TargetVersions,
     active: BTreeSet<BackendId>,
     /// Back ends that could not be brought to their version, and until when they are left alone.
-    set_aside_until: BTreeMap<BackendId, Timestamp>,
+    postponed_until: BTreeMap<BackendId, Timestamp>,
 }
 
 /// How much more than their part of the requests the engines with a preferred version get. What nodes know of each
@@ -145,7 +145,7 @@
 }
 
 /// The time that loading usually takes, with the order and the look at what came of it.
-pub const LOAD_TIME: Duration = Duration::from_millis(750);
+pub const TYPICAL_LOAD_TIME: Duration = Duration::from_millis(750);
 /// The time that is left to orders that are lost and to a change of leader.
 const RESERVE: Duration = Duration::from_millis(600);
 /// The longest time for which a back end is drained: a pool at its limit suffers more from the engines that it lacks than
@@ -159,7 +159,7 @@
 /// The longest wait at a back end that is reckoned with.
 const LONGEST_WAIT: Duration = Duration::from_millis(3_000);
 /// How long a back end that could not be brought to its version is left alone: the others get theirs meanwhile.
-pub const SET_ASIDE: Duration = Duration::from_millis(1_000);
+pub const UPDATE_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Thousandths in a whole.
 const PER_MILLE: usize = 1_000;
 /// One in so many back ends is worked on at the same time.
@@ -172,7 +172,7 @@
             settings,
             target_versions: TargetVersions::default(),
             active: BTreeSet::new(),
-            set_aside_until: BTreeMap::new(),
+            postponed_until: BTreeMap::new(),
         }
     }
 
@@ -207,10 +207,10 @@
         requests: impl Fn(&BackendId) -> u32,
         now: Timestamp,
     ) -> Vec<Target> {
-        self.set_aside_until.retain(|_, until| now < *until);
+        self.postponed_until.retain(|_, until| now < *until);
         let ready: Vec<&Backend> = backends
             .filter(|backend| backend.state == BackendState::Ready && !backend.entry.weights.is_empty())
-            .filter(|backend| !self.set_aside_until.contains_key(&backend.entry.id))
+            .filter(|backend| !self.postponed_until.contains_key(&backend.entry.id))
             .collect();
         let at_once = self.at_once(ready.len());
         let free = at_once.saturating_sub(self.active.len());
@@ -240,19 +240,19 @@
 
     /// A back end could not be brought to its version, as where it does not answer or another process has its address:
     /// it makes room for others, and is tried again after a pause.
-    pub fn set_aside(&mut self, backend: &BackendId, now: Timestamp) {
+    pub fn postpone(&mut self, backend: &BackendId, now: Timestamp) {
         self.active.remove(backend);
-        self.set_aside_until.insert(backend.clone(), now + SET_ASIDE);
+        self.postponed_until.insert(backend.clone(), now + UPDATE_RETRY_INTERVAL);
     }
 
     /// A part of the back ends at the same time: the others carry its requests.
     fn at_once(&self, backends: usize) -> usize {
-        (backends / PART).max(self.loads_at_once(backends).min(backends / 2)).max(1)
+        (backends / PART).max(self.max_concurrent_loads(backends).min(backends / 2)).max(1)
     }
 
     /// How many of a pool's back ends may load weights at the same time: more of them slow each other down.
-    pub fn loads_at_once(&self, backends: usize) -> usize {
-        (backends * self.settings.loads_per_mille / PER_MILLE).max(self.settings.least_loads)
+    pub fn max_concurrent_loads(&self, backends: usize) -> usize {
+        (backends * self.settings.loads_per_mille / PER_MILLE).max(self.settings.min_loads)
     }
 
     /// The version of a model that requests rather begin on, where one was named long enough ago.
@@ -290,6 +290,6 @@
         };
         let due = after + self.settings.bound.saturating_sub(self.settings.margin + RESERVE);
         let rounds = u32::try_from(lacking.div_ceil(at_once).max(1)).unwrap_or(u32::MAX);
-        (due.saturating_since(now) / rounds).saturating_sub(LOAD_TIME).min(LONGEST_DRAIN)
+        (due.saturating_since(now) / rounds).saturating_sub(TYPICAL_LOAD_TIME).min(LONGEST_DRAIN)
     }
 }
--- a/crates/core/tests/forwarding_rollout.rs
+++ b/crates/core/tests/forwarding_rollout.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::forwarding::{
     backends::{BackendEntry, BackendId, Backends},
-    rollout::{EngineReport, Manner, Rollout, RolloutSettings, Step, Target, after_report},
+    rollout::{EngineReport, LoadMode, Rollout, RolloutSettings, Step, Target, after_report},
 };
 use paddlemount_protocol::{
     identity::{ModelId, ServiceId, WeightsVersion, ZoneId},
@@ -34,7 +34,7 @@
 
 fn rollout() -> Rollout {
     Rollout::new(RolloutSettings {
-        least_loads: 2,
+        min_loads: 2,
         loads_per_mille: 200,
         bound: Duration::from_millis(8_000),
         margin: Duration::from_millis(1_000),
@@ -151,7 +151,7 @@
     let begun = rollout.begin(backends.iter(), |_| 0, at(0));
     assert_eq!(begun.len(), 2);
     for target in &begun {
-        rollout.set_aside(&target.backend, at(500));
+        rollout.postpone(&target.backend, at(500));
     }
     let others = rollout.begin(backends.iter(), |_| 0, at(500));
     assert_eq!(others.len(), 2, "silent back ends hold no places");
@@ -194,18 +194,18 @@
     assert_eq!(step(report(false, 0, 1, 3), 0), Step::Done);
     assert_eq!(step(report(true, 0, 1, 1), 0), Step::Wait);
     assert_eq!(step(report(false, 3, 7, 1), 500), Step::Drain);
-    assert_eq!(step(report(false, 0, 7, 1), 500), Step::Order { sequence: 7, manner: Manner::FinishRunning });
-    assert_eq!(step(report(false, 3, 7, 1), 900), Step::Order { sequence: 7, manner: Manner::KeepRunning });
+    assert_eq!(step(report(false, 0, 7, 1), 500), Step::Order { sequence: 7, mode: LoadMode::FinishRunning });
+    assert_eq!(step(report(false, 3, 7, 1), 900), Step::Order { sequence: 7, mode: LoadMode::KeepRunning });
 }
 
 #[test]
 fn a_fifth_of_a_pool_may_load_at_the_same_time_and_two_engines_of_a_small_one() {
     let rollout = rollout();
-    assert_eq!(rollout.loads_at_once(6), 2);
-    assert_eq!(rollout.loads_at_once(12), 2);
-    assert_eq!(rollout.loads_at_once(18), 3);
-    assert_eq!(rollout.loads_at_once(90), 18);
-    assert_eq!(rollout.loads_at_once(140), 28);
+    assert_eq!(rollout.max_concurrent_loads(6), 2);
+    assert_eq!(rollout.max_concurrent_loads(12), 2);
+    assert_eq!(rollout.max_concurrent_loads(18), 3);
+    assert_eq!(rollout.max_concurrent_loads(90), 18);
+    assert_eq!(rollout.max_concurrent_loads(140), 28);
 }
 
 #[test]
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -13,7 +13,7 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::{BodyExt, Full};
-use paddlemount_core::{forwarding::rollout::LOAD_TIME, quarantine::HOLD};
+use paddlemount_core::{forwarding::rollout::TYPICAL_LOAD_TIME, quarantine::HOLD};
 use serde::Serialize;
 
 use crate::relay::RelayError;
@@ -95,7 +95,7 @@
                 Some(Duration::from_millis(400))
             }
             // One of them may have been given the named weights by then.
-            Self::OlderWeights => Some(LOAD_TIME),
+            Self::OlderWeights => Some(TYPICAL_LOAD_TIME),
             Self::ConfigurationTooOld => Some(Duration::from_millis(300)),
             Self::NotTaken | Self::QuotaExceeded => Some(Duration::from_millis(150)),
             // Another node serves the caller at once.
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/beliefs.rs
@@ -136,7 +136,7 @@
     pub fn new(settings: &ForwardSettings) -> Self {
         let bound = settings.bounds.weights();
         let rollout = Rollout::new(RolloutSettings {
-            least_loads: settings.limits.loads_at_once,
+            min_loads: settings.limits.loads_at_once,
             loads_per_mille: (settings.limits.loads_share * 1_000.0) as usize,
             bound,
             margin: WEIGHTS_MARGIN.max(bound / 10),
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/learning.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, rc::Rc};
 
 use paddlemount_core::forwarding::{
-    change_log::Subject, document::Document, replacement::EntrySource, rollout::Learned, table::RouteTable,
-    target_versions::TargetVersionProof,
+    change_log::Subject, document::Document, replacement::EntrySource, rollout::LearnedFrom,
+    table::RouteTable, target_versions::TargetVersionProof,
 };
 use paddlemount_protocol::{
     fleet::NamedLately,
@@ -16,7 +16,7 @@
 
 /// What is known of how facts came here.
 struct Telling {
-    learned: Learned,
+    learned: LearnedFrom,
     /// Whether they come in the order of time.
     heard: EntrySource,
     /// What another node, or a leader's record in the store, proves of when versions were named.
@@ -26,11 +26,11 @@
 impl Telling {
     /// A watch tells that a record was written, and not that it is still there: it proves nothing.
     const fn by_a_watch() -> Self {
-        Self { learned: Learned::Watched, heard: EntrySource::Update, named: Vec::new() }
+        Self { learned: LearnedFrom::Watch, heard: EntrySource::Update, named: Vec::new() }
     }
 
     /// A listing that began at `listed_at` shows the records that are there.
-    fn by_a_listing(learned: Learned, facts: &[Fact], listed_at: Timestamp) -> Self {
+    fn by_a_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
         let record = |fact: &Fact| match fact {
             Fact::NamingRecord(named) => Some(named.clone()),
             _ => None,
@@ -40,7 +40,7 @@
     }
 
     const fn by_another(heard: EntrySource, named: Vec<TargetVersionProof>) -> Self {
-        Self { learned: Learned::Told, heard, named }
+        Self { learned: LearnedFrom::Node, heard, named }
     }
 }
 
@@ -86,7 +86,7 @@
     /// Takes in a part of what the store holds, which it told in answer to a call sent at `sent_at`: enough to serve by,
     /// until the rest is known.
     pub fn learn_part(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        let telling = Telling::by_a_listing(Learned::Found, &facts, sent_at);
+        let telling = Telling::by_a_listing(LearnedFrom::FirstRead, &facts, sent_at);
         for fact in facts {
             self.learn_one(fact, revision, &telling);
         }
@@ -102,7 +102,7 @@
     /// `facts` is gone. The nodes below are told what that has changed.
     pub fn learn_all(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         let first = self.beliefs.borrow().revision.is_none();
-        let learned = if first { Learned::Found } else { Learned::Watched };
+        let learned = if first { LearnedFrom::FirstRead } else { LearnedFrom::Watch };
         let telling = Telling::by_a_listing(learned, &facts, sent_at);
         self.learn_whole(facts, revision, sent_at, &telling);
     }
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::forwarding::{
     backends::{Backend, BackendId, BackendState},
-    rollout::{EngineReport, Manner, SET_ASIDE, Step, Target, after_report},
+    rollout::{EngineReport, LoadMode, Step, Target, UPDATE_RETRY_INTERVAL, after_report},
 };
 use paddlemount_protocol::{identity::FencingToken, time::Timestamp};
 
@@ -67,8 +67,8 @@
 fn set_aside(node: &Node, id: &BackendId) {
     let now = node.now();
     let mut beliefs = node.beliefs.borrow_mut();
-    beliefs.rollout.set_aside(id, now);
-    beliefs.backends.set_loading_until(id, Some(now + SET_ASIDE));
+    beliefs.rollout.postpone(id, now);
+    beliefs.backends.set_loading_until(id, Some(now + UPDATE_RETRY_INTERVAL));
 }
 
 fn release(node: &Node, targets: &[Target]) {
@@ -102,8 +102,8 @@
                 return "done";
             }
             Step::Wait | Step::Drain => tokio::time::sleep(AGAIN).await,
-            Step::Order { sequence, manner } => {
-                match order(node, &engine, target, token, sequence, manner).await {
+            Step::Order { sequence, mode } => {
+                match order(node, &engine, target, token, sequence, mode).await {
                     Some(OrderAnswer::Accepted) => {}
                     Some(OrderAnswer::AlreadyHolds) => return "held already",
                     Some(OrderAnswer::Fenced) => return "fenced",
@@ -156,7 +156,7 @@
     target: &Target,
     token: FencingToken,
     sequence: u64,
-    manner: Manner,
+    mode: LoadMode,
 ) -> Option<OrderAnswer> {
     let _turn = LoadTurn::take(node, token).await?;
     let began = node.now();
@@ -164,7 +164,7 @@
         backend: target.backend.clone(),
         model: target.model.clone(),
         version: target.version,
-        manner,
+        mode,
         holder: node.settings().node.clone(),
         token,
         sequence,
@@ -222,7 +222,7 @@
         .backends
         .iter()
         .filter(|backend| backend.state == BackendState::Ready && !backend.entry.weights.is_empty());
-    beliefs.rollout.loads_at_once(engines.count())
+    beliefs.rollout.max_concurrent_loads(engines.count())
 }
 
 fn tell(
--- a/crates/forward/src/ports/mod.rs
+++ b/crates/forward/src/ports/mod.rs
@@ -14,7 +14,7 @@
     change_log::Subject,
     document::Document,
     prefixes::KeptPart,
-    rollout::{EngineReport, Manner},
+    rollout::{EngineReport, LoadMode},
 };
 use paddlemount_protocol::{
     era::StoreEra,
@@ -225,7 +225,7 @@
     /// The version.
     pub version: WeightsVersion,
     /// What becomes of the requests that run there.
-    pub manner: Manner,
+    pub mode: LoadMode,
     /// Who gives the order.
     pub holder: NodeId,
     /// The token of its leadership.
