--- a/crates/core/src/forwarding/attempt.rs
+++ b/crates/core/src/forwarding/attempt.rs
@@ -25,9 +25,9 @@
 
 /// What follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Another back end may be asked; after [`AttemptEnd::Copied`] only the one that holds the copy.
-    TryAnother,
+    Retry,
     /// The answer of the back end is passed on.
     PassOn,
     /// The caller is told that the request did not run and may come back.
@@ -38,7 +38,7 @@
 
 /// What a request has behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spent {
+pub struct AttemptHistory {
     /// Back ends that were sent the request.
     pub sent: u32,
     /// Processes that said that they are not the back end which the request was meant for.
@@ -60,37 +60,37 @@
 
 /// Decides what follows `end`. `time_left` tells whether another try could still be answered in time; `budget`
 /// is asked only where everything else allows another try that counts as a repeat.
-pub fn next(
+pub fn next_action(
     kind: RouteKind,
     attempts: u32,
     end: AttemptEnd,
-    spent: Spent,
+    spent: AttemptHistory,
     time_left: bool,
     mut budget: impl FnMut() -> bool,
-) -> Next {
-    let give_up = give_up(kind, spent);
+) -> NextAction {
+    let action_without_retry = action_without_retry(kind, spent);
     if !time_left {
-        return if end == AttemptEnd::FailedAnswer { Next::PassOn } else { give_up };
+        return if end == AttemptEnd::FailedAnswer { NextAction::PassOn } else { action_without_retry };
     }
     match end {
-        AttemptEnd::NotSent if spent.not_sent < MOST_NOT_SENT => Next::TryAnother,
-        AttemptEnd::NotSent => give_up,
-        AttemptEnd::NotRun if spent.sent < MOST_REFUSED.max(attempts) && budget() => Next::TryAnother,
-        AttemptEnd::NotRun => give_up,
-        AttemptEnd::Misdirected if spent.misdirected < MOST_MISDIRECTED && budget() => Next::TryAnother,
-        AttemptEnd::Misdirected => give_up,
-        AttemptEnd::Unclear if kind.is_idempotent() && spent.sent < attempts && budget() => Next::TryAnother,
-        AttemptEnd::Unclear => Next::Fail,
+        AttemptEnd::NotSent if spent.not_sent < MOST_NOT_SENT => NextAction::Retry,
+        AttemptEnd::NotSent => action_without_retry,
+        AttemptEnd::NotRun if spent.sent < MOST_REFUSED.max(attempts) && budget() => NextAction::Retry,
+        AttemptEnd::NotRun => action_without_retry,
+        AttemptEnd::Misdirected if spent.misdirected < MOST_MISDIRECTED && budget() => NextAction::Retry,
+        AttemptEnd::Misdirected => action_without_retry,
+        AttemptEnd::Unclear if kind.is_idempotent() && spent.sent < attempts && budget() => NextAction::Retry,
+        AttemptEnd::Unclear => NextAction::Fail,
         AttemptEnd::FailedAnswer if kind == RouteKind::Repeatable && spent.sent < attempts && budget() => {
-            Next::TryAnother
+            NextAction::Retry
         }
-        AttemptEnd::FailedAnswer => Next::PassOn,
-        AttemptEnd::Copied if budget() => Next::TryAnother,
-        AttemptEnd::Copied => Next::Fail,
+        AttemptEnd::FailedAnswer => NextAction::PassOn,
+        AttemptEnd::Copied if budget() => NextAction::Retry,
+        AttemptEnd::Copied => NextAction::Fail,
     }
 }
 
 /// How a request ends that is given up: only one that cannot have run, or may run again, is refused.
-pub const fn give_up(kind: RouteKind, spent: Spent) -> Next {
-    if spent.may_have_run && !kind.is_idempotent() { Next::Fail } else { Next::Refuse }
+pub const fn action_without_retry(kind: RouteKind, spent: AttemptHistory) -> NextAction {
+    if spent.may_have_run && !kind.is_idempotent() { NextAction::Fail } else { NextAction::Refuse }
 }
--- a/crates/core/tests/forwarding_budget_properties.rs
+++ b/crates/core/tests/forwarding_budget_properties.rs
@@ -4,7 +4,7 @@
 
 use bolero::TypeGenerator;
 use paddlemount_core::forwarding::{
-    attempt::{AttemptEnd, Next, Spent, next},
+    attempt::{AttemptEnd, AttemptHistory, NextAction, next_action},
     budget::{WindowBudget, WindowBudgetSettings, reserve_of},
     document::RouteKind,
 };
@@ -69,7 +69,7 @@
 /// Follows one request as a node does.
 fn serve(process: &mut Process, ends: &[u8], at_ms: u64, arrivals: &mut Arrivals) {
     let now = Timestamp::from_millis(at_ms);
-    let (mut spent, mut stray) = (Spent::default(), None);
+    let (mut spent, mut stray) = (AttemptHistory::default(), None);
     process.repeats.request(now);
     arrivals.requests.push(at_ms);
     for byte in ends {
@@ -91,7 +91,7 @@
         }
         let Process { repeats, strays, .. } = process;
         let mut drawn = None;
-        let follows = next(RouteKind::Repeatable, 3, end, spent, true, || {
+        let follows = next_action(RouteKind::Repeatable, 3, end, spent, true, || {
             if end == AttemptEnd::Misdirected {
                 drawn = strays.repeat(now).then_some(now);
                 if drawn.is_none() {
@@ -101,7 +101,7 @@
             repeats.repeat(now)
         });
         stray = drawn.or(stray);
-        if follows != Next::TryAnother {
+        if follows != NextAction::Retry {
             break;
         }
     }
--- a/crates/core/tests/forwarding_decisions.rs
+++ b/crates/core/tests/forwarding_decisions.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use paddlemount_core::forwarding::{
-    attempt::{AttemptEnd, Next, Spent, next},
+    attempt::{AttemptEnd, AttemptHistory, NextAction, next_action},
     backends::{BackendEntry, BackendId, Backends, EntryChange},
     document::{Document, LOWEST_RANK, Route, RouteKind, Share, Tenant, rank},
     events::{EventSplitter, event_id},
@@ -30,7 +30,7 @@
 ];
 
 /// All combinations of what a request may have behind it.
-fn all_cases(mut check: impl FnMut(RouteKind, AttemptEnd, Spent, u32, Next)) {
+fn all_cases(mut check: impl FnMut(RouteKind, AttemptEnd, AttemptHistory, u32, NextAction)) {
     for kind in KINDS {
         for end in ENDS {
             for (sent, not_sent, attempts) in (0..6).flat_map(|sent| {
@@ -42,8 +42,15 @@
                     let unclear = matches!(end, AttemptEnd::Unclear | AttemptEnd::FailedAnswer);
                     // Nothing is sent again after an unclear end unless the kind allows it.
                     let may_have_run = unclear || (earlier && kind.is_idempotent());
-                    let spent = Spent { sent, not_sent, misdirected: sent.min(not_sent), may_have_run };
-                    check(kind, end, spent, attempts, next(kind, attempts, end, spent, time_left, || budget));
+                    let spent =
+                        AttemptHistory { sent, not_sent, misdirected: sent.min(not_sent), may_have_run };
+                    check(
+                        kind,
+                        end,
+                        spent,
+                        attempts,
+                        next_action(kind, attempts, end, spent, time_left, || budget),
+                    );
                 }
             }
         }
@@ -53,7 +60,7 @@
 #[test]
 fn what_may_have_run_is_sent_again_only_where_its_kind_allows_it() {
     all_cases(|kind, end, spent, _, next| {
-        if next == Next::TryAnother && spent.may_have_run {
+        if next == NextAction::Retry && spent.may_have_run {
             assert!(kind.is_idempotent(), "{kind:?} {end:?}");
         }
     });
@@ -62,7 +69,7 @@
 #[test]
 fn a_refusal_is_given_only_where_nothing_has_run_or_it_may_run_again() {
     all_cases(|kind, end, spent, _, next| {
-        if next == Next::Refuse && spent.may_have_run {
+        if next == NextAction::Refuse && spent.may_have_run {
             assert!(kind.is_idempotent(), "{kind:?} {end:?}");
         }
     });
@@ -72,7 +79,7 @@
 fn no_more_back_ends_run_a_request_than_its_route_allows() {
     all_cases(|_, end, spent, attempts, next| {
         let ran = matches!(end, AttemptEnd::Unclear | AttemptEnd::FailedAnswer);
-        if next == Next::TryAnother && ran {
+        if next == NextAction::Retry && ran {
             assert!(spent.sent < attempts);
         }
     });
@@ -81,7 +88,7 @@
 #[test]
 fn only_a_whole_answer_is_passed_on() {
     all_cases(|_, end, _, _, next| {
-        if next == Next::PassOn {
+        if next == NextAction::PassOn {
             assert_eq!(end, AttemptEnd::FailedAnswer);
         }
     });
--- a/crates/forward/src/account.rs
+++ b/crates/forward/src/account.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::{
     forwarding::{
-        attempt::Spent,
+        attempt::AttemptHistory,
         choice::Choice,
         document::{Route, Tenant},
     },
@@ -66,7 +66,7 @@
             (_, Some(_)) => REFUSED,
             (_, None) => "rejected",
         });
-        self.tell(node, arrived, Spent::default());
+        self.tell(node, arrived, AttemptHistory::default());
     }
 
     /// Whether the caller got a whole answer of a back end.
@@ -75,7 +75,7 @@
     }
 
     /// Tells how the request ended.
-    pub(crate) fn tell(&self, node: &Node, arrived: Timestamp, spent: Spent) {
+    pub(crate) fn tell(&self, node: &Node, arrived: Timestamp, spent: AttemptHistory) {
         // Nothing was concluded: the connection has gone, by the caller's will or with the process.
         let unconcluded = if node.grace_is_over.get() { CUT_BY_STOP } else { CALLER_LEFT };
         let outcome = self.outcome.unwrap_or(unconcluded);
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -9,7 +9,7 @@
 use paddlemount_core::{
     forwarding::{
         answer_times::AnswerTime,
-        attempt::{AttemptEnd, Spent},
+        attempt::{AttemptEnd, AttemptHistory},
         backends::BackendId,
         choice::Choice,
         document::{Route, RouteKind},
@@ -49,7 +49,7 @@
     /// When it ends at the latest.
     pub give_up_at: Timestamp,
     /// What it has behind it.
-    pub spent: Spent,
+    pub spent: AttemptHistory,
     pub(crate) account: Account,
     pub(crate) arrived: Timestamp,
     pub(crate) head: RequestHead,
@@ -96,7 +96,7 @@
         node,
         route,
         give_up_at,
-        spent: Spent::default(),
+        spent: AttemptHistory::default(),
         account,
         arrived,
         head,
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 use paddlemount_core::forwarding::{
-    attempt::{AttemptEnd, Next},
+    attempt::{AttemptEnd, NextAction},
     choice::Choice,
     events::EventSplitter,
 };
@@ -280,7 +280,7 @@
     async fn go_on_elsewhere(&mut self, mut ended: Ended) -> bool {
         let mut asked = self.choice.clone();
         loop {
-            if self.exchange.decide(&asked, &ended) != Next::TryAnother {
+            if self.exchange.decide(&asked, &ended) != NextAction::Retry {
                 return false;
             }
             if self.exchange.held_for().is_some() {
@@ -303,7 +303,7 @@
             return false;
         };
         let ended = Ended { end: AttemptEnd::Copied, ..ended };
-        let goes_on = self.exchange.decide(&self.choice, &ended) == Next::TryAnother;
+        let goes_on = self.exchange.decide(&self.choice, &ended) == NextAction::Retry;
         if !goes_on || self.exchange.held_for().is_some() {
             return false;
         }
--- a/crates/forward/src/verdicts.rs
+++ b/crates/forward/src/verdicts.rs
@@ -6,7 +6,7 @@
 use http::Response;
 use paddlemount_core::forwarding::{
     announcements::limits::Opening,
-    attempt::{self, AttemptEnd, Next},
+    attempt::{self, AttemptEnd, NextAction},
     backends::BackendId,
     choice::Choice,
 };
@@ -26,18 +26,18 @@
     pub(crate) fn after(&mut self, choice: &Choice, ended: Ended) -> Option<Response<AnswerBody>> {
         let next = self.decide(choice, &ended);
         match next {
-            Next::TryAnother => None,
-            Next::PassOn => {
+            NextAction::Retry => None,
+            NextAction::PassOn => {
                 let answer = ended.answer?;
                 Some(self.pass_on_failure(answer))
             }
-            Next::Refuse => Some(self.give_up(self.why_none(Reason::NotTaken))),
-            Next::Fail => Some(self.give_up(Reason::AnswerLost)),
+            NextAction::Refuse => Some(self.give_up(self.why_none(Reason::NotTaken))),
+            NextAction::Fail => Some(self.give_up(Reason::AnswerLost)),
         }
     }
 
     /// Decides what follows a try without answer, and tells it.
-    pub fn decide(&mut self, choice: &Choice, ended: &Ended) -> Next {
+    pub fn decide(&mut self, choice: &Choice, ended: &Ended) -> NextAction {
         let now = self.node.now();
         let time_left = self.give_up_at.saturating_since(now) >= LEAST_TIME;
         let (node, service) = (Rc::clone(&self.node), self.service.clone());
@@ -64,8 +64,14 @@
         if ended.broke {
             self.run_broke(choice);
         }
-        let next =
-            attempt::next(self.route.kind, self.route.attempts, ended.end, self.spent, time_left, budget);
+        let next = attempt::next_action(
+            self.route.kind,
+            self.route.attempts,
+            ended.end,
+            self.spent,
+            time_left,
+            budget,
+        );
         // One that was drawn is kept until a try has arrived somewhere.
         self.stray = stray.or(self.stray);
         let end = end_label(ended.end);
@@ -117,7 +123,9 @@
 
     /// The answer for a request that is held back, as far as an earlier try of it leaves a choice.
     pub(crate) fn hold_back(&mut self, held_for: Duration) -> Response<AnswerBody> {
-        if attempt::give_up(self.route.kind, self.spent) == Next::Fail || self.spent.may_have_run {
+        if attempt::action_without_retry(self.route.kind, self.spent) == NextAction::Fail
+            || self.spent.may_have_run
+        {
             return self.refuse(Reason::AnswerLost);
         }
         self.refuse(Refusal { reason: Reason::HeldBack, come_back: Some(held_for) })
@@ -126,9 +134,9 @@
     /// The answer for a request that is given up, as far as what may have happened allows it.
     pub(crate) fn give_up(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
         let time_up = self.node.now() + LEAST_TIME >= self.give_up_at;
-        let refusal = match attempt::give_up(self.route.kind, self.spent) {
-            Next::Fail if time_up => Reason::TimeUp.into(),
-            Next::Fail => Reason::AnswerLost.into(),
+        let refusal = match attempt::action_without_retry(self.route.kind, self.spent) {
+            NextAction::Fail if time_up => Reason::TimeUp.into(),
+            NextAction::Fail => Reason::AnswerLost.into(),
             _ if time_up && !self.spent.may_have_run => Reason::TimeUpBeforeSending.into(),
             _ if self.spent.may_have_run && time_up => Reason::TimeUp.into(),
             _ if self.spent.may_have_run => Reason::AnswerLost.into(),
@@ -185,11 +193,11 @@
     }
 }
 
-const fn next_label(next: Next) -> &'static str {
+const fn next_label(next: NextAction) -> &'static str {
     match next {
-        Next::TryAnother => "try_another",
-        Next::PassOn => "pass_on",
-        Next::Refuse => "refuse",
-        Next::Fail => "fail",
+        NextAction::Retry => "try_another",
+        NextAction::PassOn => "pass_on",
+        NextAction::Refuse => "refuse",
+        NextAction::Fail => "fail",
     }
 }
