--- a/crates/core/src/forwarding/budget.rs
+++ b/crates/core/src/forwarding/budget.rs
@@ -35,7 +35,7 @@
 /// their number is not known.
 ///
 /// A part is rounded down ([`even_part`]); what is left of the sum is the room for nodes that start again and again.
-pub fn reserve_of(slack: u32, nodes: Option<u32>, assumed: u32, draw: f64) -> u32 {
+pub fn node_reserve(slack: u32, nodes: Option<u32>, assumed: u32, draw: f64) -> u32 {
     let Some(nodes) = nodes else { return (slack / assumed.max(1)).max(LEAST_RESERVE_UNCOUNTED) };
     even_part(slack, nodes.max(1).saturating_mul(2), draw)
 }
@@ -77,13 +77,13 @@
     }
 
     /// A request was sent for the first time.
-    pub fn request(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.step(now).requests += 1;
     }
 
     /// Asks for a repeat; one that is granted is spent.
-    pub fn repeat(&mut self, now: Timestamp) -> bool {
-        if self.left(now) == 0 {
+    pub fn try_retry(&mut self, now: Timestamp) -> bool {
+        if self.remaining(now) == 0 {
             return false;
         }
         self.step(now).repeats += 1;
@@ -91,12 +91,12 @@
     }
 
     /// A repeat that was not asked for has been made: it counts, whatever is left.
-    pub fn spend(&mut self, now: Timestamp) {
+    pub fn record_retry(&mut self, now: Timestamp) {
         self.step(now).repeats += 1;
     }
 
     /// A repeat that was granted at `at` does not count after all.
-    pub fn give_back(&mut self, at: Timestamp) {
+    pub fn refund(&mut self, at: Timestamp) {
         let number = self.number(at);
         if let Some(step) = self.steps.iter_mut().find(|step| step.number == number) {
             step.repeats = step.repeats.saturating_sub(1);
@@ -104,7 +104,7 @@
     }
 
     /// Repeats that would be granted now.
-    pub fn left(&self, now: Timestamp) -> u64 {
+    pub fn remaining(&self, now: Timestamp) -> u64 {
         let number = self.number(now);
         let windows = number.saturating_sub(u64::from(STEPS))..=number;
         windows.map(|first| self.left_within(first)).min().unwrap_or(0)
--- a/crates/core/src/forwarding/refusals.rs
+++ b/crates/core/src/forwarding/refusals.rs
@@ -27,7 +27,7 @@
 
 impl Refusals {
     /// A back end has refused a request.
-    pub fn refused(&mut self, now: Timestamp) {
+    pub fn record_refusal(&mut self, now: Timestamp) {
         if self.in_a_row == 0 || now.saturating_since(self.last) >= LATELY {
             *self = Self { in_a_row: 0, first: now, last: now };
         }
@@ -36,17 +36,17 @@
     }
 
     /// A back end has taken a request.
-    pub fn taken(&mut self) {
+    pub fn record_acceptance(&mut self) {
         *self = Self::default();
     }
 
     /// Whether a request that was refused once had better not be sent on.
-    pub fn by_all(&self, now: Timestamp) -> bool {
+    pub fn all_refuse(&self, now: Timestamp) -> bool {
         self.in_a_row >= SHOWN_BY && now.saturating_since(self.last) < LATELY
     }
 
     /// When a caller that was refused may come back.
-    pub fn come_back(&self, now: Timestamp) -> Duration {
+    pub fn retry_after(&self, now: Timestamp) -> Duration {
         now.saturating_since(self.first).clamp(SOONEST, LATEST)
     }
 }
--- a/crates/core/tests/forwarding_budget.rs
+++ b/crates/core/tests/forwarding_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use paddlemount_core::forwarding::budget::{WindowBudget, WindowBudgetSettings, reserve_of};
+use paddlemount_core::forwarding::budget::{WindowBudget, WindowBudgetSettings, node_reserve};
 use paddlemount_protocol::time::Timestamp;
 
 const WINDOW_MS: u64 = 10_000;
@@ -16,7 +16,7 @@
 }
 
 fn granted_at_once(budget: &mut WindowBudget, at_ms: u64) -> u64 {
-    (0..).take_while(|_| budget.repeat(Timestamp::from_millis(at_ms))).count() as u64
+    (0..).take_while(|_| budget.try_retry(Timestamp::from_millis(at_ms))).count() as u64
 }
 
 /// In steady traffic half of the share may be spent at one moment, less a tenth and what the first step of the window holds: the
@@ -24,7 +24,7 @@
 #[test]
 fn what_the_requests_of_the_window_before_have_earned_may_be_spent_at_once() {
     let mut budget = budget(3);
-    (0..1_000).for_each(|number| budget.request(Timestamp::from_millis(number * 20)));
+    (0..1_000).for_each(|number| budget.record_request(Timestamp::from_millis(number * 20)));
     let share = 500 / 5;
     let granted = granted_at_once(&mut budget, 20_000);
     assert!(granted >= share * 2 / 5 && granted <= share / 2 + 3, "{granted} of {share}");
@@ -37,9 +37,9 @@
     let mut granted = 0;
     for number in 0..2_000 {
         let now = Timestamp::from_millis(number * 20);
-        budget.request(now);
+        budget.record_request(now);
         if number >= 1_500 {
-            granted += u64::from(budget.repeat(now));
+            granted += u64::from(budget.try_retry(now));
         }
     }
     let share = 500 / 5;
@@ -50,7 +50,7 @@
 #[test]
 fn the_first_requests_earn_half_of_their_share() {
     let mut budget = budget(3);
-    (0..100).for_each(|number| budget.request(Timestamp::from_millis(number * 90)));
+    (0..100).for_each(|number| budget.record_request(Timestamp::from_millis(number * 90)));
     assert_eq!(granted_at_once(&mut budget, 9_000), 3 + 9);
 }
 
@@ -62,7 +62,7 @@
     let mut nodes = [budget(0), budget(0)];
     let mut repeats = 0;
     for (node, from) in nodes.iter_mut().zip([0, 10_000]) {
-        (0..1_000).for_each(|number| node.request(Timestamp::from_millis(from + number * 9)));
+        (0..1_000).for_each(|number| node.record_request(Timestamp::from_millis(from + number * 9)));
         repeats += granted_at_once(node, from + 9_500);
     }
     assert!(repeats <= 1_000 / 5, "{repeats} repeats within a window for 1,000 requests");
@@ -72,10 +72,10 @@
 fn old_requests_earn_nothing_and_old_repeats_cost_nothing() {
     let mut budget = budget(2);
     for _ in 0..50 {
-        budget.request(Timestamp::from_millis(0));
+        budget.record_request(Timestamp::from_millis(0));
     }
-    assert!(budget.repeat(Timestamp::from_millis(0)));
-    assert_eq!(budget.left(Timestamp::from_millis(20_000)), 2);
+    assert!(budget.try_retry(Timestamp::from_millis(0)));
+    assert_eq!(budget.remaining(Timestamp::from_millis(20_000)), 2);
 }
 
 /// Nodes that had spent all that their requests had earned and were then killed began anew: their next processes knew nothing
@@ -85,12 +85,12 @@
 fn processes_that_start_again_do_not_earn_what_those_before_them_have_spent() {
     const NODES: u64 = 7;
     const SLACK: u64 = 54;
-    let reserve = reserve_of(SLACK as u32, Some(NODES as u32), 64, 0.5);
+    let reserve = node_reserve(SLACK as u32, Some(NODES as u32), 64, 0.5);
     let settings =
         WindowBudgetSettings { share_per_mille: 200, reserve, window: Duration::from_millis(WINDOW_MS) };
     let spent_by = |requests: u64, from: u64| {
         let mut budget = WindowBudget::new(settings);
-        (0..requests).for_each(|number| budget.request(Timestamp::from_millis(from + number * 40)));
+        (0..requests).for_each(|number| budget.record_request(Timestamp::from_millis(from + number * 40)));
         granted_at_once(&mut budget, from + requests * 40)
     };
     let before = spent_by(250, 0);
@@ -110,11 +110,11 @@
         for (pause, repeat) in steps {
             now += u64::from(*pause) * 20;
             if *repeat {
-                if budget.repeat(Timestamp::from_millis(now)) {
+                if budget.try_retry(Timestamp::from_millis(now)) {
                     repeats.push(now);
                 }
             } else {
-                budget.request(Timestamp::from_millis(now));
+                budget.record_request(Timestamp::from_millis(now));
                 requests.push(now);
             }
         }
--- a/crates/core/tests/forwarding_budget_properties.rs
+++ b/crates/core/tests/forwarding_budget_properties.rs
@@ -5,7 +5,7 @@
 use bolero::TypeGenerator;
 use paddlemount_core::forwarding::{
     attempt::{AttemptEnd, AttemptHistory, NextAction, next_action},
-    budget::{WindowBudget, WindowBudgetSettings, reserve_of},
+    budget::{WindowBudget, WindowBudgetSettings, node_reserve},
     document::RouteKind,
 };
 use paddlemount_protocol::time::Timestamp;
@@ -17,7 +17,7 @@
 
 fn budget(share_per_mille: u32, draw: u8) -> WindowBudget {
     let draw = f64::from(draw) / 256.0;
-    let reserve = reserve_of(SLACK, Some(NODES), NODES, draw);
+    let reserve = node_reserve(SLACK, Some(NODES), NODES, draw);
     let settings =
         WindowBudgetSettings { share_per_mille, reserve, window: Duration::from_millis(WINDOW_MS) };
     WindowBudget::new(settings)
@@ -70,7 +70,7 @@
 fn serve(process: &mut Process, ends: &[u8], at_ms: u64, arrivals: &mut Arrivals) {
     let now = Timestamp::from_millis(at_ms);
     let (mut spent, mut stray) = (AttemptHistory::default(), None);
-    process.repeats.request(now);
+    process.repeats.record_request(now);
     arrivals.requests.push(at_ms);
     for byte in ends {
         let end = end_of(*byte);
@@ -82,8 +82,8 @@
             }
             match (stray.take(), end) {
                 (Some(_), AttemptEnd::Misdirected) => arrivals.strays.push(at_ms),
-                (Some(at), _) => process.strays.give_back(at),
-                (None, AttemptEnd::Misdirected) if spent.sent > 0 => process.strays.spend(now),
+                (Some(at), _) => process.strays.refund(at),
+                (None, AttemptEnd::Misdirected) if spent.sent > 0 => process.strays.record_retry(now),
                 (None, _) => {}
             }
             spent.sent += 1;
@@ -93,12 +93,12 @@
         let mut drawn = None;
         let follows = next_action(RouteKind::Repeatable, 3, end, spent, true, || {
             if end == AttemptEnd::Misdirected {
-                drawn = strays.repeat(now).then_some(now);
+                drawn = strays.try_retry(now).then_some(now);
                 if drawn.is_none() {
                     return false;
                 }
             }
-            repeats.repeat(now)
+            repeats.try_retry(now)
         });
         stray = drawn.or(stray);
         if follows != NextAction::Retry {
@@ -106,7 +106,7 @@
         }
     }
     if let Some(at) = stray {
-        process.strays.give_back(at);
+        process.strays.refund(at);
     }
 }
 
--- a/crates/core/tests/forwarding_fleet.rs
+++ b/crates/core/tests/forwarding_fleet.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use paddlemount_core::forwarding::{
-    budget::reserve_of,
+    budget::node_reserve,
     children::Admission,
     even_part::even_part,
     fleet::Fleet,
@@ -256,9 +256,9 @@
     use paddlemount_core::forwarding::budget::{WindowBudget, WindowBudgetSettings};
     let settings = WindowBudgetSettings { share_per_mille: 0, reserve: 2, window: Duration::from_secs(10) };
     let mut budget = WindowBudget::new(settings);
-    assert!(budget.repeat(at(1)) && budget.repeat(at(1)) && !budget.repeat(at(1)));
+    assert!(budget.try_retry(at(1)) && budget.try_retry(at(1)) && !budget.try_retry(at(1)));
     budget.set_reserve(3);
-    assert!(budget.repeat(at(2)) && !budget.repeat(at(2)));
+    assert!(budget.try_retry(at(2)) && !budget.try_retry(at(2)));
 }
 
 #[test]
@@ -287,12 +287,12 @@
 
 #[test]
 fn a_node_that_has_just_started_may_leave_two_silent_back_ends() {
-    assert_eq!(reserve_of(56, None, 64, 0.5), 2);
-    assert_eq!(reserve_of(198, None, 64, 0.5), 3);
-    assert_eq!(reserve_of(54, Some(7), 64, 0.9), 3);
-    assert_eq!(reserve_of(198, Some(79), 64, 0.9), 1);
+    assert_eq!(node_reserve(56, None, 64, 0.5), 2);
+    assert_eq!(node_reserve(198, None, 64, 0.5), 3);
+    assert_eq!(node_reserve(54, Some(7), 64, 0.9), 3);
+    assert_eq!(node_reserve(198, Some(79), 64, 0.9), 1);
     assert_eq!(
-        reserve_of(178, Some(69), 64, 0.0),
+        node_reserve(178, Some(69), 64, 0.0),
         1,
         "what is left of the slack is for nodes that start again"
     );
@@ -304,7 +304,7 @@
     // again: each then has its part twice.
     for (slack, nodes) in [(1_040, 985), (1_040, 1_970), (630, 295), (54, 7), (56, 200), (0, 10)] {
         let draws = (0..nodes).map(|node| (f64::from(node) * 0.618_033_988_749_895).fract());
-        let sum: u32 = draws.map(|draw| reserve_of(slack, Some(nodes), 64, draw)).sum();
+        let sum: u32 = draws.map(|draw| node_reserve(slack, Some(nodes), 64, draw)).sum();
         let restarted = sum + sum * 55 / 100;
         assert!(restarted <= slack, "{restarted} of {slack} with {nodes} nodes");
         assert!(sum * 5 / 2 >= slack.saturating_sub(nodes), "{sum} of {slack} with {nodes} nodes");
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/beliefs.rs
@@ -5,7 +5,7 @@
 use paddlemount_core::{
     forwarding::{
         backends::{BackendId, BackendState, Backends},
-        budget::{WindowBudget, WindowBudgetSettings, reserve_of},
+        budget::{WindowBudget, WindowBudgetSettings, node_reserve},
         change_log::ChangeLog,
         choice::{Chooser, Store},
         freshness::Freshness,
@@ -221,7 +221,8 @@
         settings: &ForwardSettings,
         nodes: Nodes,
     ) -> &mut WindowBudget {
-        let reserve = reserve_of(settings.bounds.retry_slack, nodes.known(), nodes.assumed, self.share_draw);
+        let reserve =
+            node_reserve(settings.bounds.retry_slack, nodes.known(), nodes.assumed, self.share_draw);
         let budget = self.budgets.entry(service.clone()).or_insert_with(|| {
             WindowBudget::new(WindowBudgetSettings {
                 share_per_mille: (settings.bounds.retry_share * 1_000.0) as u32,
@@ -235,7 +236,8 @@
 
     /// The repeats that may reach wrong addresses, whatever service was asked for.
     pub(crate) fn strays(&mut self, settings: &ForwardSettings, nodes: Nodes) -> &mut WindowBudget {
-        let reserve = reserve_of(settings.bounds.retry_slack, nodes.known(), nodes.assumed, self.share_draw);
+        let reserve =
+            node_reserve(settings.bounds.retry_slack, nodes.known(), nodes.assumed, self.share_draw);
         let strays = self.strays.get_or_insert_with(|| {
             WindowBudget::new(WindowBudgetSettings {
                 share_per_mille: 0,
--- a/crates/forward/src/repeats.rs
+++ b/crates/forward/src/repeats.rs
@@ -15,7 +15,7 @@
         let settings = self.settings();
         let nodes = self.nodes();
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.budget(service, &settings, nodes).repeat(self.now())
+        beliefs.budget(service, &settings, nodes).try_retry(self.now())
     }
 
     /// Retries that the budget of a service would still grant.
@@ -23,14 +23,14 @@
         let settings = self.settings();
         let nodes = self.nodes();
         // Also before any request of the service has arrived: the first one that meets a silent back end may leave it.
-        self.beliefs.borrow_mut().budget(service, &settings, nodes).left(self.now())
+        self.beliefs.borrow_mut().budget(service, &settings, nodes).remaining(self.now())
     }
 
     /// A request for a service is being sent for the first time.
     pub fn earned_retry(&self, service: &ServiceId) {
         let settings = self.settings();
         let nodes = self.nodes();
-        self.beliefs.borrow_mut().budget(service, &settings, nodes).request(self.now());
+        self.beliefs.borrow_mut().budget(service, &settings, nodes).record_request(self.now());
     }
 
     /// A try of a request for a service has ended so; `end` is none where its answer has begun.
@@ -39,8 +39,8 @@
         let mut beliefs = self.beliefs.borrow_mut();
         let refusals = beliefs.refusals.entry(service.clone()).or_default();
         match end {
-            Some(AttemptEnd::NotRun) => refusals.refused(now),
-            None | Some(AttemptEnd::FailedAnswer) => refusals.taken(),
+            Some(AttemptEnd::NotRun) => refusals.record_refusal(now),
+            None | Some(AttemptEnd::FailedAnswer) => refusals.record_acceptance(),
             Some(
                 AttemptEnd::NotSent | AttemptEnd::Misdirected | AttemptEnd::Unclear | AttemptEnd::Copied,
             ) => {}
@@ -50,7 +50,7 @@
     /// Whether all back ends of a service lately refuse.
     pub fn is_refused_by_all(&self, service: &ServiceId) -> bool {
         let beliefs = self.beliefs.borrow();
-        beliefs.refusals.get(service).is_some_and(|refusals| refusals.by_all(self.now()))
+        beliefs.refusals.get(service).is_some_and(|refusals| refusals.all_refuse(self.now()))
     }
 
     /// Draws on the repeats that may reach a wrong address; when that was, for giving it back.
@@ -58,7 +58,7 @@
         let settings = self.settings();
         let nodes = self.nodes();
         let now = self.now();
-        let granted = self.beliefs.borrow_mut().strays(&settings, nodes).repeat(now);
+        let granted = self.beliefs.borrow_mut().strays(&settings, nodes).try_retry(now);
         granted.then_some(now)
     }
 
@@ -70,8 +70,8 @@
         let mut beliefs = self.beliefs.borrow_mut();
         let strays = beliefs.strays(&settings, nodes);
         match (drawn_at, end == Some(AttemptEnd::Misdirected)) {
-            (None, true) => strays.spend(now),
-            (Some(at), false) => strays.give_back(at),
+            (None, true) => strays.record_retry(now),
+            (Some(at), false) => strays.refund(at),
             (Some(_), true) | (None, false) => {}
         }
     }
--- a/crates/forward/src/verdicts.rs
+++ b/crates/forward/src/verdicts.rs
@@ -113,7 +113,7 @@
             }
             None => match beliefs.refusals.get(&self.service) {
                 Some(refusals) if otherwise == Reason::NotTaken => {
-                    let come_back = Some(spread(refusals.come_back(now)));
+                    let come_back = Some(spread(refusals.retry_after(now)));
                     Refusal { reason: otherwise, come_back }
                 }
                 _ => otherwise.into(),
