--- a/crates/core/src/forwarding/announcements/mod.rs
+++ b/crates/core/src/forwarding/announcements/mod.rs
@@ -122,7 +122,7 @@
     }
 
     /// A process leaves. Whether that is news.
-    fn leaves(&mut self, process: &BackendProcess, now: Timestamp) -> bool {
+    fn record_leaving(&mut self, process: &BackendProcess, now: Timestamp) -> bool {
         let known = self.of(process, now);
         let is_news = known.leaving_since.is_none();
         known.leaving_since.get_or_insert(now);
@@ -131,7 +131,12 @@
 
     /// A process wants no requests from this node for `asked`, from now on. A time that ends sooner than one that it has asked
     /// for before shortens nothing: it may have been asked for by an earlier request.
-    pub fn rests(&mut self, process: &BackendProcess, asked: Duration, now: Timestamp) -> Option<BackOff> {
+    pub fn observe_back_off(
+        &mut self,
+        process: &BackendProcess,
+        asked: Duration,
+        now: Timestamp,
+    ) -> Option<BackOff> {
         if asked.is_zero() {
             return None;
         }
@@ -161,7 +166,7 @@
     }
 
     /// Whether any process of a back end leaves.
-    fn any_leaves(&self, id: &BackendId) -> bool {
+    fn any_leaving(&self, id: &BackendId) -> bool {
         let first = BackendProcess { id: id.clone(), born: None };
         self.of_starts_from(first).any(|(_, known)| known.leaving_since.is_some())
     }
@@ -234,7 +239,7 @@
 
     /// An answer of a process, or another node, told that it leaves.
     pub fn observe_draining(&mut self, process: &BackendProcess, now: Timestamp) -> Departure {
-        let is_news = self.announcements.leaves(process, now);
+        let is_news = self.announcements.record_leaving(process, now);
         // A later process of this identity may have started since it was asked.
         let known = self.get(&process.id).filter(|known| known.entry.born <= process.born);
         match known.map(|known| known.state) {
@@ -263,10 +268,10 @@
     }
 
     /// Whether a back end leaves, by its own word or the registry's; also where its entry has gone since.
-    pub fn leaves(&self, id: &BackendId) -> bool {
+    pub fn is_leaving(&self, id: &BackendId) -> bool {
         match self.get(id) {
             Some(known) => known.state.is_leaving(),
-            None => self.announcements.any_leaves(id),
+            None => self.announcements.any_leaving(id),
         }
     }
 
--- a/crates/core/src/forwarding/backends.rs
+++ b/crates/core/src/forwarding/backends.rs
@@ -105,7 +105,7 @@
     /// It is being given new weights, until then at most.
     pub loading_until: Option<Timestamp>,
     /// Whether an answer or a report has shown weights that the registry's last word did not.
-    pub seen_beside: bool,
+    pub weights_observed: bool,
 }
 
 impl Backend {
@@ -155,7 +155,8 @@
     pub fn put(&mut self, entry: BackendEntry) -> EntryChange {
         let state = self.state_with(&entry);
         let Some(known) = self.by_id.get_mut(&entry.id) else {
-            let backend = Backend { entry: entry.clone(), state, loading_until: None, seen_beside: false };
+            let backend =
+                Backend { entry: entry.clone(), state, loading_until: None, weights_observed: false };
             self.pools.entry(entry.service.clone()).or_default().enter(&backend);
             self.addresses.enter(&entry);
             self.by_id.insert(entry.id, backend);
@@ -165,7 +166,7 @@
         if known.state == BackendState::Replaced && known.entry.is_repeated_by(&entry) {
             return EntryChange::None;
         }
-        known.seen_beside = false;
+        known.weights_observed = false;
         let started_again =
             matches!((known.entry.born, entry.born), (Some(before), Some(now)) if before != now);
         // A process that said once that it is leaving does not stay.
@@ -199,7 +200,7 @@
     /// An entry is gone.
     pub fn remove(&mut self, id: &BackendId, now: Timestamp) -> EntryChange {
         let Some(known) = self.by_id.get(id) else { return EntryChange::None };
-        let doubtful = self.registry.lacks_entries(now);
+        let doubtful = self.registry.may_lack_entries(now);
         match known.state {
             BackendState::Ready if doubtful => {
                 self.set_state(id, BackendState::Suspect { since: now });
@@ -237,7 +238,7 @@
 
     /// Drops back ends that are still missing after the registry's return.
     pub fn expire(&mut self, now: Timestamp) -> Vec<BackendId> {
-        let returned = !self.registry.lacks_entries(now);
+        let returned = !self.registry.may_lack_entries(now);
         let expired = |backend: &Backend| match backend.state {
             BackendState::Suspect { since } => returned || now.saturating_since(since) >= LONGEST_DOUBT,
             BackendState::Ready
@@ -259,7 +260,7 @@
     }
 
     /// An answer, a report or a refusal showed the version that a back end runs on. Older news than known is none.
-    pub fn saw_weights(&mut self, id: &BackendId, model: &ModelId, version: WeightsVersion) {
+    pub fn observe_weights(&mut self, id: &BackendId, model: &ModelId, version: WeightsVersion) {
         let Some(known) = self.by_id.get_mut(id) else { return };
         if known.entry.weights.get(model).is_some_and(|known| *known >= version) {
             return;
@@ -267,7 +268,7 @@
         let pool = self.pools.entry(known.entry.service.clone()).or_default();
         pool.leave(known);
         known.entry.weights.insert(model.clone(), version);
-        known.seen_beside = true;
+        known.weights_observed = true;
         known.loading_until = None;
         pool.enter(known);
     }
@@ -305,7 +306,7 @@
 
     /// How many of a service's ready back ends have which version of a model's weights, the oldest first, without those
     /// that are being given new ones.
-    pub fn versions_at_work(
+    pub fn versions_in_service(
         &self,
         service: &ServiceId,
         model: &ModelId,
--- a/crates/core/src/forwarding/budget.rs
+++ b/crates/core/src/forwarding/budget.rs
@@ -14,7 +14,7 @@
 
 use paddlemount_protocol::time::Timestamp;
 
-use super::even_part::even_part;
+use super::even_share::even_share;
 
 /// Steps into which the window is cut.
 const STEPS: u32 = 20;
@@ -34,10 +34,10 @@
 /// starts again begins with its whole part once more, so each of the `nodes` counts twice; `assumed` nodes share where
 /// their number is not known.
 ///
-/// A part is rounded down ([`even_part`]); what is left of the sum is the room for nodes that start again and again.
+/// A part is rounded down ([`even_share`]); what is left of the sum is the room for nodes that start again and again.
 pub fn node_reserve(slack: u32, nodes: Option<u32>, assumed: u32, draw: f64) -> u32 {
     let Some(nodes) = nodes else { return (slack / assumed.max(1)).max(LEAST_RESERVE_UNCOUNTED) };
-    even_part(slack, nodes.max(1).saturating_mul(2), draw)
+    even_share(slack, nodes.max(1).saturating_mul(2), draw)
 }
 
 /// Settings of a [`WindowBudget`].
--- a/crates/core/src/forwarding/document.rs
+++ b/crates/core/src/forwarding/document.rs
@@ -90,7 +90,8 @@
     /// What its model engines have; none for other services.
     pub engine: Option<EngineTraits>,
     /// Where it is a store of kept cache: its address and zone.
-    pub kept_cache: Option<KeptCache>,
+    #[serde(rename = "kept_cache")]
+    pub cache_store: Option<CacheStore>,
 }
 
 /// What the model engines of a service have.
@@ -108,7 +109,7 @@
 
 /// A store of kept cache.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptCache {
+pub struct CacheStore {
     /// Where it listens.
     pub address: SocketAddr,
     /// Its zone.
--- a/crates/core/src/forwarding/mod.rs
+++ b/crates/core/src/forwarding/mod.rs
@@ -15,7 +15,7 @@
 //! | [`attempt`] | what may follow the end of a try |
 //! | [`answer_times`] | nothing: how long answers have lately taken |
 //! | [`budget`] | whether a request may be repeated |
-//! | [`even_part`] | a node's part of what all nodes share |
+//! | [`even_share`] | a node's part of what all nodes share |
 //! | [`events`] | which events of a stream are whole and may be passed on |
 //! | [`fleet`] | nothing: how many nodes there are, and what they have under way |
 //! | [`uplink`], [`children`] | whom a node reports to, and whom it takes in |
@@ -40,7 +40,7 @@
 pub mod children;
 pub mod choice;
 pub mod document;
-pub mod even_part;
+pub mod even_share;
 pub mod events;
 pub mod fleet;
 pub mod freshness;
--- a/crates/core/src/forwarding/registry.rs
+++ b/crates/core/src/forwarding/registry.rs
@@ -50,7 +50,7 @@
     }
 
     /// What the nodes below are told, which do not ask the store themselves.
-    pub fn told(self, now: Timestamp) -> RegistryState {
+    pub fn report(self, now: Timestamp) -> RegistryState {
         match self {
             Self::Serving => RegistryState::Serving,
             Self::Away => RegistryState::Away,
@@ -72,7 +72,7 @@
     }
 
     /// Whether entries may be missing only because they could not be renewed.
-    pub fn lacks_entries(self, now: Timestamp) -> bool {
+    pub fn may_lack_entries(self, now: Timestamp) -> bool {
         match self {
             Self::Serving => false,
             Self::Away => true,
--- a/crates/core/src/forwarding/replacement.rs
+++ b/crates/core/src/forwarding/replacement.rs
@@ -95,7 +95,7 @@
     }
 
     /// An answer from `address` named `by` in place of `id`, which was asked there. Whether that is news.
-    pub fn misdirected(&mut self, id: &BackendId, address: SocketAddr, by: &BackendId) -> bool {
+    pub fn observe_misdirected(&mut self, id: &BackendId, address: SocketAddr, by: &BackendId) -> bool {
         let is_there =
             |known: &BackendId| self.get(known).is_some_and(|known| known.entry.address == address);
         if id == by || !is_there(id) {
--- a/crates/core/src/forwarding/table.rs
+++ b/crates/core/src/forwarding/table.rs
@@ -105,13 +105,13 @@
 
 /// Chooses among the shares of a route so that each gets its weight's part, also over few requests.
 #[derive(Debug, Default)]
-pub struct ShareWheel {
+pub struct WeightedRoundRobin {
     debts: HashMap<String, Vec<i64>>,
 }
 
-impl ShareWheel {
+impl WeightedRoundRobin {
     /// The index of the share whose turn it is (smooth weighted round robin).
-    pub fn turn(&mut self, route: &Route) -> Option<usize> {
+    pub fn pick(&mut self, route: &Route) -> Option<usize> {
         if route.split.len() <= 1 {
             return (!route.split.is_empty()).then_some(0);
         }
--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -87,7 +87,7 @@
     backends.apply_entry(entry(0, 2), EntrySource::Update);
     assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Known);
     assert_eq!(state(&backends, 0), Some(BackendState::Ready));
-    backends.announcements.rests(&process(0, 1), Duration::from_secs(60), at(0));
+    backends.announcements.observe_back_off(&process(0, 1), Duration::from_secs(60), at(0));
     // The registry tells of a start some time after it: this may be the word of the new process.
     assert!(!takes_requests(&backends, 0, at(2_999)) && takes_requests(&backends, 0, at(3_000)));
     assert_eq!(backends.observe_draining(&process(0, 2), at(2)), Departure::Leaves);
@@ -101,7 +101,7 @@
 fn an_entry_of_an_earlier_start_ends_nothing_that_a_later_process_has_said() {
     let mut backends = Backends::default();
     backends.apply_entry(entry(0, 2), EntrySource::Update);
-    backends.announcements.rests(&process(0, 2), Duration::from_secs(2), at(0));
+    backends.announcements.observe_back_off(&process(0, 2), Duration::from_secs(2), at(0));
     backends.apply_entry(entry(0, 1), EntrySource::Listing);
     assert!(!takes_requests(&backends, 0, at(530)) && takes_requests(&backends, 0, at(2_000)));
     backends.observe_draining(&process(0, 2), at(3_000));
@@ -144,7 +144,7 @@
 fn the_latest_end_that_was_named_holds() {
     let mut announcements = Announcements::default();
     let mut asked = |seconds: f64, now: u64| {
-        announcements.rests(&process(0, 1), Duration::from_secs_f64(seconds), at(now))
+        announcements.observe_back_off(&process(0, 1), Duration::from_secs_f64(seconds), at(now))
     };
     assert_eq!(asked(0.0, 0), None, "no time is no rest");
     assert_eq!(asked(3.0, 0), Some(BackOff { until: at(3_000), begins: true, is_cut: false }));
@@ -167,9 +167,9 @@
     let least =
         |backends: &Backends, now| backends.next_opening(backends.iter(), at(now)).map(|opening| opening.at);
     assert_eq!(least(&backends, 0), None);
-    backends.announcements.rests(&process(0, 1), Duration::from_secs(3), at(0));
+    backends.announcements.observe_back_off(&process(0, 1), Duration::from_secs(3), at(0));
     assert_eq!(least(&backends, 0), None);
-    backends.announcements.rests(&process(1, 1), Duration::from_secs(2), at(500));
+    backends.announcements.observe_back_off(&process(1, 1), Duration::from_secs(2), at(500));
     assert_eq!(least(&backends, 500), Some(at(2_500)));
     assert_eq!(least(&backends, 2_500), None);
     assert_eq!(Backends::default().next_opening(std::iter::empty(), at(0)), None);
@@ -277,7 +277,7 @@
                     told.back_off_requested_at = now;
                 }
                 let asked = Duration::from_millis(asked);
-                self.backends.announcements.rests(&process(backend, born), asked, at(now));
+                self.backends.announcements.observe_back_off(&process(backend, born), asked, at(now));
             }
             Step::Registry { answers: true } => self.backends.registry.answered(at(self.now)),
             Step::Registry { answers: false } => self.backends.registry.failed(),
--- a/crates/core/tests/forwarding_decisions.rs
+++ b/crates/core/tests/forwarding_decisions.rs
@@ -8,7 +8,7 @@
     document::{Document, LOWEST_RANK, Route, RouteKind, Share, Tenant, rank},
     events::{EventSplitter, event_id},
     freshness::Freshness,
-    table::{Admission, RouteTable, ShareWheel},
+    table::{Admission, RouteTable, WeightedRoundRobin},
 };
 use paddlemount_protocol::{
     identity::{ServiceId, TenantId, ZoneId},
@@ -155,11 +155,11 @@
 
 #[test]
 fn each_share_of_a_route_gets_its_part_also_over_few_requests() {
-    let mut wheel = ShareWheel::default();
+    let mut wheel = WeightedRoundRobin::default();
     let split = route("r", "/", &[("s", 70), ("t", 20), ("u", 10), ("none", 0)]);
     let mut counts = [0_u32; 4];
     for _ in 0..100 {
-        counts[wheel.turn(&split).expect("a share")] += 1;
+        counts[wheel.pick(&split).expect("a share")] += 1;
     }
     assert_eq!(counts, [70, 20, 10, 0]);
 }
--- a/crates/core/tests/forwarding_fleet.rs
+++ b/crates/core/tests/forwarding_fleet.rs
@@ -5,7 +5,7 @@
 use paddlemount_core::forwarding::{
     budget::node_reserve,
     children::Admission,
-    even_part::even_part,
+    even_share::even_share,
     fleet::Fleet,
     news::NewsLog,
     readers::{are_worth_following, followed},
@@ -316,7 +316,7 @@
 fn all_nodes_together_have_no_more_of_what_they_share_than_there_is() {
     for (whole, nodes) in [(300, 69), (1_900, 985), (100, 985), (360, 7), (7, 7), (0, 3)] {
         let draws = (0..nodes).map(|number| (f64::from(number) + 0.5) / f64::from(nodes));
-        let sum: u32 = draws.map(|draw| even_part(whole, nodes, draw)).sum();
+        let sum: u32 = draws.map(|draw| even_share(whole, nodes, draw)).sum();
         assert!(sum <= whole + 1, "{sum} of {whole} at {nodes} nodes");
         assert!(sum * 2 > whole || whole == 0, "{sum} of {whole} at {nodes} nodes");
     }
--- a/crates/core/tests/forwarding_pool.rs
+++ b/crates/core/tests/forwarding_pool.rs
@@ -62,7 +62,7 @@
         *versions.entry(backend.entry.weights[&model()]).or_default() += 1;
     }
     assert_eq!(pool.versions(&model()).collect::<BTreeMap<_, _>>(), versions);
-    let at_work = backends.versions_at_work(&service, &model(), now);
+    let at_work = backends.versions_in_service(&service, &model(), now);
     let working = ready.iter().filter(|backend| !backend.is_loading(now)).count();
     assert_eq!(at_work.iter().map(|(_, count)| count).sum::<usize>(), working);
 }
@@ -81,7 +81,7 @@
                 4 => drop(backends.remove(&id, at(now))),
                 5 if version.is_multiple_of(2) => backends.registry.failed(),
                 5 => backends.registry.answered(at(now)),
-                6 => backends.saw_weights(&id, &model(), WeightsVersion(u64::from(version % 5))),
+                6 => backends.observe_weights(&id, &model(), WeightsVersion(u64::from(version % 5))),
                 _ if version.is_multiple_of(3) => drop(backends.expire(at(now))),
                 _ => backends.set_loading(&[id], at(now + 250)),
             }
--- a/crates/core/tests/forwarding_replacement.rs
+++ b/crates/core/tests/forwarding_replacement.rs
@@ -96,11 +96,14 @@
     let mut backends = Backends::default();
     changed(&mut backends, entry("a", 1, None));
     changed(&mut backends, entry("b", 1, None));
-    assert!(!backends.misdirected(&id("b"), address(9), &id("a")), "it was asked where it is no longer");
-    assert!(!backends.misdirected(&id("b"), address(1), &id("b")), "it answered itself");
-    assert!(backends.misdirected(&id("b"), address(1), &id("a")));
+    assert!(
+        !backends.observe_misdirected(&id("b"), address(9), &id("a")),
+        "it was asked where it is no longer"
+    );
+    assert!(!backends.observe_misdirected(&id("b"), address(1), &id("b")), "it answered itself");
+    assert!(backends.observe_misdirected(&id("b"), address(1), &id("a")));
     assert_eq!(usable(&backends), ["a"]);
-    assert!(backends.misdirected(&id("a"), address(1), &id("nobody knows it")));
+    assert!(backends.observe_misdirected(&id("a"), address(1), &id("nobody knows it")));
     assert!(usable(&backends).is_empty(), "who answers is known by an entry of its own only");
     assert!(backends.get(&id("nobody knows it")).is_none());
 }
@@ -171,7 +174,7 @@
                     entries.remove(&id(&name));
                     backends.remove(&id(&name), Timestamp::ZERO);
                 }
-                _ => drop(backends.misdirected(&id(&name), at, &id(&format!("b{}", kind % 6)))),
+                _ => drop(backends.observe_misdirected(&id(&name), at, &id(&format!("b{}", kind % 6)))),
             }
             let mut holders: BTreeMap<SocketAddr, usize> = BTreeMap::new();
             for backend in backends.iter().filter(|backend| backend.state == BackendState::Ready) {
--- a/crates/forward/src/announced.rs
+++ b/crates/forward/src/announced.rs
@@ -125,7 +125,7 @@
 
     fn observe_back_off(&self, process: &BackendProcess, asked: Duration) {
         let now = self.now();
-        let rest = self.beliefs.borrow_mut().backends.announcements.rests(process, asked, now);
+        let rest = self.beliefs.borrow_mut().backends.announcements.observe_back_off(process, asked, now);
         let Some(BackOff { until, begins, is_cut }) = rest else { return };
         self.metrics.count(Counter::RestsAsked);
         if begins || is_cut {
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/beliefs.rs
@@ -11,7 +11,7 @@
         freshness::Freshness,
         refusals::Refusals,
         rollout::{Rollout, RolloutSettings},
-        table::{RouteTable, ShareWheel},
+        table::{RouteTable, WeightedRoundRobin},
     },
     health::{Health, HealthEvent, HealthSettings},
     limits::ledger::QuotaLedger,
@@ -67,7 +67,7 @@
     pub quarantine: Quarantine,
     /// Requests that the store holds back, as they stand there, or that this node has asked it to.
     pub(crate) held: BTreeMap<RequestFingerprint, HeldRequest>,
-    pub(crate) wheel: ShareWheel,
+    pub(crate) wheel: WeightedRoundRobin,
     pub(crate) budgets: BTreeMap<ServiceId, WindowBudget>,
     /// Whether services refuse everything.
     pub(crate) refusals: BTreeMap<ServiceId, Refusals>,
@@ -160,7 +160,7 @@
             ),
             quarantine: Quarantine::default(),
             held: BTreeMap::new(),
-            wheel: ShareWheel::default(),
+            wheel: WeightedRoundRobin::default(),
             budgets: BTreeMap::new(),
             refusals: BTreeMap::new(),
             strays: None,
@@ -202,7 +202,7 @@
     pub fn stores(&self) -> impl Iterator<Item = Store> + '_ {
         let services = self.table.iter().flat_map(|table| table.services());
         services.filter_map(|(name, service)| {
-            let kept = service.kept_cache.as_ref()?;
+            let kept = service.cache_store.as_ref()?;
             Some(Store { id: BackendId::from(name.as_str()), address: kept.address })
         })
     }
--- a/crates/forward/src/learned_backends.rs
+++ b/crates/forward/src/learned_backends.rs
@@ -33,7 +33,7 @@
     /// The answer to a try named another back end in place of the one that was chosen.
     pub fn misdirected(&self, choice: &Choice, by: &BackendId) {
         let mut beliefs = self.beliefs.borrow_mut();
-        if beliefs.backends.misdirected(&choice.backend, choice.address, by) {
+        if beliefs.backends.observe_misdirected(&choice.backend, choice.address, by) {
             let replacement = Replacement { backend: choice.backend.clone(), by: by.clone() };
             self.leave_replaced(&mut beliefs, &replacement, "answer");
         }
@@ -120,6 +120,6 @@
     pub fn saw_weights(&self, id: &BackendId, model: &ModelId, version: WeightsVersion) {
         // What is believed of its cache stays: the scope of cached parts names the version, so that nothing of the older
         // one is asked for, and what other nodes have told of the newer one may have come first.
-        self.beliefs.borrow_mut().backends.saw_weights(id, model, version);
+        self.beliefs.borrow_mut().backends.observe_weights(id, model, version);
     }
 }
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/learning.rs
@@ -186,7 +186,7 @@
     fn is_news(&self, fact: &Fact) -> bool {
         let Fact::Backend(entry) = fact else { return true };
         let beliefs = self.beliefs.borrow();
-        beliefs.backends.get(&entry.id).is_none_or(|known| known.entry != *entry || known.seen_beside)
+        beliefs.backends.get(&entry.id).is_none_or(|known| known.entry != *entry || known.weights_observed)
     }
 
     /// Takes in who leads, as a read told that may be old: only a leadership that began after all that is known is
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -300,7 +300,7 @@
 
     /// The share of a route whose turn it is.
     pub fn share(&self, route: &Route) -> Option<ServiceId> {
-        let turn = self.beliefs.borrow_mut().wheel.turn(route)?;
+        let turn = self.beliefs.borrow_mut().wheel.pick(route)?;
         route.split.get(turn).map(|share| share.service.clone())
     }
 
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -186,7 +186,7 @@
     let changed = beliefs.changes.since(known?, upto)?;
     let facts = beliefs.facts_about(&changed);
     let changes = if facts.is_empty() { String::new() } else { serde_json::to_string(&facts).ok()? };
-    let registry = beliefs.backends.registry.told(now);
+    let registry = beliefs.backends.registry.report(now);
     let named = beliefs.named_lately(bound, now - age, now);
     Some(StoreRelay { age_ms: age.as_millis() as u64 + 1, upto, registry, changes, named })
 }
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -98,7 +98,7 @@
     let revision = beliefs.revision.filter(|_| !node.history_lost.get())?;
     let within = node.settings().bounds.relayed_within();
     let age = beliefs.freshness.age(now).filter(|age| *age < within)?;
-    let registry = beliefs.backends.registry.told(now);
+    let registry = beliefs.backends.registry.report(now);
     let proved_at = now - age;
     let named = beliefs.named_lately(node.settings().bounds.weights(), proved_at, now);
     let content = Content { revision, registry, facts: beliefs.all_facts(), named };
--- a/crates/forward/src/placing.rs
+++ b/crates/forward/src/placing.rs
@@ -5,7 +5,7 @@
         announcements::limits::Opening,
         backends::{Backend, BackendId, BackendState},
         choice::{Candidate, Choice, Field, Placement, shard_of},
-        even_part::even_part,
+        even_share::even_share,
         pool::Pool,
         prompt::Prompt,
         ranks::{rank, rank_for},
@@ -164,7 +164,7 @@
     /// The version that this request rather begins on: as many requests prefer it as engines have it.
     fn preferred(&self, ask: RouteRequest<'_>, prompt: &Prompt, now: Timestamp) -> Option<WeightsVersion> {
         let preferred = self.rollout.preferred(&prompt.model, now)?;
-        let held = self.backends.versions_at_work(ask.service, &prompt.model, now);
+        let held = self.backends.versions_in_service(ask.service, &prompt.model, now);
         let all = held.iter().map(|(_, count)| count).sum();
         let having = held.iter().filter(|(version, _)| *version >= preferred).map(|(_, count)| count).sum();
         prefers(ask.draw, having, all).then_some(preferred)
@@ -223,7 +223,7 @@
     fn has_room(&self, id: &BackendId) -> bool {
         self.max_connections.is_none_or(|most| {
             let part = match self.nodes.known() {
-                Some(nodes) => even_part(most, nodes, self.beliefs.draw_for(id)),
+                Some(nodes) => even_share(most, nodes, self.beliefs.draw_for(id)),
                 None => (most / self.nodes.most()).max(LEAST_CONNECTIONS_UNCOUNTED),
             };
             self.beliefs.chooser.load(id).requests < part
--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -31,7 +31,7 @@
     /// The connection ended under the run.
     pub(crate) fn run_broke(&self, choice: &Choice) {
         // The planned end of a back end, which cuts what lasts too long, is no crash: three in turn held ordinary requests back.
-        if self.node.beliefs.borrow().backends.leaves(&choice.backend) {
+        if self.node.beliefs.borrow().backends.is_leaving(&choice.backend) {
             return;
         }
         let crash = Crash {
