--- a/crates/core/src/forwarding/announcements/limits.rs
+++ b/crates/core/src/forwarding/announcements/limits.rs
@@ -71,14 +71,14 @@
     /// Merges a limit from a message that another node wrote at `written_at` or shortly after.
     fn merge_limit(
         &mut self,
-        news: &LimitGossip,
+        gossip: &LimitGossip,
         advertised: Advertised,
         written_at: Timestamp,
         now: Timestamp,
     ) -> Option<LimitChange> {
-        let change = self.observe_limit(&news.process, advertised, 0.0, now);
-        let closed_for = MAX_INITIAL_PAUSE.min(Duration::from_millis(news.opens_in_ms));
-        let limit = self.by_process.get_mut(&news.process).and_then(|known| known.limit.as_mut());
+        let change = self.observe_limit(&gossip.process, advertised, 0.0, now);
+        let closed_for = MAX_INITIAL_PAUSE.min(Duration::from_millis(gossip.opens_in_ms));
+        let limit = self.by_process.get_mut(&gossip.process).and_then(|known| known.limit.as_mut());
         if let Some(limit) = limit.filter(|_| !closed_for.is_zero()) {
             limit.open_at(written_at + closed_for);
         }
@@ -125,18 +125,18 @@
         for limit in self.by_process.values_mut().filter_map(|known| known.limit.as_mut()) {
             limit.forget_parent_knowledge();
         }
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for grant in grants.iter().take(MAX_ENTRIES) {
             let process = &grant.news.process;
             let Some(advertised) = Advertised::from_gossip(&grant.news, sent_at) else { continue };
             let change = self.merge_limit(&grant.news, advertised, sent_at, now);
-            news.extend(change.map(|change| (process.clone(), change)));
+            changes.extend(change.map(|change| (process.clone(), change)));
             if let Some(limit) = self.by_process.get_mut(process).and_then(|known| known.limit.as_mut()) {
                 limit.apply_grant(advertised, grant, sent_at + GRANT_LEASE);
                 self.divide_limit(process, now);
             }
         }
-        news
+        changes
     }
 
     /// Merges the limits that a child has reported. Returns the limits that changed.
@@ -148,10 +148,10 @@
         let advertised = gossip
             .iter()
             .take(MAX_ENTRIES)
-            .filter_map(|news| Some((news, Advertised::from_gossip(news, now)?)));
-        let changes = advertised.filter_map(|(news, advertised)| {
-            let change = self.merge_limit(news, advertised, now, now)?;
-            Some((news.process.clone(), change))
+            .filter_map(|limit| Some((limit, Advertised::from_gossip(limit, now)?)));
+        let changes = advertised.filter_map(|(limit, advertised)| {
+            let change = self.merge_limit(limit, advertised, now, now)?;
+            Some((limit.process.clone(), change))
         });
         changes.collect()
     }
@@ -159,7 +159,7 @@
     /// The limits that the parent has not received yet.
     pub fn pending_limit_gossip(&self, now: Timestamp) -> Vec<LimitGossip> {
         let limits = self.limits().filter_map(|(process, limit)| limit.pending_gossip(process, now));
-        newest(limits.map(|news| (news.age_ms, news)))
+        newest(limits.map(|gossip| (gossip.age_ms, gossip)))
     }
 
     /// The limits and grants for a child.
@@ -196,8 +196,8 @@
         }
         let first = BackendProcess { id: entry.id.clone(), born: entry.born };
         let starts = self.of_starts_from(first);
-        let named = starts.filter_map(|(process, known)| Some((process, known.limit.as_ref()?))).last();
-        named.filter(|(_, limit)| limit.per_second().is_some())
+        let limited = starts.filter_map(|(process, known)| Some((process, known.limit.as_ref()?))).last();
+        limited.filter(|(_, limit)| limit.per_second().is_some())
     }
 
     fn limit_wait(&self, entry: &BackendEntry, now: Timestamp) -> Wait {
--- a/crates/core/src/forwarding/announcements/mod.rs
+++ b/crates/core/src/forwarding/announcements/mod.rs
@@ -7,7 +7,7 @@
 //! | announced | gossiped to other nodes | in force | ends |
 //! |---|---|---|---|
 //! | draining | yes | at once | never: a process that drains does not return |
-//! | back-off | no: it is meant for the node that got the answer | until the latest end that the process has named | at that end; once a new incarnation is known, at most 3 s after it was requested |
+//! | back-off | no: it is meant for the node that got the answer | until the latest end that the process has requested | at that end; once a new incarnation is known, at most 3 s after it was requested |
 //! | rate limit | yes: it holds for all nodes together | by this node's share ([`rate_limit`]) | with an answer without a limit to a request that was sent after the limit was last advertised |
 //!
 //! | module | responsibility |
--- a/crates/core/src/forwarding/announcements/rate_limit.rs
+++ b/crates/core/src/forwarding/announcements/rate_limit.rs
@@ -64,10 +64,10 @@
 
 impl Advertised {
     /// The limit in a message that another node wrote at `written_at` or shortly after.
-    pub fn from_gossip(news: &LimitGossip, written_at: Timestamp) -> Option<Self> {
-        let is_sound = news.per_second.is_none_or(|rate| rate.is_finite() && rate >= 0.0);
-        let at = written_at - Duration::from_millis(news.age_ms);
-        is_sound.then_some(Self { per_second: news.per_second, at })
+    pub fn from_gossip(gossip: &LimitGossip, written_at: Timestamp) -> Option<Self> {
+        let is_sound = gossip.per_second.is_none_or(|rate| rate.is_finite() && rate >= 0.0);
+        let at = written_at - Duration::from_millis(gossip.age_ms);
+        is_sound.then_some(Self { per_second: gossip.per_second, at })
     }
 
     /// Whether this is newer than `known`.
--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -1,4 +1,4 @@
-//! What back ends announce of themselves, against entries, starts and time in any order.
+//! Announcements of back ends, with entries, restarts and time in any order.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,14 +17,14 @@
     time::Timestamp,
 };
 
-/// Back ends of a history.
+/// The number of back ends in a history.
 const BACKENDS: u8 = 4;
-/// How long a back end that leaves may still get requests where nobody else is left.
+/// How long a departing back end may still get requests where no other is left.
 const PARTING: Duration = Duration::from_secs(1);
-/// How long the rest of an earlier start holds.
-const LATE_NEWS: Duration = Duration::from_secs(3);
-/// How long it is remembered that a process leaves whose entry is gone.
-const REMEMBERED: Duration = Duration::from_secs(600);
+/// How long the back-off of an earlier incarnation holds.
+const REGISTRY_DELAY: Duration = Duration::from_secs(3);
+/// How long the announcements of a process are kept after its last one.
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(600);
 
 fn id(number: u8) -> BackendId {
     BackendId::from(format!("b{number}").as_str())
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_older_entry_takes_nothing_back_and_a_new_start_ends_it() {
+fn a_repeated_entry_does_not_end_draining_and_a_restart_does() {
     let mut backends = Backends::default();
     backends.apply_entry(entry(0, 1), EntrySource::Update);
     assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Leaves);
@@ -74,7 +74,7 @@
     assert_eq!(state(&backends, 0), departing);
     backends.remove(&id(0), at(10));
     backends.apply_entry(entry(0, 1), EntrySource::Listing);
-    assert_eq!(state(&backends, 0), departing, "it counts from when it was first heard");
+    assert_eq!(state(&backends, 0), departing, "it counts from the first observation");
     backends.apply_entry(BackendEntry { leaving: true, ..entry(0, 1) }, EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Leaving));
     backends.apply_entry(entry(0, 2), EntrySource::Update);
@@ -82,23 +82,22 @@
 }
 
 #[test]
-fn what_an_earlier_process_said_is_no_news_of_the_one_that_has_started_since() {
+fn announcements_of_an_earlier_incarnation_do_not_apply_to_the_next_one() {
     let mut backends = Backends::default();
     backends.apply_entry(entry(0, 2), EntrySource::Update);
     assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Known);
     assert_eq!(state(&backends, 0), Some(BackendState::Ready));
     backends.announcements.observe_back_off(&process(0, 1), Duration::from_secs(60), at(0));
-    // The registry tells of a start some time after it: this may be the word of the new process.
+    // The registry may show a restart late, so this may come from the new process.
     assert!(!takes_requests(&backends, 0, at(2_999)) && takes_requests(&backends, 0, at(3_000)));
     assert_eq!(backends.observe_draining(&process(0, 2), at(2)), Departure::Leaves);
     assert_eq!(backends.observe_draining(&process(0, 1), at(3)), Departure::Known);
     assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(2) }));
 }
 
-/// A store that had come back from a copy told an entry of the start before, and a rest of 2 s ended after 0.5 s: the entry was
-/// taken for a new start.
+/// Guards against a stale entry, as from a restored store, being taken for a restart that ends a back-off.
 #[test]
-fn an_entry_of_an_earlier_start_ends_nothing_that_a_later_process_has_said() {
+fn a_stale_entry_does_not_end_announcements_of_a_later_incarnation() {
     let mut backends = Backends::default();
     backends.apply_entry(entry(0, 2), EntrySource::Update);
     backends.announcements.observe_back_off(&process(0, 2), Duration::from_secs(2), at(0));
@@ -109,11 +108,11 @@
     backends.apply_entry(entry(0, 2), EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(3_000) }));
     backends.apply_entry(entry(0, 3), EntrySource::Update);
-    assert_eq!(state(&backends, 0), Some(BackendState::Ready), "a new start ends it");
+    assert_eq!(state(&backends, 0), Some(BackendState::Ready), "a restart ends it");
 }
 
 #[test]
-fn one_whose_entry_had_lapsed_is_dropped_and_leaves_still_when_the_entry_is_back() {
+fn a_draining_suspect_is_dropped_and_still_drains_when_its_entry_returns() {
     let mut backends = Backends::default();
     backends.apply_entry(entry(0, 1), EntrySource::Update);
     backends.registry.failed();
@@ -125,7 +124,7 @@
 }
 
 #[test]
-fn those_that_depart_serve_only_where_nobody_else_is_left_and_for_a_while() {
+fn departing_back_ends_are_used_only_if_no_other_is_left_and_for_a_while() {
     let mut backends = Backends::default();
     for number in 0..2 {
         backends.apply_entry(entry(number, 1), EntrySource::Update);
@@ -133,33 +132,33 @@
     backends.observe_draining(&process(0, 1), at(0));
     assert_eq!(usable(&backends), 1);
     backends.observe_draining(&process(1, 1), at(500));
-    assert_eq!(usable(&backends), 2, "nobody else is left");
+    assert_eq!(usable(&backends), 2, "no other is left");
     assert!(takes_requests(&backends, 0, at(999)) && takes_requests(&backends, 1, at(999)));
     assert!(!takes_requests(&backends, 0, at(1_000)) && takes_requests(&backends, 1, at(1_000)));
     backends.apply_entry(entry(2, 1), EntrySource::Update);
-    assert_eq!(usable(&backends), 1, "somebody else is there");
+    assert_eq!(usable(&backends), 1, "another one is ready");
 }
 
 #[test]
-fn the_latest_end_that_was_named_holds() {
+fn the_latest_end_of_a_back_off_applies() {
     let mut announcements = Announcements::default();
-    let mut asked = |seconds: f64, now: u64| {
+    let mut requested = |seconds: f64, now: u64| {
         announcements.observe_back_off(&process(0, 1), Duration::from_secs_f64(seconds), at(now))
     };
-    assert_eq!(asked(0.0, 0), None, "no time is no rest");
-    assert_eq!(asked(3.0, 0), Some(BackOff { until: at(3_000), begins: true, is_cut: false }));
-    assert_eq!(asked(1.0, 100), Some(BackOff { until: at(3_000), begins: false, is_cut: false }));
-    assert_eq!(asked(3.0, 100), Some(BackOff { until: at(3_100), begins: false, is_cut: false }));
-    assert_eq!(asked(0.5, 4_000), Some(BackOff { until: at(4_500), begins: true, is_cut: false }));
+    assert_eq!(requested(0.0, 0), None, "no time is no back-off");
+    assert_eq!(requested(3.0, 0), Some(BackOff { until: at(3_000), begins: true, is_cut: false }));
+    assert_eq!(requested(1.0, 100), Some(BackOff { until: at(3_000), begins: false, is_cut: false }));
+    assert_eq!(requested(3.0, 100), Some(BackOff { until: at(3_100), begins: false, is_cut: false }));
+    assert_eq!(requested(0.5, 4_000), Some(BackOff { until: at(4_500), begins: true, is_cut: false }));
     let longest = at(5_000) + MAX_BACK_OFF;
-    assert_eq!(asked(1e9, 5_000), Some(BackOff { until: longest, begins: true, is_cut: true }));
+    assert_eq!(requested(1e9, 5_000), Some(BackOff { until: longest, begins: true, is_cut: true }));
     assert_eq!(announcements.expire(at(4_500)), Vec::new());
     assert_eq!(announcements.expire(longest), [id(0)]);
     assert_eq!(announcements.count_backed_off(at(5_001)), 0);
 }
 
 #[test]
-fn callers_may_come_back_when_the_first_rest_is_over_and_only_where_all_rest() {
+fn the_next_opening_is_the_first_end_of_a_back_off_if_all_are_backed_off() {
     let mut backends = Backends::default();
     for number in 0..2 {
         backends.apply_entry(entry(number, 1), EntrySource::Update);
@@ -176,7 +175,7 @@
 }
 
 #[test]
-fn other_nodes_are_told_for_two_seconds_and_of_a_bounded_number() {
+fn draining_is_gossiped_for_two_seconds_and_for_a_bounded_number() {
     let mut backends = Backends::default();
     backends.observe_draining(&process(0, 1), at(0));
     backends.observe_draining(&process(0, 1), at(1_500));
@@ -191,31 +190,35 @@
     assert_eq!(backends.announcements.pending_draining_gossip(at(23_000)).len(), 128);
     let first = BackendProcess { id: BackendId::from("p0"), born: None };
     backends.apply_entry(BackendEntry { id: first.id, ..entry(0, 1) }, EntrySource::Update);
-    assert_eq!(backends.iter().next().map(|known| known.state), Some(BackendState::Ready), "forgotten");
+    assert_eq!(
+        backends.iter().next().map(|known| known.state),
+        Some(BackendState::Ready),
+        "the oldest one is dropped"
+    );
 }
 
 #[derive(Debug, TypeGenerator)]
 enum Step {
-    /// The registry tells of an entry, of the present process or of the one before it.
+    /// The registry sends an entry of the present incarnation or of the one before it.
     Entry { backend: u8, leaving: bool, is_older: bool, slots: u8, in_listing: bool },
-    /// The entry is gone.
+    /// The registry removes the entry.
     Gone { backend: u8 },
-    /// The process starts again under its identity, and its entry says so.
+    /// The process restarts under its identity, and its entry shows it.
     Start { backend: u8 },
-    /// An answer or another node told that the present or the earlier process leaves.
-    Leaves { backend: u8, is_older: bool },
-    /// An answer of the present process asked for rest.
-    Rests { backend: u8, tenths: u8 },
-    /// Calls to the registry fail, or are answered again.
+    /// An answer or another node reports that the present or the previous incarnation drains.
+    Drains { backend: u8, is_older: bool },
+    /// An answer of the present incarnation requests a back-off.
+    BackOff { backend: u8, tenths: u8 },
+    /// Calls to the registry fail, or succeed again.
     Registry { answers: bool },
-    /// Time passes, and what no longer holds is forgotten.
+    /// Time passes, and expired announcements are dropped.
     Wait { tenths: u8, sweep: bool },
 }
 
-/// What a process has said, and the registry last told of it.
+/// What a process has announced, and what the registry last reported of it.
 #[derive(Default)]
-struct Told {
-    left_at: Option<u64>,
+struct Recorded {
+    draining_since: Option<u64>,
     backed_off_until: u64,
     back_off_requested_at: u64,
     registry_says_leaving: bool,
@@ -225,10 +228,10 @@
 struct History {
     backends: Backends,
     now: u64,
-    /// How often each back end has started again.
+    /// The present incarnation of each back end.
     born: BTreeMap<u8, u64>,
-    /// By back end and start.
-    told: BTreeMap<(u8, u64), Told>,
+    /// By back end and incarnation.
+    recorded: BTreeMap<(u8, u64), Recorded>,
 }
 
 impl History {
@@ -236,8 +239,8 @@
         self.born.get(&backend).copied().unwrap_or(1)
     }
 
-    fn told(&mut self, backend: u8, born: u64) -> &mut Told {
-        self.told.entry((backend, born)).or_default()
+    fn recorded(&mut self, backend: u8, born: u64) -> &mut Recorded {
+        self.recorded.entry((backend, born)).or_default()
     }
 
     fn apply(&mut self, step: &Step) {
@@ -260,24 +263,24 @@
                 self.born.insert(backend, born);
                 self.apply_entry(entry(backend, born), false);
             }
-            Step::Leaves { backend, is_older } => {
+            Step::Drains { backend, is_older } => {
                 let backend = backend % BACKENDS;
                 let born = self.born(backend) - u64::from(is_older && self.born(backend) > 1);
                 let now = self.now;
-                self.told(backend, born).left_at.get_or_insert(now);
+                self.recorded(backend, born).draining_since.get_or_insert(now);
                 self.backends.observe_draining(&process(backend, born), at(now));
             }
-            Step::Rests { backend, tenths } => {
+            Step::BackOff { backend, tenths } => {
                 let backend = backend % BACKENDS;
                 let (born, now) = (self.born(backend), self.now);
-                let asked = u64::from(tenths) * 100;
-                let told = self.told(backend, born);
-                told.backed_off_until = told.backed_off_until.max(now + asked);
-                if asked > 0 {
-                    told.back_off_requested_at = now;
+                let requested = u64::from(tenths) * 100;
+                let recorded = self.recorded(backend, born);
+                recorded.backed_off_until = recorded.backed_off_until.max(now + requested);
+                if requested > 0 {
+                    recorded.back_off_requested_at = now;
                 }
-                let asked = Duration::from_millis(asked);
-                self.backends.announcements.observe_back_off(&process(backend, born), asked, at(now));
+                let requested = Duration::from_millis(requested);
+                self.backends.announcements.observe_back_off(&process(backend, born), requested, at(now));
             }
             Step::Registry { answers: true } => self.backends.registry.answered(at(self.now)),
             Step::Registry { answers: false } => self.backends.registry.failed(),
@@ -292,41 +295,47 @@
     }
 
     fn apply_entry(&mut self, entry: BackendEntry, in_listing: bool) {
-        let heard = if in_listing { EntrySource::Listing } else { EntrySource::Update };
-        self.backends.apply_entry(entry, heard);
+        let source = if in_listing { EntrySource::Listing } else { EntrySource::Update };
+        self.backends.apply_entry(entry, source);
     }
 
     fn check(&mut self) {
         let (now, self_now) = (at(self.now), self.now);
         for backend in 0..BACKENDS {
             let Some(known) = self.backends.get(&id(backend)) else { continue };
-            let born = known.entry.born.expect("entries of this test tell");
+            let born = known.entry.born.expect("the entries of this test have it");
             let (state, takes) = (known.state, self.backends.takes_requests(known, PARTING, now));
             let is_present = born == self.born(backend);
-            let rest_of_earlier = (1..born).any(|earlier| {
-                let told = self.told(backend, earlier);
-                at(self_now) < at(told.backed_off_until).min(at(told.back_off_requested_at) + LATE_NEWS)
+            let earlier_back_off = (1..born).any(|earlier| {
+                let recorded = self.recorded(backend, earlier);
+                at(self_now)
+                    < at(recorded.backed_off_until).min(at(recorded.back_off_requested_at) + REGISTRY_DELAY)
             });
-            let told = self.told(backend, born);
-            told.registry_says_leaving |= state == BackendState::Leaving;
-            let leaves = told.left_at.is_some() || told.registry_says_leaving;
-            let left_for = told.left_at.map(|left| now.saturating_since(at(left)));
-            let rests = now < at(told.backed_off_until);
-            if rests {
-                assert!(!takes, "b{backend} rests until {}, and it is {now:?}", told.backed_off_until);
+            let recorded = self.recorded(backend, born);
+            recorded.registry_says_leaving |= state == BackendState::Leaving;
+            let is_leaving = recorded.draining_since.is_some() || recorded.registry_says_leaving;
+            let drained_for = recorded.draining_since.map(|left| now.saturating_since(at(left)));
+            let backed_off = now < at(recorded.backed_off_until);
+            if backed_off {
+                assert!(
+                    !takes,
+                    "b{backend} is backed off until {}, and it is {now:?}",
+                    recorded.backed_off_until
+                );
             }
-            if left_for.is_some_and(|left_for| left_for >= PARTING && left_for < REMEMBERED) {
-                assert!(!takes, "b{backend} has said that it leaves {left_for:?} ago");
+            if drained_for.is_some_and(|drained_for| drained_for >= PARTING && drained_for < ANNOUNCEMENT_TTL)
+            {
+                assert!(!takes, "b{backend} has been draining for {drained_for:?}");
             }
-            if is_present && !leaves && !rests && !rest_of_earlier {
-                assert!(takes, "b{backend} lives, and is left out as {state:?}");
+            if is_present && !is_leaving && !backed_off && !earlier_back_off {
+                assert!(takes, "b{backend} is ready, but is left out as {state:?}");
             }
         }
     }
 }
 
 #[test]
-fn what_a_process_has_said_holds_until_it_is_over_and_no_other_is_left_out() {
+fn announcements_hold_until_they_end_and_no_other_back_end_is_left_out() {
     bolero::check!().with_type::<Vec<Step>>().for_each(|steps| {
         let mut history = History::default();
         for step in steps {
--- a/crates/core/tests/forwarding_budget_properties.rs
+++ b/crates/core/tests/forwarding_budget_properties.rs
@@ -1,4 +1,4 @@
-//! What all nodes together send beside the first try of each request, whatever their tries meet.
+//! The retries of all nodes together, whatever the outcome of attempts.
 
 use std::time::Duration;
 
@@ -25,36 +25,44 @@
 
 /// The budgets of one process of a node.
 struct Process {
-    repeats: WindowBudget,
-    strays: WindowBudget,
-    /// When it started, where another process of the node went before it.
-    started_again: Option<u64>,
+    retries: WindowBudget,
+    misdirected_retries: WindowBudget,
+    /// When it started, unless it is the first process of its node.
+    restarted_at: Option<u64>,
 }
 
 impl Process {
-    fn start(draw: u8, started_again: Option<u64>) -> Self {
-        Self { repeats: budget(SHARE_PER_MILLE, draw), strays: budget(0, draw), started_again }
+    fn start(draw: u8, restarted_at: Option<u64>) -> Self {
+        Self { retries: budget(SHARE_PER_MILLE, draw), misdirected_retries: budget(0, draw), restarted_at }
     }
 }
 
-/// When what arrived.
+/// When requests and retries arrived.
 #[derive(Default)]
 struct Arrivals {
     requests: Vec<u64>,
-    /// Tries beyond the first of their request.
-    repeats: Vec<u64>,
-    /// Those of them that followed a wrong address and met another.
-    strays: Vec<u64>,
+    /// Attempts after the first one of their request.
+    retries: Vec<u64>,
+    /// Those of them that followed a misdirected attempt and were misdirected as well.
+    misdirected_retries: Vec<u64>,
 }
 
 #[derive(Debug, TypeGenerator)]
 enum Step {
-    /// Requests come to a node, and the tries of each end in this way, one after the other; the last one is answered.
-    Requests { node: u8, count: u8, ends: [u8; 6] },
-    /// A node's process ends, and another one starts. Each node does so once in a window at most.
-    Restart { node: u8, draw: u8 },
-    /// Time passes.
-    Wait { tens_of_ms: u8 },
+    /// A node gets requests whose attempts end in this way, in order; the last attempt is answered.
+    Requests {
+        node: u8,
+        count: u8,
+        ends: [u8; 6],
+    },
+    /// A node's process is replaced by a new one, at most once per window and node.
+    Restart {
+        node: u8,
+        draw: u8,
+    },
+    Wait {
+        tens_of_ms: u8,
+    },
 }
 
 fn end_of(byte: u8) -> AttemptEnd {
@@ -66,47 +74,49 @@
     }
 }
 
-/// Follows one request as a node does.
+/// Sends one request with its retries, as a node does.
 fn serve(process: &mut Process, ends: &[u8], at_ms: u64, arrivals: &mut Arrivals) {
     let now = Timestamp::from_millis(at_ms);
-    let (mut spent, mut stray) = (AttemptHistory::default(), None);
-    process.repeats.record_request(now);
+    let (mut history, mut misdirected_at) = (AttemptHistory::default(), None);
+    process.retries.record_request(now);
     arrivals.requests.push(at_ms);
     for byte in ends {
         let end = end_of(*byte);
         if end == AttemptEnd::NotSent {
-            spent.not_sent += 1;
+            history.not_sent += 1;
         } else {
-            if spent.sent > 0 {
-                arrivals.repeats.push(at_ms);
+            if history.sent > 0 {
+                arrivals.retries.push(at_ms);
             }
-            match (stray.take(), end) {
-                (Some(_), AttemptEnd::Misdirected) => arrivals.strays.push(at_ms),
-                (Some(at), _) => process.strays.refund(at),
-                (None, AttemptEnd::Misdirected) if spent.sent > 0 => process.strays.record_retry(now),
+            match (misdirected_at.take(), end) {
+                (Some(_), AttemptEnd::Misdirected) => arrivals.misdirected_retries.push(at_ms),
+                (Some(at), _) => process.misdirected_retries.refund(at),
+                (None, AttemptEnd::Misdirected) if history.sent > 0 => {
+                    process.misdirected_retries.record_retry(now)
+                }
                 (None, _) => {}
             }
-            spent.sent += 1;
-            spent.misdirected += u32::from(end == AttemptEnd::Misdirected);
+            history.sent += 1;
+            history.misdirected += u32::from(end == AttemptEnd::Misdirected);
         }
-        let Process { repeats, strays, .. } = process;
+        let Process { retries, misdirected_retries, .. } = process;
         let mut drawn = None;
-        let follows = next_action(RouteKind::Repeatable, 3, end, spent, true, || {
+        let action = next_action(RouteKind::Repeatable, 3, end, history, true, || {
             if end == AttemptEnd::Misdirected {
-                drawn = strays.try_retry(now).then_some(now);
+                drawn = misdirected_retries.try_retry(now).then_some(now);
                 if drawn.is_none() {
                     return false;
                 }
             }
-            repeats.try_retry(now)
+            retries.try_retry(now)
         });
-        stray = drawn.or(stray);
-        if follows != NextAction::Retry {
+        misdirected_at = drawn.or(misdirected_at);
+        if action != NextAction::Retry {
             break;
         }
     }
-    if let Some(at) = stray {
-        process.strays.refund(at);
+    if let Some(at) = misdirected_at {
+        process.misdirected_retries.refund(at);
     }
 }
 
@@ -114,7 +124,8 @@
     times.iter().filter(|at| **at >= from && **at <= to).count()
 }
 
-/// The most requests that came in the window from `start`, in the one before it, or in the one half a window before it.
+/// Maximum number of requests in the window from `start`, the window before it, and the one half a window
+/// earlier.
 fn requests_for(requests: &[u64], start: u64) -> usize {
     let counted = |earlier: u64| match start.checked_sub(earlier) {
         Some(from) => within(requests, from, from + WINDOW_MS),
@@ -123,10 +134,9 @@
     [0, WINDOW_MS / 2, WINDOW_MS].into_iter().map(counted).max().unwrap_or(0)
 }
 
-/// No window holds more repeats than the share of the requests of it, of the window before or of the one half a window
-/// before, and the slack; nor more tries that were sent on after a wrong address and met another than the slack, which a
-/// service may be allowed without any request. A wrong address that follows something else, as a refusal, is counted with
-/// the repeats alone.
+/// No window has more retries than the share of its requests, of those of the window before or of the one
+/// half a window earlier, and the slack; nor more misdirected retries after misdirected attempts than the
+/// slack.
 #[test]
 fn all_nodes_together_keep_to_the_sum_whatever_their_tries_meet() {
     bolero::check!().with_type::<Vec<Step>>().for_each(|steps| {
@@ -142,21 +152,24 @@
                 }
                 Step::Restart { node, draw } => {
                     let process = &mut processes[usize::from(*node) % NODES as usize];
-                    if process.started_again.is_none_or(|at| now - at > 2 * WINDOW_MS) {
+                    if process.restarted_at.is_none_or(|at| now - at > 2 * WINDOW_MS) {
                         *process = Process::start(*draw, Some(now));
                     }
                 }
                 Step::Wait { tens_of_ms } => now += u64::from(*tens_of_ms) * 10,
             }
         }
-        for end in &arrivals.repeats {
+        for end in &arrivals.retries {
             let start = end.saturating_sub(WINDOW_MS);
             let earned = requests_for(&arrivals.requests, start);
-            let repeats = within(&arrivals.repeats, start, *end);
+            let retries = within(&arrivals.retries, start, *end);
             let allowed = earned as f64 * f64::from(SHARE_PER_MILLE) / 1_000.0 + f64::from(SLACK);
-            assert!(repeats as f64 <= allowed, "{repeats} of {allowed} within {start} to {end}");
-            let strays = within(&arrivals.strays, start, *end);
-            assert!(strays <= SLACK as usize, "{strays} went from one wrong address to another");
+            assert!(retries as f64 <= allowed, "{retries} of {allowed} within {start} to {end}");
+            let misdirected_retries = within(&arrivals.misdirected_retries, start, *end);
+            assert!(
+                misdirected_retries <= SLACK as usize,
+                "{misdirected_retries} went from one wrong address to another"
+            );
         }
     });
 }
--- a/crates/core/tests/forwarding_decisions.rs
+++ b/crates/core/tests/forwarding_decisions.rs
@@ -1,4 +1,4 @@
-//! Tries, routes, freshness, back ends' standing, and events of streams.
+//! Attempts, routes, freshness, states of back ends, and events of streams.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -29,7 +29,7 @@
     AttemptEnd::FailedAnswer,
 ];
 
-/// All combinations of what a request may have behind it.
+/// Calls `check` for all combinations of attempts so far and of the last one.
 fn all_cases(mut check: impl FnMut(RouteKind, AttemptEnd, AttemptHistory, u32, NextAction)) {
     for kind in KINDS {
         for end in ENDS {
@@ -40,16 +40,16 @@
                     (0..8).map(|bits| (bits & 1 == 1, bits & 2 == 2, bits & 4 == 4))
                 {
                     let unclear = matches!(end, AttemptEnd::Unclear | AttemptEnd::FailedAnswer);
-                    // Nothing is sent again after an unclear end unless the kind allows it.
+                    // After an unclear end, a request is sent again only if its kind allows it.
                     let may_have_run = unclear || (earlier && kind.is_idempotent());
-                    let spent =
+                    let history =
                         AttemptHistory { sent, not_sent, misdirected: sent.min(not_sent), may_have_run };
                     check(
                         kind,
                         end,
-                        spent,
+                        history,
                         attempts,
-                        next_action(kind, attempts, end, spent, time_left, || budget),
+                        next_action(kind, attempts, end, history, time_left, || budget),
                     );
                 }
             }
@@ -59,8 +59,8 @@
 
 #[test]
 fn what_may_have_run_is_sent_again_only_where_its_kind_allows_it() {
-    all_cases(|kind, end, spent, _, next| {
-        if next == NextAction::Retry && spent.may_have_run {
+    all_cases(|kind, end, history, _, next| {
+        if next == NextAction::Retry && history.may_have_run {
             assert!(kind.is_idempotent(), "{kind:?} {end:?}");
         }
     });
@@ -68,8 +68,8 @@
 
 #[test]
 fn a_refusal_is_given_only_where_nothing_has_run_or_it_may_run_again() {
-    all_cases(|kind, end, spent, _, next| {
-        if next == NextAction::Refuse && spent.may_have_run {
+    all_cases(|kind, end, history, _, next| {
+        if next == NextAction::Refuse && history.may_have_run {
             assert!(kind.is_idempotent(), "{kind:?} {end:?}");
         }
     });
@@ -77,16 +77,16 @@
 
 #[test]
 fn no_more_back_ends_run_a_request_than_its_route_allows() {
-    all_cases(|_, end, spent, attempts, next| {
+    all_cases(|_, end, history, attempts, next| {
         let ran = matches!(end, AttemptEnd::Unclear | AttemptEnd::FailedAnswer);
         if next == NextAction::Retry && ran {
-            assert!(spent.sent < attempts);
+            assert!(history.sent < attempts);
         }
     });
 }
 
 #[test]
-fn only_a_whole_answer_is_passed_on() {
+fn only_a_complete_answer_is_passed_on() {
     all_cases(|_, end, _, _, next| {
         if next == NextAction::PassOn {
             assert_eq!(end, AttemptEnd::FailedAnswer);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_key_is_asked_for_unless_the_route_is_open_to_all() {
+fn a_key_is_required_unless_the_route_is_anonymous() {
     let table = table();
     assert!(matches!(table.admit("h.example", "/x/", None), Admission::UnknownKey));
     assert!(matches!(table.admit("h.example", "/x/", Some("other")), Admission::UnknownKey));
@@ -154,12 +154,12 @@
 }
 
 #[test]
-fn each_share_of_a_route_gets_its_part_also_over_few_requests() {
-    let mut wheel = WeightedRoundRobin::default();
+fn shares_follow_their_weights_over_few_requests() {
+    let mut round_robin = WeightedRoundRobin::default();
     let split = route("r", "/", &[("s", 70), ("t", 20), ("u", 10), ("none", 0)]);
     let mut counts = [0_u32; 4];
     for _ in 0..100 {
-        counts[wheel.pick(&split).expect("a share")] += 1;
+        counts[round_robin.pick(&split).expect("a share")] += 1;
     }
     assert_eq!(counts, [70, 20, 10, 0]);
 }
@@ -214,12 +214,12 @@
     assert_eq!(usable(&backends), ["b", "c"]);
     assert_eq!(backends.remove(&BackendId::from("b"), at(0)), EntryChange::Suspect);
     assert_eq!(usable(&backends), ["a", "b", "c"]);
-    assert!(backends.expire(at(10_000)).is_empty(), "nothing is gone while the registry is away");
+    assert!(backends.expire(at(10_000)).is_empty(), "no back end is gone while the registry is away");
     backends.registry.answered(at(10_000));
     assert_eq!(backends.remove(&BackendId::from("c"), at(10_500)), EntryChange::Suspect);
     backends.put(entry("a", false));
-    assert!(backends.expire(at(12_000)).is_empty(), "entries are still being written anew");
-    assert_eq!(backends.expire(at(12_400)).len(), 2, "what is missing now is gone");
+    assert!(backends.expire(at(12_000)).is_empty(), "entries are still being renewed");
+    assert_eq!(backends.expire(at(12_400)).len(), 2, "back ends that are still missing are gone");
     assert_eq!(usable(&backends), ["a"]);
     backends.registry.answered(at(12_400));
     assert_eq!(backends.remove(&BackendId::from("a"), at(12_500)), EntryChange::Removed);
@@ -240,14 +240,14 @@
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c\n\nid: 4\nda";
     bolero::check!().with_type::<Vec<u8>>().for_each(|cuts| {
         let mut splitter = EventSplitter::default();
-        let (mut given, mut rest) = (Vec::new(), &stream[..]);
+        let (mut emitted, mut rest) = (Vec::new(), &stream[..]);
         for cut in cuts.iter().map(|cut| usize::from(*cut) % 9 + 1) {
             let (part, behind) = rest.split_at(cut.min(rest.len()));
-            given.extend_from_slice(&splitter.push(part));
+            emitted.extend_from_slice(&splitter.push(part));
             rest = behind;
         }
-        given.extend_from_slice(&splitter.push(rest));
-        assert_eq!(given, stream[..stream.len() - 8]);
+        emitted.extend_from_slice(&splitter.push(rest));
+        assert_eq!(emitted, stream[..stream.len() - 8]);
         assert_eq!(splitter.last_id(), Some(3));
         assert!(splitter.holds_part());
     });
@@ -256,17 +256,17 @@
 #[test]
 fn a_resumed_stream_gives_no_event_twice() {
     let mut splitter = EventSplitter::after(Some(2));
-    let given = splitter.push(b"id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-    assert_eq!(&given[..], b"id: 3\ndata: c\n\n");
+    let emitted = splitter.push(b"id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
+    assert_eq!(&emitted[..], b"id: 3\ndata: c\n\n");
 }
 
 #[test]
 fn any_bytes_can_be_split() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|bytes| {
         let mut splitter = EventSplitter::default();
-        let given = splitter.push(bytes);
+        let emitted = splitter.push(bytes);
         let _ = event_id(bytes);
-        assert!(given.len() <= bytes.len());
+        assert!(emitted.len() <= bytes.len());
     });
 }
 
--- a/crates/core/tests/forwarding_limits.rs
+++ b/crates/core/tests/forwarding_limits.rs
@@ -1,4 +1,5 @@
-//! The sum of what nodes send to a back end that has named a limit, over any statements, starts, cuts and demand.
+//! The requests of all nodes together to a back end with a rate limit, under any changes, restarts and
+//! partitions.
 
 use std::time::Duration;
 
@@ -17,29 +18,29 @@
     time::Timestamp,
 };
 
-/// Nodes that report to one node.
+/// The number of children of a node.
 const FAN_IN: usize = 9;
-/// The time between two looks at a node, in milliseconds.
+/// The time between two simulation steps, in milliseconds.
 const STEP_MS: u64 = 50;
 /// The time between two reports of a node.
 const REPORT_MS: u64 = 200;
 /// The time in which the back end answers.
 const ANSWER_MS: u64 = 100;
-/// How long what a node was told holds, and how long one counts that says nothing.
+/// How long a received report counts.
 const FRESH_MS: u64 = 1_500;
 /// The window in which requests are counted.
 const WINDOW_MS: u64 = 4_000;
-/// From how long after the limit was first named windows end that count.
-const CONTACT_MS: u64 = 3_000;
-/// How long after it has heard the limit in an answer a node is bound.
-const BOUND_AFTER_MS: u64 = 500;
-/// The time between two requests of all nodes to the back end while it names no limit: others serve as well.
+/// How long after the first limit windows that are checked may end.
+const SETTLING_MS: u64 = 3_000;
+/// How long after it has observed the limit in an answer a node must enforce it.
+const ENFORCED_AFTER_MS: u64 = 500;
+/// The time between two requests of all nodes to the back end while it has no limit.
 const UNLIMITED_PAUSE_MS: u64 = 150;
-/// How long after a start or a cut a node is excused.
-const EXCUSED_MS: u64 = 3_000;
+/// How long after a restart or a partition a node may exceed the limit.
+const RECOVERY_MS: u64 = 3_000;
 
-/// Steps of a history at most: further ones show no more and take time.
-const MOST_STEPS: usize = 40;
+/// Maximum number of steps in a history, to bound the time of the test.
+const MAX_STEPS: usize = 40;
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_millis(ms)
@@ -68,13 +69,13 @@
 struct Node {
     name: NodeId,
     backends: Backends,
-    /// Whether callers ask it for more than any limit.
+    /// Whether callers send it more than any limit.
     is_busy: bool,
-    /// When it next sends a request there while it knows of no limit.
+    /// When it sends its next request while there is no limit.
     next_unlimited_at: u64,
-    told_at: Option<u64>,
-    cut_until: u64,
-    /// When it was last started or cut.
+    reported_at: Option<u64>,
+    partitioned_until: u64,
+    /// When it last restarted or was partitioned.
     disturbed_at: Option<u64>,
 }
 
@@ -85,8 +86,8 @@
             backends: fresh_backends(),
             is_busy: true,
             next_unlimited_at: 0,
-            told_at: None,
-            cut_until: 0,
+            reported_at: None,
+            partitioned_until: 0,
             disturbed_at,
         }
     }
@@ -99,37 +100,37 @@
     limit: Option<f64>,
 }
 
-/// Nodes in a tree: each node but the first reports to the one that stands before it by the number of those that one takes.
+/// A tree of nodes, in which every node but the first reports to its parent by index.
 struct Fleet {
     nodes: Vec<Node>,
     limit: Option<f64>,
-    /// Limits, each with the time from which it was named.
-    named: Vec<(u64, f64)>,
+    /// Limits, each with the time from which it held.
+    limits: Vec<(u64, f64)>,
     now: u64,
     arrivals: Vec<Arrival>,
-    /// Answers on their way.
+    /// Answers in flight.
     answers: Vec<(u64, usize, u64, Option<f64>)>,
 }
 
 impl Fleet {
     fn of(count: usize) -> Self {
         let nodes = (0..count).map(|number| Node::start(number, None)).collect();
-        Self { nodes, limit: None, named: Vec::new(), now: 0, arrivals: Vec::new(), answers: Vec::new() }
+        Self { nodes, limit: None, limits: Vec::new(), now: 0, arrivals: Vec::new(), answers: Vec::new() }
     }
 
-    fn name(&mut self, limit: f64) {
+    fn set_limit(&mut self, limit: f64) {
         self.limit = Some(limit);
-        self.named.push((self.now, limit));
+        self.limits.push((self.now, limit));
     }
 
-    /// The greatest limit that held at any time from one moment to another.
-    fn greatest_limit(&self, from: u64, to: u64) -> f64 {
-        let ends = self.named.iter().skip(1).map(|(at, _)| *at).chain([u64::MAX]);
-        let held = self.named.iter().zip(ends).filter(|((at, _), end)| *at <= to && *end > from);
+    /// The maximum limit that held at any time from `from` to `to`.
+    fn max_limit(&self, from: u64, to: u64) -> f64 {
+        let ends = self.limits.iter().skip(1).map(|(at, _)| *at).chain([u64::MAX]);
+        let held = self.limits.iter().zip(ends).filter(|((at, _), end)| *at <= to && *end > from);
         held.map(|((_, limit), _)| *limit).fold(0.0, f64::max)
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
             self.now += STEP_MS;
             self.answer();
@@ -152,10 +153,10 @@
         let per_second = sent * 1_000.0 / WINDOW_MS as f64;
         let due: Vec<(u64, usize, u64, Option<f64>)> = due;
         for (_, number, sent_at, limit) in due {
-            let stated_at = if limit.is_some() { self.now } else { sent_at };
-            let stated = Advertised { per_second: limit, at: at(stated_at) };
+            let observed_at = if limit.is_some() { self.now } else { sent_at };
+            let advertised = Advertised { per_second: limit, at: at(observed_at) };
             let announcements = &mut self.nodes[number].backends.announcements;
-            announcements.observe_limit(&process(), stated, per_second, at(self.now));
+            announcements.observe_limit(&process(), advertised, per_second, at(self.now));
         }
     }
 
@@ -171,7 +172,7 @@
                 return;
             }
             let pause = UNLIMITED_PAUSE_MS * count;
-            // Nodes that begin at the same moment spread out.
+            // Nodes that start at the same time spread out their requests.
             let first = node.next_unlimited_at == 0;
             node.next_unlimited_at =
                 self.now + if first { UNLIMITED_PAUSE_MS * number as u64 } else { pause };
@@ -189,24 +190,24 @@
         first..(first + FAN_IN).min(self.nodes.len()).max(first)
     }
 
-    fn is_cut(&self, number: usize) -> bool {
-        self.now < self.nodes[number].cut_until
+    fn is_partitioned(&self, number: usize) -> bool {
+        self.now < self.nodes[number].partitioned_until
     }
 
-    fn heard(&self, number: usize) -> usize {
-        let below = self.children(number).filter(|child| self.reports_to(*child));
-        below.map(|child| self.heard(child)).sum::<usize>() + 1
+    fn reporting_nodes(&self, number: usize) -> usize {
+        let reporting = self.children(number).filter(|child| self.reports_to(*child));
+        reporting.map(|child| self.reporting_nodes(child)).sum::<usize>() + 1
     }
 
-    /// Whether the node above has heard of a node lately.
+    /// Whether a node's parent has received a recent report of it.
     fn reports_to(&self, number: usize) -> bool {
-        self.nodes[number].told_at.is_some_and(|told| told + FRESH_MS > self.now)
+        self.nodes[number].reported_at.is_some_and(|reported| reported + FRESH_MS > self.now)
     }
 
     fn report(&mut self, number: usize) {
         let now = at(self.now);
         let parent = (number > 0).then(|| (number - 1) / FAN_IN);
-        let reached = parent.filter(|parent| !self.is_cut(number) && !self.is_cut(*parent));
+        let reached = parent.filter(|parent| !self.is_partitioned(number) && !self.is_partitioned(*parent));
         if let Some(parent) = reached {
             let news = self.nodes[number].backends.announcements.pending_limit_gossip(now);
             self.nodes[parent].backends.announcements.merge_limit_gossip(&news, now);
@@ -214,39 +215,41 @@
             let grants = self.nodes[parent].backends.announcements.limit_grants_for(&name, now);
             let node = &mut self.nodes[number];
             node.backends.announcements.apply_limit_grants(&grants, now, now);
-            node.told_at = Some(self.now);
+            node.reported_at = Some(self.now);
         }
-        let part = self.heard(number) as f64 / self.nodes.len() as f64;
-        let root_share = (number == 0 || !self.reports_to(number)).then_some(part);
-        let below = self.children(number).filter(|child| self.reports_to(*child));
-        let members = std::iter::once(number).chain(below);
-        let asked = |number: usize| if self.nodes[number].is_busy { 20.0 } else { 0.0 };
-        let members = members.map(|number| Member::new(self.nodes[number].name.clone(), asked(number)));
-        let place = TreePosition {
+        let share = self.reporting_nodes(number) as f64 / self.nodes.len() as f64;
+        let root_share = (number == 0 || !self.reports_to(number)).then_some(share);
+        let reporting = self.children(number).filter(|child| self.reports_to(*child));
+        let members = std::iter::once(number).chain(reporting);
+        let demand = |number: usize| if self.nodes[number].is_busy { 20.0 } else { 0.0 };
+        let members = members.map(|number| Member::new(self.nodes[number].name.clone(), demand(number)));
+        let position = TreePosition {
             node: self.nodes[number].name.clone(),
             root_share,
             nodes: self.nodes.len() as u32,
             members: members.collect(),
         };
-        self.nodes[number].backends.announcements.divide_limits(place, now);
+        self.nodes[number].backends.announcements.divide_limits(position, now);
     }
 
-    /// The window that holds most of what counts, against what it allows; none where all hold less.
+    /// The first window with more requests than allowed, as its end, the requests and the allowed number.
     fn exceeded(&self) -> Option<(u64, usize, f64)> {
         let first = self.arrivals.iter().find(|arrival| arrival.limit.is_some())?.at;
-        let counts = |end: &&Arrival| end.limit.is_some() && end.at >= first + CONTACT_MS;
+        let counts = |end: &&Arrival| end.limit.is_some() && end.at >= first + SETTLING_MS;
         self.arrivals.iter().filter(counts).find_map(|end| {
             let from = end.at.saturating_sub(WINDOW_MS);
             let within: Vec<&Arrival> =
                 self.arrivals.iter().filter(|one| one.at > from && one.at <= end.at).collect();
-            // A node is bound by another limit as late as by the first one.
-            let limit = self.greatest_limit(from.saturating_sub(ANSWER_MS + BOUND_AFTER_MS), end.at);
+            // A node applies a changed limit as late as the first one.
+            let limit = self.max_limit(from.saturating_sub(ANSWER_MS + ENFORCED_AFTER_MS), end.at);
             let is_bound = |node: usize| {
-                let heard = |one: &Arrival| {
-                    one.node == node && one.limit.is_some() && one.at + ANSWER_MS + BOUND_AFTER_MS <= end.at
+                let observed = |one: &Arrival| {
+                    one.node == node
+                        && one.limit.is_some()
+                        && one.at + ANSWER_MS + ENFORCED_AFTER_MS <= end.at
                 };
-                let excused = self.nodes[node].disturbed_at.is_some_and(|at| at + EXCUSED_MS > from);
-                !excused && self.arrivals.iter().any(heard)
+                let is_recovering = self.nodes[node].disturbed_at.is_some_and(|at| at + RECOVERY_MS > from);
+                !is_recovering && self.arrivals.iter().any(observed)
             };
             let got = within.iter().filter(|one| is_bound(one.node)).count();
             let allowed = 1.5 * limit * 4.0 + 5.0;
@@ -261,53 +264,63 @@
 
 #[derive(Debug, TypeGenerator)]
 enum Step {
-    /// The back end names another limit, in tenths of a request a second.
-    Name { tenths: u16 },
-    /// Callers come to a node, or leave it.
-    Shift { node: u8, is_busy: bool },
-    /// A node's process starts again.
-    Restart { node: u8 },
-    /// A node and the others do not reach each other for a while.
-    Cut { node: u8, tenths: u8 },
-    /// Time passes.
-    Wait { tenths: u8 },
+    /// The back end sets another limit, in tenths of a request per second.
+    SetLimit {
+        tenths: u16,
+    },
+    /// Callers start or stop sending requests to a node.
+    Shift {
+        node: u8,
+        is_busy: bool,
+    },
+    Restart {
+        node: u8,
+    },
+    /// A node is partitioned from the others for a while.
+    Partition {
+        node: u8,
+        tenths: u8,
+    },
+    Wait {
+        tenths: u8,
+    },
 }
 
 fn play(count: usize, limit: f64, steps: &[Step]) -> Fleet {
     let mut fleet = Fleet::of(count);
-    fleet.pass(2_000);
-    fleet.name(limit);
-    fleet.pass(1_000);
+    fleet.advance(2_000);
+    fleet.set_limit(limit);
+    fleet.advance(1_000);
     for step in steps {
         match step {
-            Step::Name { tenths } => fleet.name(f64::from(*tenths % 400) / 10.0),
+            Step::SetLimit { tenths } => fleet.set_limit(f64::from(*tenths % 400) / 10.0),
             Step::Shift { node, is_busy } => fleet.nodes[usize::from(*node) % count].is_busy = *is_busy,
             Step::Restart { node } => {
                 let number = usize::from(*node) % count;
                 let is_busy = fleet.nodes[number].is_busy;
                 fleet.nodes[number] = Node { is_busy, ..Node::start(number, Some(fleet.now)) };
             }
-            Step::Cut { node, tenths } => {
+            Step::Partition { node, tenths } => {
                 let node = &mut fleet.nodes[usize::from(*node) % count];
-                node.cut_until = fleet.now + u64::from(*tenths) * 20;
-                node.disturbed_at = Some(node.cut_until);
+                node.partitioned_until = fleet.now + u64::from(*tenths) * 20;
+                node.disturbed_at = Some(node.partitioned_until);
             }
-            Step::Wait { tenths } => fleet.pass(u64::from(*tenths) * 20),
+            Step::Wait { tenths } => fleet.advance(u64::from(*tenths) * 20),
         }
     }
-    fleet.pass(WINDOW_MS);
+    fleet.advance(WINDOW_MS);
     fleet
 }
 
 #[test]
 fn all_nodes_together_keep_to_a_limit_whatever_happens_to_them() {
     bolero::check!().with_type::<(bool, Vec<Step>)>().for_each(|(many, steps)| {
-        let fleet = play(if *many { 24 } else { 7 }, 1.1, &steps[..steps.len().min(MOST_STEPS)]);
+        let fleet = play(if *many { 24 } else { 7 }, 1.1, &steps[..steps.len().min(MAX_STEPS)]);
         assert_eq!(fleet.exceeded(), None, "in {steps:?}");
     });
 }
 
-/// Where a limit is far below what came before, where it is about that, and where it is above.
+/// For limits far below, about at, and above the rate of requests before.
 #[test]
 fn a_limit_is_kept_to_and_used_by_few_and_many_nodes() {
     for count in [1, 3, 7, 70, 300] {
@@ -315,10 +328,10 @@
             let mut fleet = play(count, limit, &[]);
             assert_eq!(fleet.exceeded(), None, "{count} nodes, a limit of {limit}");
             let from = fleet.now;
-            fleet.pass(30_000);
+            fleet.advance(30_000);
             let used = fleet.count_after(from) as f64 / 30.0;
-            let most_asked = count as f64 * 20.0;
-            let aim = limit.min(most_asked);
+            let max_demand = count as f64 * 20.0;
+            let aim = limit.min(max_demand);
             assert!(used <= limit + 0.1, "{count} nodes send {used} a second by a limit of {limit}");
             assert!(used >= aim * 0.8 - 0.1, "{count} nodes send {used} a second by a limit of {limit}");
         }
@@ -326,15 +339,15 @@
 }
 
 #[test]
-fn a_limit_is_used_where_callers_are_at_few_of_the_nodes() {
+fn a_limit_is_used_when_few_nodes_have_callers() {
     let mut fleet = Fleet::of(7);
     for number in 2..7 {
         fleet.nodes[number].is_busy = false;
     }
-    fleet.name(5.0);
-    fleet.pass(10_000);
+    fleet.set_limit(5.0);
+    fleet.advance(10_000);
     let from = fleet.now;
-    fleet.pass(20_000);
+    fleet.advance(20_000);
     let used = fleet.count_after(from) as f64 / 20.0;
     assert!(used >= 3.0, "two nodes of seven send {used} a second by a limit of 5");
 }
@@ -342,25 +355,25 @@
 #[test]
 fn an_answer_to_an_earlier_request_does_not_end_a_limit_and_one_to_a_later_request_does() {
     let (mut backends, id) = (fresh_backends(), BackendId::from("b"));
-    let state = |backends: &mut Backends, per_second, ms| {
-        let stated = Advertised { per_second, at: at(ms) };
-        backends.announcements.observe_limit(&process(), stated, 0.0, at(1_100))
+    let observe = |backends: &mut Backends, per_second, ms| {
+        let advertised = Advertised { per_second, at: at(ms) };
+        backends.announcements.observe_limit(&process(), advertised, 0.0, at(1_100))
     };
-    assert!(state(&mut backends, Some(0.0), 1_000).is_some());
+    assert!(observe(&mut backends, Some(0.0), 1_000).is_some());
     assert!(!backends.has_permit(&id, at(1_100)));
-    assert_eq!(state(&mut backends, None, 900), None);
+    assert_eq!(observe(&mut backends, None, 900), None);
     assert!(!backends.has_permit(&id, at(1_100)));
-    assert!(state(&mut backends, None, 1_001).is_some());
+    assert!(observe(&mut backends, None, 1_001).is_some());
     assert!(backends.has_permit(&id, at(1_100)));
 }
 
 #[test]
-fn what_comes_back_through_other_nodes_is_no_news() {
+fn a_limit_that_returns_through_other_nodes_is_not_new() {
     let mut fleet = Fleet::of(3);
-    fleet.name(1.0);
-    fleet.pass(3_000);
+    fleet.set_limit(1.0);
+    fleet.advance(3_000);
     fleet.nodes.iter_mut().for_each(|node| node.is_busy = false);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for node in &fleet.nodes[1..] {
         assert_eq!(node.backends.announcements.pending_limit_gossip(at(fleet.now)), []);
     }
@@ -370,6 +383,6 @@
         Duration::from_millis(grants[0].news.age_ms)
     };
     let before = age(&fleet);
-    fleet.pass(10_000);
-    assert_eq!(age(&fleet), before + Duration::from_secs(10), "it grows old while nobody asks");
+    fleet.advance(10_000);
+    assert_eq!(age(&fleet), before + Duration::from_secs(10), "it ages while nothing confirms it");
 }
--- a/crates/core/tests/forwarding_pool.rs
+++ b/crates/core/tests/forwarding_pool.rs
@@ -1,4 +1,4 @@
-//! The index of a service's back ends against a plain walk over all of them.
+//! The index of a service's back ends, compared with a scan over all of them.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -45,13 +45,13 @@
 
 fn check(backends: &Backends, now: Timestamp) {
     let service = ServiceId::from("pool");
-    let walked: Vec<_> = backends.usable(&service).map(|backend| backend.entry.id.clone()).collect();
+    let scanned: Vec<_> = backends.usable(&service).map(|backend| backend.entry.id.clone()).collect();
     let empty = Pool::default();
     let pool = backends.pool(&service).unwrap_or(&empty);
     let mut indexed: Vec<_> = pool.usable().map(|ranked| ranked.id.clone()).collect();
     indexed.sort();
-    assert_eq!(indexed, walked);
-    assert_eq!(pool.len(), walked.len());
+    assert_eq!(indexed, scanned);
+    assert_eq!(pool.len(), scanned.len());
     assert!((0..pool.len()).all(|index| pool.get(index).is_some()));
     let mut versions: BTreeMap<WeightsVersion, usize> = BTreeMap::new();
     let ready: Vec<_> = backends
@@ -62,13 +62,13 @@
         *versions.entry(backend.entry.weights[&model()]).or_default() += 1;
     }
     assert_eq!(pool.versions(&model()).collect::<BTreeMap<_, _>>(), versions);
-    let at_work = backends.versions_in_service(&service, &model(), now);
-    let working = ready.iter().filter(|backend| !backend.is_loading(now)).count();
-    assert_eq!(at_work.iter().map(|(_, count)| count).sum::<usize>(), working);
+    let in_service = backends.versions_in_service(&service, &model(), now);
+    let serving = ready.iter().filter(|backend| !backend.is_loading(now)).count();
+    assert_eq!(in_service.iter().map(|(_, count)| count).sum::<usize>(), serving);
 }
 
 #[test]
-fn the_index_holds_what_a_walk_finds_after_any_changes() {
+fn the_index_matches_a_scan_after_any_changes() {
     bolero::check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|steps| {
         let mut backends = Backends::default();
         let mut now = 0;
@@ -90,7 +90,7 @@
     });
 }
 
-/// Candidates of which some are unfit or have other weights.
+/// Candidates of which some are ineligible or have other weights.
 fn candidates<'a>(ids: &'a [BackendId], zone: &'a ZoneId) -> Vec<Candidate<'a>> {
     let candidate = |(number, id): (usize, &'a BackendId)| Candidate {
         id,
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn few_of_many_are_weighed_and_the_home_is_the_one_that_a_walk_over_all_finds() {
+fn few_candidates_are_considered_and_the_preferred_engine_matches_a_scan() {
     let ids: Vec<BackendId> = (0..200).map(|number| BackendId::from(format!("engine-{number}"))).collect();
     let zone = ZoneId::from("z");
     let all = candidates(&ids, &zone);
@@ -126,16 +126,17 @@
         };
         let choice: Choice = chooser.choose(placement, &all).expect("a choice");
         let weights = choice.scope.as_ref().expect("a scope").weights;
-        let fit = all.iter().filter(|candidate| candidate.eligible && candidate.weights == Some(weights));
-        let home = fit.max_by_key(|candidate| rank_for(rank(candidate.id), subject));
-        assert!(choice.eligible <= 8, "six are drawn, and a home for each version: {choice:?}");
-        assert!(choice.at_home, "nobody keeps the part: it is read at its home");
-        assert_eq!(Some(&choice.backend), home.map(|home| home.id));
+        let eligible =
+            all.iter().filter(|candidate| candidate.eligible && candidate.weights == Some(weights));
+        let preferred = eligible.max_by_key(|candidate| rank_for(rank(candidate.id), subject));
+        assert!(choice.eligible <= 8, "six are drawn, and a preferred engine for each version: {choice:?}");
+        assert!(choice.at_home, "no engine has the segment cached, so the preferred one computes it");
+        assert_eq!(Some(&choice.backend), preferred.map(|engine| engine.id));
     }
 }
 
 #[test]
-fn a_pool_of_which_hardly_any_is_fit_is_searched_to_its_end() {
+fn a_pool_with_one_eligible_back_end_is_searched_completely() {
     let ids: Vec<BackendId> = (0..997).map(|number| BackendId::from(format!("engine-{number}"))).collect();
     let zone = ZoneId::from("z");
     let mut all = candidates(&ids, &zone);
--- a/crates/core/tests/forwarding_refusals.rs
+++ b/crates/core/tests/forwarding_refusals.rs
@@ -1,4 +1,4 @@
-//! When a service counts as refusing everything.
+//! When all back ends of a service count as refusing.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
     Timestamp::from_millis(ms)
 }
 
-fn refused_at(moments: &[u64]) -> Refusals {
+fn refused_at(times: &[u64]) -> Refusals {
     let mut refusals = Refusals::default();
-    moments.iter().for_each(|ms| refusals.record_refusal(at(*ms)));
+    times.iter().for_each(|ms| refusals.record_refusal(at(*ms)));
     refusals
 }
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn one_that_took_a_request_ends_it() {
+fn an_accepted_request_resets_the_refusals() {
     let mut refusals = refused_at(&[1_000, 1_010, 1_020, 1_030]);
     refusals.record_acceptance();
     refusals.record_refusal(at(1_040));
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn refusals_of_long_ago_show_nothing() {
+fn old_refusals_do_not_count() {
     assert!(!refused_at(&[1_000, 1_010, 1_020, 1_030]).all_refuse(at(1_530)));
     assert!(!refused_at(&[1_000, 1_010, 1_020, 1_600]).all_refuse(at(1_600)));
 }
 
 #[test]
-fn callers_come_back_after_as_long_as_it_has_lasted() {
+fn callers_retry_after_as_long_as_the_refusals_have_lasted() {
     let mut refusals = refused_at(&[1_000]);
     assert_eq!(refusals.retry_after(at(1_000)), Duration::from_millis(150));
     for ms in (1_400..9_000).step_by(400) {
--- a/crates/core/tests/forwarding_replacement.rs
+++ b/crates/core/tests/forwarding_replacement.rs
@@ -1,4 +1,4 @@
-//! Several back ends whose entries name one address.
+//! Several back ends whose entries name the same address.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -40,45 +40,45 @@
     backends.usable(&ServiceId::from("s")).map(|backend| backend.entry.id.to_string()).collect()
 }
 
-fn changed(backends: &mut Backends, entry: BackendEntry) -> Vec<Replacement> {
+fn update(backends: &mut Backends, entry: BackendEntry) -> Vec<Replacement> {
     backends.apply_entry(entry, EntrySource::Update).replaced
 }
 
 #[test]
-fn the_later_of_two_back_ends_has_the_address_and_repeating_the_earlier_entry_changes_nothing() {
+fn the_later_back_end_owns_the_address_and_repeated_entries_change_nothing() {
     let mut backends = Backends::default();
-    changed(&mut backends, entry("a", 1, None));
-    let replaced = changed(&mut backends, entry("b", 1, None));
+    update(&mut backends, entry("a", 1, None));
+    let replaced = update(&mut backends, entry("b", 1, None));
     assert_eq!(replaced, [Replacement { backend: id("a"), by: id("b") }]);
-    for heard in [EntrySource::Update, EntrySource::Listing] {
-        assert_eq!(backends.apply_entry(entry("a", 1, None), heard).change, EntryChange::None);
+    for source in [EntrySource::Update, EntrySource::Listing] {
+        assert_eq!(backends.apply_entry(entry("a", 1, None), source).change, EntryChange::None);
     }
     let older = BTreeMap::from([(model(), WeightsVersion(2))]);
-    changed(&mut backends, BackendEntry { weights: older, ..entry("a", 1, None) });
+    update(&mut backends, BackendEntry { weights: older, ..entry("a", 1, None) });
     assert_eq!(usable(&backends), ["b"]);
     let pool = backends.pool(&ServiceId::from("s")).expect("the service is known");
     assert_eq!(pool.versions(&model()).collect::<Vec<_>>(), [(WeightsVersion(3), 1)]);
 }
 
 #[test]
-fn a_back_end_that_was_replaced_comes_back_with_an_entry_that_changed() {
+fn a_replaced_back_end_returns_with_a_changed_entry() {
     let moved = entry("a", 2, None);
     let newer_weights =
         BackendEntry { weights: BTreeMap::from([(model(), WeightsVersion(4))]), ..entry("a", 1, None) };
-    for (back, left) in
+    for (back, remaining) in
         [(moved, vec!["a", "b"]), (entry("a", 1, Some(9)), vec!["a"]), (newer_weights, vec!["a"])]
     {
         let mut backends = Backends::default();
-        changed(&mut backends, entry("a", 1, None));
-        changed(&mut backends, entry("b", 1, None));
-        changed(&mut backends, back.clone());
-        assert_eq!(usable(&backends), left, "{back:?}");
+        update(&mut backends, entry("a", 1, None));
+        update(&mut backends, entry("b", 1, None));
+        update(&mut backends, back.clone());
+        assert_eq!(usable(&backends), remaining, "{back:?}");
     }
 }
 
 #[test]
-fn in_a_first_listing_the_time_of_their_start_decides_and_nothing_where_it_is_not_told() {
-    for (first, second, left) in [
+fn in_a_listing_the_start_time_decides_if_it_is_known() {
+    for (first, second, remaining) in [
         (Some(5), Some(7), vec!["b"]),
         (Some(7), Some(5), vec!["a"]),
         (None, None, vec!["a", "b"]),
@@ -87,51 +87,51 @@
         let mut backends = Backends::default();
         backends.apply_entry(entry("a", 1, first), EntrySource::Listing);
         backends.apply_entry(entry("b", 1, second), EntrySource::Listing);
-        assert_eq!(usable(&backends), left);
+        assert_eq!(usable(&backends), remaining);
     }
 }
 
 #[test]
-fn an_answer_of_another_back_end_replaces_the_one_that_was_asked_and_brings_back_the_one_that_answered() {
+fn an_answer_from_another_back_end_replaces_the_requested_one_and_reactivates_the_other() {
     let mut backends = Backends::default();
-    changed(&mut backends, entry("a", 1, None));
-    changed(&mut backends, entry("b", 1, None));
+    update(&mut backends, entry("a", 1, None));
+    update(&mut backends, entry("b", 1, None));
     assert!(
         !backends.observe_misdirected(&id("b"), address(9), &id("a")),
-        "it was asked where it is no longer"
+        "the request went to an earlier address"
     );
     assert!(!backends.observe_misdirected(&id("b"), address(1), &id("b")), "it answered itself");
     assert!(backends.observe_misdirected(&id("b"), address(1), &id("a")));
     assert_eq!(usable(&backends), ["a"]);
     assert!(backends.observe_misdirected(&id("a"), address(1), &id("nobody knows it")));
-    assert!(usable(&backends).is_empty(), "who answers is known by an entry of its own only");
+    assert!(usable(&backends).is_empty(), "a process without an entry gets no requests");
     assert!(backends.get(&id("nobody knows it")).is_none());
 }
 
 #[test]
-fn a_back_end_that_was_replaced_goes_with_its_entry_also_while_the_registry_is_away() {
+fn a_replaced_back_end_is_dropped_with_its_entry_while_the_registry_is_away() {
     let mut backends = Backends::default();
-    changed(&mut backends, entry("a", 1, None));
-    changed(&mut backends, entry("b", 1, None));
+    update(&mut backends, entry("a", 1, None));
+    update(&mut backends, entry("b", 1, None));
     backends.registry.failed();
     assert_eq!(backends.remove(&id("a"), Timestamp::ZERO), EntryChange::Removed);
-    changed(&mut backends, entry("c", 2, None));
+    update(&mut backends, entry("c", 2, None));
     assert_eq!(backends.remove(&id("c"), Timestamp::ZERO), EntryChange::Suspect);
-    assert_eq!(changed(&mut backends, entry("d", 2, None)).len(), 1);
-    assert!(backends.get(&id("c")).is_none(), "nothing would ever tell that it is gone");
+    assert_eq!(update(&mut backends, entry("d", 2, None)).len(), 1);
+    assert!(backends.get(&id("c")).is_none(), "no later event would remove it");
 }
 
-/// One that is alive, and an entry of an earlier process at its address that was told after its own.
+/// A live back end, replaced by a stale entry that arrived after its own.
 fn replaced_by_a_stale_entry() -> Backends {
     let mut backends = Backends::default();
-    changed(&mut backends, entry("alive", 1, None));
-    changed(&mut backends, entry("stale", 1, None));
+    update(&mut backends, entry("alive", 1, None));
+    update(&mut backends, entry("stale", 1, None));
     assert_eq!(usable(&backends), ["stale"]);
     backends
 }
 
 #[test]
-fn one_that_was_replaced_by_an_entry_that_goes_gets_work_again() {
+fn a_replaced_back_end_returns_when_the_stale_entry_is_removed() {
     let mut backends = replaced_by_a_stale_entry();
     backends.remove(&id("stale"), Timestamp::ZERO);
     assert_eq!(usable(&backends), ["alive"]);
@@ -139,23 +139,23 @@
 }
 
 #[test]
-fn one_that_was_replaced_by_an_entry_that_moves_gets_work_again() {
+fn a_replaced_back_end_returns_when_the_stale_entry_moves() {
     let mut backends = replaced_by_a_stale_entry();
-    changed(&mut backends, entry("stale", 2, None));
+    update(&mut backends, entry("stale", 2, None));
     assert_eq!(usable(&backends), ["alive", "stale"]);
     assert_eq!(backends.take_reopened(), [id("alive")]);
 }
 
 #[test]
-fn an_entry_that_is_first_heard_of_as_it_leaves_replaces_nobody() {
+fn a_new_entry_that_is_leaving_replaces_no_other() {
     let mut backends = Backends::default();
-    changed(&mut backends, entry("a", 1, None));
-    assert_eq!(changed(&mut backends, BackendEntry { leaving: true, ..entry("b", 1, None) }), []);
+    update(&mut backends, entry("a", 1, None));
+    assert_eq!(update(&mut backends, BackendEntry { leaving: true, ..entry("b", 1, None) }), []);
     assert_eq!(usable(&backends), ["a"]);
 }
 
-/// Whatever is told in whatever order, an address that two back ends name has one that gets work where their order is known,
-/// and nothing is kept of back ends without an entry.
+/// After any updates, an address has one ready back end where the order is known, and no back end is left
+/// without an entry.
 #[test]
 fn each_address_has_one_back_end_after_any_changes() {
     bolero::check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|steps| {
@@ -168,7 +168,7 @@
                 0..=2 => {
                     let entry = entry(&name, at.port(), (kind % 2 == 0).then_some(u64::from(*kind)));
                     entries.insert(id(&name), entry.clone());
-                    changed(&mut backends, entry);
+                    update(&mut backends, entry);
                 }
                 3 => {
                     entries.remove(&id(&name));
--- a/crates/core/tests/forwarding_rollout.rs
+++ b/crates/core/tests/forwarding_rollout.rs
@@ -1,4 +1,4 @@
-//! Bringing back ends to named versions of weights.
+//! Updates of back ends to target versions of weights.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -45,14 +45,14 @@
     Timestamp::from_millis(milliseconds)
 }
 
-/// A version was named just after the moment up to which all was known.
-fn heard(rollout: &mut Rollout, version: u64, at: Timestamp) {
+/// Announces a version just after a complete view at `at`.
+fn announce(rollout: &mut Rollout, version: u64, at: Timestamp) {
     rollout.target_versions.confirm_complete(at);
     rollout.target_versions.announce(model(), WeightsVersion(version));
 }
 
 #[test]
-fn as_many_requests_prefer_new_weights_as_the_engines_that_have_them_can_carry() {
+fn requests_prefer_new_weights_in_proportion_to_the_engines_that_have_them() {
     use paddlemount_core::forwarding::rollout::prefers;
     let preferring = |having, all| {
         let draws = (0..1_000_u64).map(|number| number * (u64::MAX / 1_000));
@@ -68,7 +68,7 @@
 #[test]
 fn a_back_end_with_the_oldest_version_comes_before_idle_ones() {
     let mut rollout = rollout();
-    heard(&mut rollout, 3, at(0));
+    announce(&mut rollout, 3, at(0));
     let backends = backends(&[2, 2, 2, 2, 2, 1]);
     let busy_last = |id: &BackendId| if id.as_str() == "b5" { 40 } else { 0 };
     let begun = rollout.begin(backends.iter(), busy_last, at(10));
@@ -76,10 +76,9 @@
 }
 
 #[test]
-fn a_node_that_has_just_started_does_not_send_to_older_versions_than_it_finds_named() {
-    // Version 3 was named at 17.016 s and all nodes started again at 23.55 s, while all engines were away; at 28.562 s a
-    // request began on version 2, 11,546 ms after the naming, under a bound of 8 s. What a node finds may have been named
-    // at any time, so that it asks for it at once, whether or not any back end has it.
+fn a_starting_node_requires_the_version_that_it_finds() {
+    // Guards against requests on older weights after all nodes restart: the version may have been announced
+    // at any time.
     let mut rollout = rollout();
     rollout.target_versions.announce(model(), WeightsVersion(4));
     assert_eq!(rollout.required(&model(), Duration::ZERO, at(1)), Some(WeightsVersion(4)));
@@ -92,8 +91,9 @@
 }
 
 #[test]
-fn a_node_that_heard_nothing_for_a_while_counts_from_before_that() {
-    // A node that stood still, or was cut off, counted the whole bound from when it heard of a version.
+fn after_a_gap_a_version_counts_from_before_the_gap() {
+    // Guards against a node that was stopped or partitioned counting the bound from when it learned of a
+    // version.
     let mut rollout = rollout();
     rollout.target_versions.confirm_complete(at(1_000));
     rollout.target_versions.announce(model(), WeightsVersion(2));
@@ -103,27 +103,27 @@
 }
 
 #[test]
-fn an_older_version_is_left_alone_before_the_bound() {
+fn an_older_version_is_avoided_before_the_bound() {
     let mut rollout = rollout();
-    heard(&mut rollout, 2, at(0));
+    announce(&mut rollout, 2, at(0));
     assert_eq!(rollout.required(&model(), Duration::ZERO, at(6_900)), None);
     assert_eq!(rollout.required(&model(), Duration::ZERO, at(7_000)), Some(WeightsVersion(2)));
 }
 
 #[test]
-fn a_request_that_will_wait_at_a_back_end_is_reckoned_to_begin_later() {
+fn waiting_time_counts_towards_the_bound() {
     let mut rollout = rollout();
-    heard(&mut rollout, 2, at(0));
+    announce(&mut rollout, 2, at(0));
     let waits = Duration::from_millis(2_000);
     assert_eq!(rollout.required(&model(), waits, at(4_900)), None);
     assert_eq!(rollout.required(&model(), waits, at(5_100)), Some(WeightsVersion(2)));
 }
 
 #[test]
-fn a_request_that_has_not_begun_is_taken_back_before_the_bound_of_the_first_newer_version() {
+fn begin_by_is_before_the_bound_of_the_first_newer_version() {
     let mut rollout = rollout();
-    heard(&mut rollout, 2, at(1_000));
-    heard(&mut rollout, 3, at(4_000));
+    announce(&mut rollout, 2, at(1_000));
+    announce(&mut rollout, 3, at(4_000));
     assert_eq!(rollout.begin_by(&model(), WeightsVersion(1)), Some(at(8_750)));
     assert_eq!(rollout.begin_by(&model(), WeightsVersion(2)), Some(at(11_750)));
     assert_eq!(rollout.begin_by(&model(), WeightsVersion(3)), None);
@@ -132,7 +132,7 @@
 #[test]
 fn back_ends_are_drained_only_while_there_is_time() {
     let mut rollout = rollout();
-    heard(&mut rollout, 2, at(0));
+    announce(&mut rollout, 2, at(0));
     let backends = backends(&[1, 1, 1, 1, 1, 1]);
     let early = rollout.begin(backends.iter(), |_| 0, at(100));
     assert!(early.iter().all(|target| target.drain == Duration::from_millis(600)), "{early:?}");
@@ -144,9 +144,9 @@
 }
 
 #[test]
-fn a_back_end_that_does_not_answer_makes_room_for_others() {
+fn a_failed_update_is_postponed_in_favour_of_others() {
     let mut rollout = rollout();
-    heard(&mut rollout, 2, at(0));
+    announce(&mut rollout, 2, at(0));
     let backends = backends(&[1, 1, 1, 1, 1, 1]);
     let begun = rollout.begin(backends.iter(), |_| 0, at(0));
     assert_eq!(begun.len(), 2);
@@ -154,19 +154,19 @@
         rollout.postpone(&target.backend, at(500));
     }
     let others = rollout.begin(backends.iter(), |_| 0, at(500));
-    assert_eq!(others.len(), 2, "silent back ends hold no places");
+    assert_eq!(others.len(), 2, "unresponsive back ends take no slots");
     assert!(others.iter().all(|other| !begun.contains(other)), "{others:?}");
     for target in &others {
         rollout.ended(&target.backend);
     }
     let later = rollout.begin(backends.iter(), |_| 0, at(1_600));
-    assert_eq!(later, begun, "and are asked again after a pause");
+    assert_eq!(later, begun, "and are tried again later");
 }
 
 #[test]
-fn never_more_than_a_third_of_a_pool_is_worked_on_at_once() {
+fn at_most_a_third_of_a_pool_is_updated_concurrently() {
     let mut rollout = rollout();
-    heard(&mut rollout, 2, at(0));
+    announce(&mut rollout, 2, at(0));
     let versions = [1; 40];
     let backends = backends(&versions);
     let begun = rollout.begin(backends.iter(), |_| 0, at(0));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_fifth_of_a_pool_may_load_at_the_same_time_and_two_engines_of_a_small_one() {
+fn a_fifth_of_a_pool_and_at_least_two_engines_may_load_concurrently() {
     let rollout = rollout();
     assert_eq!(rollout.max_concurrent_loads(6), 2);
     assert_eq!(rollout.max_concurrent_loads(12), 2);
@@ -209,10 +209,10 @@
 }
 
 #[test]
-fn requests_prefer_a_version_soon_after_it_was_named() {
+fn requests_prefer_a_version_soon_after_its_announcement() {
     let mut rollout = rollout();
-    heard(&mut rollout, 2, at(0));
-    heard(&mut rollout, 3, at(2_000));
+    announce(&mut rollout, 2, at(0));
+    announce(&mut rollout, 3, at(2_000));
     assert_eq!(rollout.preferred(&model(), at(900)), None);
     assert_eq!(rollout.preferred(&model(), at(1_400)), Some(WeightsVersion(2)));
     assert_eq!(rollout.preferred(&model(), at(3_400)), Some(WeightsVersion(3)));
--- a/crates/core/tests/forwarding_target_versions.rs
+++ b/crates/core/tests/forwarding_target_versions.rs
@@ -1,4 +1,4 @@
-//! From when on a named version of weights counts, by what nodes know and tell each other.
+//! The earliest announcement times of target versions, as nodes learn and report them.
 
 use std::time::Duration;
 
@@ -25,24 +25,24 @@
     TargetVersionProof { model: model(), above, version, at: at(milliseconds) }
 }
 
-/// Versions with the moments that they count from.
+/// The known versions with the times from which they count.
 fn known(target_versions: &TargetVersions) -> Vec<(u64, Option<Timestamp>)> {
-    target_versions.of(&model()).iter().map(|naming| (naming.version.0, naming.not_before)).collect()
+    target_versions.of(&model()).iter().map(|target| (target.version.0, target.not_before)).collect()
 }
 
 #[test]
-fn a_version_counts_from_the_last_moment_up_to_which_all_was_known() {
+fn a_version_counts_from_the_last_complete_view() {
     let mut target_versions = TargetVersions::default();
     target_versions.confirm_complete(at(1_000));
     assert!(target_versions.announce(model(), WeightsVersion(2)));
     target_versions.confirm_complete(at(5_000));
-    assert!(!target_versions.announce(model(), WeightsVersion(2)), "no news");
+    assert!(!target_versions.announce(model(), WeightsVersion(2)), "already known");
     assert!(target_versions.announce(model(), WeightsVersion(3)));
     assert_eq!(known(&target_versions), [(2, Some(at(1_000))), (3, Some(at(5_000)))]);
 }
 
 #[test]
-fn what_another_node_has_proof_of_moves_a_version_on_and_never_back() {
+fn a_proof_moves_a_version_forward_and_never_back() {
     let mut target_versions = TargetVersions::default();
     target_versions.announce(model(), WeightsVersion(2));
     target_versions.merge_proof(&proof(None, 2, 4_000));
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn a_proof_tells_nothing_of_versions_that_were_named_before_and_missed_here() {
-    // This node knew version 1 last and missed version 2, so that weights of version 1 count as too old from its naming.
+fn a_proof_does_not_cover_missed_earlier_versions() {
+    // This node missed version 2, so weights of version 1 count as too old from before version 2.
     let mut target_versions = TargetVersions::default();
     target_versions.announce(model(), WeightsVersion(1));
     target_versions.confirm_complete(at(1_000));
     target_versions.announce(model(), WeightsVersion(3));
     target_versions.merge_proof(&proof(Some(2), 3, 9_000));
     assert_eq!(known(&target_versions), [(1, None), (2, Some(at(1_000))), (3, Some(at(9_000)))]);
-    let newer = target_versions.first_newer(&model(), WeightsVersion(1)).and_then(|naming| naming.not_before);
+    let newer = target_versions.first_newer(&model(), WeightsVersion(1)).and_then(|target| target.not_before);
     assert_eq!(newer, Some(at(1_000)));
 }
 
 #[test]
-fn a_proof_of_a_version_that_is_not_known_here_is_passed_over() {
+fn a_proof_of_an_unknown_version_is_ignored() {
     let mut target_versions = TargetVersions::default();
     target_versions.merge_proof(&proof(None, 2, 4_000));
     assert_eq!(target_versions.models().count(), 0);
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn where_many_versions_are_named_the_oldest_remembered_one_counts_from_before_the_forgotten_ones() {
+fn the_oldest_kept_version_counts_from_before_the_dropped_ones() {
     let mut target_versions = TargetVersions::default();
     for version in 1..=40 {
         target_versions.confirm_complete(at(version * 100));
         target_versions.announce(model(), WeightsVersion(version));
     }
-    // A proof that tells of the time since a forgotten version tells nothing of the time before.
-    let oldest = target_versions.of(&model()).first().map_or(0, |naming| naming.version.0);
+    // A proof since a dropped version does not cover the time before it.
+    let oldest = target_versions.of(&model()).first().map_or(0, |target| target.version.0);
     target_versions.merge_proof(&proof(Some(oldest - 1), oldest, 9_000));
     let known = known(&target_versions);
     assert!(known.len() <= 16, "{known:?}");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn only_versions_that_were_named_lately_are_told() {
+fn only_recent_versions_have_proofs() {
     let mut target_versions = TargetVersions::default();
     target_versions.announce(model(), WeightsVersion(1));
     target_versions.confirm_complete(at(1_000));
@@ -104,25 +104,25 @@
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
     Pass { milliseconds: u8 },
-    Name { skipped: bool },
+    Announce { skipped: bool },
     Watch { node: u8, sent_ago: u8 },
     List { node: u8, sent_ago: u8 },
     Restart { node: u8 },
-    Tell { from: u8, to: u8 },
+    Report { from: u8, to: u8 },
     Record { node: u8, lasts: u8 },
 }
 
 const NODES: usize = 3;
 
 #[derive(Default)]
-struct Knowing {
+struct View {
     target_versions: TargetVersions,
-    /// Versions that the store told or another node did; none before all is known for the first time.
+    /// The number of announced versions that were known; none before the first complete view.
     upto: Option<usize>,
     proved_at: Timestamp,
 }
 
-impl Knowing {
+impl View {
     fn complete(&mut self, upto: usize, proved_at: Timestamp) {
         self.upto = Some(upto);
         self.proved_at = self.proved_at.max(proved_at);
@@ -133,10 +133,10 @@
 #[derive(Default)]
 struct World {
     now: u64,
-    /// Versions with the moments at which they were named.
-    named: Vec<(WeightsVersion, Timestamp)>,
-    nodes: [Knowing; NODES],
-    /// A record of a naming in the store, and when its lease is over.
+    /// The announced versions with their times.
+    announced: Vec<(WeightsVersion, Timestamp)>,
+    nodes: [View; NODES],
+    /// A record of a proof in the store, and when its lease ends.
     record: Option<(Record, Timestamp)>,
 }
 
@@ -144,90 +144,93 @@
 #[derive(Clone, Debug)]
 struct Record {
     proof: TargetVersionProof,
-    /// How old the name is at most when the lease is over.
-    before: Duration,
+    /// The maximum age of the announcement when the lease ends.
+    max_age: Duration,
 }
 
 impl World {
     fn apply(&mut self, step: Step) {
         match step {
             Step::Pass { milliseconds } => self.now += u64::from(milliseconds),
-            Step::Name { skipped } => {
-                let last = self.named.last().map_or(0, |(version, _)| version.0);
-                self.named.push((WeightsVersion(last + 1 + u64::from(skipped)), at(self.now)));
+            Step::Announce { skipped } => {
+                let last = self.announced.last().map_or(0, |(version, _)| version.0);
+                self.announced.push((WeightsVersion(last + 1 + u64::from(skipped)), at(self.now)));
             }
             Step::Watch { node, sent_ago } => self.watch(usize::from(node) % NODES, sent_ago),
             Step::List { node, sent_ago } => self.list(usize::from(node) % NODES, sent_ago),
-            Step::Restart { node } => self.nodes[usize::from(node) % NODES] = Knowing::default(),
+            Step::Restart { node } => self.nodes[usize::from(node) % NODES] = View::default(),
             Step::Record { node, lasts } => self.write_record(usize::from(node) % NODES, lasts),
-            Step::Tell { from, to } => self.tell(usize::from(from) % NODES, usize::from(to) % NODES),
+            Step::Report { from, to } => self.report(usize::from(from) % NODES, usize::from(to) % NODES),
         }
     }
 
-    /// A watch is answered with all that was named since.
+    /// A watch returns all versions announced since.
     fn watch(&mut self, node: usize, sent_ago: u8) {
-        let knowing = &mut self.nodes[node];
-        let Some(upto) = knowing.upto else { return };
-        for (version, _) in &self.named[upto..] {
-            knowing.target_versions.announce(model(), *version);
+        let view = &mut self.nodes[node];
+        let Some(upto) = view.upto else { return };
+        for (version, _) in &self.announced[upto..] {
+            view.target_versions.announce(model(), *version);
         }
-        let sent_at = at(self.now.saturating_sub(u64::from(sent_ago))).max(knowing.proved_at);
-        knowing.complete(self.named.len(), sent_at);
+        let sent_at = at(self.now.saturating_sub(u64::from(sent_ago))).max(view.proved_at);
+        view.complete(self.announced.len(), sent_at);
     }
 
-    /// A listing tells the newest version alone, and the record, if its lease was not over when the listing was asked for.
+    /// A listing returns only the newest version, and the record if its lease had not ended when the call was
+    /// sent.
     fn list(&mut self, node: usize, sent_ago: u8) {
         let sent_at = at(self.now.saturating_sub(u64::from(sent_ago)));
-        let knowing = &mut self.nodes[node];
-        if let Some((version, _)) = self.named.last() {
-            knowing.target_versions.announce(model(), *version);
+        let view = &mut self.nodes[node];
+        if let Some((version, _)) = self.announced.last() {
+            view.target_versions.announce(model(), *version);
         }
         if let Some((record, _)) = self.record.as_ref().filter(|(_, over_at)| sent_at < *over_at) {
-            knowing
-                .target_versions
-                .merge_proof(&TargetVersionProof { at: sent_at - record.before, ..record.proof.clone() });
+            view.target_versions
+                .merge_proof(&TargetVersionProof { at: sent_at - record.max_age, ..record.proof.clone() });
         }
-        knowing.complete(self.named.len(), sent_at);
+        view.complete(self.announced.len(), sent_at);
     }
 
-    /// A node records the newest version that it has proof of, bound to a lease that is granted now.
+    /// A node records its proof of the newest version, bound to a lease that starts now.
     fn write_record(&mut self, node: usize, lasts: u8) {
         let Some(proof) = self.nodes[node].target_versions.proofs(ALWAYS, at(self.now)).pop() else { return };
         let lasts = Duration::from_millis(u64::from(lasts));
-        let before = lasts + at(self.now).saturating_since(proof.at);
-        self.record = Some((Record { proof, before }, at(self.now) + lasts));
+        let max_age = lasts + at(self.now).saturating_since(proof.at);
+        self.record = Some((Record { proof, max_age }, at(self.now) + lasts));
     }
 
-    /// A node tells another the newest version that it knows, and what it has proof of.
-    fn tell(&mut self, from: usize, to: usize) {
+    /// A node reports its newest version and its proofs to another.
+    fn report(&mut self, from: usize, to: usize) {
         let (upto, proved_at) = (self.nodes[from].upto, self.nodes[from].proved_at);
         let Some(known) = upto.filter(|_| from != to && upto >= self.nodes[to].upto) else { return };
         let proofs = self.nodes[from].target_versions.proofs(ALWAYS, at(self.now));
         let newest = self.nodes[from].target_versions.newest(&model()).copied();
-        let knowing = &mut self.nodes[to];
+        let view = &mut self.nodes[to];
         if let Some(newest) = newest {
-            knowing.target_versions.announce(model(), newest.version);
+            view.target_versions.announce(model(), newest.version);
         }
-        proofs.iter().for_each(|proof| knowing.target_versions.merge_proof(proof));
-        knowing.complete(known, proved_at);
+        proofs.iter().for_each(|proof| view.target_versions.merge_proof(proof));
+        view.complete(known, proved_at);
     }
 
     fn check(&self) {
-        for knowing in &self.nodes {
-            for held in 0..=self.named.last().map_or(0, |(version, _)| version.0) {
+        for view in &self.nodes {
+            for held in 0..=self.announced.last().map_or(0, |(version, _)| version.0) {
                 let held = WeightsVersion(held);
-                let truth = self.named.iter().find(|(version, _)| *version > held);
-                let believed = knowing.target_versions.first_newer(&model(), held);
+                let truth = self.announced.iter().find(|(version, _)| *version > held);
+                let believed = view.target_versions.first_newer(&model(), held);
                 let Some(TargetVersion { not_before: Some(after), version }) = believed else { continue };
-                let (_, named_at) = truth.expect("what is known was named");
-                assert!(after <= named_at, "{held:?} counts from {after:?} for {version:?}, {named_at:?}");
+                let (_, announced_at) = truth.expect("every known version was announced");
+                assert!(
+                    after <= announced_at,
+                    "{held:?} counts from {after:?} for {version:?}, {announced_at:?}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn no_order_of_starts_watches_reports_and_records_lets_older_weights_count_from_too_late() {
+fn no_order_of_events_lets_a_version_count_from_too_late() {
     bolero::check!().with_type::<Vec<Step>>().for_each(|steps| {
         let mut world = World::default();
         for step in steps {
