--- a/crates/core/src/forwarding/announcements/limits.rs
+++ b/crates/core/src/forwarding/announcements/limits.rs
@@ -43,7 +43,7 @@
 
 impl Announcements {
     /// Records the limit that a process has advertised, or that it has dropped its limit. All nodes together
-    /// sent it `sent_per_second` requests lately.
+    /// sent it `sent_per_second` requests lately. Returns a change to report.
     pub fn observe_limit(
         &mut self,
         process: &BackendProcess,
@@ -77,10 +77,10 @@
         now: Timestamp,
     ) -> Option<LimitChange> {
         let change = self.observe_limit(&gossip.process, advertised, 0.0, now);
-        let closed_for = MAX_INITIAL_PAUSE.min(Duration::from_millis(gossip.opens_in_ms));
+        let pause = MAX_INITIAL_PAUSE.min(Duration::from_millis(gossip.opens_in_ms));
         let limit = self.by_process.get_mut(&gossip.process).and_then(|known| known.limit.as_mut());
-        if let Some(limit) = limit.filter(|_| !closed_for.is_zero()) {
-            limit.open_at(written_at + closed_for);
+        if let Some(limit) = limit.filter(|_| !pause.is_zero()) {
+            limit.pause_until(written_at + pause);
         }
         change
     }
@@ -111,7 +111,7 @@
     pub fn limits_to_probe(&self, now: Timestamp) -> impl Iterator<Item = &BackendId> {
         self.limited.iter().filter_map(move |process| {
             let limit = self.by_process.get(process)?.limit.as_ref()?;
-            limit.is_to_be_probed(now).then_some(&process.id)
+            limit.needs_probe(now).then_some(&process.id)
         })
     }
 
--- a/crates/core/src/forwarding/announcements/mod.rs
+++ b/crates/core/src/forwarding/announcements/mod.rs
@@ -76,7 +76,7 @@
 /// The effect of an observation that a process drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// None: it was known, or the process is not known.
+    /// No effect: it was known already, or the process is unknown.
     Known,
     /// The back end gets no requests any more, unless no other is left.
     Leaves,
@@ -269,12 +269,12 @@
         }
     }
 
-    /// Whether a back end may be sent a request now. A departing one may for `parting` after it was first
+    /// Whether a back end may be sent a request now. A departing one may for `departing_timeout` after it was first
     /// observed to drain.
-    pub fn takes_requests(&self, backend: &Backend, parting: Duration, now: Timestamp) -> bool {
+    pub fn takes_requests(&self, backend: &Backend, departing_timeout: Duration, now: Timestamp) -> bool {
         let stays = match backend.state {
             BackendState::Ready | BackendState::Suspect { .. } => true,
-            BackendState::Departing { since } => now.saturating_since(since) < parting,
+            BackendState::Departing { since } => now.saturating_since(since) < departing_timeout,
             BackendState::Leaving | BackendState::Replaced => false,
         };
         stays
--- a/crates/core/src/forwarding/announcements/rate_limit.rs
+++ b/crates/core/src/forwarding/announcements/rate_limit.rs
@@ -114,9 +114,9 @@
     /// None where this node has no slots to divide.
     divided: Option<Divided>,
     /// When requests may be sent again.
-    opens_at: Timestamp,
+    paused_until: Timestamp,
     own_slots: u32,
-    own: TokenBucket,
+    bucket: TokenBucket,
 }
 
 /// The slots that this node has divided.
@@ -129,16 +129,16 @@
 
 impl RateLimit {
     pub(super) fn new(advertised: Advertised, now: Timestamp) -> Self {
-        let own = TokenBucket::empty(0.0, 0.0, now);
+        let bucket = TokenBucket::empty(0.0, 0.0, now);
         Self {
             advertised,
             last_reported: advertised.per_second,
             known_to_parent: None,
             grant: None,
             divided: None,
-            opens_at: now,
+            paused_until: now,
             own_slots: 0,
-            own,
+            bucket,
         }
     }
 
@@ -170,16 +170,16 @@
         let rate = self.rate();
         let beyond = (sent_per_second - rate).max(0.0) / rate;
         let pause = MAX_INITIAL_PAUSE.mul_f64(beyond.min(1.0));
-        self.own = TokenBucket::empty(0.0, 0.0, now);
-        self.opens_at = now;
-        self.open_at(now + pause);
+        self.bucket = TokenBucket::empty(0.0, 0.0, now);
+        self.paused_until = now;
+        self.pause_until(now + pause);
     }
 
     /// Allows no requests before `at`.
-    pub(super) fn open_at(&mut self, at: Timestamp) {
-        if at > self.opens_at + MIN_AGE_DIFFERENCE {
-            self.opens_at = at;
-            self.own = TokenBucket::empty(self.own.rate(), f64::from(self.own_slots), at);
+    pub(super) fn pause_until(&mut self, at: Timestamp) {
+        if at > self.paused_until + MIN_AGE_DIFFERENCE {
+            self.paused_until = at;
+            self.bucket = TokenBucket::empty(self.bucket.rate(), f64::from(self.own_slots), at);
         }
     }
 
@@ -206,7 +206,7 @@
         now: Timestamp,
     ) {
         let known = self.divided.take().filter(|_| !members_changed);
-        let granted = self.granted(now).or_else(|| self.as_root(position, now));
+        let granted = self.granted(now).or_else(|| self.root_grant(position, now));
         self.divided = granted.map(|Grant { slots, slot_per_second, .. }| {
             let among = match known {
                 Some(known) if known.slots == slots => known.among,
@@ -219,7 +219,7 @@
             None => (1, self.rate() / f64::from(position.nodes.max(1))),
         };
         self.own_slots = slots;
-        self.own.set(f64::from(slots) * slot_per_second, slots.into(), now);
+        self.bucket.set(f64::from(slots) * slot_per_second, slots.into(), now);
     }
 
     fn granted(&self, now: Timestamp) -> Option<Grant> {
@@ -227,7 +227,7 @@
     }
 
     /// The slots that the root of the tree divides.
-    fn as_root(&self, position: &TreePosition, now: Timestamp) -> Option<Grant> {
+    fn root_grant(&self, position: &TreePosition, now: Timestamp) -> Option<Grant> {
         let rate = self.rate() * position.root_share?;
         let slots = (rate as u32).saturating_add(1).min(MAX_SLOTS);
         Some(Grant { slots, slot_per_second: rate / f64::from(slots), until: now })
@@ -240,12 +240,12 @@
 
     /// The time until this node may send a request; none where it has no share.
     pub(super) fn wait(&self, now: Timestamp) -> Option<Duration> {
-        (self.own.rate() > 0.0).then(|| self.own.time_until(1.0, now))
+        (self.bucket.rate() > 0.0).then(|| self.bucket.time_until(1.0, now))
     }
 
     /// The requests per second that this node may send.
     pub(super) const fn own_per_second(&self) -> f64 {
-        self.own.rate()
+        self.bucket.rate()
     }
 
     /// The mean time between two requests of all nodes.
@@ -254,20 +254,20 @@
     }
 
     /// Whether no node has observed the limit for a while and this node may send a request.
-    pub(super) fn is_to_be_probed(&self, now: Timestamp) -> bool {
+    pub(super) fn needs_probe(&self, now: Timestamp) -> bool {
         let is_stale = now.saturating_since(self.advertised.at) >= PROBE_INTERVAL;
         is_stale && self.advertised.per_second.is_some() && self.wait(now) == Some(Duration::ZERO)
     }
 
     /// Takes a token for a request.
     pub(super) fn acquire(&mut self, now: Timestamp) {
-        self.own.wait(1.0, now);
-        self.own.take(1.0);
+        self.bucket.wait(1.0, now);
+        self.bucket.take(1.0);
     }
 
     /// Returns the token of a request that was not sent.
     pub(super) fn release(&mut self) {
-        self.own.refund(1.0);
+        self.bucket.refund(1.0);
     }
 
     /// The limit to send to the parent, unless the parent knows it.
@@ -307,7 +307,7 @@
             process: process.clone(),
             per_second: self.advertised.per_second,
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-            opens_in_ms: self.opens_at.saturating_since(now).as_millis() as u64,
+            opens_in_ms: self.paused_until.saturating_since(now).as_millis() as u64,
         }
     }
 }
--- a/crates/core/src/forwarding/backends.rs
+++ b/crates/core/src/forwarding/backends.rs
@@ -119,7 +119,7 @@
     by_id: BTreeMap<BackendId, Backend>,
     pub(super) addresses: Addresses,
     /// Replaced back ends that get requests again, as no other one is known to have their address.
-    pub(super) reopened: Vec<BackendId>,
+    pub(super) reactivated: Vec<BackendId>,
     pools: BTreeMap<ServiceId, Pool>,
     /// Back ends that load new weights, or did.
     loading: BTreeSet<BackendId>,
@@ -150,8 +150,8 @@
         let Some(known) = self.by_id.get_mut(&entry.id) else {
             let backend =
                 Backend { entry: entry.clone(), state, loading_until: None, weights_observed: false };
-            self.pools.entry(entry.service.clone()).or_default().enter(&backend);
-            self.addresses.enter(&entry);
+            self.pools.entry(entry.service.clone()).or_default().insert(&backend);
+            self.addresses.insert(&entry);
             self.by_id.insert(entry.id, backend);
             return EntryChange::Appeared;
         };
@@ -179,13 +179,13 @@
         }
         if change != EntryChange::None {
             let old_address = known.entry.address;
-            self.pools.entry(known.entry.service.clone()).or_default().leave(known);
-            self.addresses.leave(&known.entry);
-            self.addresses.enter(&entry);
+            self.pools.entry(known.entry.service.clone()).or_default().remove(known);
+            self.addresses.remove(&known.entry);
+            self.addresses.insert(&entry);
             known.state = state;
             known.entry = entry;
-            self.pools.entry(known.entry.service.clone()).or_default().enter(known);
-            self.reopen(old_address);
+            self.pools.entry(known.entry.service.clone()).or_default().insert(known);
+            self.reactivate_latest(old_address);
         }
         change
     }
@@ -214,19 +214,19 @@
     pub(super) fn set_state(&mut self, id: &BackendId, state: BackendState) {
         let Some(known) = self.by_id.get_mut(id) else { return };
         let pool = self.pools.entry(known.entry.service.clone()).or_default();
-        pool.leave(known);
+        pool.remove(known);
         known.state = state;
-        pool.enter(known);
+        pool.insert(known);
     }
 
     pub(super) fn drop(&mut self, id: &BackendId) {
         self.loading.remove(id);
         let Some(backend) = self.by_id.remove(id) else { return };
-        self.addresses.leave(&backend.entry);
+        self.addresses.remove(&backend.entry);
         if let Some(pool) = self.pools.get_mut(&backend.entry.service) {
-            pool.leave(&backend);
+            pool.remove(&backend);
         }
-        self.reopen(backend.entry.address);
+        self.reactivate_latest(backend.entry.address);
     }
 
     /// Drops the suspects whose entries are still missing after the registry's return. Returns the dropped
@@ -261,11 +261,11 @@
             return;
         }
         let pool = self.pools.entry(known.entry.service.clone()).or_default();
-        pool.leave(known);
+        pool.remove(known);
         known.entry.weights.insert(model.clone(), version);
         known.weights_observed = true;
         known.loading_until = None;
-        pool.enter(known);
+        pool.insert(known);
     }
 
     /// Sets until when a back end loads new weights, at the latest; none when it has finished.
--- a/crates/core/src/forwarding/pool.rs
+++ b/crates/core/src/forwarding/pool.rs
@@ -29,7 +29,7 @@
 
 impl Pool {
     /// Adds a back end in its present state.
-    pub(super) fn enter(&mut self, backend: &Backend) {
+    pub(super) fn insert(&mut self, backend: &Backend) {
         let ranked = Ranked { rank: rank(&backend.entry.id), id: backend.entry.id.clone() };
         let list = match backend.state {
             BackendState::Ready => &mut self.ready,
@@ -48,7 +48,7 @@
     }
 
     /// Removes a back end; its state and entry must be those with which it was added.
-    pub(super) fn leave(&mut self, backend: &Backend) {
+    pub(super) fn remove(&mut self, backend: &Backend) {
         let ranked = Ranked { rank: rank(&backend.entry.id), id: backend.entry.id.clone() };
         for list in [&mut self.ready, &mut self.suspects, &mut self.departing] {
             if let Ok(index) = list.binary_search(&ranked) {
--- a/crates/core/src/forwarding/replacement.rs
+++ b/crates/core/src/forwarding/replacement.rs
@@ -47,11 +47,11 @@
 pub(super) struct Addresses(BTreeMap<SocketAddr, BTreeSet<BackendId>>);
 
 impl Addresses {
-    pub(super) fn enter(&mut self, entry: &BackendEntry) {
+    pub(super) fn insert(&mut self, entry: &BackendEntry) {
         self.0.entry(entry.address).or_default().insert(entry.id.clone());
     }
 
-    pub(super) fn leave(&mut self, entry: &BackendEntry) {
+    pub(super) fn remove(&mut self, entry: &BackendEntry) {
         let Some(at_address) = self.0.get_mut(&entry.address) else { return };
         at_address.remove(&entry.id);
         if at_address.is_empty() {
@@ -91,7 +91,7 @@
             }
             _ => false,
         };
-        let replaced = if is_new_there { self.settle(&id, source) } else { Vec::new() };
+        let replaced = if is_new_there { self.resolve_owner(&id, source) } else { Vec::new() };
         AppliedEntry { change, replaced }
     }
 
@@ -115,13 +115,13 @@
     }
 
     /// Returns and clears the replaced back ends that have got their address back.
-    pub fn take_reopened(&mut self) -> Vec<BackendId> {
-        std::mem::take(&mut self.reopened)
+    pub fn take_reactivated(&mut self) -> Vec<BackendId> {
+        std::mem::take(&mut self.reactivated)
     }
 
     /// Reactivates the latest of the replaced back ends at an address that an entry has left, if no other is
     /// known there: a stale entry may have arrived after that of the live process.
-    pub(super) fn reopen(&mut self, address: SocketAddr) {
+    pub(super) fn reactivate_latest(&mut self, address: SocketAddr) {
         let at_address: Vec<&Backend> =
             self.addresses.at(address).iter().filter_map(|id| self.get(id)).collect();
         if at_address.iter().any(|backend| backend.state != BackendState::Replaced) {
@@ -130,11 +130,11 @@
         let latest = at_address.into_iter().max_by_key(|backend| backend.entry.born);
         let Some(id) = latest.map(|backend| backend.entry.id.clone()) else { return };
         self.reactivate(&id);
-        self.reopened.push(id);
+        self.reactivated.push(id);
     }
 
     /// Replaces the earlier back ends at the address of a new entry, or the new one if it is earlier.
-    fn settle(&mut self, id: &BackendId, source: EntrySource) -> Vec<Replacement> {
+    fn resolve_owner(&mut self, id: &BackendId, source: EntrySource) -> Vec<Replacement> {
         let Some(newcomer) = self.get(id).map(|known| known.entry.clone()) else { return Vec::new() };
         // A back end that is already leaving when it is first seen may have stopped long ago.
         if newcomer.leaving || self.announcements.leaving_since(&newcomer).is_some() {
--- a/crates/core/src/forwarding/rollout.rs
+++ b/crates/core/src/forwarding/rollout.rs
@@ -214,10 +214,10 @@
         waiting.sort_by(|left, right| {
             (left.0, left.1, &left.2.backend).cmp(&(right.0, right.1, &right.2.backend))
         });
-        let lacking = waiting.len();
+        let outdated = waiting.len();
         let oldest = waiting.first().map(|(held, _, target)| (*held, target.model.clone()));
         let drain =
-            oldest.map_or(Duration::ZERO, |(held, model)| self.drain(&model, held, lacking, at_once, now));
+            oldest.map_or(Duration::ZERO, |(held, model)| self.drain(&model, held, outdated, at_once, now));
         let begun: Vec<Target> =
             waiting.into_iter().take(free).map(|(.., target)| Target { drain, ..target }).collect();
         self.active.extend(begun.iter().map(|target| target.backend.clone()));
@@ -268,13 +268,13 @@
         })
     }
 
-    /// How long each of `lacking` back ends may be drained so that all are updated in time, where `held` is
+    /// How long each of `outdated` back ends may be drained so that all are updated in time, where `held` is
     /// their oldest version.
     fn drain(
         &self,
         model: &ModelId,
         held: WeightsVersion,
-        lacking: usize,
+        outdated: usize,
         at_once: usize,
         now: Timestamp,
     ) -> Duration {
@@ -283,7 +283,7 @@
             return Duration::ZERO;
         };
         let due = after + self.settings.bound.saturating_sub(self.settings.margin + RECOVERY_MARGIN);
-        let rounds = u32::try_from(lacking.div_ceil(at_once).max(1)).unwrap_or(u32::MAX);
+        let rounds = u32::try_from(outdated.div_ceil(at_once).max(1)).unwrap_or(u32::MAX);
         (due.saturating_since(now) / rounds).saturating_sub(TYPICAL_LOAD_TIME).min(MAX_DRAIN)
     }
 }
--- a/crates/core/src/forwarding/target_versions.rs
+++ b/crates/core/src/forwarding/target_versions.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records a version that was announced after the last complete view. Returns whether it is new.
-    pub fn announce(&mut self, model: ModelId, version: WeightsVersion) -> bool {
+    pub fn record(&mut self, model: ModelId, version: WeightsVersion) -> bool {
         let versions = self.versions.entry(model).or_default();
         if versions.last().is_some_and(|last| last.version >= version) {
             return false;
--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -20,7 +20,7 @@
 /// The number of back ends in a history.
 const BACKENDS: u8 = 4;
 /// How long a departing back end may still get requests where no other is left.
-const PARTING: Duration = Duration::from_secs(1);
+const DEPARTING_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long the back-off of an earlier incarnation holds.
 const REGISTRY_DELAY: Duration = Duration::from_secs(3);
 /// How long the announcements of a process are kept after its last one.
@@ -56,7 +56,7 @@
 }
 
 fn takes_requests(backends: &Backends, number: u8, now: Timestamp) -> bool {
-    backends.get(&id(number)).is_some_and(|known| backends.takes_requests(known, PARTING, now))
+    backends.get(&id(number)).is_some_and(|known| backends.takes_requests(known, DEPARTING_TIMEOUT, now))
 }
 
 fn usable(backends: &Backends) -> usize {
@@ -304,7 +304,7 @@
         for backend in 0..BACKENDS {
             let Some(known) = self.backends.get(&id(backend)) else { continue };
             let born = known.entry.born.expect("the entries of this test have it");
-            let (state, takes) = (known.state, self.backends.takes_requests(known, PARTING, now));
+            let (state, takes) = (known.state, self.backends.takes_requests(known, DEPARTING_TIMEOUT, now));
             let is_present = born == self.born(backend);
             let earlier_back_off = (1..born).any(|earlier| {
                 let recorded = self.recorded(backend, earlier);
@@ -323,7 +323,8 @@
                     recorded.backed_off_until
                 );
             }
-            if drained_for.is_some_and(|drained_for| drained_for >= PARTING && drained_for < ANNOUNCEMENT_TTL)
+            if drained_for
+                .is_some_and(|drained_for| drained_for >= DEPARTING_TIMEOUT && drained_for < ANNOUNCEMENT_TTL)
             {
                 assert!(!takes, "b{backend} has been draining for {drained_for:?}");
             }
--- a/crates/core/tests/forwarding_replacement.rs
+++ b/crates/core/tests/forwarding_replacement.rs
@@ -135,7 +135,7 @@
     let mut backends = replaced_by_a_stale_entry();
     backends.remove(&id("stale"), Timestamp::ZERO);
     assert_eq!(usable(&backends), ["alive"]);
-    assert_eq!(backends.take_reopened(), [id("alive")]);
+    assert_eq!(backends.take_reactivated(), [id("alive")]);
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let mut backends = replaced_by_a_stale_entry();
     update(&mut backends, entry("stale", 2, None));
     assert_eq!(usable(&backends), ["alive", "stale"]);
-    assert_eq!(backends.take_reopened(), [id("alive")]);
+    assert_eq!(backends.take_reactivated(), [id("alive")]);
 }
 
 #[test]
--- a/crates/core/tests/forwarding_rollout.rs
+++ b/crates/core/tests/forwarding_rollout.rs
@@ -48,7 +48,7 @@
 /// Announces a version just after a complete view at `at`.
 fn announce(rollout: &mut Rollout, version: u64, at: Timestamp) {
     rollout.target_versions.confirm_complete(at);
-    rollout.target_versions.announce(model(), WeightsVersion(version));
+    rollout.target_versions.record(model(), WeightsVersion(version));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     // Guards against requests on older weights after all nodes restart: the version may have been announced
     // at any time.
     let mut rollout = rollout();
-    rollout.target_versions.announce(model(), WeightsVersion(4));
+    rollout.target_versions.record(model(), WeightsVersion(4));
     assert_eq!(rollout.required(&model(), Duration::ZERO, at(1)), Some(WeightsVersion(4)));
     assert_eq!(rollout.preferred(&model(), at(1)), Some(WeightsVersion(4)));
     assert!(rollout.begin_by(&model(), WeightsVersion(3)).is_some_and(|begin_by| begin_by <= at(1)));
@@ -96,7 +96,7 @@
     // version.
     let mut rollout = rollout();
     rollout.target_versions.confirm_complete(at(1_000));
-    rollout.target_versions.announce(model(), WeightsVersion(2));
+    rollout.target_versions.record(model(), WeightsVersion(2));
     rollout.target_versions.confirm_complete(at(9_500));
     assert_eq!(rollout.required(&model(), Duration::ZERO, at(9_500)), Some(WeightsVersion(2)));
     assert_eq!(rollout.begin_by(&model(), WeightsVersion(1)), Some(at(8_750)));
--- a/crates/core/tests/forwarding_target_versions.rs
+++ b/crates/core/tests/forwarding_target_versions.rs
@@ -34,17 +34,17 @@
 fn a_version_counts_from_the_last_complete_view() {
     let mut target_versions = TargetVersions::default();
     target_versions.confirm_complete(at(1_000));
-    assert!(target_versions.announce(model(), WeightsVersion(2)));
+    assert!(target_versions.record(model(), WeightsVersion(2)));
     target_versions.confirm_complete(at(5_000));
-    assert!(!target_versions.announce(model(), WeightsVersion(2)), "already known");
-    assert!(target_versions.announce(model(), WeightsVersion(3)));
+    assert!(!target_versions.record(model(), WeightsVersion(2)), "already known");
+    assert!(target_versions.record(model(), WeightsVersion(3)));
     assert_eq!(known(&target_versions), [(2, Some(at(1_000))), (3, Some(at(5_000)))]);
 }
 
 #[test]
 fn a_proof_moves_a_version_forward_and_never_back() {
     let mut target_versions = TargetVersions::default();
-    target_versions.announce(model(), WeightsVersion(2));
+    target_versions.record(model(), WeightsVersion(2));
     target_versions.merge_proof(&proof(None, 2, 4_000));
     assert_eq!(known(&target_versions), [(2, Some(at(4_000)))]);
     target_versions.merge_proof(&proof(None, 2, 3_000));
@@ -55,9 +55,9 @@
 fn a_proof_does_not_cover_missed_earlier_versions() {
     // This node missed version 2, so weights of version 1 count as too old from before version 2.
     let mut target_versions = TargetVersions::default();
-    target_versions.announce(model(), WeightsVersion(1));
+    target_versions.record(model(), WeightsVersion(1));
     target_versions.confirm_complete(at(1_000));
-    target_versions.announce(model(), WeightsVersion(3));
+    target_versions.record(model(), WeightsVersion(3));
     target_versions.merge_proof(&proof(Some(2), 3, 9_000));
     assert_eq!(known(&target_versions), [(1, None), (2, Some(at(1_000))), (3, Some(at(9_000)))]);
     let newer = target_versions.first_newer(&model(), WeightsVersion(1)).and_then(|target| target.not_before);
@@ -69,7 +69,7 @@
     let mut target_versions = TargetVersions::default();
     target_versions.merge_proof(&proof(None, 2, 4_000));
     assert_eq!(target_versions.models().count(), 0);
-    target_versions.announce(model(), WeightsVersion(1));
+    target_versions.record(model(), WeightsVersion(1));
     target_versions.merge_proof(&proof(Some(1), 2, 4_000));
     assert_eq!(known(&target_versions), [(1, None)]);
 }
@@ -79,7 +79,7 @@
     let mut target_versions = TargetVersions::default();
     for version in 1..=40 {
         target_versions.confirm_complete(at(version * 100));
-        target_versions.announce(model(), WeightsVersion(version));
+        target_versions.record(model(), WeightsVersion(version));
     }
     // A proof since a dropped version does not cover the time before it.
     let oldest = target_versions.of(&model()).first().map_or(0, |target| target.version.0);
@@ -93,11 +93,11 @@
 #[test]
 fn only_recent_versions_have_proofs() {
     let mut target_versions = TargetVersions::default();
-    target_versions.announce(model(), WeightsVersion(1));
+    target_versions.record(model(), WeightsVersion(1));
     target_versions.confirm_complete(at(1_000));
-    target_versions.announce(model(), WeightsVersion(2));
+    target_versions.record(model(), WeightsVersion(2));
     target_versions.confirm_complete(at(7_000));
-    target_versions.announce(model(), WeightsVersion(3));
+    target_versions.record(model(), WeightsVersion(3));
     assert_eq!(target_versions.proofs(Duration::from_secs(8), at(9_500)), [proof(Some(2), 3, 7_000)]);
 }
 
@@ -169,7 +169,7 @@
         let view = &mut self.nodes[node];
         let Some(upto) = view.upto else { return };
         for (version, _) in &self.announced[upto..] {
-            view.target_versions.announce(model(), *version);
+            view.target_versions.record(model(), *version);
         }
         let sent_at = at(self.now.saturating_sub(u64::from(sent_ago))).max(view.proved_at);
         view.complete(self.announced.len(), sent_at);
@@ -181,7 +181,7 @@
         let sent_at = at(self.now.saturating_sub(u64::from(sent_ago)));
         let view = &mut self.nodes[node];
         if let Some((version, _)) = self.announced.last() {
-            view.target_versions.announce(model(), *version);
+            view.target_versions.record(model(), *version);
         }
         if let Some((record, _)) = self.record.as_ref().filter(|(_, over_at)| sent_at < *over_at) {
             view.target_versions
@@ -206,7 +206,7 @@
         let newest = self.nodes[from].target_versions.newest(&model()).copied();
         let view = &mut self.nodes[to];
         if let Some(newest) = newest {
-            view.target_versions.announce(model(), newest.version);
+            view.target_versions.record(model(), newest.version);
         }
         proofs.iter().for_each(|proof| view.target_versions.merge_proof(proof));
         view.complete(known, proved_at);
--- a/crates/forward/src/learned_backends.rs
+++ b/crates/forward/src/learned_backends.rs
@@ -44,7 +44,7 @@
 
     /// Follows the health of back ends again that have their address back.
     pub(crate) fn note_reopened(&self, beliefs: &mut Beliefs) {
-        for id in beliefs.backends.take_reopened() {
+        for id in beliefs.backends.take_reactivated() {
             self.note_seen(beliefs, &id);
         }
     }
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/learning.rs
@@ -239,7 +239,7 @@
     fn learn_weights(&self, model: &ModelId, version: WeightsVersion, revision: Revision, telling: &Telling) {
         let mut beliefs = self.beliefs.borrow_mut();
         let target_versions = &mut beliefs.rollout.target_versions;
-        if !target_versions.announce(model.clone(), version) {
+        if !target_versions.record(model.clone(), version) {
             return;
         }
         telling.named.iter().for_each(|proof| target_versions.merge_proof(proof));
