--- a/crates/core/src/limits/ledger/account.rs
+++ b/crates/core/src/limits/ledger/account.rs
@@ -6,7 +6,7 @@
 
 use super::{
     QuotaRefusal,
-    plan::{Plan, QuotaBounds},
+    bucket_size::{BucketSize, QuotaBounds},
 };
 use crate::{forwarding::document::TenantQuota, recent_rate::RecentRate};
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Account {
     pub(super) quota: TenantQuota,
-    plan: Plan,
+    bucket: BucketSize,
     /// Units that may be granted; negative where more was granted than was there.
     level: f64,
     updated: Timestamp,
@@ -61,11 +61,11 @@
 impl Account {
     /// An account of which the part `filled` is there.
     pub(super) fn new(quota: TenantQuota, bounds: &QuotaBounds, filled: f64, now: Timestamp) -> Self {
-        let plan = Plan::of(&quota, bounds);
+        let bucket = BucketSize::of(&quota, bounds);
         Self {
             quota,
-            plan,
-            level: plan.capacity * filled,
+            bucket,
+            level: bucket.capacity * filled,
             updated: now,
             untold: 0.0,
             on_the_way: 0.0,
@@ -77,8 +77,8 @@
     /// Takes a new quota over. What was granted stays granted.
     pub(super) fn set_quota(&mut self, quota: TenantQuota, bounds: &QuotaBounds) {
         self.quota = quota;
-        self.plan = Plan::of(&quota, bounds);
-        self.level = self.level.min(self.plan.capacity);
+        self.bucket = BucketSize::of(&quota, bounds);
+        self.level = self.level.min(self.bucket.capacity);
     }
 
     pub(super) const fn level(&self) -> f64 {
@@ -107,16 +107,16 @@
 
     /// Begins with the part `filled` of the capacity, less what has been granted meanwhile.
     pub(super) fn begin_with(&mut self, filled: f64) {
-        self.level = self.plan.capacity * filled - self.untold - self.on_the_way;
+        self.level = self.bucket.capacity * filled - self.untold - self.on_the_way;
     }
 
     /// Fills up to `now`. Where other nodes draw on the same level, what they take meanwhile is not known before they
     /// tell: the level rises only by what the known demand leaves.
     pub(super) fn refill(&mut self, sharing: Sharing, now: Timestamp) {
         let elapsed = now.saturating_since(self.updated).as_secs_f64();
-        let rate = self.plan.rate * sharing.part;
+        let rate = self.bucket.rate * sharing.part;
         let rises = if sharing.heads { rate } else { (rate - self.demand).max(0.0) };
-        self.level = (self.level + elapsed * rises).min(self.plan.capacity * sharing.capacity_part);
+        self.level = (self.level + elapsed * rises).min(self.bucket.capacity * sharing.capacity_part);
         self.updated = self.updated.max(now);
     }
 
@@ -130,8 +130,8 @@
     ) -> Result<(), QuotaRefusal> {
         self.refill(sharing, now);
         self.own.add(cost, now);
-        let capacity = self.plan.capacity * sharing.capacity_part;
-        let rate = self.plan.rate * sharing.part;
+        let capacity = self.bucket.capacity * sharing.capacity_part;
+        let rate = self.bucket.rate * sharing.part;
         let demand = self.demand.max(self.own.per_second(now));
         let wanted = cost.min(capacity * LARGEST);
         let overloaded = sharing.shared && demand > rate && self.level < capacity * AMPLE;
@@ -157,7 +157,7 @@
     }
 
     /// What was granted did not run.
-    pub(super) fn give_back(&mut self, cost: f64) {
+    pub(super) fn refund(&mut self, cost: f64) {
         self.take(-cost);
     }
 
@@ -165,7 +165,7 @@
     /// only now, must not stop the tenant for long.
     pub(super) fn granted_below(&mut self, units: f64) {
         self.take(units);
-        self.level = self.level.max(-self.plan.capacity);
+        self.level = self.level.max(-self.bucket.capacity);
     }
 
     /// Units that a report tells now.
@@ -176,30 +176,31 @@
 
     /// Whether the account matters to others: it is empty enough, or asked for enough.
     pub(super) fn is_worth_telling(&self, sharing: Sharing) -> bool {
-        let (capacity, rate) = (self.plan.capacity * sharing.capacity_part, self.plan.rate * sharing.part);
+        let (capacity, rate) =
+            (self.bucket.capacity * sharing.capacity_part, self.bucket.rate * sharing.part);
         self.level < capacity * WORTH_TELLING || self.demand > rate * WORTH_TELLING
     }
 
     /// Whether a report needs to tell this demand: all that is left out is a small part of the rate.
     pub(super) fn is_demand_worth_telling(&self, demand: f64) -> bool {
-        demand > self.plan.rate / 1_000.0
+        demand > self.bucket.rate / 1_000.0
     }
 
     /// The node above has answered the last report: it need not be told again.
-    pub(super) const fn answered(&mut self) {
+    pub(super) const fn report_answered(&mut self) {
         self.on_the_way = 0.0;
     }
 
     /// The node above has told the level, which bears the last report; or nothing where the account is well filled.
     pub(super) fn told(&mut self, level: Option<f64>, demand: f64, sharing: Sharing, now: Timestamp) {
-        let capacity = self.plan.capacity * sharing.capacity_part;
+        let capacity = self.bucket.capacity * sharing.capacity_part;
         self.level = level.unwrap_or(capacity).min(capacity) - self.untold;
         self.demand = demand;
         self.updated = now;
     }
 
     /// The last report was not answered: the next one tells the same again.
-    pub(super) fn unanswered(&mut self) {
+    pub(super) fn report_failed(&mut self) {
         self.untold += std::mem::take(&mut self.on_the_way);
     }
 }
--- a/crates/core/src/limits/ledger/plan.rs
+++ b/crates/core/src/limits/ledger/bucket_size.rs
@@ -32,14 +32,14 @@
 
 /// The token bucket by which a tenant's requests are admitted, over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plan {
+pub struct BucketSize {
     /// Units a second.
     pub rate: f64,
     /// Units at once.
     pub capacity: f64,
 }
 
-impl Plan {
+impl BucketSize {
     /// The bucket that uses as much of a quota's bound as is safe.
     pub fn of(quota: &TenantQuota, bounds: &QuotaBounds) -> Self {
         let window = bounds.window.as_secs_f64();
--- a/crates/core/src/limits/ledger/below.rs
+++ b/crates/core/src/limits/ledger/children.rs
@@ -28,11 +28,11 @@
 
 /// The last reports of all nodes that report to this one.
 #[derive(Clone, Debug, Default)]
-pub(super) struct NodesBelow {
+pub(super) struct Children {
     reports: BTreeMap<NodeId, Told>,
 }
 
-impl NodesBelow {
+impl Children {
     pub(super) fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
@@ -48,7 +48,7 @@
     }
 
     /// How many nodes the reports speak for.
-    pub(super) fn heard(&self) -> u32 {
+    pub(super) fn reporting_nodes(&self) -> u32 {
         self.reports.values().fold(0, |sum, report| sum.saturating_add(report.heard))
     }
 
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A node grants by the level that it was told, less what it has granted since. Reports carry grants up, once each, and
 //! the node at the head of the tree takes them off the level. What nodes grant before they hear of each other is bounded
-//! by [`plan`]: it leaves room for it. Under overload all nodes grant the same share of what is asked.
+//! by [`bucket_size`]: it leaves room for it. Under overload all nodes grant the same share of what is asked.
 //!
 //! A node that nobody tells anything heads itself and those that report to it. It goes on with its part of the level and
 //! of the rate: the nodes that it hears, of all that were lately counted. The root does the same, so that both sides of
@@ -12,8 +12,8 @@
 //! goes on from the level that it was last told. After a restart of all, the level begins half filled.
 
 mod account;
-mod below;
-pub mod plan;
+pub mod bucket_size;
+mod children;
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -25,8 +25,8 @@
 
 use self::{
     account::{Account, Sharing},
-    below::{NodesBelow, TenantDemand},
-    plan::QuotaBounds,
+    bucket_size::QuotaBounds,
+    children::{Children, TenantDemand},
 };
 use crate::forwarding::document::TenantQuota;
 
@@ -63,7 +63,7 @@
     /// The part of the fleet that shares the level.
     pub part: f64,
     /// The age of what another node told; none where this node heads itself.
-    pub told_age: Option<Duration>,
+    pub report_age: Option<Duration>,
 }
 
 /// What was granted, to be given back where the request did not run.
@@ -75,7 +75,7 @@
 
 /// What this node knows of its place among the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct NodePosition {
     /// Whether it is the root of the tree.
     pub is_root: bool,
     /// The number of nodes, where it has been counted.
@@ -89,12 +89,12 @@
 pub struct QuotaLedger {
     bounds: QuotaBounds,
     accounts: BTreeMap<TenantId, Account>,
-    below: NodesBelow,
+    children: Children,
     told_at: Option<Timestamp>,
     /// The part that was last told.
     told_part: Option<f64>,
     /// What was last known of this node's place.
-    place: Option<Place>,
+    place: Option<NodePosition>,
     root_since: Option<Timestamp>,
     most_nodes: Option<(u32, Timestamp)>,
     sharing: Sharing,
@@ -110,7 +110,7 @@
         Self {
             bounds,
             accounts: BTreeMap::new(),
-            below: NodesBelow::default(),
+            children: Children::default(),
             told_at: None,
             told_part: None,
             place: None,
@@ -175,29 +175,29 @@
     }
 
     /// What was granted did not run.
-    pub fn give_back(&mut self, grant: &QuotaGrant) {
+    pub fn refund(&mut self, grant: &QuotaGrant) {
         if let Some(account) = self.accounts.get_mut(&grant.tenant) {
-            account.give_back(grant.units);
+            account.refund(grant.units);
         }
     }
 
     /// What would decide on a request of a tenant now.
     pub fn view(&self, tenant: &TenantId, now: Timestamp) -> Option<QuotaView> {
         let account = self.accounts.get(tenant)?;
-        let told_age = self.told_at.map(|at| now.saturating_since(at));
+        let report_age = self.told_at.map(|at| now.saturating_since(at));
         Some(QuotaView {
             per_second: account.quota.per_second,
             level: account.level(),
             demand: account.demand().max(account.own_demand(now)),
             part: self.sharing.part,
-            told_age: told_age.filter(|_| !self.sharing.heads),
+            report_age: report_age.filter(|_| !self.sharing.heads),
         })
     }
 
     /// Looks at who is heard, and adds up what they ask for; to be called several times a second.
-    pub fn tick(&mut self, place: Place, now: Timestamp) {
+    pub fn tick(&mut self, place: NodePosition, now: Timestamp) {
         self.accounts.values_mut().for_each(|account| account.refill(self.sharing, now));
-        self.below.forget_silent(now);
+        self.children.forget_silent(now);
         self.remember_count(place.counted, now);
         let began = self.root_since.is_none() && place.is_root;
         self.root_since = place.is_root.then(|| self.root_since.unwrap_or(now));
@@ -227,12 +227,12 @@
             return;
         };
         self.accounts.values_mut().for_each(|account| account.refill(self.sharing, now));
-        self.below.forget_silent(now);
+        self.children.forget_silent(now);
         self.head_itself(place, false, now);
     }
 
     /// Goes on with this node's part of the level and of the rate, as no other node tells it anything.
-    fn head_itself(&mut self, place: Place, began: bool, now: Timestamp) {
+    fn head_itself(&mut self, place: NodePosition, began: bool, now: Timestamp) {
         let part = self.part_heard(place, now);
         if began && self.told_part.is_none() {
             self.accounts.values_mut().for_each(|account| account.begin_with(self.filled));
@@ -242,17 +242,17 @@
             self.accounts.values_mut().for_each(|account| account.scale(factor));
         }
         let capacity_part = if place.is_root { part } else { (part * APART).min(1.0) };
-        self.sharing = Sharing { part, capacity_part, heads: true, shared: !self.below.is_empty() };
+        self.sharing = Sharing { part, capacity_part, heads: true, shared: !self.children.is_empty() };
     }
 
     /// The part of the fleet that this node and those below it are.
-    fn part_heard(&self, place: Place, now: Timestamp) -> f64 {
+    fn part_heard(&self, place: NodePosition, now: Timestamp) -> f64 {
         let settling = self.root_since.is_some_and(|since| now.saturating_since(since) < SETTLING);
         if settling {
             return self.told_part.unwrap_or(1.0);
         }
         let nodes = self.most_nodes.map_or(place.assumed, |(nodes, _)| nodes).max(1);
-        (f64::from(self.heard()) / f64::from(nodes)).min(1.0)
+        (f64::from(self.reporting_nodes()) / f64::from(nodes)).min(1.0)
     }
 
     fn remember_count(&mut self, counted: Option<u32>, now: Timestamp) {
@@ -265,12 +265,12 @@
     }
 
     /// This node and those below it that were heard lately.
-    pub fn heard(&self) -> u32 {
-        self.below.heard().saturating_add(1)
+    pub fn reporting_nodes(&self) -> u32 {
+        self.children.reporting_nodes().saturating_add(1)
     }
 
     fn add_up_demand(&mut self, now: Timestamp) {
-        let demands = self.below.demands();
+        let demands = self.children.demands();
         for (tenant, account) in &mut self.accounts {
             let below = demands.get(tenant).copied().unwrap_or_default();
             account.set_demand(below + account.own_demand(now));
@@ -279,7 +279,7 @@
 
     /// A node below has told what it and those below it have granted and were asked for. Gives the number of entries
     /// that were passed over: of tenants without quota, or with figures that make no sense.
-    pub fn reported(
+    pub fn receive_report(
         &mut self,
         node: NodeId,
         heard: u32,
@@ -298,7 +298,7 @@
                 None => passed_over += 1,
             }
         }
-        self.below.told(node, heard, demands, now);
+        self.children.told(node, heard, demands, now);
         passed_over
     }
 
@@ -317,10 +317,10 @@
         QuotaDigest { part: sharing.part, credits }
     }
 
-    /// What the node above is told now; to be followed by [`answered`](Self::answered) or
-    /// [`unanswered`](Self::unanswered).
+    /// What the node above is told now; to be followed by [`report_answered`](Self::report_answered) or
+    /// [`report_failed`](Self::report_failed).
     pub fn report(&mut self, now: Timestamp) -> Vec<TenantSpending> {
-        let demands = self.below.demands();
+        let demands = self.children.demands();
         let mut report = Vec::new();
         for (tenant, account) in &mut self.accounts {
             let below = demands.get(tenant).copied().unwrap_or_default();
@@ -335,8 +335,8 @@
 
     /// The node above has answered the last report, which was sent at `sent_at`. What it tells was true no earlier: an
     /// answer that was long under way, as where this process stood still, is no reason to draw on the level of all.
-    pub fn answered(&mut self, digest: &QuotaDigest, sent_at: Timestamp, now: Timestamp) {
-        self.accounts.values_mut().for_each(Account::answered);
+    pub fn report_answered(&mut self, digest: &QuotaDigest, sent_at: Timestamp, now: Timestamp) {
+        self.accounts.values_mut().for_each(Account::report_answered);
         self.told_at = self.told_at.max(Some(sent_at));
         if !self.is_told(now) {
             self.leave_outdated(now);
@@ -355,8 +355,8 @@
     }
 
     /// The node above has not answered the last report: the next one tells the same again.
-    pub fn unanswered(&mut self) {
-        self.accounts.values_mut().for_each(Account::unanswered);
+    pub fn report_failed(&mut self) {
+        self.accounts.values_mut().for_each(Account::report_failed);
     }
 }
 
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -8,7 +8,7 @@
 
 pub mod bucket;
 pub mod ledger;
-pub mod peers;
+pub mod peer_reports;
 pub mod share;
 mod tenant;
 
@@ -22,7 +22,7 @@
     time::Timestamp,
 };
 
-use peers::{OthersUse, Peers, encoded_bound, tenant_bound};
+use peer_reports::{PeerReports, PeerUsage, encoded_bound, tenant_bound};
 use tenant::{TenantLimits, Timing};
 
 /// Up to this number of nodes, each probes every other one so often that nothing needs to be passed on.
@@ -133,7 +133,7 @@
     node: NodeId,
     members: u32,
     tenants: BTreeMap<TenantId, TenantLimits>,
-    peers: Peers,
+    reports: PeerReports,
     own: QuotaDigest,
     own_written: Timestamp,
     own_goes_first: bool,
@@ -148,7 +148,7 @@
             node,
             members: 1,
             tenants: BTreeMap::new(),
-            peers: Peers::default(),
+            reports: PeerReports::default(),
             own,
             own_written: now,
             own_goes_first: false,
@@ -181,7 +181,7 @@
     /// Takes in reports of other nodes.
     pub fn receive(&mut self, digests: &[QuotaDigest], now: Timestamp) {
         for digest in digests.iter().filter(|digest| digest.node != self.node) {
-            self.peers.receive(digest, now);
+            self.reports.receive(digest, now);
         }
     }
 
@@ -215,17 +215,17 @@
         let age = now.saturating_since(self.own_written).as_millis();
         let own = QuotaDigest { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.own.clone() };
         let size = encoded_bound(&own);
-        self.peers.expire(self.settings.settle(self.members), now);
+        self.reports.expire(self.settings.settle(self.members), now);
         self.own_goes_first = !self.own_goes_first || self.members <= DIRECT_MEMBERS;
         if self.own_goes_first {
             let left = budget.checked_sub(size);
             let mut chosen: Vec<QuotaDigest> = left.map(|_| own).into_iter().collect();
             if self.members > DIRECT_MEMBERS {
-                chosen.extend(self.peers.relay(left.unwrap_or(budget), now));
+                chosen.extend(self.reports.relay(left.unwrap_or(budget), now));
             }
             return chosen;
         }
-        let mut chosen = self.peers.relay(budget, now);
+        let mut chosen = self.reports.relay(budget, now);
         let used: usize = chosen.iter().map(encoded_bound).sum();
         if used + size <= budget {
             chosen.push(own);
@@ -262,17 +262,17 @@
     }
 
     /// Nodes heard from lately, this one included.
-    pub fn fresh_nodes(&self) -> u32 {
-        u32::try_from(self.peers.len()).unwrap_or(u32::MAX).saturating_add(1)
+    pub fn reporting_nodes(&self) -> u32 {
+        u32::try_from(self.reports.len()).unwrap_or(u32::MAX).saturating_add(1)
     }
 
     fn update_shares(&mut self, now: Timestamp) {
-        self.peers.expire(self.settings.settle(self.members), now);
+        self.reports.expire(self.settings.settle(self.members), now);
         let timing = self.timing();
-        let fresh = self.fresh_nodes();
-        let sums = self.peers.sums();
+        let fresh = self.reporting_nodes();
+        let sums = self.reports.sums();
         for (tenant, limits) in &mut self.tenants {
-            let others: OthersUse = sums.get(tenant).copied().unwrap_or_default();
+            let others: PeerUsage = sums.get(tenant).copied().unwrap_or_default();
             limits.update_share(&timing, fresh, &others, now);
         }
     }
--- a/crates/core/src/limits/peers.rs
+++ b/crates/core/src/limits/peer_reports.rs
@@ -32,7 +32,7 @@
 
 /// What all other fresh nodes ask for and use of one tenant's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OthersUse {
+pub struct PeerUsage {
     /// Requests a second.
     pub requests_per_second: f64,
     /// Tokens a second.
@@ -43,7 +43,7 @@
     pub held: f64,
 }
 
-impl OthersUse {
+impl PeerUsage {
     fn add(&mut self, entry: &TenantUse) {
         self.requests_per_second += entry.milli_requests_per_second as f64 / 1_000.0;
         self.tokens_per_second += entry.tokens_per_second as f64;
@@ -54,11 +54,11 @@
 
 /// The latest report of each other node.
 #[derive(Clone, Debug, Default)]
-pub struct Peers {
+pub struct PeerReports {
     reports: BTreeMap<NodeId, PeerReport>,
 }
 
-impl Peers {
+impl PeerReports {
     /// Takes in a report where it is newer than what is known.
     pub fn receive(&mut self, digest: &QuotaDigest, now: Timestamp) {
         let known = self.reports.get(&digest.node);
@@ -88,8 +88,8 @@
     }
 
     /// The sum of all reports by tenant.
-    pub fn sums(&self) -> BTreeMap<&TenantId, OthersUse> {
-        let mut sums: BTreeMap<&TenantId, OthersUse> = BTreeMap::new();
+    pub fn sums(&self) -> BTreeMap<&TenantId, PeerUsage> {
+        let mut sums: BTreeMap<&TenantId, PeerUsage> = BTreeMap::new();
         for entry in self.reports.values().flat_map(|report| &report.digest.tenants) {
             sums.entry(&entry.tenant).or_default().add(entry);
         }
--- a/crates/core/src/limits/tenant.rs
+++ b/crates/core/src/limits/tenant.rs
@@ -7,7 +7,7 @@
 use super::{
     LimitKind, LimitRefusal, RequestCost,
     bucket::TokenBucket,
-    peers::OthersUse,
+    peer_reports::PeerUsage,
     share::{EVEN_PART, ReportedDemand, View, share},
 };
 
@@ -97,7 +97,7 @@
         self.reported.report(f64::from(wanted), timing.window, now);
     }
 
-    fn update_share(&mut self, timing: &Timing, fresh: u32, others: &OthersUse, now: Timestamp) {
+    fn update_share(&mut self, timing: &Timing, fresh: u32, others: &PeerUsage, now: Timestamp) {
         let own = self.reported.settled(timing.window, now);
         let view = View { members: timing.members, fresh, own, others: others.concurrent_wanted };
         let whole = f64::from(self.quota);
@@ -255,7 +255,7 @@
         rates.chain(concurrency).fold(0.0, f64::max)
     }
 
-    pub(super) fn update_share(&mut self, timing: &Timing, fresh: u32, others: &OthersUse, now: Timestamp) {
+    pub(super) fn update_share(&mut self, timing: &Timing, fresh: u32, others: &PeerUsage, now: Timestamp) {
         if let Some(limit) = &mut self.requests {
             limit.update_share(timing, fresh, others.requests_per_second, now);
         }
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -4,9 +4,9 @@
 //! time another engine is lost with all that runs there. No budget of repeats ends this, since each try is a request of
 //! its own. What ends it is to remember what a request did to the engines before.
 //!
-//! Nodes tell up the tree which engines ended under which requests. The node at its top that counts [`CRASHES`] of them in
+//! Nodes tell up the tree which engines ended under which requests. The node at its top that counts [`CRASH_THRESHOLD`] of them in
 //! turn, with no run of the request that came to its end meanwhile, concludes that the request is the cause: no engine gets it for
-//! [`HOLD`]. The conclusion is kept in the metadata store, so that it outlasts all nodes, and told down the tree besides.
+//! [`HOLD_DURATION`]. The conclusion is kept in the metadata store, so that it outlasts all nodes, and told down the tree besides.
 //!
 //! Ordinary requests that were caught in crashes are not held back: engines that end together, as in a rack that loses
 //! power, have a common cause and do not count; a run that comes to its end clears the request, and all nodes are asked for
@@ -36,13 +36,13 @@
 pub use fingerprint::Origin;
 pub use suspicion::Crash;
 use suspicion::Suspicion;
-pub use tree::{MOST_REPORTED, Told};
+pub use tree::{MAX_REPORTED_EVENTS, ReportBatch};
 
 /// Crashes in turn after which a request is their cause. Two may be chance where engines are replaced one after the
 /// other; a third one that follows a caller's return hardly is.
-pub const CRASHES: usize = 3;
+pub const CRASH_THRESHOLD: usize = 3;
 /// How long a request is held back: the longest life of a lease that the users' store grants.
-pub const HOLD: Duration = Duration::from_secs(600);
+pub const HOLD_DURATION: Duration = Duration::from_secs(600);
 /// How long crashes count.
 const REMEMBERED: Duration = Duration::from_secs(600);
 /// How far apart two nodes may place the same moment: reports of it are some milliseconds under way.
@@ -68,20 +68,20 @@
 
 /// How a node knows that a request is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldBy {
+pub enum HoldSource {
     /// It counted the crashes itself.
     Counted,
     /// The metadata store says so.
     Stored,
     /// The node above says so.
-    Told,
+    Parent,
 }
 
 /// A request that is held back, as a node knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct Hold {
     /// How it knows.
-    pub by: HeldBy,
+    pub by: HoldSource,
     /// Since when it knows.
     pub since: Timestamp,
     /// Until when it is held back at the longest.
@@ -144,13 +144,13 @@
         for fingerprint in std::mem::take(&mut self.to_review) {
             self.recount(fingerprint, now);
             let Some(suspicion) = self.suspicions.get(&fingerprint) else { continue };
-            if suspicion.counted < CRASHES || self.counted.contains_key(&fingerprint) {
+            if suspicion.counted < CRASH_THRESHOLD || self.counted.contains_key(&fingerprint) {
                 continue;
             }
             // What ended with the latest may not have been told yet.
             let is_settled = |crash: &Crash| now.saturating_since(crash.ended) >= SETTLED;
             let settled = suspicion.in_turn(|crash| is_settled(crash) && self.ends.speak_against(crash));
-            if settled + 1 < CRASHES || !suspicion.was_asked_about(now, ASKED) {
+            if settled + 1 < CRASH_THRESHOLD || !suspicion.was_asked_about(now, ASKED) {
                 self.to_review.insert(fingerprint);
                 continue;
             }
@@ -184,7 +184,8 @@
         }
         self.log(News::Completed { fingerprint, at });
         self.recount(fingerprint, now);
-        let over = self.suspicions.get(&fingerprint).is_some_and(|suspicion| suspicion.counted < CRASHES);
+        let over =
+            self.suspicions.get(&fingerprint).is_some_and(|suspicion| suspicion.counted < CRASH_THRESHOLD);
         over && self.counted.remove(&fingerprint).is_some()
     }
 
@@ -203,7 +204,7 @@
         let Some(suspicion) = self.suspicions.get_mut(&fingerprint) else { return };
         let count = suspicion.in_turn(|crash| self.ends.speak_against(crash));
         suspicion.set_count(count, SUSPICIOUS, now);
-        if count >= CRASHES {
+        if count >= CRASH_THRESHOLD {
             self.to_review.insert(fingerprint);
         }
     }
@@ -230,18 +231,21 @@
     }
 
     /// The requests of which the store said that they are held back.
-    pub fn in_store(&self) -> impl Iterator<Item = &RequestFingerprint> {
+    pub fn stored_holds(&self) -> impl Iterator<Item = &RequestFingerprint> {
         self.stored.keys()
     }
 
     /// Whether and since when a request is held back.
-    pub fn held(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<Held> {
-        let sources =
-            [(HeldBy::Counted, &self.counted), (HeldBy::Stored, &self.stored), (HeldBy::Told, &self.told)];
+    pub fn held(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<Hold> {
+        let sources = [
+            (HoldSource::Counted, &self.counted),
+            (HoldSource::Stored, &self.stored),
+            (HoldSource::Parent, &self.told),
+        ];
         sources.into_iter().find_map(|(by, known)| {
             let since = *known.get(fingerprint)?;
-            let until = since + HOLD;
-            (now < until || by == HeldBy::Stored).then_some(Held { by, since, until })
+            let until = since + HOLD_DURATION;
+            (now < until || by == HoldSource::Stored).then_some(Hold { by, since, until })
         })
     }
 
@@ -257,7 +261,7 @@
             self.told.clear();
             self.told_suspects.clear();
         }
-        let over = |since: &Timestamp| now.saturating_since(*since) >= HOLD;
+        let over = |since: &Timestamp| now.saturating_since(*since) >= HOLD_DURATION;
         let ended: Vec<RequestFingerprint> = self
             .counted
             .iter()
@@ -297,7 +301,7 @@
 
     fn on_probation(&mut self, fingerprint: RequestFingerprint, now: Timestamp) {
         let suspicion = self.suspicions.entry(fingerprint).or_default();
-        suspicion.carry(CRASHES - 1, now);
+        suspicion.carry(CRASH_THRESHOLD - 1, now);
         self.bound_suspicions(fingerprint);
     }
 
--- a/crates/core/src/quarantine/tree.rs
+++ b/crates/core/src/quarantine/tree.rs
@@ -12,22 +12,22 @@
 /// How long a conclusion is told down the tree, also where the store has it: nodes hear from the store a little later.
 const TOLD_AFTER: Duration = Duration::from_secs(10);
 /// Crashes and ends in one report to the node above, of some 150 bytes each.
-pub const MOST_REPORTED: usize = 48;
+pub const MAX_REPORTED_EVENTS: usize = 48;
 /// Requests in one digest, of some 50 bytes each.
 const MOST_TOLD: usize = 32;
 
 /// What a node tells above, and up to which of its news.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct ReportBatch {
     /// The report.
     pub report: RunReport,
     /// The number of the last news in it.
-    pub upto: u64,
+    pub last_event: u64,
 }
 
 impl Quarantine {
     /// Takes in what another node tells; requests that are no longer held back for it.
-    pub fn reported(&mut self, report: RunReport, now: Timestamp) -> Vec<RequestFingerprint> {
+    pub fn receive_report(&mut self, report: RunReport, now: Timestamp) -> Vec<RequestFingerprint> {
         let mut released = Vec::new();
         let ago = |milliseconds: u64| now - Duration::from_millis(milliseconds);
         for told in report.crashes {
@@ -49,13 +49,13 @@
     }
 
     /// What other nodes are told: `most` news, beginning behind the news `after`.
-    pub fn report(&self, after: u64, most: usize, now: Timestamp) -> Told {
+    pub fn report(&self, after: u64, most: usize, now: Timestamp) -> ReportBatch {
         let first = self.last - self.news.len() as u64;
         let skipped = after.saturating_sub(first) as usize;
         let ago = |at: Timestamp| now.saturating_since(at).as_millis() as u64;
         let mut report = RunReport::default();
         let news: Vec<&News> = self.news.iter().skip(skipped).take(most).collect();
-        let upto = after.clamp(first, self.last) + news.len() as u64;
+        let last_event = after.clamp(first, self.last) + news.len() as u64;
         for one in news {
             match one {
                 News::Crash(crash) => report.crashes.push(RunCrash {
@@ -71,7 +71,7 @@
                 }
             }
         }
-        Told { report, upto }
+        ReportBatch { report, last_event }
     }
 
     /// What nodes below are told.
@@ -91,7 +91,7 @@
     }
 
     /// Takes in what the node above tells; requests of which this node hears for the first time that they are held back.
-    pub fn told(&mut self, digest: QuarantineDigest, now: Timestamp) -> Vec<RequestFingerprint> {
+    pub fn receive_digest(&mut self, digest: QuarantineDigest, now: Timestamp) -> Vec<RequestFingerprint> {
         self.told_at = Some(now);
         self.told_suspects = digest.suspects.into_iter().collect();
         let before = std::mem::take(&mut self.told);
--- a/crates/core/tests/limits_quota.rs
+++ b/crates/core/tests/limits_quota.rs
@@ -5,7 +5,7 @@
 use paddlemount_core::limits::{
     LimitKind, LimitSettings, Limits, RequestCost,
     bucket::TokenBucket,
-    peers::encoded_bound,
+    peer_reports::encoded_bound,
     share::{View, share},
 };
 use paddlemount_protocol::{
@@ -209,7 +209,7 @@
         cluster.moves_after = moves_after;
         let overshoot = cluster.overshoot(rate, 240);
         let (bound, used) = (rate + size as f64, cluster.used(rate));
-        let fresh: u32 = cluster.nodes.iter().map(Limits::fresh_nodes).sum();
+        let fresh: u32 = cluster.nodes.iter().map(Limits::reporting_nodes).sum();
         let fresh = f64::from(fresh) / (size * size) as f64;
         println!(
             "{size} nodes by probes: overshoot {overshoot:.1} of {bound}, used {used:.2}, fresh {fresh:.2}"
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use paddlemount_core::quarantine::{CRASHES, Crash, HOLD, HeldBy, MOST_REPORTED, Origin, Quarantine};
+use paddlemount_core::quarantine::{
+    CRASH_THRESHOLD, Crash, HOLD_DURATION, HoldSource, MAX_REPORTED_EVENTS, Origin, Quarantine,
+};
 use paddlemount_protocol::{
     identity::{EngineId, NodeId},
     quarantine::{HeldRequest, RequestFingerprint},
@@ -42,7 +44,7 @@
 /// A request under which engines ended one after the other, each under a run that began after the end before.
 fn held(body: &str) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for number in 0..CRASHES as u64 {
+    for number in 0..CRASH_THRESHOLD as u64 {
         let began = number * 1_000;
         take(&mut quarantine, crash(body, &format!("e{number}"), began, began + 200));
     }
@@ -56,9 +58,12 @@
     assert_eq!(take(&mut quarantine, crash("x", "e1", 200, 300)), None);
     assert!(quarantine.held(&request("x"), at(300)).is_none());
     let held = take(&mut quarantine, crash("x", "e2", 400, 500)).expect("it is held back");
-    assert_eq!(held.engines.len(), CRASHES);
+    assert_eq!(held.engines.len(), CRASH_THRESHOLD);
     let known = quarantine.held(&request("x"), at(1_200)).expect("it is held back");
-    assert_eq!((known.by, known.since, known.until), (HeldBy::Counted, at(1_200), at(1_200) + HOLD));
+    assert_eq!(
+        (known.by, known.since, known.until),
+        (HoldSource::Counted, at(1_200), at(1_200) + HOLD_DURATION)
+    );
     assert!(quarantine.may_hold(request("x").origin));
     assert!(quarantine.held(&request("y"), at(500)).is_none(), "another body is another request");
 }
@@ -251,31 +256,31 @@
 
 #[test]
 fn crashes_at_several_nodes_add_up_at_the_node_above_and_the_conclusion_reaches_all() {
-    let (mut root, mut nodes) = (Quarantine::default(), vec![Quarantine::default(); CRASHES]);
+    let (mut root, mut nodes) = (Quarantine::default(), vec![Quarantine::default(); CRASH_THRESHOLD]);
     for (number, node) in nodes.iter_mut().enumerate() {
         let began = number as u64 * 1_000;
         assert_eq!(take(node, crash("x", &format!("e{number}"), began, began + 100)), None);
-        let told = node.report(0, MOST_REPORTED, at(began + 300));
-        root.reported(told.report, at(began + 302));
+        let told = node.report(0, MAX_REPORTED_EVENTS, at(began + 300));
+        root.receive_report(told.report, at(began + 302));
     }
     let concluded = root.conclude(&NodeId::from("root"), at(3_000));
     assert_eq!(concluded.len(), 1);
-    assert_eq!(concluded[0].engines.len(), CRASHES);
+    assert_eq!(concluded[0].engines.len(), CRASH_THRESHOLD);
     let digest = root.digest(at(3_000));
     let mut newcomer = Quarantine::default();
-    assert_eq!(newcomer.told(digest, at(3_100)), vec![request("x")]);
-    assert_eq!(newcomer.held(&request("x"), at(3_100)).map(|held| held.by), Some(HeldBy::Told));
+    assert_eq!(newcomer.receive_digest(digest, at(3_100)), vec![request("x")]);
+    assert_eq!(newcomer.held(&request("x"), at(3_100)).map(|held| held.by), Some(HoldSource::Parent));
 }
 
 #[test]
 fn another_node_above_hears_all_that_is_remembered() {
     let mut node = Quarantine::default();
     take(&mut node, crash("x", "e0", 0, 100));
-    let first = node.report(0, MOST_REPORTED, at(200));
-    assert_eq!(node.report(first.upto, MOST_REPORTED, at(300)).report.crashes.len(), 0);
+    let first = node.report(0, MAX_REPORTED_EVENTS, at(200));
+    assert_eq!(node.report(first.last_event, MAX_REPORTED_EVENTS, at(300)).report.crashes.len(), 0);
     take(&mut node, crash("x", "e1", 400, 500));
-    assert_eq!(node.report(first.upto, MOST_REPORTED, at(600)).report.crashes.len(), 1);
-    assert_eq!(node.report(0, MOST_REPORTED, at(600)).report.crashes.len(), 2);
+    assert_eq!(node.report(first.last_event, MAX_REPORTED_EVENTS, at(600)).report.crashes.len(), 1);
+    assert_eq!(node.report(0, MAX_REPORTED_EVENTS, at(600)).report.crashes.len(), 2);
 }
 
 #[test]
@@ -285,10 +290,10 @@
     // At another node a run comes to its end before anybody suspects anything there.
     node.completed(request("x"), at(350));
     take(&mut root, crash("x", "e1", 200, 300));
-    node.told(root.digest(at(400)), at(400));
-    let told = node.report(0, MOST_REPORTED, at(450));
+    node.receive_digest(root.digest(at(400)), at(400));
+    let told = node.report(0, MAX_REPORTED_EVENTS, at(450));
     assert_eq!(told.report.completed.len(), 1);
-    root.reported(told.report, at(455));
+    root.receive_report(told.report, at(455));
     assert_eq!(take(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
 }
 
@@ -322,11 +327,11 @@
     nodes[0].completed(request("x"), at(200));
     for round in 1..20 {
         for teller in 0..nodes.len() {
-            let told = nodes[teller].report(0, MOST_REPORTED, at(200 + round * 50));
+            let told = nodes[teller].report(0, MAX_REPORTED_EVENTS, at(200 + round * 50));
             for (hearer, node) in nodes.iter_mut().enumerate() {
                 if hearer != teller {
                     // Each way takes some milliseconds, by which the hearer places it later.
-                    node.reported(told.report.clone(), at(205 + round * 50));
+                    node.receive_report(told.report.clone(), at(205 + round * 50));
                 }
             }
         }
@@ -343,11 +348,11 @@
     take(&mut root, crash("x", "e0", 0, 100));
     take(&mut root, crash("x", "e1", 200, 300));
     let mut node = Quarantine::default();
-    node.told(root.digest(at(400)), at(400));
+    node.receive_digest(root.digest(at(400)), at(400));
     node.completed(request("x"), at(500));
-    let told = node.report(0, MOST_REPORTED, at(600));
+    let told = node.report(0, MAX_REPORTED_EVENTS, at(600));
     assert_eq!(told.report.completed.len(), 1);
-    root.reported(told.report, at(610));
+    root.receive_report(told.report, at(610));
     assert_eq!(take(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
 }
 
@@ -356,7 +361,7 @@
     let mut quarantine = Quarantine::default();
     assert!(quarantine.stored(request("x"), at(0)));
     assert!(!quarantine.stored(request("x"), at(10)));
-    let much_later = at(0) + HOLD * 3;
+    let much_later = at(0) + HOLD_DURATION * 3;
     assert!(quarantine.held(&request("x"), much_later).is_some());
     assert!(quarantine.released(&request("x"), much_later));
     assert!(quarantine.held(&request("x"), much_later).is_none());
@@ -369,7 +374,7 @@
 #[test]
 fn a_hold_that_the_store_never_took_ends_by_itself() {
     let mut quarantine = held("x");
-    assert!(quarantine.sweep(at(2_900) + HOLD - Duration::from_millis(1)).is_empty());
-    assert_eq!(quarantine.sweep(at(2_900) + HOLD), vec![request("x")]);
+    assert!(quarantine.sweep(at(2_900) + HOLD_DURATION - Duration::from_millis(1)).is_empty());
+    assert_eq!(quarantine.sweep(at(2_900) + HOLD_DURATION), vec![request("x")]);
     assert_eq!(quarantine.count_held(), 0);
 }
--- a/crates/core/tests/quarantine_properties.rs
+++ b/crates/core/tests/quarantine_properties.rs
@@ -6,7 +6,9 @@
 };
 
 use bolero::{TypeGenerator, check};
-use paddlemount_core::quarantine::{CRASHES, Crash, HeldBy, MOST_REPORTED, Origin, Quarantine};
+use paddlemount_core::quarantine::{
+    CRASH_THRESHOLD, Crash, HoldSource, MAX_REPORTED_EVENTS, Origin, Quarantine,
+};
 use paddlemount_protocol::{
     identity::{EngineId, NodeId},
     quarantine::RequestFingerprint,
@@ -55,20 +57,20 @@
                 self.nodes[index(node)].completed(request(number), self.now);
             }
             Step::Reports { node } if index(node) > 0 => {
-                let told = self.nodes[index(node)].report(0, MOST_REPORTED, self.now);
-                self.nodes[0].reported(told.report, self.now);
+                let told = self.nodes[index(node)].report(0, MAX_REPORTED_EVENTS, self.now);
+                self.nodes[0].receive_report(told.report, self.now);
             }
             Step::Tells { node } if index(node) > 0 => {
                 let digest = self.nodes[0].digest(self.now);
-                self.nodes[index(node)].told(digest, self.now);
+                self.nodes[index(node)].receive_digest(digest, self.now);
             }
             Step::Reports { .. } | Step::Tells { .. } => {}
             Step::Concludes => {
                 let held = self.nodes[0].conclude(&NodeId::from("n0"), self.now);
                 for request in held {
                     let ended = self.ended.get(&request.fingerprint).map_or(0, BTreeSet::len);
-                    assert!(ended >= CRASHES, "held back after {ended} engines: {request:?}");
-                    assert!(request.engines.len() >= CRASHES);
+                    assert!(ended >= CRASH_THRESHOLD, "held back after {ended} engines: {request:?}");
+                    assert!(request.engines.len() >= CRASH_THRESHOLD);
                 }
             }
         }
@@ -90,7 +92,7 @@
         for node in &world.nodes[1..] {
             for number in 0..4 {
                 let by = node.held(&request(number), world.now).map(|held| held.by);
-                assert_ne!(by, Some(HeldBy::Counted), "a node that is told concludes nothing");
+                assert_ne!(by, Some(HoldSource::Counted), "a node that is told concludes nothing");
             }
         }
     });
--- a/crates/core/tests/quota_ledger.rs
+++ b/crates/core/tests/quota_ledger.rs
@@ -7,7 +7,7 @@
 
 use paddlemount_core::{
     forwarding::document::{QuotaUnit, TenantQuota, TokenUsage},
-    limits::ledger::{Place, QuotaLedger, plan::Plan},
+    limits::ledger::{NodePosition, QuotaLedger, bucket_size::BucketSize},
 };
 use paddlemount_protocol::{
     fleet::{QuotaDigest, TenantCredit, TenantSpending},
@@ -135,8 +135,8 @@
     }
 }
 
-const ALONE: Place = Place { is_root: false, counted: Some(10), assumed: 10 };
-const ROOT: Place = Place { is_root: true, counted: Some(1), assumed: 1 };
+const ALONE: NodePosition = NodePosition { is_root: false, counted: Some(10), assumed: 10 };
+const ROOT: NodePosition = NodePosition { is_root: true, counted: Some(1), assumed: 1 };
 
 fn ledger(per_second: f64) -> QuotaLedger {
     let mut ledger = QuotaLedger::new(bounds(), true, 10);
@@ -158,7 +158,7 @@
     ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
     ledger.admit(&tenant(), 300.0, 0.5, at(210)).expect("granted");
-    ledger.answered(&digest(1.0, 50_000.0, 0.0), at(200), at(220));
+    ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(200), at(220));
     assert_eq!(level(&ledger, 220), 49_700.0);
     assert_eq!(ledger.report(at(400))[0].spent, 300.0, "what was told once is not told again");
 }
@@ -168,16 +168,16 @@
 fn frozen(sent_at: u64, now: u64) -> QuotaLedger {
     let mut ledger = ledger(100_000.0);
     ledger.tick(ALONE, at(0));
-    ledger.answered(&digest(1.0, 50_000.0, 0.0), at(10), at(20));
+    ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(10), at(20));
     assert_eq!(ledger.report(at(sent_at)).len(), 0);
-    ledger.answered(&digest(1.0, 50_000.0, 0.0), at(sent_at), at(now));
+    ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(sent_at), at(now));
     ledger
 }
 
 #[test]
 fn what_a_node_is_told_is_as_old_as_the_report_that_it_answers() {
     let ledger = frozen(200, 1_100);
-    let age = ledger.view(&tenant(), at(1_100)).expect("a quota").told_age;
+    let age = ledger.view(&tenant(), at(1_100)).expect("a quota").report_age;
     assert_eq!(age, Some(Duration::from_millis(900)));
 }
 
@@ -186,7 +186,7 @@
     // A node that stands still for 5 s between its report and the answer granted by a level of 5 s before, until the
     // next report: each of ten such nodes the whole.
     let mut ledger = frozen(200, 5_200);
-    let hundredth = Plan::of(&quota(100_000.0), &bounds()).capacity / 100.0;
+    let hundredth = BucketSize::of(&quota(100_000.0), &bounds()).capacity / 100.0;
     let granted = (0..200).filter(|_| ledger.admit(&tenant(), hundredth, 0.0, at(5_200)).is_ok()).count();
     assert!(granted <= 11, "{granted} hundredths of the capacity, over an even part and one request");
 }
@@ -195,8 +195,8 @@
 fn a_node_that_stood_still_draws_on_its_own_part_before_it_looks_at_who_is_heard() {
     let mut ledger = ledger(100_000.0);
     ledger.tick(ALONE, at(0));
-    ledger.answered(&digest(1.0, 50_000.0, 0.0), at(10), at(20));
-    let hundredth = Plan::of(&quota(100_000.0), &bounds()).capacity / 100.0;
+    ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(10), at(20));
+    let hundredth = BucketSize::of(&quota(100_000.0), &bounds()).capacity / 100.0;
     let granted = (0..200).filter(|_| ledger.admit(&tenant(), hundredth, 0.0, at(5_200)).is_ok()).count();
     assert!(granted <= 11, "{granted} hundredths of the capacity, over an even part and one request");
 }
@@ -207,7 +207,7 @@
     ledger.tick(ALONE, at(0));
     ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
-    ledger.answered(&digest(1.0, 50_000.0, 0.0), at(200), at(5_200));
+    ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(200), at(5_200));
     assert!(ledger.report(at(5_300)).iter().all(|entry| entry.spent == 0.0), "it was told");
 }
 
@@ -216,7 +216,7 @@
     let mut ledger = ledger(100_000.0);
     ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
-    ledger.unanswered();
+    ledger.report_failed();
     assert_eq!(ledger.report(at(400))[0].spent, 1_000.0);
 }
 
@@ -226,7 +226,7 @@
     let before = level(&ledger, 0);
     let grant = ledger.admit(&tenant(), 1_000.0, 0.5, at(0)).expect("granted").expect("a quota");
     assert_eq!(level(&ledger, 0), before - 1_000.0);
-    ledger.give_back(&grant);
+    ledger.refund(&grant);
     assert_eq!(level(&ledger, 0), before);
     assert!(ledger.report(at(10)).iter().all(|entry| entry.spent == 0.0));
 }
@@ -242,7 +242,7 @@
 fn a_request_larger_than_a_nodes_part_is_granted_by_a_filled_account() {
     let mut ledger = ledger(1_000.0);
     ledger.tick(ALONE, at(0));
-    let capacity = Plan::of(&quota(1_000.0), &bounds()).capacity;
+    let capacity = BucketSize::of(&quota(1_000.0), &bounds()).capacity;
     // The node's part fills up within the time that its part of the rate takes.
     ledger.tick(ALONE, at(600_000));
     ledger.admit(&tenant(), capacity * 2.0, 0.5, at(600_000)).expect("granted");
@@ -274,7 +274,7 @@
         entry("t", f64::INFINITY, 1.0),
         entry("t", 5.0, -1.0),
     ];
-    assert_eq!(ledger.reported(NodeId::from("n"), 1, report, at(1)), 4);
+    assert_eq!(ledger.receive_report(NodeId::from("n"), 1, report, at(1)), 4);
     assert_eq!(level(&ledger, 1), before);
 }
 
@@ -282,7 +282,7 @@
 fn a_lower_quota_takes_what_is_beyond_it_at_once() {
     let mut ledger = ledger(100_000.0);
     ledger.configure([(&tenant(), &quota(1_000.0))].into_iter(), at(10));
-    assert!(level(&ledger, 10) <= Plan::of(&quota(1_000.0), &bounds()).capacity);
+    assert!(level(&ledger, 10) <= BucketSize::of(&quota(1_000.0), &bounds()).capacity);
     ledger.configure(std::iter::empty(), at(20));
     assert!(ledger.is_empty());
 }
@@ -299,9 +299,10 @@
 
 #[test]
 fn a_plan_keeps_to_the_bound_also_where_it_has_no_slack() {
-    let bare = paddlemount_core::limits::ledger::plan::QuotaBounds { overage: 0.0, slack: 0.0, ..bounds() };
+    let bare =
+        paddlemount_core::limits::ledger::bucket_size::QuotaBounds { overage: 0.0, slack: 0.0, ..bounds() };
     for quota in [quota(1_000.0), TenantQuota { burst: 0.0, ..quota(1_000.0) }] {
-        let plan = Plan::of(&quota, &bare);
+        let plan = BucketSize::of(&quota, &bare);
         assert!(plan.capacity > 0.0 && plan.rate > 0.0);
         assert!(plan.rate * 8.0 + plan.capacity < bare.most(&quota));
     }
@@ -317,17 +318,17 @@
             match kind % 7 {
                 0 => drop(ledger.admit(&tenant(), f64::from(*figure), 0.3, at(now))),
                 1 => drop(ledger.report(at(now))),
-                2 => ledger.answered(
+                2 => ledger.report_answered(
                     &digest(f64::from(*signed), f64::from(*signed), f64::from(*signed)),
                     at(now),
                     at(now),
                 ),
-                3 => ledger.unanswered(),
+                3 => ledger.report_failed(),
                 4 => ledger.tick(ALONE, at(now)),
                 5 => ledger.tick(ROOT, at(now)),
                 _ => {
                     let entry = TenantSpending { tenant: tenant(), spent: f64::from(*signed), demand: 1.0 };
-                    ledger.reported(NodeId::from("n"), *figure, vec![entry], at(now));
+                    ledger.receive_report(NodeId::from("n"), *figure, vec![entry], at(now));
                 }
             }
             assert!(level(&ledger, now).is_finite());
--- a/crates/core/tests/quota_support/mod.rs
+++ b/crates/core/tests/quota_support/mod.rs
@@ -8,7 +8,7 @@
     forwarding::document::{QuotaUnit, TenantQuota},
     limits::{
         LimitSettings, Limits, RequestCost,
-        ledger::{Place, QuotaGrant, QuotaLedger, plan::QuotaBounds},
+        ledger::{NodePosition, QuotaGrant, QuotaLedger, bucket_size::QuotaBounds},
     },
 };
 use paddlemount_protocol::{
@@ -241,7 +241,7 @@
             self.nodes[index].next_report = self.now + PERIOD + delay;
             let now = self.time();
             let is_root = index == self.root && self.is_up(index) && self.way != Way::EvenParts;
-            self.nodes[index].ledger.tick(Place { is_root, counted, assumed: 64 }, now);
+            self.nodes[index].ledger.tick(NodePosition { is_root, counted, assumed: 64 }, now);
             if self.way == Way::SharesByDemand {
                 self.tell_shares(index, now);
                 continue;
@@ -251,11 +251,11 @@
             }
             let Some(parent) = self.parent(index) else { continue };
             let report = self.nodes[index].ledger.report(now);
-            let heard = self.nodes[index].ledger.heard();
+            let heard = self.nodes[index].ledger.reporting_nodes();
             let name = NodeId::from(format!("n{index}").as_str());
-            self.nodes[parent].ledger.reported(name, heard, report, now);
+            self.nodes[parent].ledger.receive_report(name, heard, report, now);
             let digest = self.nodes[parent].ledger.digest(now);
-            self.nodes[index].ledger.answered(&digest, now, now);
+            self.nodes[index].ledger.report_answered(&digest, now, now);
         }
     }
 
--- a/crates/forward/src/journal.rs
+++ b/crates/forward/src/journal.rs
@@ -246,7 +246,7 @@
             level: view.level as i64,
             demand: view.demand as u64,
             part: view.part,
-            told_age_ms: view.told_age.map(|age| age.as_millis() as u64),
+            told_age_ms: view.report_age.map(|age| age.as_millis() as u64),
         }
     }
 }
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/learning.rs
@@ -166,7 +166,7 @@
         let present: BTreeSet<Subject> = facts.iter().filter_map(Fact::subject).collect();
         let beliefs = self.beliefs.borrow();
         let backends = beliefs.backends.iter().map(|backend| Subject::Backend(backend.entry.id.clone()));
-        let held = beliefs.quarantine.in_store().map(|fingerprint| Subject::Held(*fingerprint));
+        let held = beliefs.quarantine.stored_holds().map(|fingerprint| Subject::Held(*fingerprint));
         let leader = beliefs.leader.iter().map(|_| Subject::Leader);
         backends.chain(held).chain(leader).filter(|subject| !present.contains(subject)).collect()
     }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -13,7 +13,7 @@
         planned_stop::PlannedStop,
     },
     health::{HealthEvent, HealthVerdict},
-    limits::ledger::{Place, QuotaGrant},
+    limits::ledger::{NodePosition, QuotaGrant},
 };
 use paddlemount_protocol::{
     era::StoreEra,
@@ -184,7 +184,7 @@
     /// Gives back what was granted of a quota to a request that has not run.
     pub fn give_back(&self, grant: Option<QuotaGrant>) {
         if let Some(grant) = grant {
-            self.beliefs.borrow_mut().quotas.give_back(&grant);
+            self.beliefs.borrow_mut().quotas.refund(&grant);
         }
     }
 
@@ -283,7 +283,7 @@
     pub fn tick_quotas(&self) {
         let nodes = self.nodes();
         let assumed = nodes.recorded.unwrap_or(nodes.assumed);
-        let place = Place { is_root: self.token().is_some(), counted: nodes.counted, assumed };
+        let place = NodePosition { is_root: self.token().is_some(), counted: nodes.counted, assumed };
         let now = self.now();
         self.beliefs.borrow_mut().quotas.tick(place, now);
     }
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{HeaderValue, Request, StatusCode, header};
-use paddlemount_core::{forwarding::uplink::Turn, quarantine::MOST_REPORTED};
+use paddlemount_core::{forwarding::uplink::Turn, quarantine::MAX_REPORTED_EVENTS};
 use paddlemount_protocol::{
     fleet::{Contact, Digest, EXCHANGE_PATH, InForce, JOIN_PATH, JoinAnswer, Report},
     identity::Revision,
@@ -214,7 +214,7 @@
         let mut beliefs = node.beliefs.borrow_mut();
         let mut peers = node.peers.as_ref()?.borrow_mut();
         let (log, cursor) = self.cursor.get();
-        let runs = beliefs.quarantine.report(self.runs_told.get(), MOST_REPORTED, now);
+        let runs = beliefs.quarantine.report(self.runs_told.get(), MAX_REPORTED_EVENTS, now);
         let report = Report {
             runs: runs.report,
             sender: peers.fleet.me().clone(),
@@ -232,7 +232,7 @@
             in_force: beliefs.in_force(),
             rising,
         };
-        Some((report, runs.upto))
+        Some((report, runs.last_event))
     }
 
     fn take(&self, node: &Node, digest: Digest, revision: Option<Revision>, sent_at: Timestamp) {
@@ -258,7 +258,7 @@
 
     fn failed(&self, node: &Node, problem: String) {
         node.metrics.count(Counter::PeerCalls("failed"));
-        node.beliefs.borrow_mut().quotas.unanswered();
+        node.beliefs.borrow_mut().quotas.report_failed();
         node.journal.tell(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
         if let Some(peers) = &node.peers {
             peers.borrow_mut().fleet.uplink.failed(&self.parent.node, node.now());
--- a/crates/forward/src/peers/intake.rs
+++ b/crates/forward/src/peers/intake.rs
@@ -27,8 +27,8 @@
             }
             beliefs.chooser.loads.told(digest.work.clone());
             match &digest.quotas {
-                Some(quotas) => beliefs.quotas.answered(quotas, sent_at, now),
-                None => beliefs.quotas.unanswered(),
+                Some(quotas) => beliefs.quotas.report_answered(quotas, sent_at, now),
+                None => beliefs.quotas.report_failed(),
             }
             beliefs.backends.set_loading(&digest.loading, sent_at + LOADING);
         }
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -145,7 +145,7 @@
         peers.news.learned(news.clone());
     }
     let child = report.sender.node;
-    let passed_over = beliefs.quotas.reported(child.clone(), report.heard, report.spending, now);
+    let passed_over = beliefs.quotas.receive_report(child.clone(), report.heard, report.spending, now);
     if passed_over > 0 {
         node.metrics.add(Counter::SpendingPassedOver, passed_over as u64);
     }
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -16,7 +16,7 @@
 use paddlemount_core::{
     forwarding::backends::BackendId,
     health::HealthEvent,
-    quarantine::{Crash, HOLD, HeldBy},
+    quarantine::{Crash, HOLD_DURATION, HoldSource},
 };
 use paddlemount_protocol::{
     quarantine::{HeldRequest, QuarantineDigest, RequestFingerprint, RunReport},
@@ -90,7 +90,7 @@
     pub fn runs_reported(&self, report: RunReport) {
         let completed: Vec<RequestFingerprint> =
             report.completed.iter().map(|completed| completed.fingerprint).collect();
-        let released = self.beliefs.borrow_mut().quarantine.reported(report, self.now());
+        let released = self.beliefs.borrow_mut().quarantine.receive_report(report, self.now());
         released.into_iter().for_each(|fingerprint| self.release(fingerprint));
         if self.token().is_some() {
             self.conclude_quarantine();
@@ -103,11 +103,11 @@
 
     /// The node above tells what is held back.
     pub fn quarantine_told(&self, digest: QuarantineDigest) {
-        let news = self.beliefs.borrow_mut().quarantine.told(digest, self.now());
+        let news = self.beliefs.borrow_mut().quarantine.receive_digest(digest, self.now());
         for fingerprint in news {
             self.tell_hold(
                 &HeldLine { fingerprint: fingerprint.to_string(), ..HeldLine::default() },
-                HeldBy::Told,
+                HoldSource::Parent,
             );
         }
     }
@@ -116,7 +116,7 @@
     pub fn quarantine_stored(&self, request: &HeldRequest) {
         let news = self.beliefs.borrow_mut().quarantine.stored(request.fingerprint, self.now());
         if news {
-            self.tell_hold(&HeldLine::from(request), HeldBy::Stored);
+            self.tell_hold(&HeldLine::from(request), HoldSource::Stored);
         }
     }
 
@@ -130,7 +130,8 @@
 
     /// The metadata store was listed anew and holds back only these.
     pub fn quarantine_listed(&self, present: &[RequestFingerprint]) {
-        let known: Vec<RequestFingerprint> = self.beliefs.borrow().quarantine.in_store().copied().collect();
+        let known: Vec<RequestFingerprint> =
+            self.beliefs.borrow().quarantine.stored_holds().copied().collect();
         for fingerprint in known.iter().filter(|fingerprint| !present.contains(fingerprint)) {
             self.quarantine_released(fingerprint);
         }
@@ -165,7 +166,7 @@
         let me = self.settings().node.clone();
         let held = self.beliefs.borrow_mut().quarantine.conclude(&me, self.now());
         for request in held {
-            self.tell_hold(&HeldLine::from(&request), HeldBy::Counted);
+            self.tell_hold(&HeldLine::from(&request), HoldSource::Counted);
             // The store may come back from a copy without it before it has told that it keeps it.
             self.beliefs.borrow_mut().held.insert(request.fingerprint, request.clone());
             self.change(Change::Keep(request));
@@ -181,9 +182,13 @@
         self.quarantine_work.changed.notify_one();
     }
 
-    fn tell_hold(&self, line: &HeldLine, by: HeldBy) {
+    fn tell_hold(&self, line: &HeldLine, by: HoldSource) {
         self.metrics.count(Counter::RequestsHeld);
-        self.journal.tell(&Event::RequestHeld { held: line, known_by: label(by), for_s: HOLD.as_secs() });
+        self.journal.tell(&Event::RequestHeld {
+            held: line,
+            known_by: label(by),
+            for_s: HOLD_DURATION.as_secs(),
+        });
     }
 
     fn tell_release(&self, fingerprint: &RequestFingerprint, why: &'static str) {
@@ -259,7 +264,7 @@
             return Ok(());
         }
     };
-    let granted = ask_store(node, &StoreCall::Grant { ttl: HOLD }, PATIENCE).await?;
+    let granted = ask_store(node, &StoreCall::Grant { ttl: HOLD_DURATION }, PATIENCE).await?;
     let StoreAnswer::Lease { lease, .. } = granted else { return Err(StoreError::Unexpected) };
     let hold = StoreCall::Hold { request: Box::new(request), lease };
     // Where no answer comes the hold may be kept: ending its lease would release the request at all nodes.
@@ -271,10 +276,10 @@
     }
 }
 
-const fn label(by: HeldBy) -> &'static str {
+const fn label(by: HoldSource) -> &'static str {
     match by {
-        HeldBy::Counted => "counted here",
-        HeldBy::Stored => "the store",
-        HeldBy::Told => "the node above",
+        HoldSource::Counted => "counted here",
+        HoldSource::Stored => "the store",
+        HoldSource::Parent => "the node above",
     }
 }
--- a/crates/forward/src/settings/mod.rs
+++ b/crates/forward/src/settings/mod.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
-use paddlemount_core::{forwarding::children::fan_in, limits::ledger::plan::QuotaBounds};
+use paddlemount_core::{forwarding::children::fan_in, limits::ledger::bucket_size::QuotaBounds};
 use paddlemount_protocol::identity::{NodeId, ZoneId};
 use serde::Deserialize;
 
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -91,7 +91,7 @@
     pub fn take_item(&self, item: &PiggybackItem, now: Timestamp) {
         match serde_json::from_value::<RunReport>(item.body.clone()) {
             Ok(report) => {
-                for fingerprint in self.lock().reported(report, now) {
+                for fingerprint in self.lock().receive_report(report, now) {
                     log::info!(
                         "request {fingerprint} is no longer held back: a try of it came to its end elsewhere"
                     );
@@ -168,7 +168,7 @@
             let known = state.quarantine.lock();
             let news = known.report(told, NEWS_IN_ITEM, now);
             // Behind the last one it begins anew: a node that starts has heard none of them.
-            told = if news.report == RunReport::default() { 0 } else { news.upto };
+            told = if news.report == RunReport::default() { 0 } else { news.last_event };
             news.report
         };
         if news != RunReport::default()
