--- a/crates/bench/src/drill/bookings.rs
+++ b/crates/bench/src/drill/bookings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use paddlemount_core::claims::{
-    ClaimAction, ClaimCoordinator, ClaimEnding, ClaimEvent, ClaimSettings, ClaimedRequest, RunResult,
+    ClaimAction, ClaimCoordinator, ClaimEvent, ClaimOutcome, ClaimSettings, ClaimedRequest, RunResult,
     claim_key, fingerprint, placement::replicas_of,
 };
 use paddlemount_protocol::{
@@ -41,7 +41,7 @@
         let may_serve = unguarded || memory.peers.may_serve(now);
         let Some(document) = document.filter(|_| may_serve && !stopping) else {
             let refusal = Refusal::unknown(RefusalCode::Unavailable, "the node cannot serve now");
-            return self.end_booking(key, attempt, ClaimEnding::Refused(refusal), now);
+            return self.end_booking(key, attempt, ClaimOutcome::Refused(refusal), now);
         };
         let placement = &document.configuration.claims;
         let claim = claim_key(&TenantId::from("kestrel"), &IdempotencyKey::from(key));
@@ -158,7 +158,7 @@
         let others_left = active.dispatches < DISPATCHES;
         let message = "the service did not take it".to_owned();
         let result = RunResult::NotRun { code, message, others_left };
-        self.claim_event(at, owner, ClaimEvent::Ran(result), now);
+        self.claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
     }
 
     /// A booking arrives at its back end, which runs whatever it is sent.
@@ -204,7 +204,7 @@
     ) {
         match answer {
             Ok(answer) => {
-                self.claim_event(at, owner, ClaimEvent::Ran(RunResult::Completed { answer }), now);
+                self.claim_event(at, owner, ClaimEvent::DispatchEnded(RunResult::Completed { answer }), now);
             }
             Err(_) => self.not_run(at, owner, RefusalCode::Overloaded, now),
         }
@@ -223,12 +223,12 @@
         } else {
             RunResult::Unknown { message }
         };
-        self.claim_event(at, owner, ClaimEvent::Ran(result), now);
+        self.claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
     }
 
-    fn end_booking(&mut self, key: &str, attempt: usize, ending: ClaimEnding, now: Timestamp) {
+    fn end_booking(&mut self, key: &str, attempt: usize, ending: ClaimOutcome, now: Timestamp) {
         self.history.note(now, key, format!("try {attempt} ends: {ending:?}"));
-        if let ClaimEnding::Refused(refusal) = &ending
+        if let ClaimOutcome::Refused(refusal) = &ending
             && refusal.outcome == Outcome::NotRun
         {
             self.history.bookings.entry(key.to_owned()).or_default().not_run_at.push(now);
--- a/crates/bench/src/drill/callers.rs
+++ b/crates/bench/src/drill/callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use paddlemount_core::claims::ClaimEnding;
+use paddlemount_core::claims::ClaimOutcome;
 use paddlemount_protocol::{
     configuration::{Change, ChangeRequest, Configuration, Pool, Tenant},
     identity::{
@@ -133,19 +133,19 @@
     }
 
     /// A try has ended, or the caller has waited long enough: it asks again with the same key.
-    pub fn booking_ended(&mut self, key: &str, attempt: usize, ending: Option<ClaimEnding>, now: Timestamp) {
+    pub fn booking_ended(&mut self, key: &str, attempt: usize, ending: Option<ClaimOutcome>, now: Timestamp) {
         let booking = self.history.bookings.entry(key.to_owned()).or_default();
         if attempt >= booking.endings.len() {
             return;
         }
         let first = booking.endings[attempt].is_none();
         let again = match ending {
-            Some(ClaimEnding::Answered { answer, .. }) => {
+            Some(ClaimOutcome::Answered { answer, .. }) => {
                 booking.endings[attempt] = Some(Outcome::Completed);
                 booking.answers.push(answer);
                 false
             }
-            Some(ClaimEnding::Refused(refusal)) => {
+            Some(ClaimOutcome::Refused(refusal)) => {
                 booking.endings[attempt] = Some(refusal.outcome);
                 !matches!(refusal.code, RefusalCode::KeyReused | RefusalCode::InvalidRequest)
             }
--- a/crates/bench/src/drill/event.rs
+++ b/crates/bench/src/drill/event.rs
@@ -1,7 +1,7 @@
 //! What happens in the simulated cluster.
 
 use paddlemount_core::{
-    claims::ClaimEnding,
+    claims::ClaimOutcome,
     configuration::change::StoreFailure,
     lease::LeaseRequest,
     membership::CallId,
@@ -122,7 +122,7 @@
     /// A caller sends a booking, for the first time or again.
     AskBooking { key: String, attempt: usize },
     /// A caller has its answer, or has waited long enough.
-    BookingEnded { key: String, attempt: usize, ending: Option<ClaimEnding> },
+    BookingEnded { key: String, attempt: usize, ending: Option<ClaimOutcome> },
     /// An operator asks for a change.
     AskChange { node: usize, request: Box<ChangeRequest> },
     /// Two operators race.
--- a/crates/bench/src/experiment/nodes.rs
+++ b/crates/bench/src/experiment/nodes.rs
@@ -244,7 +244,7 @@
     pub(super) fn end_request(&mut self, request: u64, ending: RequestEnding, now: Timestamp) {
         let Some(open) = self.requests.remove(&request) else { return };
         self.metrics.ended(open.workload.sent_at, open.group, ending);
-        self.apply_admission(open.node, AdmissionEvent::Left { ticket: open.id }, now);
+        self.apply_admission(open.node, AdmissionEvent::Cancelled { ticket: open.id }, now);
     }
 
     /// A node loses everything; callers with requests there send them again to another node.
--- a/crates/bench/src/experiment/overload.rs
+++ b/crates/bench/src/experiment/overload.rs
@@ -131,7 +131,7 @@
         let expected = Duration::from_secs_f64(prefill + step + 2.0 * distance);
         let queueing = now.saturating_since(open.dispatched_at).saturating_sub(expected);
         let (node, ticket) = (open.node, open.id.clone());
-        self.apply_admission(node, AdmissionEvent::Begun { ticket, queueing }, now);
+        self.apply_admission(node, AdmissionEvent::FirstToken { ticket, queueing }, now);
     }
 
     /// Whether a node's budget allows one more try of a request.
--- a/crates/bench/tests/hollow_cluster.rs
+++ b/crates/bench/tests/hollow_cluster.rs
@@ -39,7 +39,7 @@
 fn every_node_learns_every_member_and_the_configuration() {
     let cluster = cluster(12, 0.01);
     for index in 0..12 {
-        assert_eq!(cluster.peers(index).unwrap().members().living().count(), 12);
+        assert_eq!(cluster.peers(index).unwrap().members().live().count(), 12);
         assert_eq!(revision(&cluster, index), Revision(1));
         assert!(serves(&cluster, index));
     }
--- a/crates/core/src/admission/concurrency.rs
+++ b/crates/core/src/admission/concurrency.rs
@@ -9,7 +9,7 @@
 use paddlemount_protocol::time::Timestamp;
 
 /// How many times its length an interval lasts at most while observations are few.
-pub const LONGEST_INTERVAL: u32 = 5;
+pub const MAX_INTERVAL_FACTOR: u32 = 5;
 
 /// Settings of a [`ConcurrencyLimit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,7 +18,7 @@
     pub target_queueing: Duration,
     /// Time over which observations are averaged; the limit changes once in it at most.
     pub interval: Duration,
-    /// Observations that an average needs; with fewer, the interval goes on up to [`LONGEST_INTERVAL`] times its length.
+    /// Observations that an average needs; with fewer, the interval goes on up to [`MAX_INTERVAL_FACTOR`] times its length.
     pub samples: u32,
     /// Requests that are added after an interval in which the limit held requests back.
     pub increase: f64,
@@ -48,7 +48,7 @@
     decreased: Timestamp,
     samples: u32,
     queueing: Duration,
-    held_back: bool,
+    reached: bool,
 }
 
 impl ConcurrencyLimit {
@@ -65,7 +65,7 @@
             decreased: now,
             samples: 0,
             queueing: Duration::ZERO,
-            held_back: false,
+            reached: false,
         }
     }
 
@@ -84,8 +84,8 @@
     }
 
     /// A request had to wait because the limit was reached.
-    pub const fn held_back(&mut self) {
-        self.held_back = true;
+    pub const fn mark_reached(&mut self) {
+        self.reached = true;
     }
 
     /// A request that was sent at `sent` queued at its engine for `queueing`.
@@ -97,7 +97,7 @@
         }
         let passed = now.saturating_since(self.interval_start);
         let enough = passed >= self.settings.interval && self.samples >= self.settings.samples;
-        let longest = passed >= self.settings.interval * LONGEST_INTERVAL && self.samples > 0;
+        let longest = passed >= self.settings.interval * MAX_INTERVAL_FACTOR && self.samples > 0;
         if enough || longest {
             self.close_interval(now);
         }
@@ -110,12 +110,12 @@
             let factor = (target / mean).max(self.settings.decrease);
             self.limit = (self.limit * factor).max(1.0);
             self.decreased = now;
-        } else if self.held_back {
+        } else if self.reached {
             self.limit = (self.limit + self.settings.increase).min(self.ceiling);
         }
         self.interval_start = now;
         self.samples = 0;
         self.queueing = Duration::ZERO;
-        self.held_back = false;
+        self.reached = false;
     }
 }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -28,7 +28,7 @@
     /// Requests that wait for one pool at most.
     pub queue_length: usize,
     /// The longest that a request waits here.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
     /// Part of the limit that only tenants below their fair share may use, from 0.0 to 1.0.
     pub reserved_part: f64,
     /// Settings of the limit of requests in flight.
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             queue_length: 256,
-            longest_wait: Duration::from_secs(2),
+            max_wait: Duration::from_secs(2),
             reserved_part: 0.1,
             concurrency: ConcurrencySettings::default(),
         }
@@ -82,7 +82,7 @@
     /// A request asks to run.
     Submit(AdmissionRequest),
     /// The first token of a running request arrived.
-    Begun {
+    FirstToken {
         /// The request.
         ticket: RequestId,
         /// How long it queued at its engine: time to the first token less prefill and distance.
@@ -94,7 +94,7 @@
         ticket: RequestId,
     },
     /// The caller of a waiting or running request has left.
-    Left {
+    Cancelled {
         /// The request.
         ticket: RequestId,
     },
@@ -157,9 +157,11 @@
                 self.set_pool(pool, slots, nodes, now, &mut actions)
             }
             AdmissionEvent::Submit(request) => self.submit(request, now, &mut actions),
-            AdmissionEvent::Begun { ticket, queueing } => self.begun(&ticket, queueing, now, &mut actions),
+            AdmissionEvent::FirstToken { ticket, queueing } => {
+                self.first_token(&ticket, queueing, now, &mut actions)
+            }
             AdmissionEvent::Ended { ticket } => self.ended(&ticket, now, &mut actions),
-            AdmissionEvent::Left { ticket } => self.left(&ticket, now, &mut actions),
+            AdmissionEvent::Cancelled { ticket } => self.cancelled(&ticket, now, &mut actions),
             AdmissionEvent::Tick => self.tick(now, &mut actions),
         }
         actions
@@ -204,7 +206,7 @@
             actions.push(AdmissionAction::Refuse { ticket: request.ticket, refusal });
             return;
         };
-        let (latest_start, by_deadline) = latest_start(&request, self.settings.longest_wait, now);
+        let (latest_start, by_deadline) = latest_start(&request, self.settings.max_wait, now);
         let predicted = state.predicted_wait(&request.tenant, request.weight);
         if now + predicted > latest_start || latest_start < now {
             let refusal = state.refusal(by_deadline, "it could not begin in time");
@@ -212,7 +214,7 @@
             return;
         }
         if state.queue.len() >= self.settings.queue_length {
-            let Some(victim) = state.queue.make_room_for(&request.tenant, request.weight) else {
+            let Some(victim) = state.queue.evict_for(&request.tenant, request.weight) else {
                 let refusal = state.refusal(false, "the queue is full");
                 actions.push(AdmissionAction::Refuse { ticket: request.ticket, refusal });
                 return;
@@ -232,7 +234,7 @@
         self.dispatch(&request.pool, now, actions);
     }
 
-    fn begun(
+    fn first_token(
         &mut self,
         ticket: &RequestId,
         queueing: Duration,
@@ -253,7 +255,7 @@
         self.dispatch(&running.pool, now, actions);
     }
 
-    fn left(&mut self, ticket: &RequestId, now: Timestamp, actions: &mut Vec<AdmissionAction>) {
+    fn cancelled(&mut self, ticket: &RequestId, now: Timestamp, actions: &mut Vec<AdmissionAction>) {
         if self.running.contains_key(ticket) {
             self.ended(ticket, now, actions);
             return;
@@ -288,13 +290,13 @@
             actions.push(AdmissionAction::Run { ticket: waiting.ticket, waited, priority });
         }
         if !state.queue.is_empty() {
-            state.limit.held_back();
+            state.limit.mark_reached();
         }
     }
 }
 
-fn latest_start(request: &AdmissionRequest, longest_wait: Duration, now: Timestamp) -> (Timestamp, bool) {
-    let by_wait = now + longest_wait;
+fn latest_start(request: &AdmissionRequest, max_wait: Duration, now: Timestamp) -> (Timestamp, bool) {
+    let by_wait = now + max_wait;
     match request.deadline.map(|deadline| deadline - request.predicted_start) {
         Some(by_deadline) if by_deadline < by_wait => (by_deadline, true),
         _ => (by_wait, false),
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -143,7 +143,7 @@
     }
 
     /// Removes the newest request of the tenant with the most waiting for its weight, where that is more than `tenant` would have with one more.
-    pub fn make_room_for(&mut self, tenant: &TenantId, weight: u32) -> Option<Waiting> {
+    pub fn evict_for(&mut self, tenant: &TenantId, weight: u32) -> Option<Waiting> {
         let load = |waiting: usize, weight: u32| waiting as f64 / f64::from(weight.max(1));
         let longest = self.tenants.iter().filter(|(_, queue)| queue.len() > 0);
         let longest = longest.max_by(|(_, left), (_, right)| {
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -12,7 +12,7 @@
 mod replica;
 mod verdict;
 
-pub use coordinator::{ClaimAction, ClaimCoordinator, ClaimEnding, ClaimEvent, ClaimedRequest, RunResult};
+pub use coordinator::{ClaimAction, ClaimCoordinator, ClaimEvent, ClaimOutcome, ClaimedRequest, RunResult};
 pub use key::{InvalidKey, claim_key, fingerprint, issued_at};
 pub use reconfiguration::{Reconfiguration, ReconfigurationAction};
 pub use replica::{ClaimReplica, ReplicaUsage};
@@ -25,7 +25,7 @@
     /// How far the clocks of two machines may differ.
     pub clock_skew: Duration,
     /// Keys issued longer ago are refused, and what is known of them is forgotten.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Claims that a replica remembers at most; beyond, the oldest go first.
     pub max_entries: usize,
     /// Bytes of kept answers at most; beyond, the oldest claims go first.
@@ -40,7 +40,7 @@
     fn default() -> Self {
         Self {
             clock_skew: Duration::from_secs(1),
-            keep: Duration::from_secs(600),
+            retention: Duration::from_secs(600),
             max_entries: 20_000,
             max_bytes: 16 * 1024 * 1024,
             max_answer_bytes: 16 * 1024,
--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -52,7 +52,7 @@
         replica: NodeId,
     },
     /// A back end's answer to the dispatch.
-    Ran(RunResult),
+    DispatchEnded(RunResult),
     /// Time has passed.
     Tick,
 }
@@ -96,18 +96,18 @@
     /// Report [`ClaimEvent::Tick`] at this time.
     WakeAt(Timestamp),
     /// Give the caller its answer.
-    End(ClaimEnding),
+    End(ClaimOutcome),
 }
 
 /// What the caller is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ClaimEnding {
+pub enum ClaimOutcome {
     /// The whole answer.
     Answered {
         /// The answer's body as JSON text.
         answer: String,
         /// Whether it is the kept answer of an earlier try.
-        again: bool,
+        replayed: bool,
     },
     /// No answer.
     Refused(Refusal),
@@ -179,7 +179,7 @@
             ClaimEvent::Replied { replica, reply } => self.replied(replica, Some(reply), now),
             ClaimEvent::Unreachable { replica } => self.unreachable(replica, now),
             ClaimEvent::Noted { replica } => self.noted(replica),
-            ClaimEvent::Ran(result) => self.ran(result, now),
+            ClaimEvent::DispatchEnded(result) => self.dispatch_ended(result, now),
             ClaimEvent::Tick => self.tick(now),
         }
     }
@@ -283,7 +283,7 @@
     }
 
     /// Ends a request that this try has not run and never will.
-    fn give_up(&mut self, ending: ClaimEnding) -> Vec<ClaimAction> {
+    fn give_up(&mut self, ending: ClaimOutcome) -> Vec<ClaimAction> {
         self.phase = Phase::Ended;
         let mut actions = self.release();
         actions.push(ClaimAction::End(ending));
@@ -306,14 +306,14 @@
         })
     }
 
-    fn ran(&mut self, result: RunResult, now: Timestamp) -> Vec<ClaimAction> {
+    fn dispatch_ended(&mut self, result: RunResult, now: Timestamp) -> Vec<ClaimAction> {
         match (self.phase, result) {
             (Phase::Running, RunResult::Completed { answer }) => self.completed(answer, now),
             (Phase::Running, RunResult::NotRun { others_left: true, .. }) if now < self.request.deadline => {
                 vec![ClaimAction::Dispatch]
             }
             (Phase::Running, RunResult::NotRun { code, message, .. }) => {
-                self.give_up(ClaimEnding::Refused(Refusal::not_run(code, message)))
+                self.give_up(ClaimOutcome::Refused(Refusal::not_run(code, message)))
             }
             (Phase::Running, RunResult::Unknown { message }) => {
                 self.end_unknown(Refusal::unknown(RefusalCode::BackendFailed, message))
@@ -339,7 +339,7 @@
     fn end_unknown(&mut self, refusal: Refusal) -> Vec<ClaimAction> {
         self.phase = Phase::EndedUnknown;
         let mut actions = self.record(RecordedEnding::Unknown);
-        actions.push(ClaimAction::End(ClaimEnding::Refused(refusal)));
+        actions.push(ClaimAction::End(ClaimOutcome::Refused(refusal)));
         actions
     }
 
@@ -358,7 +358,7 @@
         self.phase = Phase::Ended;
         let answer = self.answer.take();
         answer
-            .map(|answer| ClaimAction::End(ClaimEnding::Answered { answer, again: false }))
+            .map(|answer| ClaimAction::End(ClaimOutcome::Answered { answer, replayed: false }))
             .into_iter()
             .collect()
     }
--- a/crates/core/src/claims/reconfiguration.rs
+++ b/crates/core/src/claims/reconfiguration.rs
@@ -3,7 +3,7 @@
 //! 1. The configuration names the `next` members; members of the present epoch that learn of it grant nothing more.
 //! 2. Whoever drives the change asks each present member to seal the epoch. Once a majority *of every
 //!    possible replica set* has sealed, no further claim can be granted under it.
-//! 3. After `settle`, in which nodes with an older configuration stop to serve, the next epoch begins.
+//! 3. After `settle_time`, in which nodes with an older configuration stop to serve, the next epoch begins.
 //!    Its members refuse keys issued before they adopt it.
 
 use std::{collections::BTreeSet, time::Duration};
@@ -35,15 +35,15 @@
 pub struct Reconfiguration {
     placement: ClaimPlacement,
     sealed: BTreeSet<NodeId>,
-    settle: Duration,
+    settle_time: Duration,
     sealed_at: Option<Timestamp>,
 }
 
 impl Reconfiguration {
     /// Begins to end the epoch of `placement`; none where no next members are named.
-    pub fn begin(placement: ClaimPlacement, settle: Duration) -> Option<Self> {
+    pub fn begin(placement: ClaimPlacement, settle_time: Duration) -> Option<Self> {
         placement.next.as_ref()?;
-        Some(Self { placement, sealed: BTreeSet::new(), settle, sealed_at: None })
+        Some(Self { placement, sealed: BTreeSet::new(), settle_time, sealed_at: None })
     }
 
     /// A member has sealed, or the machine list no longer names its machine: a machine that is gone grants
@@ -61,7 +61,7 @@
     pub fn tick(&self, now: Timestamp) -> Vec<ReconfigurationAction> {
         match self.sealed_at {
             None => self.ask_to_seal(),
-            Some(sealed_at) if now >= sealed_at + self.settle => vec![self.activate()],
+            Some(sealed_at) if now >= sealed_at + self.settle_time => vec![self.activate()],
             Some(_) => Vec::new(),
         }
     }
--- a/crates/core/src/claims/replica.rs
+++ b/crates/core/src/claims/replica.rs
@@ -173,7 +173,7 @@
         now: Timestamp,
     ) {
         let Ok(issued) = key::issued_at(&key.key) else { return };
-        let forgotten = issued <= now - self.settings.keep;
+        let forgotten = issued <= now - self.settings.retention;
         let other_completed = self.entries.get(key).is_some_and(|entry| {
             entry.owner != *owner
                 && matches!(entry.state, EntryState::Ended(RecordedEnding::Completed { .. }))
@@ -236,7 +236,7 @@
 
     /// Drops claims that are older than the stated age, and the oldest where memory is full.
     fn forget(&mut self, now: Timestamp) {
-        self.raise_floor(now - self.settings.keep);
+        self.raise_floor(now - self.settings.retention);
         while self.entries.len() > self.settings.max_entries || self.bytes > self.settings.max_bytes {
             let Some((issued, _)) = self.by_age.first() else { return };
             let issued = *issued;
--- a/crates/core/src/claims/verdict.rs
+++ b/crates/core/src/claims/verdict.rs
@@ -11,14 +11,14 @@
     refusal::{Outcome, Refusal, RefusalCode},
 };
 
-use super::ClaimEnding;
+use super::ClaimOutcome;
 
 type Replies = BTreeMap<NodeId, Option<ClaimReply>>;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What a single reply settles: the kept answer, or that the key belongs to another request.
-pub(super) fn known_ending(replies: &Replies, asked: Fingerprint) -> Option<ClaimEnding> {
+pub(super) fn known_ending(replies: &Replies, asked: Fingerprint) -> Option<ClaimOutcome> {
     replies.values().flatten().find_map(|reply| match reply {
         ClaimReply::Held { fingerprint } | ClaimReply::Ended { fingerprint, .. } if *fingerprint != asked => {
             Some(refused(
@@ -31,10 +31,10 @@
     })
 }
 
-fn kept(answer: Option<&String>) -> ClaimEnding {
+fn kept(answer: Option<&String>) -> ClaimOutcome {
     match answer {
-        Some(answer) => ClaimEnding::Answered { answer: answer.clone(), again: true },
-        None => ClaimEnding::Refused(Refusal {
+        Some(answer) => ClaimOutcome::Answered { answer: answer.clone(), replayed: true },
+        None => ClaimOutcome::Refused(Refusal {
             code: RefusalCode::TooLarge,
             outcome: Outcome::Completed,
             message: "the request has run to its end; its answer was too large to be kept".to_owned(),
@@ -44,7 +44,7 @@
 }
 
 /// Why no majority granted the claim; the reply that tells the caller most goes first.
-pub(super) fn not_granted(replies: &Replies) -> ClaimEnding {
+pub(super) fn not_granted(replies: &Replies) -> ClaimOutcome {
     let has = |test: fn(&ClaimReply) -> bool| replies.values().flatten().any(test);
     if has(|reply| matches!(reply, ClaimReply::Ended { .. })) {
         return refused(
@@ -80,7 +80,7 @@
 }
 
 /// The caller's deadline passed before the claim was granted.
-pub(super) fn deadline_exceeded() -> ClaimEnding {
+pub(super) fn deadline_exceeded() -> ClaimOutcome {
     refused(
         RefusalCode::DeadlineExceeded,
         "the deadline passed before the idempotency key was claimed: ask again with the same key",
@@ -95,10 +95,10 @@
     )
 }
 
-fn refused(code: RefusalCode, message: &str) -> ClaimEnding {
-    ClaimEnding::Refused(Refusal::unknown(code, message))
+fn refused(code: RefusalCode, message: &str) -> ClaimOutcome {
+    ClaimOutcome::Refused(Refusal::unknown(code, message))
 }
 
-fn refused_for_now(code: RefusalCode, message: &str) -> ClaimEnding {
-    ClaimEnding::Refused(Refusal::unknown(code, message).with_retry_after(RETRY_AFTER))
+fn refused_for_now(code: RefusalCode, message: &str) -> ClaimOutcome {
+    ClaimOutcome::Refused(Refusal::unknown(code, message).with_retry_after(RETRY_AFTER))
 }
--- a/crates/core/src/configuration/apply.rs
+++ b/crates/core/src/configuration/apply.rs
@@ -137,7 +137,7 @@
 /// # Errors
 ///
 /// The identity was used for another change than `change`.
-pub fn find_made(
+pub fn find_applied(
     current: &RevisedConfiguration,
     id: &ChangeId,
     change: &Change,
--- a/crates/core/src/configuration/change.rs
+++ b/crates/core/src/configuration/change.rs
@@ -11,10 +11,10 @@
     time::Timestamp,
 };
 
-use super::apply::{evaluate, find_made, remembers_since};
+use super::apply::{evaluate, find_applied, remembers_since};
 
 /// Calls to the store that one change may make.
-pub const GREATEST_CALLS: u32 = 24;
+pub const MAX_STORE_CALLS: u32 = 24;
 
 /// How a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -42,7 +42,7 @@
     /// Read the document.
     Read,
     /// Read the document after a pause, as the store did not answer.
-    ReadLater,
+    RetryRead,
     /// Replace the document where its revision is still the expected one.
     Put {
         /// The revision.
@@ -51,12 +51,12 @@
         configuration: Box<Configuration>,
     },
     /// It has ended.
-    End(ChangeEnding),
+    End(StoreOutcome),
 }
 
 /// How a change ended at the store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ChangeEnding {
+pub enum StoreOutcome {
     /// The store holds it.
     Stored {
         /// The revision it made.
@@ -122,7 +122,7 @@
     fn step_after(&mut self, event: ChangeEvent) -> ChangeStep {
         match event {
             ChangeEvent::Read(Ok(current)) => self.after_read(&current),
-            ChangeEvent::Read(Err(_)) => self.again(ChangeStep::ReadLater),
+            ChangeEvent::Read(Err(_)) => self.again(ChangeStep::RetryRead),
             ChangeEvent::Put(Ok(StorePutResult::Stored { revision })) => self.after_stored(revision),
             ChangeEvent::Put(Ok(StorePutResult::Conflict { .. })) => self.after_failed_put(None),
             ChangeEvent::Put(Err(failure)) => self.after_failed_put(Some(failure)),
@@ -139,15 +139,15 @@
             return self.refuse(self.floor, reason);
         }
         self.floor = current.revision;
-        match find_made(current, &self.request.id, &self.request.change) {
-            Err(error) => ChangeStep::End(ChangeEnding::Refused {
+        match find_applied(current, &self.request.id, &self.request.change) {
+            Err(error) => ChangeStep::End(StoreOutcome::Refused {
                 revision: current.revision,
                 reason: error.to_string(),
             }),
             Ok(Some(revision)) => {
                 let is_latest = revision == current.revision;
                 let configuration = is_latest.then(|| Box::new(current.configuration.clone()));
-                ChangeStep::End(ChangeEnding::Stored { revision, configuration })
+                ChangeStep::End(StoreOutcome::Stored { revision, configuration })
             }
             Ok(None) => self.after_not_found(current),
         }
@@ -161,14 +161,14 @@
                 return self.again(ChangeStep::Put { expected, configuration });
             }
             if !remembers_since(&current.configuration, put.expected) {
-                return ChangeStep::End(ChangeEnding::Unknown);
+                return ChangeStep::End(StoreOutcome::Unknown);
             }
             self.put = None;
         }
         match evaluate(current, &self.request, self.at) {
             Err(error) => self.refuse(current.revision, error.to_string()),
             Ok(_) if self.request.dry_run => {
-                ChangeStep::End(ChangeEnding::WouldApply { revision: current.revision })
+                ChangeStep::End(StoreOutcome::WouldApply { revision: current.revision })
             }
             Ok(configuration) => self.send_put(current.revision, Box::new(configuration)),
         }
@@ -181,7 +181,7 @@
 
     fn after_stored(&mut self, revision: Revision) -> ChangeStep {
         let configuration = self.put.take().map(|put| put.configuration);
-        ChangeStep::End(ChangeEnding::Stored { revision, configuration })
+        ChangeStep::End(StoreOutcome::Stored { revision, configuration })
     }
 
     /// The put met another revision, where `failure` is none, or it failed.
@@ -191,11 +191,11 @@
         }
         // Where no reply was ever lost, the only copy of the put surely did nothing.
         self.put.take_if(|put| !put.unclear);
-        self.again(if failure.is_none() { ChangeStep::Read } else { ChangeStep::ReadLater })
+        self.again(if failure.is_none() { ChangeStep::Read } else { ChangeStep::RetryRead })
     }
 
     fn again(&mut self, step: ChangeStep) -> ChangeStep {
-        if self.calls >= GREATEST_CALLS {
+        if self.calls >= MAX_STORE_CALLS {
             return self.give_up();
         }
         self.calls += 1;
@@ -205,17 +205,17 @@
     /// At the deadline a put may be under way; without one the change is surely not made.
     fn give_up(&self) -> ChangeStep {
         if self.put.is_some() {
-            return ChangeStep::End(ChangeEnding::Unknown);
+            return ChangeStep::End(StoreOutcome::Unknown);
         }
         let reason =
             "the configuration store did not answer; nothing was changed, try again later".to_owned();
-        ChangeStep::End(ChangeEnding::Refused { revision: self.floor, reason })
+        ChangeStep::End(StoreOutcome::Refused { revision: self.floor, reason })
     }
 
     fn refuse(&self, revision: Revision, reason: String) -> ChangeStep {
         if self.put.is_some() {
-            return ChangeStep::End(ChangeEnding::Unknown);
+            return ChangeStep::End(StoreOutcome::Unknown);
         }
-        ChangeStep::End(ChangeEnding::Refused { revision, reason })
+        ChangeStep::End(StoreOutcome::Refused { revision, reason })
     }
 }
--- a/crates/core/src/configuration/confirmation.rs
+++ b/crates/core/src/configuration/confirmation.rs
@@ -36,7 +36,7 @@
     pub fn to_ask(&mut self, table: &MemberTable) -> Vec<(NodeId, SocketAddr)> {
         let own = &table.own().node;
         let is_open = |node: &NodeId| !self.holding.contains(node) && !self.asked.contains(node);
-        let open = table.living().filter(|record| record.node != *own && is_open(&record.node));
+        let open = table.live().filter(|record| record.node != *own && is_open(&record.node));
         let open: Vec<_> = open.map(|record| (record.node.clone(), record.address)).collect();
         self.asked.extend(open.iter().map(|(node, _)| node.clone()));
         open
@@ -58,11 +58,11 @@
     /// How far the region holds the revision, of which `base` members are known at least.
     pub fn status(&self, table: &MemberTable, base: usize) -> RegionHolds {
         let known = table.known().filter(|record| self.holding.contains(&record.node));
-        let unconfirmed = table.living().filter(|record| !self.holding.contains(&record.node));
+        let unconfirmed = table.live().filter(|record| !self.holding.contains(&record.node));
         RegionHolds {
             region: table.own().region.clone(),
             known: count(base),
-            alive: count(table.living().count()),
+            alive: count(table.live().count()),
             holding: count(known.count()),
             unconfirmed: unconfirmed.map(|record| record.node.clone()).take(NAMED_UNCONFIRMED).collect(),
         }
@@ -80,7 +80,7 @@
 }
 
 /// The first region that was not heard of within `greatest_age_ms`; a change made now could not be accepted.
-pub fn unheard_region(regions: &[RegionSummary], greatest_age_ms: u32) -> Option<&RegionId> {
+pub fn unresponsive_region(regions: &[RegionSummary], greatest_age_ms: u32) -> Option<&RegionId> {
     regions.iter().find(|summary| summary.age_ms > greatest_age_ms).map(|summary| &summary.region)
 }
 
--- a/crates/core/src/configuration/freshness.rs
+++ b/crates/core/src/configuration/freshness.rs
@@ -27,7 +27,7 @@
 pub const STALE_AFTER: Duration = Duration::from_secs(8);
 
 /// Peers that a restarted node learns its revision from before its own word counts in a majority.
-pub const SOURCES: usize = 3;
+pub const REQUIRED_SOURCES: usize = 3;
 
 /// Confirmations told beyond half of the members.
 const SPARE_CONFIRMATIONS: usize = 9;
@@ -70,14 +70,14 @@
     }
 
     /// A read of the store confirmed the revision, `age` before the answer to a question sent at `asked_at`.
-    pub fn confirm_by_store_of_peer(&mut self, age: Duration, asked_at: Timestamp) {
+    pub fn confirm_by_peer_store_read(&mut self, age: Duration, asked_at: Timestamp) {
         self.store = self.store.max(Some(asked_at - age));
     }
 
     /// Lets this node's own word count once it has its revision from enough peers of `table`.
     pub fn count_self(&mut self, table: &MemberTable) {
-        let others = table.living().filter(|record| record.state == MemberState::Alive).count() - 1;
-        if self.sources.len() >= others.clamp(1, SOURCES) || others == 0 {
+        let others = table.live().filter(|record| record.state == MemberState::Alive).count() - 1;
+        if self.sources.len() >= others.clamp(1, REQUIRED_SOURCES) || others == 0 {
             self.counts = true;
             self.sources.clear();
         }
@@ -112,7 +112,7 @@
 
     /// What to tell a peer at `now`: the youngest confirmations, this node's own first, a few more than a
     /// majority of `base` members needs.
-    pub fn tell(&self, own: &NodeId, base: usize, now: Timestamp) -> Heard {
+    pub fn advertise(&self, own: &NodeId, base: usize, now: Timestamp) -> Heard {
         let count = (base / 2 + SPARE_CONFIRMATIONS).min(HEARD_MEMBERS);
         let mut known: Vec<(Timestamp, u16)> = self.heard.iter().map(|(member, at)| (*at, *member)).collect();
         let own = short_hash(own);
--- a/crates/core/src/configuration/replica.rs
+++ b/crates/core/src/configuration/replica.rs
@@ -21,7 +21,7 @@
 use crate::membership::MemberTable;
 
 /// Nodes of each zone that watch the store.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_ZONE: usize = 2;
 
 /// How long one watch of the store waits for a change.
 pub const WATCH_WAIT: Duration = Duration::from_secs(2);
@@ -113,7 +113,7 @@
     /// Whether this node watches the store for its zone.
     pub fn is_watcher(table: &MemberTable) -> bool {
         let own = table.own();
-        let chosen = table.chosen_in_zone(&own.zone, WATCH_SUBJECT, WATCHERS);
+        let chosen = table.chosen_in_zone(&own.zone, WATCH_SUBJECT, WATCHERS_PER_ZONE);
         chosen.iter().any(|record| record.node == own.node)
     }
 
@@ -196,7 +196,7 @@
         // What a peer said before its document was pulled, so that a starting node serves at once.
         let told = self.store_age_at_peer.take_if(|(revision, _)| *revision <= read.revision);
         if let Some((_, at)) = told {
-            self.freshness.confirm_by_store_of_peer(Duration::ZERO, at);
+            self.freshness.confirm_by_peer_store_read(Duration::ZERO, at);
         }
         Some(ReplicaAction::Installed(read))
     }
@@ -217,12 +217,12 @@
         ConfigurationGossip {
             revision: self.revision(),
             store_age_ms: store_age.filter(|age| *age < STALE_AFTER).map(milliseconds_up),
-            heard: self.freshness.tell(&own.node, base, now),
+            heard: self.freshness.advertise(&own.node, base, now),
         }
     }
 
     /// Takes in a peer's gossip; `asked_at` where it came in an answer.
-    pub fn take_gossip(
+    pub fn apply_gossip(
         &mut self,
         from: &MemberRecord,
         gossip: &ConfigurationGossip,
@@ -240,7 +240,7 @@
         }
         let asked_at = asked_at.filter(|_| self.current.is_some())?;
         if let Some(age_ms) = gossip.store_age_ms {
-            self.freshness.confirm_by_store_of_peer(Duration::from_millis(u64::from(age_ms)), asked_at);
+            self.freshness.confirm_by_peer_store_read(Duration::from_millis(u64::from(age_ms)), asked_at);
         }
         if from.region == table.own().region && !gossip.heard.is_empty() {
             self.freshness.confirm_by_peer(&from.node, &gossip.heard, asked_at);
--- a/crates/core/src/configuration/validation.rs
+++ b/crates/core/src/configuration/validation.rs
@@ -9,13 +9,13 @@
 };
 
 /// Greatest length of a name, in bytes.
-pub const NAME_BYTES: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Greatest size of the whole document as JSON.
-pub const DOCUMENT_BYTES: usize = 512 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 512 * 1024;
 
 /// Greatest share weight of a tenant.
-pub const GREATEST_WEIGHT: u32 = 1_000;
+pub const MAX_TENANT_WEIGHT: u32 = 1_000;
 
 /// Hexadecimal digits of a SHA-256 hash.
 const HASH_DIGITS: usize = 64;
@@ -102,7 +102,7 @@
         check_service(&format!("service {name}"), service)?;
     }
     let bytes = encoded_bytes(configuration);
-    if bytes > DOCUMENT_BYTES { Err(ValidationError::TooLarge { bytes }) } else { Ok(()) }
+    if bytes > MAX_DOCUMENT_BYTES { Err(ValidationError::TooLarge { bytes }) } else { Ok(()) }
 }
 
 fn check_names(configuration: &Configuration) -> Result<(), ValidationError> {
@@ -114,7 +114,7 @@
 
 fn check_name(kind: &str, name: &str) -> Result<(), ValidationError> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    if !name.is_empty() && name.len() <= NAME_BYTES && name.bytes().all(is_allowed) {
+    if !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_allowed) {
         return Ok(());
     }
     Err(ValidationError::Name { place: format!("{kind} {name:?}") })
@@ -179,7 +179,7 @@
     if !tenant.key_hashes.iter().all(is_hash) {
         return Err(ValidationError::KeyHash { place: format!("{place} key_hashes") });
     }
-    if tenant.weight == 0 || tenant.weight > GREATEST_WEIGHT {
+    if tenant.weight == 0 || tenant.weight > MAX_TENANT_WEIGHT {
         let value = tenant.weight.to_string();
         return Err(ValidationError::Range { place: format!("{place} weight"), value, range: "1 to 1000" });
     }
--- a/crates/core/src/feed_owners.rs
+++ b/crates/core/src/feed_owners.rs
@@ -7,16 +7,16 @@
 
 use paddlemount_protocol::identity::{EngineId, NodeId};
 
-use crate::membership::{MemberTable, rendezvous};
+use crate::membership::{MemberTable, rendezvous_weight};
 
 /// Nodes that read one feed: belief about an engine outlives the loss of two of them.
 pub const OWNERS_PER_FEED: usize = 3;
 
 /// The nodes that own the feed of `engine`, by the member table of one node.
 pub fn owners<'a>(members: &'a MemberTable, engine: &EngineId) -> Vec<&'a NodeId> {
-    let living = members.living().map(|record| &record.node);
+    let live = members.live().map(|record| &record.node);
     let mut weighed: Vec<(u64, &NodeId)> =
-        living.map(|node| (rendezvous(engine.as_str(), node), node)).collect();
+        live.map(|node| (rendezvous_weight(engine.as_str(), node), node)).collect();
     weighed.sort_unstable_by(|left, right| right.cmp(left));
     weighed.into_iter().take(OWNERS_PER_FEED).map(|(_, node)| node).collect()
 }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -25,7 +25,7 @@
 
 use self::{contacts::Contacts, gossip::Dissemination, regions::Regions, rounds::Rounds};
 pub use self::{
-    table::{MemberTable, rendezvous},
+    table::{MemberTable, rendezvous_weight},
     types::{CallId, MembershipAction, MembershipEvent, MembershipSettings, MembershipTiming},
 };
 
@@ -108,9 +108,9 @@
             MembershipEvent::Request { call, request } => self.serve(call, request, now),
             MembershipEvent::Answer { call, answer } => self.answered(call, answer, now),
             MembershipEvent::Failed { call } => self.failed(call, now),
-            MembershipEvent::Machines(list) => self.take_machines(list),
+            MembershipEvent::Machines(list) => self.set_machines(list),
             MembershipEvent::Offer(item) => self.dissemination.offer(item),
-            MembershipEvent::Inquire(count) => self.inquire(count),
+            MembershipEvent::ProbeNow(count) => self.probe_now(count),
             MembershipEvent::Stop => self.stop(),
         }
         self.run_timers(now);
@@ -230,7 +230,7 @@
     fn serve(&mut self, call: CallId, request: &MembershipRequest, now: Timestamp) {
         match request {
             MembershipRequest::Probe { gossip } => {
-                self.take_gossip(gossip, now);
+                self.apply_gossip(gossip, now);
                 let mut told = Box::new(self.gossip_for(&gossip.sender));
                 told.regions = self.regions_for(&gossip.sender, now);
                 let answer = MembershipAnswer::Alive { gossip: told };
@@ -251,7 +251,7 @@
         let Some(purpose) = self.calls.remove(&call) else { return };
         match answer {
             MembershipAnswer::Alive { gossip } => {
-                self.take_gossip(gossip, now);
+                self.apply_gossip(gossip, now);
                 if gossip.sender.region != self.settings.region {
                     self.contacts.found_elsewhere(gossip.sender.address);
                 }
@@ -294,7 +294,7 @@
         }
     }
 
-    fn take_gossip(&mut self, gossip: &Gossip, now: Timestamp) {
+    fn apply_gossip(&mut self, gossip: &Gossip, now: Timestamp) {
         self.learn(&gossip.sender, now);
         gossip.updates.iter().for_each(|record| self.learn(record, now));
         gossip.regions.iter().for_each(|summary| self.regions.merge(summary, now));
@@ -362,8 +362,8 @@
         self.actions.push(MembershipAction::Call { call, address, request, timeout });
     }
 
-    fn take_machines(&mut self, list: &MachineList) {
-        self.contacts.take_machines(list, &self.settings);
+    fn set_machines(&mut self, list: &MachineList) {
+        self.contacts.set_machines(list, &self.settings);
         self.regions.keep_listed(list);
         for node in self.contacts.forgettable(&self.table) {
             self.table.forget(&node);
--- a/crates/core/src/membership/contacts.rs
+++ b/crates/core/src/membership/contacts.rs
@@ -40,7 +40,7 @@
     }
 
     /// Replaces the listed nodes by those that the list calls live.
-    pub(super) fn take_machines(&mut self, list: &MachineList, settings: &MembershipSettings) {
+    pub(super) fn set_machines(&mut self, list: &MachineList, settings: &MembershipSettings) {
         self.own_region.clear();
         self.other_regions.clear();
         for machine in list.machines.iter().filter(|machine| machine.state == MachineState::Live) {
@@ -94,7 +94,7 @@
 
     /// Seeds and listed nodes of this region that the table does not know to be alive, and dead members.
     fn candidates(&self, table: &MemberTable) -> Vec<SocketAddr> {
-        let living: Vec<SocketAddr> = table.living().map(|record| record.address).collect();
+        let live: Vec<SocketAddr> = table.live().map(|record| record.address).collect();
         let left = |node: &NodeId| table.get(node).is_some_and(|record| record.state == MemberState::Left);
         let listed = self.own_region.iter().filter(|(node, _)| !left(node)).map(|(_, address)| *address);
         let dead =
@@ -103,7 +103,7 @@
         let mut candidates: Vec<SocketAddr> = seeds.chain(listed).chain(dead).collect();
         candidates.sort_unstable();
         candidates.dedup();
-        candidates.retain(|address| !living.contains(address));
+        candidates.retain(|address| !live.contains(address));
         candidates
     }
 }
@@ -112,14 +112,14 @@
     /// Probes a seed, a listed node or a dead member; more often while this node knows nobody.
     pub(super) fn contact_someone(&mut self, now: Timestamp) {
         let timing = self.settings.timing;
-        let is_alone = self.table.living().nth(1).is_none();
+        let is_alone = self.table.live().nth(1).is_none();
         let interval = if is_alone { timing.probe_interval } else { timing.contact_interval };
         self.contacts.next_at = now + interval;
         self.contact(1);
     }
 
     /// Probes up to `count` living members, or as many candidates where no member is known.
-    pub(super) fn inquire(&mut self, count: usize) {
+    pub(super) fn probe_now(&mut self, count: usize) {
         let members = self.table.pick_alive(count, &[], &mut self.random);
         if members.is_empty() {
             return self.contact(count);
--- a/crates/core/src/membership/rounds.rs
+++ b/crates/core/src/membership/rounds.rs
@@ -58,13 +58,13 @@
     fn next_target(&mut self) -> Option<MemberRecord> {
         if self.rounds.order.is_empty() {
             let own = &self.settings.node;
-            let others = self.table.living().filter(|record| record.node != *own);
+            let others = self.table.live().filter(|record| record.node != *own);
             self.rounds.order = others.map(|record| record.node.clone()).collect();
             self.rounds.order.shuffle(&mut self.random);
         }
         while let Some(node) = self.rounds.order.pop() {
-            let living = self.table.living().find(|record| record.node == node);
-            if let Some(record) = living.filter(|_| !self.rounds.running.contains_key(&node)) {
+            let live = self.table.live().find(|record| record.node == node);
+            if let Some(record) = live.filter(|_| !self.rounds.running.contains_key(&node)) {
                 return Some(record.clone());
             }
         }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -22,11 +22,11 @@
 }
 
 /// The weight of `member` for `subject` in rendezvous hashing: the members with the greatest weights are chosen.
-pub fn rendezvous(subject: &str, member: &NodeId) -> u64 {
+pub fn rendezvous_weight(subject: &str, member: &NodeId) -> u64 {
     xxh3_64_with_seed(member.as_str().as_bytes(), xxh3_64(subject.as_bytes()))
 }
 
-const fn is_living(state: MemberState) -> bool {
+const fn is_live(state: MemberState) -> bool {
     matches!(state, MemberState::Alive | MemberState::Suspect)
 }
 
@@ -67,8 +67,8 @@
     }
 
     /// Members that are alive or suspected, the node itself among them.
-    pub fn living(&self) -> impl Iterator<Item = &MemberRecord> {
-        self.members.values().filter(|record| is_living(record.state))
+    pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.members.values().filter(|record| is_live(record.state))
     }
 
     /// Members that have not left: a majority is counted among these, so that a node that is cut off from
@@ -79,8 +79,9 @@
 
     /// The `count` living members of `zone` with the greatest rendezvous weights for `subject`.
     pub fn chosen_in_zone(&self, zone: &ZoneId, subject: &str, count: usize) -> Vec<&MemberRecord> {
-        let living = self.living().filter(|record| record.zone == *zone);
-        let mut weighed: Vec<_> = living.map(|record| (rendezvous(subject, &record.node), record)).collect();
+        let live = self.live().filter(|record| record.zone == *zone);
+        let mut weighed: Vec<_> =
+            live.map(|record| (rendezvous_weight(subject, &record.node), record)).collect();
         weighed.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
         weighed.into_iter().take(count).map(|(_, record)| record).collect()
     }
@@ -99,7 +100,7 @@
     pub fn summary(&self) -> RegionSummary {
         RegionSummary {
             region: self.own().region.clone(),
-            alive: count(self.living().count()),
+            alive: count(self.live().count()),
             known: count(self.known().count()),
             age_ms: 0,
             representatives: self.representatives().map(representative).collect(),
@@ -127,10 +128,8 @@
         except: &[&NodeId],
         random: &mut SmallRng,
     ) -> Vec<MemberRecord> {
-        let others: Vec<&MemberRecord> = self
-            .living()
-            .filter(|record| record.node != self.own && !except.contains(&&record.node))
-            .collect();
+        let others: Vec<&MemberRecord> =
+            self.live().filter(|record| record.node != self.own && !except.contains(&&record.node)).collect();
         others.sample(random, count).map(|record| (*record).clone()).collect()
     }
 
@@ -179,7 +178,7 @@
             .members
             .values()
             .filter(|record| record.state == MemberState::Alive)
-            .map(|record| (rendezvous(region.as_str(), &record.node), record.node.clone()))
+            .map(|record| (rendezvous_weight(region.as_str(), &record.node), record.node.clone()))
             .collect();
         weighed.sort_unstable_by(|left, right| right.cmp(left));
         self.representatives = weighed.into_iter().take(REPRESENTATIVES).map(|(_, node)| node).collect();
@@ -197,7 +196,7 @@
 
 /// Zero for members that are not living, so that nodes which forgot them at different times agree.
 fn fingerprint(record: &MemberRecord) -> u64 {
-    if !is_living(record.state) {
+    if !is_live(record.state) {
         return 0;
     }
     let life = record.incarnation.0.rotate_left(20) ^ u64::from(record.refutation);
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -95,7 +95,7 @@
     /// From now on this item rides on probes, in place of the topic's earlier one.
     Offer(PiggybackItem),
     /// So many members are to be probed at once, or places where members may be found while none is known.
-    Inquire(usize),
+    ProbeNow(usize),
     /// This node begins a planned stop.
     Stop,
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -28,11 +28,12 @@
 use crate::{
     configuration::{
         change::StoreFailure,
-        freshness::SOURCES,
+        freshness::REQUIRED_SOURCES,
         replica::{Replica, ReplicaAction},
     },
     membership::{
-        CallId, MemberTable, Membership, MembershipAction, MembershipEvent, MembershipSettings, rendezvous,
+        CallId, MemberTable, Membership, MembershipAction, MembershipEvent, MembershipSettings,
+        rendezvous_weight,
     },
 };
 
@@ -52,7 +53,7 @@
 const START_ROUND: Duration = Duration::from_millis(200);
 
 /// Peers asked in such a round: what a restarted node needs, and one that may be down.
-const START_INQUIRIES: usize = SOURCES + 1;
+const START_INQUIRIES: usize = REQUIRED_SOURCES + 1;
 
 /// A node that started of late goes on with such rounds until what lets it take work lasts for so long: two of the usual
 /// probes, of which one may reach a peer that has just started too.
@@ -85,7 +86,7 @@
 impl Peers {
     /// A node that starts at `now` and knows only its settings.
     pub fn new(settings: MembershipSettings, now: Timestamp) -> Self {
-        let jitter_ms = rendezvous("store-jitter", &settings.node) % GREATEST_JITTER_MS;
+        let jitter_ms = rendezvous_weight("store-jitter", &settings.node) % GREATEST_JITTER_MS;
         let has_seeds = !settings.seeds.is_empty();
         Self {
             membership: Membership::new(settings, now),
@@ -167,7 +168,7 @@
         self.run_changes(now);
         if self.next_inquiry_at <= now && self.awaits_confirmation(now) {
             self.next_inquiry_at = now + START_ROUND;
-            self.membership_event(MembershipEvent::Inquire(START_INQUIRIES), now);
+            self.membership_event(MembershipEvent::ProbeNow(START_INQUIRIES), now);
         }
     }
 
@@ -287,7 +288,7 @@
         now: Timestamp,
     ) {
         let table = self.membership.table();
-        let action = self.replica.take_gossip(&gossip.sender, &gossip.configuration, asked_at, table, now);
+        let action = self.replica.apply_gossip(&gossip.sender, &gossip.configuration, asked_at, table, now);
         self.carry_out(action);
     }
 
--- a/crates/core/src/peers/changes.rs
+++ b/crates/core/src/peers/changes.rs
@@ -17,8 +17,8 @@
 };
 use crate::{
     configuration::{
-        change::{ChangeEnding, ChangeEvent, ChangeStep, ConfigurationChange, StoreFailure},
-        confirmation::{is_accepted, is_in_force, unheard_region},
+        change::{ChangeEvent, ChangeStep, ConfigurationChange, StoreFailure, StoreOutcome},
+        confirmation::{is_accepted, is_in_force, unresponsive_region},
     },
     membership::CallId,
 };
@@ -119,7 +119,7 @@
             return Some("this node was replaced; ask another node".to_owned());
         }
         let regions = self.membership.other_regions(now);
-        let unheard = unheard_region(&regions, REGION_HEARD_MS)?;
+        let unheard = unresponsive_region(&regions, REGION_HEARD_MS)?;
         Some(format!(
             "region {unheard} was not heard of for 30 s and could not confirm the change; \
              try again when it is back, or take its machines off the machine list"
@@ -157,7 +157,7 @@
         let Phase::Store { change, read_due } = &mut task.phase else { return };
         match change.step(event) {
             ChangeStep::Read => self.call_store(StoreRequest::Read, STORE_TIMEOUT, Purpose::Change(id)),
-            ChangeStep::ReadLater => {
+            ChangeStep::RetryRead => {
                 *read_due = true;
                 task.next_at = now + READ_PAUSE;
             }
@@ -169,14 +169,14 @@
         }
     }
 
-    fn end_store_phase(&mut self, id: u64, ending: ChangeEnding, now: Timestamp) {
+    fn end_store_phase(&mut self, id: u64, ending: StoreOutcome, now: Timestamp) {
         match ending {
-            ChangeEnding::Stored { revision, configuration } => {
+            StoreOutcome::Stored { revision, configuration } => {
                 self.begin_confirmation(id, revision, configuration, now);
             }
-            ChangeEnding::WouldApply { revision } => self.end(id, ChangeOutcome::WouldApply { revision }),
-            ChangeEnding::Refused { revision, reason } => self.refuse(id, revision, reason, now),
-            ChangeEnding::Unknown => self.end_unknown(id),
+            StoreOutcome::WouldApply { revision } => self.end(id, ChangeOutcome::WouldApply { revision }),
+            StoreOutcome::Refused { revision, reason } => self.refuse(id, revision, reason, now),
+            StoreOutcome::Unknown => self.end_unknown(id),
         }
     }
 
--- a/crates/core/tests/admission_queue.rs
+++ b/crates/core/tests/admission_queue.rs
@@ -143,7 +143,7 @@
     for ticket in ["running", "waiting", "next"] {
         submit(&mut admission, request(ticket, "a"), START);
     }
-    let left = |ticket: &str| AdmissionEvent::Left { ticket: RequestId::from(ticket) };
+    let left = |ticket: &str| AdmissionEvent::Cancelled { ticket: RequestId::from(ticket) };
     assert!(admission.apply(left("waiting"), at(1)).is_empty());
     let actions = admission.apply(left("running"), at(2));
     assert_eq!(actions.iter().map(run_ticket).collect::<Vec<_>>(), ["next"]);
@@ -229,11 +229,11 @@
             Step::Leave(number) => {
                 let ticket = self.pick(*number)?;
                 self.open.remove(&ticket);
-                AdmissionEvent::Left { ticket }
+                AdmissionEvent::Cancelled { ticket }
             }
             Step::Begin(number, queueing) => {
                 let queueing = Duration::from_millis(u64::from(*queueing));
-                AdmissionEvent::Begun { ticket: self.pick(*number)?, queueing }
+                AdmissionEvent::FirstToken { ticket: self.pick(*number)?, queueing }
             }
             Step::Resize(slots) => {
                 AdmissionEvent::Pool { pool: PoolId::from("pool"), slots: u32::from(*slots), nodes: 1 }
--- a/crates/core/tests/admission_shared_engines.rs
+++ b/crates/core/tests/admission_shared_engines.rs
@@ -132,7 +132,7 @@
             sent.ends = now + service;
             self.waits[sent.tenant].push(now.saturating_since(sent.arrived).as_millis() as u64);
             let queueing = now.saturating_since(sent.sent);
-            self.apply(sent.node, AdmissionEvent::Begun { ticket: sent.ticket.clone(), queueing });
+            self.apply(sent.node, AdmissionEvent::FirstToken { ticket: sent.ticket.clone(), queueing });
             self.running.push(sent);
         }
     }
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use paddlemount_core::claims::{
-    ClaimAction, ClaimCoordinator, ClaimEnding, ClaimEvent, ClaimReplica, ClaimSettings, ClaimedRequest,
+    ClaimAction, ClaimCoordinator, ClaimEvent, ClaimOutcome, ClaimReplica, ClaimSettings, ClaimedRequest,
     Reconfiguration, ReconfigurationAction, RunResult, claim_key, issued_at, placement,
 };
 use paddlemount_protocol::{
@@ -176,7 +176,7 @@
     coordinator.handle(ClaimEvent::Replied { replica: NodeId::from(replica), reply }, seconds(10))
 }
 
-fn ending(actions: &[ClaimAction]) -> Option<&ClaimEnding> {
+fn ending(actions: &[ClaimAction]) -> Option<&ClaimOutcome> {
     actions.iter().find_map(|action| match action {
         ClaimAction::End(ending) => Some(ending),
         _ => None,
@@ -185,7 +185,7 @@
 
 fn refusal(actions: &[ClaimAction]) -> (RefusalCode, Outcome) {
     match ending(actions) {
-        Some(ClaimEnding::Refused(refusal)) => (refusal.code, refusal.outcome),
+        Some(ClaimOutcome::Refused(refusal)) => (refusal.code, refusal.outcome),
         other => panic!("{other:?}"),
     }
 }
@@ -233,12 +233,12 @@
     let actions = reply(&mut coordinator, "r2", ClaimReply::Granted);
     assert!(actions.contains(&ClaimAction::Dispatch));
     assert!(reply(&mut coordinator, "r3", ClaimReply::Granted).is_empty());
-    let ran = ClaimEvent::Ran(RunResult::Completed { answer: "1".into() });
+    let ran = ClaimEvent::DispatchEnded(RunResult::Completed { answer: "1".into() });
     assert_eq!(ending(&coordinator.handle(ran, seconds(10))), None);
     let noted = |replica| ClaimEvent::Noted { replica: NodeId::from(replica) };
     assert_eq!(ending(&coordinator.handle(noted("r1"), seconds(10))), None);
     let actions = coordinator.handle(noted("r3"), seconds(10));
-    assert_eq!(ending(&actions), Some(&ClaimEnding::Answered { answer: "1".into(), again: false }));
+    assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: false }));
 }
 
 #[test]
@@ -247,7 +247,7 @@
     reply(&mut coordinator, "r1", ClaimReply::Granted);
     reply(&mut coordinator, "r2", ClaimReply::Granted);
     let not_run = |others_left| {
-        ClaimEvent::Ran(RunResult::NotRun {
+        ClaimEvent::DispatchEnded(RunResult::NotRun {
             code: RefusalCode::Overloaded,
             message: String::new(),
             others_left,
@@ -269,7 +269,7 @@
     reply(&mut coordinator, "r2", ClaimReply::Granted);
     let actions = coordinator.handle(ClaimEvent::Tick, seconds(15));
     assert_eq!(refusal(&actions), (RefusalCode::DeadlineExceeded, Outcome::Unknown));
-    let late = ClaimEvent::Ran(RunResult::Completed { answer: "1".into() });
+    let late = ClaimEvent::DispatchEnded(RunResult::Completed { answer: "1".into() });
     let actions = coordinator.handle(late, seconds(16));
     assert_eq!(actions.len(), 3);
     assert_eq!(ending(&actions), None);
@@ -310,7 +310,7 @@
     let ending_kept = RecordedEnding::Completed { answer: Some("1".into()) };
     let actions =
         reply(&mut coordinator, "r2", ClaimReply::Ended { fingerprint: Fingerprint(1), ending: ending_kept });
-    assert_eq!(ending(&actions), Some(&ClaimEnding::Answered { answer: "1".into(), again: true }));
+    assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: true }));
 }
 
 fn placement_of(nodes: &[(&str, &str, &str)]) -> ClaimPlacement {
--- a/crates/core/tests/configuration_change.rs
+++ b/crates/core/tests/configuration_change.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::configuration::{
     apply::{digest, evaluate, replay},
-    change::{ChangeEnding, ChangeEvent, ChangeStep, ConfigurationChange, StoreFailure},
+    change::{ChangeEvent, ChangeStep, ConfigurationChange, StoreFailure, StoreOutcome},
 };
 use paddlemount_protocol::{
     configuration::{Change, ChangeRequest, Pool, RevisedConfiguration, Tenant},
@@ -68,14 +68,14 @@
     }
 }
 
-fn run(store: &mut Store, change: &mut ConfigurationChange, faults: &[Fault]) -> ChangeEnding {
+fn run(store: &mut Store, change: &mut ConfigurationChange, faults: &[Fault]) -> StoreOutcome {
     let mut step = ChangeStep::Read;
     let mut faults = faults.iter();
     for number in 0..100 {
         let fault = faults.next().copied().unwrap_or(Fault::None);
         let event = match &step {
             ChangeStep::End(ending) => return ending.clone(),
-            ChangeStep::Read | ChangeStep::ReadLater => match fault {
+            ChangeStep::Read | ChangeStep::RetryRead => match fault {
                 Fault::None | Fault::Raced => ChangeEvent::Read(Ok(store.document.clone())),
                 Fault::LostBefore | Fault::LostAfter => ChangeEvent::Read(Err(StoreFailure::Unclear)),
                 Fault::Refused => ChangeEvent::Read(Err(StoreFailure::NotApplied)),
@@ -99,9 +99,9 @@
     panic!("the change does not end");
 }
 
-fn stored(ending: &ChangeEnding) -> Option<Revision> {
+fn stored(ending: &StoreOutcome) -> Option<Revision> {
     match ending {
-        ChangeEnding::Stored { revision, .. } => Some(*revision),
+        StoreOutcome::Stored { revision, .. } => Some(*revision),
         _ => None,
     }
 }
@@ -129,7 +129,7 @@
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
     let ending = run(&mut store, &mut change, &[Fault::Refused; 50]);
-    assert!(matches!(ending, ChangeEnding::Refused { .. }), "{ending:?}");
+    assert!(matches!(ending, StoreOutcome::Refused { .. }), "{ending:?}");
     assert!(store.made.is_empty());
 }
 
@@ -139,7 +139,7 @@
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
     let mut faults = vec![Fault::None, Fault::LostAfter];
     faults.extend([Fault::LostBefore; 50]);
-    assert_eq!(run(&mut store, &mut change, &faults), ChangeEnding::Unknown);
+    assert_eq!(run(&mut store, &mut change, &faults), StoreOutcome::Unknown);
 }
 
 #[test]
@@ -158,7 +158,7 @@
     let mut store = Store::default();
     run(&mut store, &mut ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW), &[]);
     let mut other = ConfigurationChange::new(put_tenant("c1", "kestrel", 3), Revision(0), NOW);
-    assert!(matches!(run(&mut store, &mut other, &[]), ChangeEnding::Refused { .. }));
+    assert!(matches!(run(&mut store, &mut other, &[]), StoreOutcome::Refused { .. }));
 }
 
 #[test]
@@ -170,7 +170,7 @@
     let first = run(&mut store, &mut ConfigurationChange::new(based("c1", 2), Revision(1), NOW), &[]);
     assert_eq!(stored(&first), Some(Revision(2)));
     let second = run(&mut store, &mut ConfigurationChange::new(based("c2", 3), Revision(1), NOW), &[]);
-    let ChangeEnding::Refused { revision, reason } = second else { panic!("{second:?}") };
+    let StoreOutcome::Refused { revision, reason } = second else { panic!("{second:?}") };
     assert_eq!(revision, Revision(2));
     assert!(
         reason.contains("tenant kestrel") && reason.contains("alice") && reason.contains("c1"),
@@ -193,7 +193,7 @@
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(9), NOW);
     let ending = run(&mut store, &mut change, &[]);
-    assert!(matches!(&ending, ChangeEnding::Refused { revision: Revision(9), .. }), "{ending:?}");
+    assert!(matches!(&ending, StoreOutcome::Refused { revision: Revision(9), .. }), "{ending:?}");
 }
 
 #[test]
@@ -259,10 +259,10 @@
         let made = store.made.get("c1").copied().unwrap_or(0);
         assert!(made <= 1);
         match ending {
-            ChangeEnding::Stored { .. } => assert_eq!(made, 1),
-            ChangeEnding::Refused { .. } => assert_eq!(made, 0),
-            ChangeEnding::Unknown => {}
-            ChangeEnding::WouldApply { .. } => panic!("not a dry run"),
+            StoreOutcome::Stored { .. } => assert_eq!(made, 1),
+            StoreOutcome::Refused { .. } => assert_eq!(made, 0),
+            StoreOutcome::Unknown => {}
+            StoreOutcome::WouldApply { .. } => panic!("not a dry run"),
         }
     });
 }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -10,7 +10,7 @@
 };
 
 use paddlemount_core::claims::{
-    ClaimAction, ClaimCoordinator, ClaimEnding, ClaimEvent, ClaimReplica, ClaimSettings, ClaimedRequest,
+    ClaimAction, ClaimCoordinator, ClaimEvent, ClaimOutcome, ClaimReplica, ClaimSettings, ClaimedRequest,
     ReplicaUsage, RunResult, claim_key, fingerprint, issued_at, placement::replicas_of,
 };
 use paddlemount_protocol::{
@@ -125,10 +125,10 @@
     // Goes on when the caller leaves: what was begun is recorded for its next try.
     tokio::spawn(driver.drive(actions, inbox, runner, terms.deadline));
     match ended.await {
-        Ok(ClaimEnding::Answered { answer, .. }) => serde_json::from_str(&answer).map_err(|error| {
+        Ok(ClaimOutcome::Answered { answer, .. }) => serde_json::from_str(&answer).map_err(|error| {
             Refusal::unknown(RefusalCode::Internal, format!("the answer is no JSON: {error}"))
         }),
-        Ok(ClaimEnding::Refused(refusal)) => Err(refusal),
+        Ok(ClaimOutcome::Refused(refusal)) => Err(refusal),
         Err(_) => Err(Refusal::unknown(RefusalCode::Internal, "the request was given up")),
     }
 }
@@ -161,7 +161,7 @@
     state: Arc<NodeState>,
     coordinator: ClaimCoordinator,
     events: mpsc::UnboundedSender<ClaimEvent>,
-    ending: Option<tokio::sync::oneshot::Sender<ClaimEnding>>,
+    ending: Option<tokio::sync::oneshot::Sender<ClaimOutcome>>,
 }
 
 impl Driver {
@@ -179,7 +179,7 @@
             }
             if dispatch {
                 let result = self.run(&mut runner, deadline).await;
-                actions = self.coordinator.handle(ClaimEvent::Ran(result), self.state.clock.now());
+                actions = self.coordinator.handle(ClaimEvent::DispatchEnded(result), self.state.clock.now());
                 continue;
             }
             let Some(event) = inbox.recv().await else { return };
--- a/crates/node/src/overload/permit.rs
+++ b/crates/node/src/overload/permit.rs
@@ -84,7 +84,7 @@
         let Some(speed) = parts.capacity.speed(engine) else { return };
         let expected = prefill(&speed, missing_tokens) + step(&speed) + distance * 2;
         let queueing = elapsed.saturating_sub(expected);
-        let event = AdmissionEvent::Begun { ticket: self.ticket.clone(), queueing };
+        let event = AdmissionEvent::FirstToken { ticket: self.ticket.clone(), queueing };
         parts.apply(event, self.state.clock.now());
     }
 }
@@ -94,7 +94,7 @@
         let parts = &mut *self.overload.lock();
         parts.waiting.remove(&self.ticket);
         parts.limits.ended(&self.tenant, self.charged_tokens.saturating_sub(self.used_tokens));
-        parts.apply(AdmissionEvent::Left { ticket: self.ticket.clone() }, self.state.clock.now());
+        parts.apply(AdmissionEvent::Cancelled { ticket: self.ticket.clone() }, self.state.clock.now());
     }
 }
 
--- a/crates/node/src/settings/overload.rs
+++ b/crates/node/src/settings/overload.rs
@@ -23,7 +23,7 @@
     let mut section = root.table(document, "admission");
     let length = admission.queue_length as u64;
     admission.queue_length = section.number(document, "queue_length", length, 0..=100_000) as usize;
-    admission.longest_wait = section.milliseconds(document, "longest_wait_ms", 2_000, 1..=60_000);
+    admission.max_wait = section.milliseconds(document, "longest_wait_ms", 2_000, 1..=60_000);
     let reserved = section.number(document, "reserved_percent", 10, 0..=50);
     admission.reserved_part = reserved as f64 / 100.0;
     admission.concurrency.target_queueing =
--- a/specs/src/claims.rs
+++ b/specs/src/claims.rs
@@ -10,7 +10,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use paddlemount_core::claims::{
-    ClaimAction, ClaimCoordinator, ClaimEnding, ClaimEvent, ClaimReplica, ClaimSettings, ClaimedRequest,
+    ClaimAction, ClaimCoordinator, ClaimEvent, ClaimOutcome, ClaimReplica, ClaimSettings, ClaimedRequest,
     RunResult,
 };
 use paddlemount_protocol::{
@@ -102,7 +102,7 @@
     fn settings() -> ClaimSettings {
         ClaimSettings {
             clock_skew: Duration::from_secs(1),
-            keep: Duration::from_secs(2),
+            retention: Duration::from_secs(2),
             // A silent replica is waited for one second, the step of the model's clock.
             reply_timeout: Duration::from_secs(4),
             ..ClaimSettings::default()
@@ -242,10 +242,10 @@
         }
     }
 
-    fn ended(&mut self, number: usize, ending: &ClaimEnding) {
+    fn ended(&mut self, number: usize, ending: &ClaimOutcome) {
         match ending {
-            ClaimEnding::Answered { answer, .. } => self.wrong_answer |= self.runs == 0 || answer != "a",
-            ClaimEnding::Refused(refusal) => {
+            ClaimOutcome::Answered { answer, .. } => self.wrong_answer |= self.runs == 0 || answer != "a",
+            ClaimOutcome::Refused(refusal) => {
                 let under_way = self.tries.iter().any(|other| other.dispatches > 0);
                 let claims_not_run = refusal.outcome == Outcome::NotRun;
                 self.false_not_run |= claims_not_run && (self.runs > 0 || under_way);
@@ -272,7 +272,7 @@
         let mut next = self.clone();
         next.tries[number].dispatches -= 1;
         next.runs += u8::from(effect);
-        next.event(number, ClaimEvent::Ran(result));
+        next.event(number, ClaimEvent::DispatchEnded(result));
         Step { label: format!("the dispatch of try {number} {what}"), state: next }
     }
 
--- a/specs/src/configuration.rs
+++ b/specs/src/configuration.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use paddlemount_core::configuration::{
-    change::{ChangeEnding, ChangeEvent, ChangeStep, ConfigurationChange, StoreFailure},
+    change::{ChangeEvent, ChangeStep, ConfigurationChange, StoreFailure, StoreOutcome},
     replica::Replica,
 };
 use paddlemount_protocol::{
@@ -61,7 +61,7 @@
 struct Operator {
     change: Opaque<ConfigurationChange>,
     call: Option<Call>,
-    ending: Option<Opaque<ChangeEnding>>,
+    ending: Option<Opaque<StoreOutcome>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -128,7 +128,7 @@
         let operator = &mut self.operators[operator];
         operator.call = None;
         match operator.change.update(|change| change.step(event)) {
-            ChangeStep::Read | ChangeStep::ReadLater => operator.call = Some(Call::Read),
+            ChangeStep::Read | ChangeStep::RetryRead => operator.call = Some(Call::Read),
             ChangeStep::Put { expected, configuration } => {
                 let configuration = Opaque::new(*configuration);
                 operator.call = Some(Call::Put { expected, configuration });
@@ -308,13 +308,13 @@
                 return Some("a change is made once");
             }
             match operator.ending.as_deref() {
-                Some(ChangeEnding::Stored { revision, .. }) => {
+                Some(StoreOutcome::Stored { revision, .. }) => {
                     accepted += 1;
                     if !made.contains(revision) {
                         return Some("an accepted change is in the store");
                     }
                 }
-                Some(ChangeEnding::Refused { .. }) if !made.is_empty() => {
+                Some(StoreOutcome::Refused { .. }) if !made.is_empty() => {
                     return Some("a refused change is not made");
                 }
                 _ => {}
