--- a/crates/core/src/limits/ledger/account.rs
+++ b/crates/core/src/limits/ledger/account.rs
@@ -1,4 +1,4 @@
-//! One tenant's account at one node.
+//! One tenant's account at one node: its bucket level, spending and demand.
 
 use std::time::Duration;
 
@@ -10,56 +10,56 @@
 };
 use crate::{forwarding::document::TenantQuota, recent_rate::RecentRate};
 
-/// The time in which demand fades to a third.
-const FADES: Duration = Duration::from_secs(1);
-/// The part of the capacity above which all is granted that fits: a short rush is no overload.
-const AMPLE: f64 = 0.75;
-/// The part of the capacity that is aimed at under overload.
-const AIM: f64 = 0.5;
-/// The time, in seconds, in which the distance from that aim is made up. Nodes hear of each other's grants some 0.5 s
-/// late; a shorter time would make all of them grant and refuse by turns.
+/// Time constant of the decaying demand estimate.
+const DEMAND_DECAY: Duration = Duration::from_secs(1);
+/// Fraction of the capacity above which everything that fits is granted, as a short burst is no overload.
+const AMPLE_LEVEL: f64 = 0.75;
+/// Fraction of the capacity that is the target level under overload.
+const TARGET_LEVEL: f64 = 0.5;
+/// Seconds in which the distance to the target level is made up. Nodes see each other's grants about 0.5 s
+/// late; a shorter time makes them oscillate.
 const CORRECTION_S: f64 = 1.0;
-/// A request larger than this part of the capacity is granted once so much is there, or it never would be.
-const LARGEST: f64 = 0.9;
-/// The least time to come back after a refusal.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// The longest one.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// The parts of capacity or rate beyond which other nodes hear of an account.
-const WORTH_TELLING: f64 = 0.8;
-
-/// What is true of all accounts of a node at a moment.
+/// A request larger than this fraction of the capacity is granted at this level, or it never would be.
+const MAX_REQUEST_FRACTION: f64 = 0.9;
+/// Bounds of the retry hint.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// See [`MIN_RETRY_AFTER`].
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Accounts whose level is below, or whose demand is above, this fraction of capacity or rate are reported to
+/// other nodes.
+const REPORT_THRESHOLD: f64 = 0.8;
+
+/// How this node shares the buckets of all accounts with other nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Sharing {
-    /// The part of the fleet that the node's knowledge covers.
-    pub part: f64,
-    /// Whether grants of this node and those below it are all that the level has to bear: no other node tells it.
-    pub heads: bool,
-    /// The part of the capacity that may be granted at once by the nodes that share the level.
-    pub capacity_part: f64,
-    /// Whether other nodes draw on the same level.
+    /// The fraction of the nodes that this node's level and rate stand for.
+    pub fraction: f64,
+    /// Whether this node owns the level, as no parent reports one to it.
+    pub owns_level: bool,
+    /// The fraction of the capacity that the nodes sharing the level may grant at once.
+    pub capacity_fraction: f64,
     pub shared: bool,
 }
 
-/// A tenant's account.
+/// A tenant's account at one node.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
     pub(super) quota: TenantQuota,
     bucket: BucketSize,
-    /// Units that may be granted; negative where more was granted than was there.
+    /// Units that may be granted; negative when overdrawn.
     level: f64,
     updated: Timestamp,
-    /// Units granted that no report has told yet.
-    untold: f64,
-    /// Units that a report has told which is not answered yet.
-    on_the_way: f64,
-    own: RecentRate,
-    /// Units a second that callers ask for at all nodes that draw on the level, as far as known.
+    /// Units granted since the last report.
+    unreported: f64,
+    /// Units in a report that is not acknowledged yet.
+    report_in_flight: f64,
+    own_rate: RecentRate,
+    /// Requested units per second at all nodes that share the level, as far as known.
     demand: f64,
 }
 
 impl Account {
-    /// An account of which the part `filled` is there.
+    /// Creates an account filled to the fraction `filled` of its capacity.
     pub(super) fn new(quota: TenantQuota, bounds: &QuotaBounds, filled: f64, now: Timestamp) -> Self {
         let bucket = BucketSize::of(&quota, bounds);
         Self {
@@ -67,14 +67,14 @@
             bucket,
             level: bucket.capacity * filled,
             updated: now,
-            untold: 0.0,
-            on_the_way: 0.0,
-            own: RecentRate::new(FADES),
+            unreported: 0.0,
+            report_in_flight: 0.0,
+            own_rate: RecentRate::new(DEMAND_DECAY),
             demand: 0.0,
         }
     }
 
-    /// Takes a new quota over. What was granted stays granted.
+    /// Replaces the quota. Past grants stay counted.
     pub(super) fn set_quota(&mut self, quota: TenantQuota, bounds: &QuotaBounds) {
         self.quota = quota;
         self.bucket = BucketSize::of(&quota, bounds);
@@ -89,38 +89,38 @@
         self.demand
     }
 
-    /// Units a second that callers ask for at this node.
+    /// Returns the requested units per second at this node.
     pub(super) fn own_demand(&self, now: Timestamp) -> f64 {
-        self.own.per_second(now)
+        self.own_rate.per_second(now)
     }
 
     pub(super) const fn set_demand(&mut self, demand: f64) {
         self.demand = demand;
     }
 
-    /// Multiplies what is there, as where the level of all nodes is divided among them.
+    /// Scales a positive level, as when the level of all nodes is divided among them.
     pub(super) fn scale(&mut self, factor: f64) {
         if self.level > 0.0 {
             self.level *= factor;
         }
     }
 
-    /// Begins with the part `filled` of the capacity, less what has been granted meanwhile.
-    pub(super) fn begin_with(&mut self, filled: f64) {
-        self.level = self.bucket.capacity * filled - self.untold - self.on_the_way;
+    /// Sets the level to the fraction `filled` of the capacity, less recent grants.
+    pub(super) fn reset_to(&mut self, filled: f64) {
+        self.level = self.bucket.capacity * filled - self.unreported - self.report_in_flight;
     }
 
-    /// Fills up to `now`. Where other nodes draw on the same level, what they take meanwhile is not known before they
-    /// tell: the level rises only by what the known demand leaves.
+    /// Refills up to `now`. While other nodes draw on the same level and their grants are not reported yet,
+    /// the level rises only by the rate that known demand leaves.
     pub(super) fn refill(&mut self, sharing: Sharing, now: Timestamp) {
         let elapsed = now.saturating_since(self.updated).as_secs_f64();
-        let rate = self.bucket.rate * sharing.part;
-        let rises = if sharing.heads { rate } else { (rate - self.demand).max(0.0) };
-        self.level = (self.level + elapsed * rises).min(self.bucket.capacity * sharing.capacity_part);
+        let rate = self.bucket.rate * sharing.fraction;
+        let net_rate = if sharing.owns_level { rate } else { (rate - self.demand).max(0.0) };
+        self.level = (self.level + elapsed * net_rate).min(self.bucket.capacity * sharing.capacity_fraction);
         self.updated = self.updated.max(now);
     }
 
-    /// Grants `cost` units or says when to come back. `draw` is drawn evenly for each request, from 0 to 1.
+    /// Grants `cost` units or returns a retry hint. `draw` is uniformly distributed in 0 to 1.
     pub(super) fn admit(
         &mut self,
         cost: f64,
@@ -129,16 +129,17 @@
         now: Timestamp,
     ) -> Result<(), QuotaRefusal> {
         self.refill(sharing, now);
-        self.own.add(cost, now);
-        let capacity = self.bucket.capacity * sharing.capacity_part;
-        let rate = self.bucket.rate * sharing.part;
-        let demand = self.demand.max(self.own.per_second(now));
-        let wanted = cost.min(capacity * LARGEST);
-        let overloaded = sharing.shared && demand > rate && self.level < capacity * AMPLE;
+        self.own_rate.add(cost, now);
+        let capacity = self.bucket.capacity * sharing.capacity_fraction;
+        let rate = self.bucket.rate * sharing.fraction;
+        let demand = self.demand.max(self.own_rate.per_second(now));
+        let wanted = cost.min(capacity * MAX_REQUEST_FRACTION);
+        let overloaded = sharing.shared && demand > rate && self.level < capacity * AMPLE_LEVEL;
         let granted = if overloaded {
-            // All nodes grant the same share of what is asked, so that the sum is what the quota allows, and the
-            // level stays at its aim. Waiting for the level to bear each request would serve the small ones only.
-            let share = (rate + (self.level - capacity * AIM) / CORRECTION_S) / demand;
+            // All nodes grant the same fraction of the demand, so that the sum matches the quota and the
+            // level stays at its target. Waiting for the level to cover each request would serve only the
+            // small ones.
+            let share = (rate + (self.level - capacity * TARGET_LEVEL) / CORRECTION_S) / demand;
             self.level > 0.0 && draw < share
         } else {
             self.level >= wanted
@@ -153,64 +154,64 @@
 
     fn take(&mut self, cost: f64) {
         self.level -= cost;
-        self.untold += cost;
+        self.unreported += cost;
     }
 
-    /// What was granted did not run.
+    /// Returns the units of a request that did not run.
     pub(super) fn refund(&mut self, cost: f64) {
         self.take(-cost);
     }
 
-    /// A node below has granted so much. A debt is remembered up to the capacity: what was granted long ago, and is told
-    /// only now, must not stop the tenant for long.
-    pub(super) fn granted_below(&mut self, units: f64) {
+    /// Subtracts units that a child has granted. The debt is bounded by the capacity, so that late reports do
+    /// not block the tenant for long.
+    pub(super) fn granted_by_child(&mut self, units: f64) {
         self.take(units);
         self.level = self.level.max(-self.bucket.capacity);
     }
 
-    /// Units that a report tells now.
+    /// Moves all unreported units into the report in flight and returns their number.
     pub(super) fn report(&mut self) -> f64 {
-        self.on_the_way += std::mem::take(&mut self.untold);
-        self.on_the_way
+        self.report_in_flight += std::mem::take(&mut self.unreported);
+        self.report_in_flight
     }
 
-    /// Whether the account matters to others: it is empty enough, or asked for enough.
-    pub(super) fn is_worth_telling(&self, sharing: Sharing) -> bool {
+    /// Whether children need this account: its level is low or its demand is high.
+    pub(super) fn is_worth_reporting(&self, sharing: Sharing) -> bool {
         let (capacity, rate) =
-            (self.bucket.capacity * sharing.capacity_part, self.bucket.rate * sharing.part);
-        self.level < capacity * WORTH_TELLING || self.demand > rate * WORTH_TELLING
+            (self.bucket.capacity * sharing.capacity_fraction, self.bucket.rate * sharing.fraction);
+        self.level < capacity * REPORT_THRESHOLD || self.demand > rate * REPORT_THRESHOLD
     }
 
-    /// Whether a report needs to tell this demand: all that is left out is a small part of the rate.
-    pub(super) fn is_demand_worth_telling(&self, demand: f64) -> bool {
+    /// Whether a report must include this demand; smaller demands are a negligible part of the rate.
+    pub(super) fn is_demand_worth_reporting(&self, demand: f64) -> bool {
         demand > self.bucket.rate / 1_000.0
     }
 
-    /// The node above has answered the last report: it need not be told again.
+    /// Records that the parent acknowledged the last report.
     pub(super) const fn report_answered(&mut self) {
-        self.on_the_way = 0.0;
+        self.report_in_flight = 0.0;
     }
 
-    /// The node above has told the level, which bears the last report; or nothing where the account is well filled.
-    pub(super) fn told(&mut self, level: Option<f64>, demand: f64, sharing: Sharing, now: Timestamp) {
-        let capacity = self.bucket.capacity * sharing.capacity_part;
-        self.level = level.unwrap_or(capacity).min(capacity) - self.untold;
+    /// Applies the level from the parent, which includes the last report. `None` means a well filled account.
+    pub(super) fn apply_level(&mut self, level: Option<f64>, demand: f64, sharing: Sharing, now: Timestamp) {
+        let capacity = self.bucket.capacity * sharing.capacity_fraction;
+        self.level = level.unwrap_or(capacity).min(capacity) - self.unreported;
         self.demand = demand;
         self.updated = now;
     }
 
-    /// The last report was not answered: the next one tells the same again.
+    /// Records that the last report failed: its units go into the next one.
     pub(super) fn report_failed(&mut self) {
-        self.untold += std::mem::take(&mut self.on_the_way);
+        self.unreported += std::mem::take(&mut self.report_in_flight);
     }
 }
 
-/// When to come back: when the account alone would bear the request, spread so that the callers of an overload of
-/// `overload` times the rate do not return together.
-fn retry_after(missing_s: f64, overload: f64, draw: f64) -> Duration {
-    let least = LEAST_RETRY_AFTER.as_secs_f64();
-    let longest = LONGEST_RETRY_AFTER.as_secs_f64();
-    let spread = overload.clamp(1.0, longest / least) * draw;
-    let seconds = missing_s.clamp(least, longest) * (1.0 + spread);
-    Duration::from_secs_f64(seconds.min(longest))
+/// Returns the time until the account alone would cover the request, spread so that callers do not return
+/// together when demand is `overload` times the rate.
+fn retry_after(missing_seconds: f64, overload: f64, draw: f64) -> Duration {
+    let min = MIN_RETRY_AFTER.as_secs_f64();
+    let max = MAX_RETRY_AFTER.as_secs_f64();
+    let spread = overload.clamp(1.0, max / min) * draw;
+    let seconds = missing_seconds.clamp(min, max) * (1.0 + spread);
+    Duration::from_secs_f64(seconds.min(max))
 }
--- a/crates/core/src/limits/ledger/bucket_size.rs
+++ b/crates/core/src/limits/ledger/bucket_size.rs
@@ -1,50 +1,50 @@
-//! What the fleet grants of a tenant's quota, so that the operator's bound holds in every window.
+//! Computes the token bucket for a tenant's quota, so that the operator's bound holds in every window.
 
 use std::time::Duration;
 
 use crate::forwarding::document::TenantQuota;
 
-/// The part of the bound that is used.
-const USED: f64 = 0.93;
-/// The part of the bound that a steady rate may take where the quota leaves hardly any room above itself.
-const STEADY: f64 = 0.85;
-/// The part of what is left beside the steady rate that may be granted at once. The rest is for what nodes grant before
-/// they have heard of each other, and for processes that begin with a part of the bucket again.
-const AT_ONCE: f64 = 0.6;
+/// Fraction of the bound that rate and capacity use together.
+const USED_FRACTION: f64 = 0.93;
+/// Maximum fraction of the bound for the steady rate, for quotas that allow little above it.
+const MAX_STEADY_FRACTION: f64 = 0.85;
+/// Fraction of the bound left by the steady rate that may be granted at once. The remainder covers grants
+/// that nodes make before they see each other's, and restarted processes that start with a partly filled
+/// bucket.
+const BURST_FRACTION: f64 = 0.6;
 
-/// How much more than a quota may run in any window, over all nodes. Units are requests or tokens, as the quota's are.
+/// How far a quota may be exceeded in any window, over all nodes. Units are requests or tokens, as in the
+/// quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
-    /// The window.
     pub window: Duration,
-    /// The share of the quota that may run beyond it.
+    /// The fraction of the quota that may run beyond it.
     pub overage: f64,
     /// Units that may run beyond that.
     pub slack: f64,
 }
 
 impl QuotaBounds {
-    /// The units that may run in a window.
-    pub fn most(&self, quota: &TenantQuota) -> f64 {
+    /// Returns the maximum number of units in a window.
+    pub fn max_units(&self, quota: &TenantQuota) -> f64 {
         (quota.per_second * self.window.as_secs_f64() + quota.burst) * (1.0 + self.overage) + self.slack
     }
 }
 
-/// The token bucket by which a tenant's requests are admitted, over all nodes.
+/// Rate and capacity of a tenant's token bucket over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BucketSize {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units at once.
     pub capacity: f64,
 }
 
 impl BucketSize {
-    /// The bucket that uses as much of a quota's bound as is safe.
+    /// Computes the largest bucket that keeps a quota within its bounds.
     pub fn of(quota: &TenantQuota, bounds: &QuotaBounds) -> Self {
         let window = bounds.window.as_secs_f64();
-        let most = bounds.most(quota);
-        let rate = quota.per_second.min(most * STEADY / window);
-        Self { rate, capacity: (most * USED - rate * window) * AT_ONCE }
+        let max_units = bounds.max_units(quota);
+        let rate = quota.per_second.min(max_units * MAX_STEADY_FRACTION / window);
+        Self { rate, capacity: (max_units * USED_FRACTION - rate * window) * BURST_FRACTION }
     }
 }
--- a/crates/core/src/limits/ledger/children.rs
+++ b/crates/core/src/limits/ledger/children.rs
@@ -1,4 +1,4 @@
-//! What the nodes below this one in the tree have told lately.
+//! The latest reports of this node's children in the tree.
 
 use std::collections::BTreeMap;
 
@@ -7,29 +7,28 @@
     time::Timestamp,
 };
 
-use super::FRESH;
+use super::REPORT_TTL;
 
-/// What callers ask for in a tenant's name at a node and those below it.
+/// A tenant's requested rate at a node and its descendants.
 #[derive(Clone, Debug)]
 pub(super) struct TenantDemand {
     pub(super) tenant: TenantId,
-    /// Units a second.
     pub(super) per_second: f64,
 }
 
-/// The last report of one node.
+/// The latest report of one child.
 #[derive(Clone, Debug)]
-struct Told {
+struct ChildReport {
     at: Timestamp,
-    /// The node and those that it has heard below itself.
-    heard: u32,
+    /// The number of nodes in the child's subtree with current reports, the child included.
+    nodes: u32,
     demands: Vec<TenantDemand>,
 }
 
-/// The last reports of all nodes that report to this one.
+/// The latest reports of all children.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Children {
-    reports: BTreeMap<NodeId, Told>,
+    reports: BTreeMap<NodeId, ChildReport>,
 }
 
 impl Children {
@@ -37,22 +36,28 @@
         self.reports.is_empty()
     }
 
-    /// Takes a node's report in place of its last one. A report counts its sender even where it says otherwise.
-    pub(super) fn told(&mut self, node: NodeId, heard: u32, demands: Vec<TenantDemand>, now: Timestamp) {
-        self.reports.insert(node, Told { at: now, heard: heard.max(1), demands });
+    /// Replaces a child's report. A report counts at least its sender.
+    pub(super) fn receive_report(
+        &mut self,
+        node: NodeId,
+        nodes: u32,
+        demands: Vec<TenantDemand>,
+        now: Timestamp,
+    ) {
+        self.reports.insert(node, ChildReport { at: now, nodes: nodes.max(1), demands });
     }
 
-    /// Leaves out nodes that have told nothing lately.
-    pub(super) fn forget_silent(&mut self, now: Timestamp) {
-        self.reports.retain(|_, report| now.saturating_since(report.at) < FRESH);
+    /// Drops children without a recent report.
+    pub(super) fn expire(&mut self, now: Timestamp) {
+        self.reports.retain(|_, report| now.saturating_since(report.at) < REPORT_TTL);
     }
 
-    /// How many nodes the reports speak for.
+    /// Returns the number of nodes that the reports cover.
     pub(super) fn reporting_nodes(&self) -> u32 {
-        self.reports.values().fold(0, |sum, report| sum.saturating_add(report.heard))
+        self.reports.values().fold(0, |sum, report| sum.saturating_add(report.nodes))
     }
 
-    /// Units a second that callers ask for at all these nodes together, by tenant.
+    /// Sums the requested units per second by tenant.
     pub(super) fn demands(&self) -> BTreeMap<&TenantId, f64> {
         let mut demands = BTreeMap::new();
         for demand in self.reports.values().flat_map(|report| &report.demands) {
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -1,15 +1,17 @@
-//! Tenant quotas over all forwarding nodes: one token bucket for each tenant, whose level is told down the tree of nodes.
+//! Tenant quotas over all forwarding nodes: one token bucket per tenant, whose level is distributed down the
+//! tree of nodes.
 //!
-//! A node grants by the level that it was told, less what it has granted since. Reports carry grants up, once each, and
-//! the node at the head of the tree takes them off the level. What nodes grant before they hear of each other is bounded
-//! by [`bucket_size`]: it leaves room for it. Under overload all nodes grant the same share of what is asked.
+//! A node grants from the level that its parent reported, less its own grants since then. Each grant is
+//! reported up the tree once, and the root subtracts it from the level. [`bucket_size`] leaves room for what
+//! nodes grant before they see each other's grants. Under overload all nodes grant the same fraction of the
+//! demand.
 //!
-//! A node that nobody tells anything heads itself and those that report to it. It goes on with its part of the level and
-//! of the rate: the nodes that it hears, of all that were lately counted. The root does the same, so that both sides of
-//! a partition together grant no more than the whole.
+//! A node without a parent owns the level for itself and its descendants. It continues with a fraction of the
+//! level and of the rate: the number of nodes that it covers, relative to the last count of all nodes. The
+//! root does the same, so that both sides of a partition together stay within the quota.
 //!
-//! A restart of single processes loses nothing but what they granted in the last fifth of a second; a root that begins
-//! goes on from the level that it was last told. After a restart of all, the level begins half filled.
+//! A process restart loses only grants that were not reported yet; a new root continues from the level that
+//! it last received. After all nodes restart, the level begins half filled.
 
 mod account;
 pub mod bucket_size;
@@ -30,94 +32,92 @@
 };
 use crate::forwarding::document::TenantQuota;
 
-/// How long what another node has told is used.
-const FRESH: Duration = Duration::from_millis(1_500);
-/// How long a count of nodes is remembered: nodes that have been cut off for so long may still grant.
-const REMEMBERED: Duration = Duration::from_secs(60);
-/// How long a root that has just begun waits for reports before it counts whom it hears.
-const SETTLING: Duration = Duration::from_secs(2);
-/// How many times its even part of the capacity a node has that heads itself and is not the root. A request is often
-/// larger than the even part; while a third of the nodes are apart, all of them together grant a part of the capacity
-/// more, for which the plan leaves room.
-const APART: f64 = 3.0;
-/// The part of the capacity with which accounts begin where an earlier fleet may have granted the rest.
-const HALF: f64 = 0.5;
-
-/// A request is over its tenant's quota.
+/// Time for which a report or a level from another node is used.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
+/// Time for which a count of nodes is remembered, as nodes that were partitioned off may still grant.
+const COUNT_TTL: Duration = Duration::from_secs(60);
+/// Time that a new root waits for reports before it counts the reporting nodes.
+const ROOT_SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Multiple of its even share of the capacity that a node without a parent may grant at once, as a request is
+/// often larger than the even share.
+const DETACHED_CAPACITY_FACTOR: f64 = 3.0;
+/// Initial fraction of the capacity when an earlier process may have granted the remainder.
+const RESTART_FILL: f64 = 0.5;
+
+/// A request exceeds its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the tenant's quota is used up")]
 pub struct QuotaRefusal {
-    /// When the quota may bear the request.
+    /// Time until the quota may cover the request.
     pub retry_after: Duration,
 }
 
-/// What decided on a request of a tenant, for log lines.
+/// The state behind an admission decision, for log lines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaView {
-    /// Units a second that the operator allows.
+    /// The configured rate in units per second.
     pub per_second: f64,
     /// Units that may still be granted, over all nodes that share the level.
     pub level: f64,
-    /// Units a second that callers ask for, over the same nodes, as far as known.
+    /// Requested units per second over the same nodes, as far as known.
     pub demand: f64,
-    /// The part of the fleet that shares the level.
+    /// The fraction of the nodes that share the level.
     pub part: f64,
-    /// The age of what another node told; none where this node heads itself.
+    /// Age of the level from the parent; `None` if this node owns the level.
     pub report_age: Option<Duration>,
 }
 
-/// What was granted, to be given back where the request did not run.
+/// A grant, to be refunded if the request does not run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaGrant {
     tenant: TenantId,
     units: f64,
 }
 
-/// What this node knows of its place among the nodes.
+/// This node's position in the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodePosition {
-    /// Whether it is the root of the tree.
     pub is_root: bool,
-    /// The number of nodes, where it has been counted.
+    /// The number of nodes, if it was counted.
     pub counted: Option<u32>,
-    /// The number that is assumed otherwise.
+    /// The number of nodes assumed otherwise.
     pub assumed: u32,
 }
 
-/// The quotas of all tenants at one node.
+/// Admits requests against the quotas of all tenants at one node.
 #[derive(Clone, Debug)]
 pub struct QuotaLedger {
     bounds: QuotaBounds,
     accounts: BTreeMap<TenantId, Account>,
     children: Children,
-    told_at: Option<Timestamp>,
-    /// The part that was last told.
-    told_part: Option<f64>,
-    /// What was last known of this node's place.
-    place: Option<NodePosition>,
+    level_received_at: Option<Timestamp>,
+    /// The fraction that the parent last reported.
+    parent_fraction: Option<f64>,
+    position: Option<NodePosition>,
     root_since: Option<Timestamp>,
-    most_nodes: Option<(u32, Timestamp)>,
+    max_nodes: Option<(u32, Timestamp)>,
     sharing: Sharing,
-    /// The part of the capacity with which an account begins.
+    /// The initial fraction of an account's capacity.
     filled: f64,
 }
 
 impl QuotaLedger {
-    /// A ledger without quotas, of one of `assumed_nodes`. `first_start` tells that no fleet was there before.
+    /// Creates a ledger without quotas at one of `assumed_nodes`. With `first_start`, no earlier process can
+    /// have made grants.
     pub fn new(bounds: QuotaBounds, first_start: bool, assumed_nodes: u32) -> Self {
-        // Until another node tells anything, this one is one of many.
-        let part = 1.0 / f64::from(assumed_nodes.max(1));
+        // Without a parent, this node is one of many.
+        let fraction = 1.0 / f64::from(assumed_nodes.max(1));
         Self {
             bounds,
             accounts: BTreeMap::new(),
             children: Children::default(),
-            told_at: None,
-            told_part: None,
-            place: None,
+            level_received_at: None,
+            parent_fraction: None,
+            position: None,
             root_since: None,
-            most_nodes: None,
-            sharing: Sharing { part, capacity_part: part, heads: true, shared: false },
-            filled: if first_start { 1.0 } else { HALF },
+            max_nodes: None,
+            sharing: Sharing { fraction, capacity_fraction: fraction, owns_level: true, shared: false },
+            filled: if first_start { 1.0 } else { RESTART_FILL },
         }
     }
 
@@ -135,13 +135,13 @@
                     known.set_quota(*quota, &self.bounds);
                     known
                 }
-                None => Account::new(*quota, &self.bounds, self.filled * self.sharing.part, now),
+                None => Account::new(*quota, &self.bounds, self.filled * self.sharing.fraction, now),
             };
             self.accounts.insert(tenant.clone(), account);
         }
     }
 
-    /// Takes new bounds over, as where the settings have changed.
+    /// Replaces the bounds, as when the settings change.
     pub fn set_bounds(&mut self, bounds: QuotaBounds) {
         self.bounds = bounds;
         for account in self.accounts.values_mut() {
@@ -149,17 +149,17 @@
         }
     }
 
-    /// Whether any tenant has a quota.
+    /// Whether no tenant has a quota.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
 
-    /// The quota of a tenant, if it has one.
+    /// Returns a tenant's quota.
     pub fn quota(&self, tenant: &TenantId) -> Option<&TenantQuota> {
         Some(&self.accounts.get(tenant)?.quota)
     }
 
-    /// Grants a request of `units`, or says when to come back. `draw` is drawn evenly for the request, from 0 to 1.
+    /// Grants a request of `units` or returns a retry hint. `draw` is uniformly distributed in 0 to 1.
     pub fn admit(
         &mut self,
         tenant: &TenantId,
@@ -167,118 +167,122 @@
         draw: f64,
         now: Timestamp,
     ) -> Result<Option<QuotaGrant>, QuotaRefusal> {
-        self.leave_outdated(now);
+        self.drop_outdated_level(now);
         let sharing = self.sharing;
         let Some(account) = self.accounts.get_mut(tenant) else { return Ok(None) };
         account.admit(units, draw, sharing, now)?;
         Ok(Some(QuotaGrant { tenant: tenant.clone(), units }))
     }
 
-    /// What was granted did not run.
+    /// Returns the units of a request that did not run.
     pub fn refund(&mut self, grant: &QuotaGrant) {
         if let Some(account) = self.accounts.get_mut(&grant.tenant) {
             account.refund(grant.units);
         }
     }
 
-    /// What would decide on a request of a tenant now.
+    /// Returns the state that an admission decision for a tenant would use now.
     pub fn view(&self, tenant: &TenantId, now: Timestamp) -> Option<QuotaView> {
         let account = self.accounts.get(tenant)?;
-        let report_age = self.told_at.map(|at| now.saturating_since(at));
+        let report_age = self.level_received_at.map(|at| now.saturating_since(at));
         Some(QuotaView {
             per_second: account.quota.per_second,
             level: account.level(),
             demand: account.demand().max(account.own_demand(now)),
-            part: self.sharing.part,
-            report_age: report_age.filter(|_| !self.sharing.heads),
+            part: self.sharing.fraction,
+            report_age: report_age.filter(|_| !self.sharing.owns_level),
         })
     }
 
-    /// Looks at who is heard, and adds up what they ask for; to be called several times a second.
-    pub fn tick(&mut self, place: NodePosition, now: Timestamp) {
+    /// Expires reports, updates this node's share and sums the demand. Call several times per second.
+    pub fn tick(&mut self, position: NodePosition, now: Timestamp) {
         self.accounts.values_mut().for_each(|account| account.refill(self.sharing, now));
-        self.children.forget_silent(now);
-        self.remember_count(place.counted, now);
-        let began = self.root_since.is_none() && place.is_root;
-        self.root_since = place.is_root.then(|| self.root_since.unwrap_or(now));
-        self.place = Some(place);
-        if self.is_told(now) && !place.is_root {
-            self.sharing = Sharing { shared: true, heads: false, ..self.sharing };
+        self.children.expire(now);
+        self.remember_count(position.counted, now);
+        let began = self.root_since.is_none() && position.is_root;
+        self.root_since = position.is_root.then(|| self.root_since.unwrap_or(now));
+        self.position = Some(position);
+        if self.has_parent_level(now) && !position.is_root {
+            self.sharing = Sharing { shared: true, owns_level: false, ..self.sharing };
             return;
         }
-        self.head_itself(place, began, now);
-        self.add_up_demand(now);
+        self.own_level(position, began, now);
+        self.sum_demand(now);
     }
 
-    /// The part of the fleet that this node and those below it are, where no other node tells it anything.
+    /// Returns the fraction of the nodes that this node and its descendants are, if it owns the level.
     pub fn root_share(&self) -> Option<f64> {
-        self.sharing.heads.then_some(self.sharing.part)
+        self.sharing.owns_level.then_some(self.sharing.fraction)
     }
 
-    /// Whether another node has told the level lately.
-    fn is_told(&self, now: Timestamp) -> bool {
-        self.told_at.is_some_and(|at| now.saturating_since(at) < FRESH)
+    /// Whether the parent reported a level recently.
+    fn has_parent_level(&self, now: Timestamp) -> bool {
+        self.level_received_at.is_some_and(|at| now.saturating_since(at) < REPORT_TTL)
     }
 
-    /// Heads itself where what it was told has grown too old. A process that stood still would else grant by a level of
-    /// long before until it next looks at who is heard.
-    fn leave_outdated(&mut self, now: Timestamp) {
-        let Some(place) = self.place.filter(|_| !self.sharing.heads && !self.is_told(now)) else {
+    /// Takes ownership of the level once the parent's report has expired. Without this, a process that was
+    /// paused would grant from an outdated level until its next tick.
+    fn drop_outdated_level(&mut self, now: Timestamp) {
+        let Some(position) =
+            self.position.filter(|_| !self.sharing.owns_level && !self.has_parent_level(now))
+        else {
             return;
         };
         self.accounts.values_mut().for_each(|account| account.refill(self.sharing, now));
-        self.children.forget_silent(now);
-        self.head_itself(place, false, now);
+        self.children.expire(now);
+        self.own_level(position, false, now);
     }
 
-    /// Goes on with this node's part of the level and of the rate, as no other node tells it anything.
-    fn head_itself(&mut self, place: NodePosition, began: bool, now: Timestamp) {
-        let part = self.part_heard(place, now);
-        if began && self.told_part.is_none() {
-            self.accounts.values_mut().for_each(|account| account.begin_with(self.filled));
-        } else if !self.sharing.heads && !place.is_root {
-            // What was told was for all: this node goes on with its part.
-            let factor = part / self.sharing.part.max(part);
+    /// Continues with this node's fraction of the level and of the rate, without a parent.
+    fn own_level(&mut self, position: NodePosition, began: bool, now: Timestamp) {
+        let fraction = self.covered_fraction(position, now);
+        if began && self.parent_fraction.is_none() {
+            self.accounts.values_mut().for_each(|account| account.reset_to(self.filled));
+        } else if !self.sharing.owns_level && !position.is_root {
+            // The reported level was for all nodes: this node continues with its fraction.
+            let factor = fraction / self.sharing.fraction.max(fraction);
             self.accounts.values_mut().for_each(|account| account.scale(factor));
         }
-        let capacity_part = if place.is_root { part } else { (part * APART).min(1.0) };
-        self.sharing = Sharing { part, capacity_part, heads: true, shared: !self.children.is_empty() };
+        let capacity_fraction =
+            if position.is_root { fraction } else { (fraction * DETACHED_CAPACITY_FACTOR).min(1.0) };
+        self.sharing =
+            Sharing { fraction, capacity_fraction, owns_level: true, shared: !self.children.is_empty() };
     }
 
-    /// The part of the fleet that this node and those below it are.
-    fn part_heard(&self, place: NodePosition, now: Timestamp) -> f64 {
-        let settling = self.root_since.is_some_and(|since| now.saturating_since(since) < SETTLING);
+    /// Returns the fraction of the nodes that this node and its descendants are.
+    fn covered_fraction(&self, position: NodePosition, now: Timestamp) -> f64 {
+        let settling = self.root_since.is_some_and(|since| now.saturating_since(since) < ROOT_SETTLE_TIME);
         if settling {
-            return self.told_part.unwrap_or(1.0);
+            return self.parent_fraction.unwrap_or(1.0);
         }
-        let nodes = self.most_nodes.map_or(place.assumed, |(nodes, _)| nodes).max(1);
+        let nodes = self.max_nodes.map_or(position.assumed, |(nodes, _)| nodes).max(1);
         (f64::from(self.reporting_nodes()) / f64::from(nodes)).min(1.0)
     }
 
     fn remember_count(&mut self, counted: Option<u32>, now: Timestamp) {
         let Some(counted) = counted else { return };
         let outdated =
-            |(most, at): (u32, Timestamp)| counted >= most || now.saturating_since(at) >= REMEMBERED;
-        if self.most_nodes.is_none_or(outdated) {
-            self.most_nodes = Some((counted, now));
+            |(known, at): (u32, Timestamp)| counted >= known || now.saturating_since(at) >= COUNT_TTL;
+        if self.max_nodes.is_none_or(outdated) {
+            self.max_nodes = Some((counted, now));
         }
     }
 
-    /// This node and those below it that were heard lately.
+    /// Returns the number of nodes with current reports: this one and its descendants.
     pub fn reporting_nodes(&self) -> u32 {
         self.children.reporting_nodes().saturating_add(1)
     }
 
-    fn add_up_demand(&mut self, now: Timestamp) {
+    fn sum_demand(&mut self, now: Timestamp) {
         let demands = self.children.demands();
         for (tenant, account) in &mut self.accounts {
-            let below = demands.get(tenant).copied().unwrap_or_default();
-            account.set_demand(below + account.own_demand(now));
+            let descendants = demands.get(tenant).copied().unwrap_or_default();
+            account.set_demand(descendants + account.own_demand(now));
         }
     }
 
-    /// A node below has told what it and those below it have granted and were asked for. Gives the number of entries
-    /// that were passed over: of tenants without quota, or with figures that make no sense.
+    /// Applies a child's report of grants and demand in its subtree. Returns the number of rejected entries:
+    /// of tenants without a quota, or with invalid figures.
     pub fn receive_report(
         &mut self,
         node: NodeId,
@@ -287,80 +291,80 @@
         now: Timestamp,
     ) -> usize {
         let mut demands = Vec::with_capacity(spending.len());
-        let mut passed_over = 0;
+        let mut rejected = 0;
         for entry in spending {
-            let sound = entry.spent.is_finite() && entry.demand.is_finite() && entry.demand >= 0.0;
-            match self.accounts.get_mut(&entry.tenant).filter(|_| sound) {
+            let is_valid = entry.spent.is_finite() && entry.demand.is_finite() && entry.demand >= 0.0;
+            match self.accounts.get_mut(&entry.tenant).filter(|_| is_valid) {
                 Some(account) => {
-                    account.granted_below(entry.spent);
+                    account.granted_by_child(entry.spent);
                     demands.push(TenantDemand { tenant: entry.tenant, per_second: entry.demand });
                 }
-                None => passed_over += 1,
+                None => rejected += 1,
             }
         }
-        self.children.told(node, heard, demands, now);
-        passed_over
+        self.children.receive_report(node, heard, demands, now);
+        rejected
     }
 
-    /// What a node below is told.
+    /// Returns the levels and demands for a child.
     pub fn digest(&mut self, now: Timestamp) -> QuotaDigest {
-        self.leave_outdated(now);
+        self.drop_outdated_level(now);
         let sharing = self.sharing;
         let mut credits = Vec::new();
         for (tenant, account) in &mut self.accounts {
             account.refill(sharing, now);
-            if account.is_worth_telling(sharing) {
+            if account.is_worth_reporting(sharing) {
                 let (level, demand) = (thousandths(account.level()), thousandths(account.demand()));
                 credits.push(TenantCredit { tenant: tenant.clone(), level, demand });
             }
         }
-        QuotaDigest { part: sharing.part, credits }
+        QuotaDigest { part: sharing.fraction, credits }
     }
 
-    /// What the node above is told now; to be followed by [`report_answered`](Self::report_answered) or
-    /// [`report_failed`](Self::report_failed).
+    /// Returns the report for the parent; [`report_answered`](Self::report_answered) or
+    /// [`report_failed`](Self::report_failed) must follow.
     pub fn report(&mut self, now: Timestamp) -> Vec<TenantSpending> {
         let demands = self.children.demands();
         let mut report = Vec::new();
         for (tenant, account) in &mut self.accounts {
-            let below = demands.get(tenant).copied().unwrap_or_default();
-            let demand = thousandths(below + account.own_demand(now));
+            let descendants = demands.get(tenant).copied().unwrap_or_default();
+            let demand = thousandths(descendants + account.own_demand(now));
             let spent = thousandths(account.report());
-            if spent != 0.0 || account.is_demand_worth_telling(demand) {
+            if spent != 0.0 || account.is_demand_worth_reporting(demand) {
                 report.push(TenantSpending { tenant: tenant.clone(), spent, demand });
             }
         }
         report
     }
 
-    /// The node above has answered the last report, which was sent at `sent_at`. What it tells was true no earlier: an
-    /// answer that was long under way, as where this process stood still, is no reason to draw on the level of all.
+    /// Applies the parent's answer to the report sent at `sent_at`. The answer counts as no younger than
+    /// that: one that was in flight for long, as while this process was paused, must not be used.
     pub fn report_answered(&mut self, digest: &QuotaDigest, sent_at: Timestamp, now: Timestamp) {
         self.accounts.values_mut().for_each(Account::report_answered);
-        self.told_at = self.told_at.max(Some(sent_at));
-        if !self.is_told(now) {
-            self.leave_outdated(now);
+        self.level_received_at = self.level_received_at.max(Some(sent_at));
+        if !self.has_parent_level(now) {
+            self.drop_outdated_level(now);
             return;
         }
-        let part = digest.part.clamp(0.0, 1.0);
-        self.told_part = Some(part);
-        self.sharing = Sharing { part, capacity_part: part, heads: false, shared: true };
+        let fraction = digest.part.clamp(0.0, 1.0);
+        self.parent_fraction = Some(fraction);
+        self.sharing = Sharing { fraction, capacity_fraction: fraction, owns_level: false, shared: true };
         let credits: BTreeMap<&TenantId, &TenantCredit> =
             digest.credits.iter().map(|credit| (&credit.tenant, credit)).collect();
         for (tenant, account) in &mut self.accounts {
             let credit = credits.get(tenant);
             let demand = credit.map_or(0.0, |credit| credit.demand.max(0.0));
-            account.told(credit.map(|credit| credit.level), demand, self.sharing, now);
+            account.apply_level(credit.map(|credit| credit.level), demand, self.sharing, now);
         }
     }
 
-    /// The node above has not answered the last report: the next one tells the same again.
+    /// Records that the last report failed: its units go into the next one.
     pub fn report_failed(&mut self) {
         self.accounts.values_mut().for_each(Account::report_failed);
     }
 }
 
-/// Rounds to what a message tells.
+/// Rounds to the resolution of a message.
 fn thousandths(units: f64) -> f64 {
     (units * 1_000.0).round() / 1_000.0
 }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,10 +1,11 @@
-//! Tenant quotas over all nodes.
+//! Tenant quotas shared by all nodes.
 //!
-//! Each node enforces a share of each quota by itself. It reports its demand in [`QuotaDigest`]s, which ride on membership probes, and
-//! computes its share from the reports of all. The shares of all nodes sum to no more than the quota as long as reports arrive within
-//! [`LimitSettings::settle`]; `docs/design/limits.md` gives the proof and the greatest overshoot otherwise.
+//! Each node enforces its share of each quota locally. It reports its demand in [`QuotaDigest`]s, which are
+//! piggybacked on membership probes, and computes its share from the reports of all nodes. The shares add up
+//! to at most the quota while reports arrive within [`LimitSettings::settle`]; `docs/design/limits.md` gives
+//! the proof and the maximum overshoot otherwise.
 //!
-//! Rates are units a second as `f64`; a request is one unit, a token is one unit.
+//! Rates are units per second as `f64`; a request is one unit, a token is one unit.
 
 pub mod bucket;
 pub mod ledger;
@@ -25,33 +26,34 @@
 use peer_reports::{PeerReports, PeerUsage, encoded_bound, tenant_bound};
 use tenant::{TenantLimits, Timing};
 
-/// Up to this number of nodes, each probes every other one so often that nothing needs to be passed on.
+/// Up to this cluster size, nodes probe each other often enough that reports need no relaying.
 const DIRECT_MEMBERS: u32 = 4;
 
 /// Settings of [`Limits`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Time between two reports of a node, and between two computations of its shares.
+    /// Interval at which a node reports and recomputes its shares.
     pub interval: Duration,
-    /// Time within which a report reaches the other nodes, without what their number adds.
+    /// Fixed part of the time in which a report reaches the other nodes.
     pub settle_base: Duration,
-    /// What each node adds to it: reports share the few bytes of a probe.
+    /// Added to `settle_base` for each node, as reports share a few bytes of each probe.
     pub settle_per_node: Duration,
-    /// Allowance for the time that messages are on the way, which ages do not include.
+    /// Allowance for time in flight, which report ages do not include.
     pub transit: Duration,
     /// A node may serve its share of this time at once.
     pub burst: Duration,
-    /// Bytes of JSON of one report at most; tenants that do not fit are left out.
+    /// Maximum JSON size of one report; tenants that do not fit are left out.
     pub digest_bytes: usize,
 }
 
 impl LimitSettings {
-    /// Time within which a report reaches all of `members` nodes. Older reports count as missing.
+    /// Returns the time in which a report reaches all of `members` nodes. Older reports count as missing.
     pub fn settle(&self, members: u32) -> Duration {
         self.settle_base + self.settle_per_node * members
     }
 
-    /// Time after which a report of this node has surely reached all nodes that count as heard from.
+    /// Returns the time after which a report of this node has reached every node whose reports are not
+    /// missing here.
     pub fn settled_window(&self, members: u32) -> Duration {
         self.settle(members) + self.transit + self.interval
     }
@@ -70,26 +72,23 @@
     }
 }
 
-/// What a request takes of its tenant's quota.
+/// The cost of a request against its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestCost {
-    /// Tokens of the prompt and tokens to generate at most. What is not generated is given back at the end.
+    /// Prompt tokens plus the maximum number of generated tokens. Unused tokens are refunded at the end.
     pub tokens: u32,
 }
 
-/// Which limit refused a request.
+/// The limit that refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LimitKind {
-    /// Requests a second.
     Requests,
-    /// Tokens a second.
     Tokens,
-    /// Requests at the same time.
     Concurrency,
 }
 
 impl LimitKind {
-    /// The limit's name, as in the configuration.
+    /// Returns the limit's name in the configuration.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Requests => "requests_per_second",
@@ -99,13 +98,12 @@
     }
 }
 
-/// A request is over its tenant's quota.
+/// A request exceeds its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the tenant's quota of {} is used up", kind.name())]
 pub struct LimitRefusal {
-    /// The limit.
     pub kind: LimitKind,
-    /// When the request would fit, other requests aside.
+    /// Time until the request would fit if no other request were admitted.
     pub retry_after: Duration,
 }
 
@@ -115,18 +113,17 @@
     }
 }
 
-/// A tenant's quota and this node's part in it, for operators.
+/// A tenant's quota and this node's share of it, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitView {
-    /// Over all nodes.
+    /// The quota over all nodes.
     pub quota: Quota,
-    /// What this node may serve now.
+    /// This node's current share.
     pub share: Quota,
-    /// Requests that run at this node.
     pub in_flight: u32,
 }
 
-/// The quotas of all tenants at one node.
+/// Enforces this node's shares of all tenants' quotas.
 #[derive(Clone, Debug)]
 pub struct Limits {
     settings: LimitSettings,
@@ -140,7 +137,7 @@
 }
 
 impl Limits {
-    /// Limits of `node` without any quota.
+    /// Creates the limits of `node`, without any quota.
     pub fn new(settings: LimitSettings, node: NodeId, incarnation: Incarnation, now: Timestamp) -> Self {
         let own = QuotaDigest { node: node.clone(), incarnation, round: 0, age_ms: 0, tenants: Vec::new() };
         Self {
@@ -155,7 +152,7 @@
         }
     }
 
-    /// Takes over the quotas of a configuration. Tenants that are not named have no limit.
+    /// Replaces the quotas by those of a configuration. Tenants that are not listed have no limit.
     pub fn configure<'a>(&mut self, quotas: impl Iterator<Item = (&'a TenantId, &'a Quota)>, now: Timestamp) {
         let mut before = std::mem::take(&mut self.tenants);
         for (tenant, quota) in quotas {
@@ -171,27 +168,27 @@
         self.update_shares(now);
     }
 
-    /// Sets the number of nodes that exist, this one included. Nodes that only seem dead must be counted: a cut-off side
-    /// of a partition would otherwise take the whole quota.
+    /// Sets the number of existing nodes, this one included. Nodes believed dead must be counted: otherwise
+    /// each side of a network partition would use the entire quota.
     pub fn set_members(&mut self, members: u32, now: Timestamp) {
         self.members = members.max(1);
         self.update_shares(now);
     }
 
-    /// Takes in reports of other nodes.
+    /// Applies reports of other nodes.
     pub fn receive(&mut self, digests: &[QuotaDigest], now: Timestamp) {
         for digest in digests.iter().filter(|digest| digest.node != self.node) {
             self.reports.receive(digest, now);
         }
     }
 
-    /// Closes a report interval; to be called every [`LimitSettings::interval`].
+    /// Closes a report interval. Call every [`LimitSettings::interval`].
     pub fn tick(&mut self, now: Timestamp) {
         let timing = self.timing();
         let mut reports: Vec<(f64, TenantUse)> = Vec::new();
         for (tenant, limits) in &mut self.tenants {
             let report = limits.close_interval(tenant, &timing, now);
-            reports.extend(report.map(|report| (limits.used_part(), report)));
+            reports.extend(report.map(|report| (limits.demanded_fraction(), report)));
         }
         reports.sort_by(|left, right| right.0.total_cmp(&left.0));
         self.own.round += 1;
@@ -209,8 +206,8 @@
         self.update_shares(now);
     }
 
-    /// Reports to send to another node within `budget` bytes of JSON: this node's own and others', which take turns at going
-    /// first. Few nodes hear of each other directly and pass nothing on.
+    /// Returns the reports to send to another node within `budget` bytes of JSON: this node's own and relayed
+    /// ones, which alternate in going first. In small clusters nodes report directly and relay nothing.
     pub fn digests(&mut self, budget: usize, now: Timestamp) -> Vec<QuotaDigest> {
         let age = now.saturating_since(self.own_written).as_millis();
         let own = QuotaDigest { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.own.clone() };
@@ -233,7 +230,8 @@
         chosen
     }
 
-    /// Admits a request or says which limit it exceeds. An admitted request must be [`ended`](Self::ended).
+    /// Admits a request or returns the limit that it exceeds. Each admitted request must be passed to
+    /// [`ended`](Self::ended).
     pub fn admit(
         &mut self,
         tenant: &TenantId,
@@ -243,25 +241,25 @@
         self.tenants.get_mut(tenant).map_or(Ok(()), |limits| limits.admit(cost, now))
     }
 
-    /// An admitted request has ended; `unused_tokens` of its cost were not used.
+    /// Records that an admitted request has ended with `unused_tokens` of its cost unused.
     pub fn ended(&mut self, tenant: &TenantId, unused_tokens: u32) {
         if let Some(limits) = self.tenants.get_mut(tenant) {
             limits.ended(unused_tokens);
         }
     }
 
-    /// A tenant's quota and this node's share.
+    /// Returns a tenant's quota and this node's share.
     pub fn view(&self, tenant: &TenantId) -> Option<LimitView> {
         let limits = self.tenants.get(tenant)?;
         Some(LimitView { quota: limits.quota(), share: limits.share(), in_flight: limits.in_flight() })
     }
 
-    /// All tenants with a quota.
+    /// Returns all tenants that have a quota.
     pub fn tenants(&self) -> impl Iterator<Item = &TenantId> {
         self.tenants.keys()
     }
 
-    /// Nodes heard from lately, this one included.
+    /// Returns the number of nodes with a current report, this one included.
     pub fn reporting_nodes(&self) -> u32 {
         u32::try_from(self.reports.len()).unwrap_or(u32::MAX).saturating_add(1)
     }
@@ -269,11 +267,11 @@
     fn update_shares(&mut self, now: Timestamp) {
         self.reports.expire(self.settings.settle(self.members), now);
         let timing = self.timing();
-        let fresh = self.reporting_nodes();
+        let reporting = self.reporting_nodes();
         let sums = self.reports.sums();
         for (tenant, limits) in &mut self.tenants {
             let others: PeerUsage = sums.get(tenant).copied().unwrap_or_default();
-            limits.update_share(&timing, fresh, &others, now);
+            limits.update_share(&timing, reporting, &others, now);
         }
     }
 
--- a/crates/core/src/limits/peer_reports.rs
+++ b/crates/core/src/limits/peer_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of other nodes: kept, aged, summed, and passed on within a bound of bytes.
+//! Stores, ages, sums and relays the reports of other nodes.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,13 +8,13 @@
     time::Timestamp,
 };
 
-/// Times that a node passes on one report: enough for each of a few hundred nodes to hear it from somebody.
-const RELAYS: u32 = 6;
+/// Times that a node relays one report: enough to reach a few hundred nodes.
+const MAX_RELAYS: u32 = 6;
 
-/// Bytes of JSON around the fields of a digest, the age at its longest and the comma after it included.
+/// JSON bytes around the fields of a digest, including the longest age and the following comma.
 const DIGEST_OVERHEAD: usize = 42;
 
-/// Bytes of JSON around the fields of one tenant's use, the comma after it included.
+/// JSON bytes around the fields of one tenant's usage, including the following comma.
 const TENANT_OVERHEAD: usize = 7;
 
 #[derive(Clone, Debug)]
@@ -30,16 +30,14 @@
     }
 }
 
-/// What all other fresh nodes ask for and use of one tenant's quota.
+/// The demand and usage of one tenant's quota at all other nodes with current reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerUsage {
-    /// Requests a second.
     pub requests_per_second: f64,
-    /// Tokens a second.
     pub tokens_per_second: f64,
-    /// Requests at the same time that are asked for.
+    /// Concurrent requests that the nodes want to run.
     pub concurrent_wanted: f64,
-    /// Requests at the same time that run or may be started.
+    /// Concurrent requests that run or may be started.
     pub held: f64,
 }
 
@@ -52,14 +50,14 @@
     }
 }
 
-/// The latest report of each other node.
+/// Stores the latest report of each other node.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReports {
     reports: BTreeMap<NodeId, PeerReport>,
 }
 
 impl PeerReports {
-    /// Takes in a report where it is newer than what is known.
+    /// Stores a report that is newer than the known one.
     pub fn receive(&mut self, digest: &QuotaDigest, now: Timestamp) {
         let known = self.reports.get(&digest.node);
         let order = (digest.incarnation, digest.round);
@@ -72,22 +70,22 @@
         self.reports.insert(node, PeerReport { digest, received: now, relays: 0 });
     }
 
-    /// Forgets reports older than `keep`.
-    pub fn expire(&mut self, keep: Duration, now: Timestamp) {
-        self.reports.retain(|_, report| report.age(now) <= keep);
+    /// Drops reports older than `max_age`.
+    pub fn expire(&mut self, max_age: Duration, now: Timestamp) {
+        self.reports.retain(|_, report| report.age(now) <= max_age);
     }
 
-    /// Number of nodes that are known by a report.
+    /// Returns the number of reports.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// Whether no report is known.
+    /// Whether there are no reports.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// The sum of all reports by tenant.
+    /// Sums all reports by tenant.
     pub fn sums(&self) -> BTreeMap<&TenantId, PeerUsage> {
         let mut sums: BTreeMap<&TenantId, PeerUsage> = BTreeMap::new();
         for entry in self.reports.values().flat_map(|report| &report.digest.tenants) {
@@ -96,12 +94,13 @@
         sums
     }
 
-    /// Reports to pass on within `budget` bytes of JSON: those passed on the least often first, then the youngest.
+    /// Returns the reports to relay within `budget` bytes of JSON: the least often relayed first, then the
+    /// youngest.
     pub fn relay(&mut self, budget: usize, now: Timestamp) -> Vec<QuotaDigest> {
         let mut waiting: Vec<(u32, Duration, NodeId)> = self
             .reports
             .iter()
-            .filter(|(_, report)| report.relays < RELAYS)
+            .filter(|(_, report)| report.relays < MAX_RELAYS)
             .map(|(node, report)| (report.relays, report.age(now), node.clone()))
             .collect();
         waiting.sort();
@@ -122,14 +121,14 @@
     }
 }
 
-/// An upper bound of a digest's size as JSON, the comma after it included.
+/// Returns an upper bound of a digest's JSON size, including the following comma.
 pub fn encoded_bound(digest: &QuotaDigest) -> usize {
     let tenants: usize = digest.tenants.iter().map(tenant_bound).sum();
     let numbers = digits(digest.incarnation.0) + digits(digest.round);
     DIGEST_OVERHEAD + text_bound(digest.node.as_str()) + numbers + tenants
 }
 
-/// An upper bound of the size of one tenant's use as JSON, the comma after it included.
+/// Returns an upper bound of the JSON size of one tenant's usage, including the following comma.
 pub fn tenant_bound(entry: &TenantUse) -> usize {
     let rates = digits(entry.milli_requests_per_second) + digits(entry.tokens_per_second);
     let counts = digits(entry.concurrent_wanted.into()) + digits(entry.held.into());
--- a/crates/core/src/limits/tenant.rs
+++ b/crates/core/src/limits/tenant.rs
@@ -1,4 +1,4 @@
-//! One tenant's quota at one node.
+//! Enforces one tenant's quota at one node.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
     LimitKind, LimitRefusal, RequestCost,
     bucket::TokenBucket,
     peer_reports::PeerUsage,
-    share::{EVEN_PART, ReportedDemand, View, share},
+    share::{EVEN_FRACTION, ReportedDemand, ShareInput, share},
 };
 
-/// Weight of the latest interval in the smoothed demand.
+/// Weight of the latest interval in the exponentially smoothed demand.
 const SMOOTHING: f64 = 0.5;
 
-/// When to come back after a refusal for concurrency: nobody knows when a request will end.
+/// Retry hint after a concurrency refusal, as the end of running requests is not known.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A rate that is limited over all nodes.
+/// A rate limited over all nodes.
 #[derive(Clone, Debug)]
 struct RateLimit {
     quota: f64,
-    /// The smallest capacity of the bucket: a whole unit must fit into it.
-    smallest_capacity: f64,
+    /// The minimum capacity of the bucket: one unit must fit into it.
+    min_capacity: f64,
     bucket: TokenBucket,
     arrived: f64,
     smoothed: f64,
@@ -30,38 +30,31 @@
 }
 
 impl RateLimit {
-    fn new(quota: f64, smallest_capacity: f64, now: Timestamp) -> Self {
-        let bucket = TokenBucket::new(0.0, smallest_capacity, now);
-        Self {
-            quota,
-            smallest_capacity,
-            bucket,
-            arrived: 0.0,
-            smoothed: 0.0,
-            reported: ReportedDemand::default(),
-        }
+    fn new(quota: f64, min_capacity: f64, now: Timestamp) -> Self {
+        let bucket = TokenBucket::new(0.0, min_capacity, now);
+        Self { quota, min_capacity, bucket, arrived: 0.0, smoothed: 0.0, reported: ReportedDemand::default() }
     }
 
     fn close_interval(&mut self, timing: &Timing, now: Timestamp) {
         let rate = self.arrived / timing.interval.as_secs_f64();
         self.arrived = 0.0;
         self.smoothed = self.smoothed * (1.0 - SMOOTHING) + rate * SMOOTHING;
-        let negligible = self.quota * EVEN_PART / f64::from(timing.members.max(1)) / 2.0;
+        let negligible = self.quota * EVEN_FRACTION / f64::from(timing.members.max(1)) / 2.0;
         let demand =
             if self.smoothed < negligible { 0.0 } else { self.smoothed.min(self.quota).ceil_thousandth() };
         self.reported.report(demand, timing.window, now);
     }
 
-    fn update_share(&mut self, timing: &Timing, fresh: u32, others: f64, now: Timestamp) {
+    fn update_share(&mut self, timing: &Timing, reporting: u32, others: f64, now: Timestamp) {
         let own = self.reported.settled(timing.window, now);
-        let view = View { members: timing.members, fresh, own, others };
-        let rate = share(self.quota, &view);
-        let capacity = (rate * timing.burst.as_secs_f64()).max(self.smallest_capacity);
+        let input = ShareInput { members: timing.members, reporting, own, others };
+        let rate = share(self.quota, &input);
+        let capacity = (rate * timing.burst.as_secs_f64()).max(self.min_capacity);
         self.bucket.set(rate, capacity, now);
     }
 }
 
-/// Rounds up to what a report can express.
+/// Rounds up to the resolution of a report.
 trait CeilThousandth {
     fn ceil_thousandth(self) -> Self;
 }
@@ -72,13 +65,13 @@
     }
 }
 
-/// Concurrency that is limited over all nodes.
+/// Concurrency limited over all nodes.
 #[derive(Clone, Debug)]
 struct ConcurrencyLimit {
     quota: u32,
-    /// The whole requests of this node's share.
+    /// This node's share, rounded down.
     granted: u32,
-    /// The same, or one where the share is smaller and the quota is not used up elsewhere.
+    /// `granted`, but at least one if the quota is not used up elsewhere.
     allowed: u32,
     peak: u32,
     refused: u32,
@@ -97,32 +90,31 @@
         self.reported.report(f64::from(wanted), timing.window, now);
     }
 
-    fn update_share(&mut self, timing: &Timing, fresh: u32, others: &PeerUsage, now: Timestamp) {
+    fn update_share(&mut self, timing: &Timing, reporting: u32, others: &PeerUsage, now: Timestamp) {
         let own = self.reported.settled(timing.window, now);
-        let view = View { members: timing.members, fresh, own, others: others.concurrent_wanted };
-        let whole = f64::from(self.quota);
-        // Requests run on at a node whose share has fallen: another may start more only when these have ended.
-        let unused = (whole - others.held).max(0.0);
-        self.granted = share(whole, &view).min(unused) as u32;
-        // A share below one would stop the tenant at this node however little it uses elsewhere.
+        let input = ShareInput { members: timing.members, reporting, own, others: others.concurrent_wanted };
+        let quota = f64::from(self.quota);
+        // A node whose share has shrunk keeps its running requests: others may start more only as these end.
+        let unused = (quota - others.held).max(0.0);
+        self.granted = share(quota, &input).min(unused) as u32;
+        // A share below one would block the tenant at this node even with free quota elsewhere.
         self.allowed = self.granted.max(u32::from(unused >= 1.0));
     }
 }
 
-/// The times that limits go by, and the number of nodes that exist.
+/// The intervals that limits use, and the number of existing nodes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timing {
     /// Between two reports.
     pub interval: Duration,
-    /// Until a report has reached everybody.
+    /// Until a report has reached all nodes.
     pub window: Duration,
-    /// What may be served at once.
+    /// The time whose share may be served at once.
     pub burst: Duration,
-    /// Nodes that exist, this one included.
     pub members: u32,
 }
 
-/// One tenant's limits at this node.
+/// Limits of one tenant at this node.
 #[derive(Clone, Debug)]
 pub(super) struct TenantLimits {
     quota: Quota,
@@ -139,7 +131,7 @@
         limits
     }
 
-    /// Changes the quota and keeps what is known of the demand.
+    /// Changes the quota and keeps the observed demand.
     pub(super) fn set_quota(&mut self, quota: Quota, now: Timestamp) {
         self.quota = quota;
         set_rate(&mut self.requests, quota.requests_per_second, now);
@@ -158,7 +150,7 @@
         self.in_flight
     }
 
-    /// Requests a second, tokens a second and concurrent requests that this node may serve now.
+    /// Returns the rates and the concurrency that this node may serve now.
     pub(super) fn share(&self) -> Quota {
         Quota {
             requests_per_second: self.requests.as_ref().map(|limit| limit.bucket.rate()),
@@ -207,7 +199,7 @@
         }
     }
 
-    /// Closes a report interval and tells what this node reports, or nothing where its use is negligible.
+    /// Closes a report interval and returns this node's report, or `None` if its usage is negligible.
     pub(super) fn close_interval(
         &mut self,
         tenant: &TenantId,
@@ -226,14 +218,14 @@
             concurrent_wanted: self.concurrency.as_ref().map_or(0, |limit| limit.reported.latest() as u32),
             held: self.concurrency.as_ref().map_or(0, |limit| limit.granted.max(self.in_flight)),
         };
-        let says_something = entry.milli_requests_per_second > 0
+        let is_relevant = entry.milli_requests_per_second > 0
             || entry.tokens_per_second > 0
             || entry.concurrent_wanted > 0
             || (self.concurrency.is_some() && self.in_flight > 0);
-        says_something.then_some(entry)
+        is_relevant.then_some(entry)
     }
 
-    /// Says that this node could not report its use: it must count no demand of its own.
+    /// Records that this node's usage was not reported, so that it counts no demand of its own.
     pub(super) fn withdraw_report(&mut self, timing: &Timing, now: Timestamp) {
         let window = timing.window;
         let rates = [&mut self.requests, &mut self.tokens];
@@ -243,8 +235,8 @@
         }
     }
 
-    /// How much of the quota this node asks for, for choosing what to report.
-    pub(super) fn used_part(&self) -> f64 {
+    /// Returns the largest demanded fraction of a quota, by which reports are prioritized.
+    pub(super) fn demanded_fraction(&self) -> f64 {
         let rates = [&self.requests, &self.tokens];
         let rates = rates
             .into_iter()
@@ -255,15 +247,21 @@
         rates.chain(concurrency).fold(0.0, f64::max)
     }
 
-    pub(super) fn update_share(&mut self, timing: &Timing, fresh: u32, others: &PeerUsage, now: Timestamp) {
+    pub(super) fn update_share(
+        &mut self,
+        timing: &Timing,
+        reporting: u32,
+        others: &PeerUsage,
+        now: Timestamp,
+    ) {
         if let Some(limit) = &mut self.requests {
-            limit.update_share(timing, fresh, others.requests_per_second, now);
+            limit.update_share(timing, reporting, others.requests_per_second, now);
         }
         if let Some(limit) = &mut self.tokens {
-            limit.update_share(timing, fresh, others.tokens_per_second, now);
+            limit.update_share(timing, reporting, others.tokens_per_second, now);
         }
         if let Some(limit) = &mut self.concurrency {
-            limit.update_share(timing, fresh, others, now);
+            limit.update_share(timing, reporting, others, now);
         }
     }
 }
--- a/crates/core/tests/limits_quota.rs
+++ b/crates/core/tests/limits_quota.rs
@@ -6,7 +6,7 @@
     LimitKind, LimitSettings, Limits, RequestCost,
     bucket::TokenBucket,
     peer_reports::encoded_bound,
-    share::{View, share},
+    share::{ShareInput, share},
 };
 use paddlemount_protocol::{
     configuration::Quota,
@@ -209,10 +209,10 @@
         cluster.moves_after = moves_after;
         let overshoot = cluster.overshoot(rate, 240);
         let (bound, used) = (rate + size as f64, cluster.used(rate));
-        let fresh: u32 = cluster.nodes.iter().map(Limits::reporting_nodes).sum();
-        let fresh = f64::from(fresh) / (size * size) as f64;
+        let reporting: u32 = cluster.nodes.iter().map(Limits::reporting_nodes).sum();
+        let reporting = f64::from(reporting) / (size * size) as f64;
         println!(
-            "{size} nodes by probes: overshoot {overshoot:.1} of {bound}, used {used:.2}, fresh {fresh:.2}"
+            "{size} nodes by probes: overshoot {overshoot:.1} of {bound}, used {used:.2}, reporting {reporting:.2}"
         );
         assert!(overshoot <= bound, "{overshoot} over {bound}");
         assert!(used >= least_used, "the quota is meant to be usable: {used}");
@@ -308,11 +308,12 @@
 #[test]
 fn shares_sum_to_no_more_than_the_quota_for_any_views_that_are_not_too_low() {
     bolero::check!().with_type::<Vec<(u16, u16)>>().for_each(|demands| {
-        let fresh = demands.len() as u32;
+        let reporting = demands.len() as u32;
         let reported: f64 = demands.iter().map(|(own, more)| f64::from(*own) + f64::from(*more)).sum();
         let shares = demands.iter().map(|(own, more)| {
             let own = f64::from(*own);
-            let view = View { members: fresh, fresh, own, others: reported - own - f64::from(*more) };
+            let view =
+                ShareInput { members: reporting, reporting, own, others: reported - own - f64::from(*more) };
             share(1_000.0, &view)
         });
         assert!(shares.sum::<f64>() <= 1_000.0 + 1e-6);
--- a/crates/core/tests/quota_ledger.rs
+++ b/crates/core/tests/quota_ledger.rs
@@ -304,7 +304,7 @@
     for quota in [quota(1_000.0), TenantQuota { burst: 0.0, ..quota(1_000.0) }] {
         let plan = BucketSize::of(&quota, &bare);
         assert!(plan.capacity > 0.0 && plan.rate > 0.0);
-        assert!(plan.rate * 8.0 + plan.capacity < bare.most(&quota));
+        assert!(plan.rate * 8.0 + plan.capacity < bare.max_units(&quota));
     }
 }
 
--- a/crates/core/tests/quota_support/mod.rs
+++ b/crates/core/tests/quota_support/mod.rs
@@ -352,7 +352,7 @@
         if self.rate_changed_at.is_some_and(|at| self.now < at + window) {
             return;
         }
-        self.worst = self.worst.max(self.in_window / bounds().most(&self.quota));
+        self.worst = self.worst.max(self.in_window / bounds().max_units(&self.quota));
     }
 
     pub fn outcome(&self) -> Outcome {
