--- a/crates/core/src/quarantine/completions.rs
+++ b/crates/core/src/quarantine/completions.rs
@@ -1,4 +1,5 @@
-//! When runs of requests last came to their end at this node: what is suspected elsewhere may be known to be well here.
+//! Remembers when runs of requests last completed at this node: a request suspected elsewhere may succeed
+//! here.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,12 +8,12 @@
 
 use paddlemount_protocol::{quarantine::RequestFingerprint, time::Timestamp};
 
-/// Requests that are remembered.
-const MOST: usize = 1_024;
-/// For how long: a crash in turn is concluded of within some seconds, or its cause comes seldom.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// Maximum number of remembered completions.
+const MAX_COMPLETIONS: usize = 1_024;
+/// Longer than it takes to reach a conclusion about successive crashes.
+const COMPLETION_TTL: Duration = Duration::from_secs(30);
 
-/// When runs last came to their end.
+/// Times of the last completed run by request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Completions {
     last: BTreeMap<RequestFingerprint, Timestamp>,
@@ -20,16 +21,18 @@
 }
 
 impl Completions {
-    /// A run came to its end.
+    /// Records a completed run.
     pub fn completed(&mut self, fingerprint: RequestFingerprint, at: Timestamp) {
         self.last.insert(fingerprint, at);
         self.order.push_back((at, fingerprint));
-        while self.order.len() > MOST || self.order.front().is_some_and(|(old, _)| *old + REMEMBERED < at) {
+        while self.order.len() > MAX_COMPLETIONS
+            || self.order.front().is_some_and(|(old, _)| *old + COMPLETION_TTL < at)
+        {
             self.forget_first();
         }
     }
 
-    /// When a run of this request last came to its end, as far as that is remembered.
+    /// Returns when a run of this request last completed, if that is remembered.
     pub fn last(&self, fingerprint: &RequestFingerprint) -> Option<Timestamp> {
         self.last.get(fingerprint).copied()
     }
--- a/crates/core/src/quarantine/ends.rs
+++ b/crates/core/src/quarantine/ends.rs
@@ -1,4 +1,4 @@
-//! When engines ended, whatever they ran: several at the same moment have a common cause.
+//! Remembers when engines ended, whatever they ran: simultaneous ends have a common cause.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,75 +9,77 @@
 
 use super::Crash;
 
-/// Engines that end at the same moment for a common cause, at least. Two may be chance, or two runs of one request.
-const TOGETHER: usize = 3;
-/// How far apart ends of one moment may be: a break shows within the round trip between two zones, and nodes hear of each
-/// other's some milliseconds late.
-const MOMENT: Duration = Duration::from_millis(30);
-/// The shortest run that can have ended its engine: an engine takes a step of some milliseconds before it begins.
-const SHORTEST_RUN: Duration = Duration::from_millis(10);
-/// Engines that are remembered.
-const MOST_ENGINES: usize = 4_096;
+/// Minimum number of simultaneous ends that imply a common cause. Two may be chance, or two runs of one
+/// request.
+const COMMON_CAUSE_ENDS: usize = 3;
+/// Maximum distance of simultaneous ends: a failure shows within the round trip between two zones, and
+/// reports from other nodes arrive some milliseconds late.
+const SIMULTANEITY_WINDOW: Duration = Duration::from_millis(30);
+/// Minimum duration of a run that can have ended its engine, as an engine takes some milliseconds before it
+/// starts a run.
+const MIN_RUN_DURATION: Duration = Duration::from_millis(10);
+/// Maximum number of remembered engines.
+const MAX_ENGINES: usize = 4_096;
 
-/// When engines ended.
+/// Times at which engines ended.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EngineEnds {
     by_engine: BTreeMap<EngineId, Timestamp>,
     by_time: BTreeSet<(Timestamp, EngineId)>,
-    /// Engines that ended under a request that is held back for it.
+    /// The held request under which an engine ended.
     explained: BTreeMap<EngineId, RequestFingerprint>,
 }
 
 impl EngineEnds {
-    /// A run shows that an engine ended; the first that does tells when.
+    /// Records the end of an engine; the first report determines the time.
     pub fn ended(&mut self, engine: &EngineId, at: Timestamp) {
         if self.by_engine.contains_key(engine) {
             return;
         }
         self.by_engine.insert(engine.clone(), at);
         self.by_time.insert((at, engine.clone()));
-        if self.by_time.len() > MOST_ENGINES {
+        if self.by_time.len() > MAX_ENGINES {
             self.forget_first();
         }
     }
 
-    /// An engine ended under a request that is held back for it.
+    /// Attributes the end of an engine to a request that is held for it.
     pub fn explained(&mut self, engine: &EngineId, by: RequestFingerprint) {
         if self.by_engine.contains_key(engine) {
             self.explained.insert(engine.clone(), by);
         }
     }
 
-    /// Whether a crash speaks against the request that it ended: nothing else explains it.
-    pub fn speak_against(&self, crash: &Crash) -> bool {
+    /// Whether a crash counts against its request, as nothing else explains it.
+    pub fn counts_against(&self, crash: &Crash) -> bool {
         let explained = self.explained.get(&crash.engine).is_some_and(|by| *by != crash.fingerprint);
-        // What was sent to an engine that had ended already did not end it.
+        // A run sent after the engine had ended did not end it.
         let sent_too_late = self.by_engine.get(&crash.engine).is_some_and(|end| crash.began > *end);
-        !explained && !sent_too_late && !self.was_hardly_run(crash) && !self.have_common_cause(crash)
+        !explained && !sent_too_late && !self.never_started(crash) && !self.has_common_cause(crash)
     }
 
-    /// Whether a run broke off before it can have begun, at the moment at which another engine ended: it was sent on to one
-    /// that was ending too.
-    fn was_hardly_run(&self, crash: &Crash) -> bool {
-        let long_enough = crash.ended.saturating_since(crash.began) >= SHORTEST_RUN;
+    /// Whether a run broke off before it can have started, while another engine ended: it was retried on an
+    /// engine that was ending too.
+    fn never_started(&self, crash: &Crash) -> bool {
+        let long_enough = crash.ended.saturating_since(crash.began) >= MIN_RUN_DURATION;
         !long_enough && self.ends_around(crash).count() > 1
     }
 
     fn ends_around(&self, crash: &Crash) -> impl Iterator<Item = Timestamp> + use<'_> {
-        let since = (crash.ended - MOMENT, EngineId::from(""));
-        let until = crash.ended + MOMENT;
+        let since = (crash.ended - SIMULTANEITY_WINDOW, EngineId::from(""));
+        let until = crash.ended + SIMULTANEITY_WINDOW;
         self.by_time.range(since..).map(|(end, _)| *end).take_while(move |end| *end <= until)
     }
 
-    /// Whether so many engines ended with this one that it was not for what it ran. A run that began after the first of
-    /// them had ended is not among those that all of them were caught in.
-    fn have_common_cause(&self, crash: &Crash) -> bool {
+    /// Whether enough engines ended together that the run was not the cause. A run that began after the first
+    /// of these ends is not excused by them.
+    fn has_common_cause(&self, crash: &Crash) -> bool {
         let mut ends = self.ends_around(crash);
         let Some(first) = ends.next() else { return false };
-        crash.began < first && ends.take(TOGETHER - 1).count() == TOGETHER - 1
+        crash.began < first && ends.take(COMMON_CAUSE_ENDS - 1).count() == COMMON_CAUSE_ENDS - 1
     }
 
-    /// Forgets ends before `time`.
+    /// Drops ends before `time`.
     pub fn forget_before(&mut self, time: Timestamp) {
         while self.by_time.first().is_some_and(|(end, _)| *end < time) {
             self.forget_first();
--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -1,18 +1,17 @@
-//! Computes what makes two requests the same.
+//! Computes request fingerprints: two requests with the same fingerprint count as one.
 
 use paddlemount_protocol::quarantine::RequestFingerprint;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Where a request comes from and goes to.
+/// The origin and target of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin<'a> {
-    /// Its method.
     pub method: &'a str,
-    /// The host that it names.
+    /// The `Host` of the request.
     pub host: &'a str,
-    /// Its path with its query.
+    /// The path with its query.
     pub path: &'a str,
-    /// Who asks: the tenant, since keys change; nothing where nobody has to say who he is.
+    /// The tenant, as keys can change; empty without authentication.
     pub caller: &'a str,
 }
 
@@ -21,7 +20,7 @@
         [self.method, self.host, self.path, self.caller]
     }
 
-    /// The cheap part of the fingerprint.
+    /// Hashes the origin, the part of the fingerprint that needs no body.
     pub fn hash(&self) -> u64 {
         let mut hash = Xxh3::new();
         for field in self.fields() {
@@ -31,8 +30,8 @@
         hash.digest()
     }
 
-    /// The whole fingerprint of a request with this body. A tenant could make up two of its requests that share one; those of
-    /// others it cannot, since who asks is part of it.
+    /// Returns the fingerprint of a request with this body. A tenant can produce collisions only among its
+    /// own requests, as the tenant is part of the fingerprint.
     pub fn fingerprint(&self, body: &[u8]) -> RequestFingerprint {
         let mut content = Xxh3::new();
         content.update(&self.hash().to_le_bytes());
