--- a/crates/core/src/admission/concurrency.rs
+++ b/crates/core/src/admission/concurrency.rs
@@ -1,28 +1,30 @@
-//! Adaptive limit of one node's requests in flight to one pool.
+//! Adaptive limit on one node's requests in flight to one pool.
 //!
-//! Many nodes send to the same engines and do not talk about it. Each observes how long its requests queue at the engines and follows
-//! additive increase, multiplicative decrease: the queues at the engines stay short, waiting moves into the nodes' own queues where tenants
-//! are told apart, and the nodes' limits approach each other.
+//! Many nodes send to the same engines without coordination. Each observes how long its requests queue at the
+//! engines and adjusts its limit by additive increase and multiplicative decrease. Queues at the engines stay
+//! short, waiting moves into the nodes' own queues, which distinguish tenants, and the nodes' limits
+//! converge.
 
 use std::time::Duration;
 
 use paddlemount_protocol::time::Timestamp;
 
-/// How many times its length an interval lasts at most while observations are few.
+/// Maximum length of an interval with few observations, as a multiple of the configured length.
 pub const MAX_INTERVAL_FACTOR: u32 = 5;
 
 /// Settings of a [`ConcurrencyLimit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencySettings {
-    /// Queueing at the engines above which the limit falls.
+    /// Mean queueing time at the engines above which the limit decreases.
     pub target_queueing: Duration,
-    /// Time over which observations are averaged; the limit changes once in it at most.
+    /// Interval over which observations are averaged; the limit changes at most once per interval.
     pub interval: Duration,
-    /// Observations that an average needs; with fewer, the interval goes on up to [`MAX_INTERVAL_FACTOR`] times its length.
+    /// Minimum number of observations per interval; with fewer, the interval is extended up to
+    /// [`MAX_INTERVAL_FACTOR`] times its length.
     pub samples: u32,
-    /// Requests that are added after an interval in which the limit held requests back.
+    /// Increase after an interval in which the limit was reached.
     pub increase: f64,
-    /// The smallest factor of one decrease, from 0.0 to 1.0.
+    /// Minimum factor of one decrease, from 0.0 to 1.0.
     pub decrease: f64,
 }
 
@@ -38,7 +40,7 @@
     }
 }
 
-/// A limit of requests in flight.
+/// An adaptive limit on requests in flight.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     settings: ConcurrencySettings,
@@ -52,8 +54,8 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit for a pool with `slots` places in its engines' batches, shared by `nodes` nodes. It begins at an even share, so that a herd
-    /// of restarted nodes does not overrun the engines.
+    /// Creates a limit for a pool with `slots` batch slots, shared by `nodes` nodes. It starts at an even
+    /// share, so that nodes restarting together do not overload the engines.
     pub fn new(settings: ConcurrencySettings, slots: u32, nodes: u32, now: Timestamp) -> Self {
         let ceiling = f64::from(slots.max(1));
         let limit = (ceiling / f64::from(nodes.max(1))).max(1.0);
@@ -69,12 +71,13 @@
         }
     }
 
-    /// Requests that may be in flight; at least 1.
+    /// Returns the number of requests that may be in flight, at least 1.
     pub const fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Changes the places that the pool has. A pool that shrinks takes the limit with it; one that grows lets it rise.
+    /// Sets the pool's number of batch slots. The limit shrinks in proportion with the pool, and may rise if
+    /// the pool grows.
     pub fn set_slots(&mut self, slots: u32) {
         let ceiling = f64::from(slots.max(1));
         if ceiling < self.ceiling {
@@ -83,22 +86,22 @@
         self.ceiling = ceiling;
     }
 
-    /// A request had to wait because the limit was reached.
+    /// Records that a request had to wait because of the limit.
     pub const fn mark_reached(&mut self) {
         self.reached = true;
     }
 
-    /// A request that was sent at `sent` queued at its engine for `queueing`.
+    /// Records that a request sent at `sent` queued at its engine for `queueing`.
     pub fn observe(&mut self, sent: Timestamp, queueing: Duration, now: Timestamp) {
-        // What was sent before the last decrease says nothing about the present limit.
+        // Requests sent before the last decrease say nothing about the current limit.
         if sent >= self.decreased {
             self.samples += 1;
             self.queueing += queueing;
         }
         let passed = now.saturating_since(self.interval_start);
-        let enough = passed >= self.settings.interval && self.samples >= self.settings.samples;
-        let longest = passed >= self.settings.interval * MAX_INTERVAL_FACTOR && self.samples > 0;
-        if enough || longest {
+        let complete = passed >= self.settings.interval && self.samples >= self.settings.samples;
+        let extended = passed >= self.settings.interval * MAX_INTERVAL_FACTOR && self.samples > 0;
+        if complete || extended {
             self.close_interval(now);
         }
     }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,8 +1,8 @@
-//! Admission: which requests run now, which wait, and which are refused at once.
+//! Admission control: decides which requests run now, which wait and which are refused immediately.
 //!
-//! Each pool has an adaptive limit of requests in flight ([`concurrency`]) and a short, fair queue ([`queue`]). A request is
-//! refused, always with outcome "not run" and a time to come back, as soon as it is clear that it cannot begin in time: on arrival by the predicted
-//! wait, or while it waits. Nothing is held back towards a deadline.
+//! Each pool has an adaptive limit on requests in flight ([`concurrency`]) and a short fair queue
+//! ([`queue`]). A request is refused as not run, with a retry hint, as soon as it cannot start in time: on
+//! arrival if the predicted wait is too long, or while it waits.
 
 pub mod concurrency;
 mod pool;
@@ -25,13 +25,12 @@
 /// Settings of [`Admission`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that wait for one pool at most.
+    /// Maximum number of requests that wait for one pool.
     pub queue_length: usize,
-    /// The longest that a request waits here.
+    /// Maximum time that a request waits at this node.
     pub max_wait: Duration,
-    /// Part of the limit that only tenants below their fair share may use, from 0.0 to 1.0.
+    /// Fraction of the limit reserved for tenants below their fair share, from 0.0 to 1.0.
     pub reserved_part: f64,
-    /// Settings of the limit of requests in flight.
     pub concurrency: ConcurrencySettings,
 }
 
@@ -46,96 +45,82 @@
     }
 }
 
-/// A request that asks to run.
+/// A request to be admitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// The request.
     pub ticket: RequestId,
-    /// The pool that serves it.
     pub pool: PoolId,
-    /// Its tenant.
     pub tenant: TenantId,
-    /// The tenant's share of a contended pool, relative to others.
+    /// The tenant's weight in a contended pool, relative to others.
     pub weight: u32,
-    /// How urgent it is among its tenant's.
+    /// Its priority among the tenant's requests.
     pub priority: Priority,
-    /// What it will take: milliseconds of one batch slot.
+    /// Estimated cost in milliseconds of one batch slot.
     pub cost: u32,
-    /// Time from dispatch to the first token at the best engine.
+    /// Predicted time from dispatch to the first token at the best engine.
     pub predicted_start: Duration,
-    /// When the first token must have arrived, where the caller has set that.
+    /// Deadline for the first token, if the caller set one.
     pub deadline: Option<Timestamp>,
 }
 
-/// Something that admission learns.
+/// An input to [`Admission::apply`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionEvent {
-    /// A pool's size, when it changes.
+    /// A pool was added or its size changed.
     Pool {
-        /// The pool.
         pool: PoolId,
-        /// Places in its usable engines' batches.
+        /// Batch slots of its usable engines.
         slots: u32,
-        /// Nodes that send to it.
+        /// Nodes that send requests to it.
         nodes: u32,
     },
-    /// A request asks to run.
+    /// A request arrived.
     Submit(AdmissionRequest),
-    /// The first token of a running request arrived.
     FirstToken {
-        /// The request.
         ticket: RequestId,
-        /// How long it queued at its engine: time to the first token less prefill and distance.
+        /// Queueing time at the engine: time to the first token without prefill and network delay.
         queueing: Duration,
     },
-    /// A running request has ended, however.
+    /// A running request ended, with any outcome.
     Ended {
-        /// The request.
         ticket: RequestId,
     },
-    /// The caller of a waiting or running request has left.
+    /// The caller of a waiting or running request disconnected.
     Cancelled {
-        /// The request.
         ticket: RequestId,
     },
-    /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// An output of [`Admission::apply`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionAction {
     /// Send the request to an engine; [`AdmissionEvent::Ended`] must follow.
     Run {
-        /// The request.
         ticket: RequestId,
-        /// How long it waited.
         waited: Duration,
-        /// The priority to send it with: the requested one, or low where the tenant is far over its even share, so
-        /// that it also waits behind the others at the engines.
+        /// The priority to send it with: the requested one, or low if the tenant is far above its even share,
+        /// so that the request also queues behind others at the engines.
         priority: Priority,
     },
-    /// Give the caller this answer now.
+    /// Refuse the request now.
     Refuse {
-        /// The request.
         ticket: RequestId,
-        /// The answer; its outcome is "not run".
+        /// The refusal; its outcome is "not run".
         refusal: Refusal,
     },
 }
 
-/// A pool's admission, for operators.
+/// The state of a pool, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolView {
-    /// Requests that may be in flight from this node.
+    /// Maximum requests in flight from this node.
     pub limit: u32,
-    /// Requests in flight from this node.
     pub in_flight: u32,
-    /// Requests that wait at this node.
     pub waiting: usize,
 }
 
-/// The admission of one node, over all pools.
+/// Admission control of one node over all pools.
 #[derive(Clone, Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -144,12 +129,12 @@
 }
 
 impl Admission {
-    /// Knows no pool.
+    /// Creates admission control without pools.
     pub const fn new(settings: AdmissionSettings) -> Self {
         Self { settings, pools: BTreeMap::new(), running: BTreeMap::new() }
     }
 
-    /// Takes in what was learned at `now` and returns what is to be done, in order.
+    /// Applies an event and returns the resulting actions in order.
     pub fn apply(&mut self, event: AdmissionEvent, now: Timestamp) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         match event {
@@ -167,13 +152,13 @@
         actions
     }
 
-    /// When [`AdmissionEvent::Tick`] is due at the latest.
+    /// Returns when the next [`AdmissionEvent::Tick`] is due at the latest.
     pub fn next_tick(&self) -> Option<Timestamp> {
         let expiries = self.pools.values().filter_map(|state| state.queue.next_expiry());
         expiries.min().map(|expiry| expiry + Duration::from_micros(1))
     }
 
-    /// A pool's present state.
+    /// Returns a pool's current state.
     pub fn view(&self, pool: &PoolId) -> Option<PoolView> {
         let state = self.pools.get(pool)?;
         Some(PoolView { limit: state.limit.limit(), in_flight: state.in_flight, waiting: state.queue.len() })
@@ -274,7 +259,7 @@
         }
     }
 
-    /// Refuses what has become too late, then runs what the limit allows.
+    /// Refuses expired requests, then runs requests up to the limit.
     fn dispatch(&mut self, pool: &PoolId, now: Timestamp, actions: &mut Vec<AdmissionAction>) {
         let Some(state) = self.pools.get_mut(pool) else { return };
         for late in state.queue.expire(now) {
@@ -282,8 +267,8 @@
             actions.push(AdmissionAction::Refuse { ticket: late.ticket, refusal });
         }
         while let Some((tenant, waiting)) = state.next(self.settings.reserved_part) {
-            let over_share = state.started(&tenant, self.settings.reserved_part);
-            let priority = if over_share { Priority::Low } else { waiting.priority };
+            let is_over_share = state.started(&tenant, self.settings.reserved_part);
+            let priority = if is_over_share { Priority::Low } else { waiting.priority };
             let running = Running { pool: pool.clone(), tenant, since: now };
             self.running.insert(waiting.ticket.clone(), running);
             let waited = now.saturating_since(waiting.arrived);
--- a/crates/core/src/admission/pool.rs
+++ b/crates/core/src/admission/pool.rs
@@ -1,4 +1,4 @@
-//! One pool's requests at this node: in flight, waiting, and what they predict.
+//! State of one pool at this node: requests in flight, the queue and the predicted wait.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,17 +14,17 @@
     share,
 };
 
-/// A tenant with more than this many times its even share in flight is sent to the engines with low priority. At 1 a small
-/// tenant's chance peaks would be demoted too, and would wait behind everybody.
+/// Multiple of its even share above which a tenant's requests are sent with low priority. With 1.0, random
+/// peaks of small tenants would be demoted too.
 const DEMOTION_FACTOR: f64 = 2.0;
-/// Weight of the latest request in the smoothed duration.
+/// Weight of the latest request in the exponentially smoothed duration.
 const SERVICE_SMOOTHING: f64 = 0.05;
-/// Times to come back lie within these bounds.
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// See [`SHORTEST_RETRY_AFTER`].
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Bounds of the retry hint.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// See [`MIN_RETRY_AFTER`].
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// A request that runs.
+/// A running request.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
     pub(super) pool: PoolId,
@@ -32,21 +32,21 @@
     pub(super) since: Timestamp,
 }
 
-/// What a tenant has in flight.
+/// One tenant's requests in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TenantInFlight {
     requests: u32,
     weight: u32,
 }
 
-/// What a node knows of its requests to one pool.
+/// One node's requests to one pool.
 #[derive(Clone, Debug)]
 pub(super) struct PoolState {
     pub(super) limit: ConcurrencyLimit,
     pub(super) queue: FairQueue,
     pub(super) in_flight: u32,
     pub(super) by_tenant: BTreeMap<TenantId, TenantInFlight>,
-    /// Smoothed duration of a request, in seconds; 0 before the first has ended.
+    /// Smoothed duration of a request in seconds; 0 before the first has ended.
     pub(super) service_seconds: f64,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl PoolState {
-    /// Takes the next request that may run.
+    /// Removes the next request that may run from the queue.
     pub(super) fn next(&mut self, reserved_part: f64) -> Option<(TenantId, Waiting)> {
         let limit = self.limit.limit();
         if self.queue.is_empty() || self.in_flight >= limit {
@@ -73,14 +73,14 @@
         self.queue.pop(|tenant, weight| within_common_part || below_level(by_tenant, tenant, weight, level))
     }
 
-    /// Requests in flight that tenants may have whatever their share.
+    /// Returns the part of the limit that all tenants may use, whatever their share.
     fn common_part(&self, reserved_part: f64) -> f64 {
         let limit = f64::from(self.limit.limit());
         limit - (limit * reserved_part).floor()
     }
 
-    /// The max-min fair level: requests in flight per weight, such that the common part is used up when each tenant has what it wants
-    /// but no more than its weight times the level.
+    /// Returns the max-min fair level: the requests in flight per unit of weight at which the common part is
+    /// used up if each tenant gets what it wants, up to its weight times the level.
     fn fair_level(&self, reserved_part: f64) -> f64 {
         let in_flight = self.by_tenant.iter().map(|(tenant, in_flight)| {
             let wanted = in_flight.requests as usize + self.queue.len_of(tenant);
@@ -91,26 +91,26 @@
         share::fair_level(self.common_part(reserved_part), in_flight.chain(waiting).collect())
     }
 
-    /// Requests in flight per weight where all active tenants want the same.
+    /// Returns the requests in flight per unit of weight if all active tenants want the same.
     fn even_level(&self, tenant: &TenantId, weight: u32, reserved_part: f64) -> f64 {
         let others = self.by_tenant.iter().filter(|(other, _)| *other != tenant);
         let weights = others.map(|(_, in_flight)| in_flight.weight).sum::<u32>() + weight;
         self.common_part(reserved_part) / f64::from(weights)
     }
 
-    /// Counts a request that runs; tells whether its tenant is far over its even share.
+    /// Counts a started request. Returns whether its tenant is far above its even share.
     pub(super) fn started(&mut self, tenant: &TenantId, reserved_part: f64) -> bool {
         let weight = self.queue.weight_of(tenant);
         let demotion = DEMOTION_FACTOR * self.even_level(tenant, weight, reserved_part);
-        let over_share = !below_level(&self.by_tenant, tenant, weight, demotion);
+        let is_over_share = !below_level(&self.by_tenant, tenant, weight, demotion);
         self.in_flight += 1;
         let in_flight = self.by_tenant.entry(tenant.clone()).or_default();
         in_flight.requests += 1;
         in_flight.weight = weight;
-        over_share
+        is_over_share
     }
 
-    /// How long a further request of `tenant` would wait, by the fair order and the smoothed duration of requests.
+    /// Predicts the wait of another request of `tenant` from the fair order and the smoothed duration.
     pub(super) fn predicted_wait(&self, tenant: &TenantId, weight: u32) -> Duration {
         let limit = self.limit.limit();
         if self.queue.is_empty() && self.in_flight < limit {
@@ -125,7 +125,7 @@
         Duration::from_secs_f64(requests * self.service_seconds / f64::from(limit))
     }
 
-    /// Counts a request that has ended.
+    /// Counts an ended request.
     pub(super) fn ended(&mut self, running: &Running, now: Timestamp) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(in_flight) = self.by_tenant.get_mut(&running.tenant) {
@@ -140,11 +140,11 @@
         self.service_seconds += (seconds - self.service_seconds) * smoothing;
     }
 
-    /// The refusal of a request that has not run.
-    pub(super) fn refusal(&self, by_deadline: bool, why: &str) -> Refusal {
+    /// Returns the refusal of a request that has not run.
+    pub(super) fn refusal(&self, by_deadline: bool, reason: &str) -> Refusal {
         let code = if by_deadline { RefusalCode::DeadlineExceeded } else { RefusalCode::Overloaded };
         let drained = self.queue.len() as f64 * self.service_seconds / f64::from(self.limit.limit());
-        let after = Duration::from_secs_f64(drained).clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER);
-        Refusal::not_run(code, format!("the request was not run: {why}")).with_retry_after(after)
+        let after = Duration::from_secs_f64(drained).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        Refusal::not_run(code, format!("the request was not run: {reason}")).with_retry_after(after)
     }
 }
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -1,11 +1,12 @@
-//! Fair queue: start-time fair queueing between tenants, priorities within a tenant.
+//! Start-time fair queueing between tenants, with priorities within a tenant.
 //!
-//! A tenant's virtual start rises by `cost / weight` with each request that it gets through; the tenant with the lowest one goes
-//! next. Over any interval in which two tenants both have requests waiting, what each got divided by its weight differs by no more
-//! than the largest cost of each divided by its weight. A tenant that comes back gets no credit for the time it was away.
+//! A tenant's virtual start advances by `cost / weight` with each request that it dispatches; the tenant with
+//! the lowest virtual start goes next. While two tenants both have requests waiting, their service per unit
+//! of weight differs by at most the sum of their largest cost per unit of weight. A tenant gets no credit for
+//! idle time.
 //!
-//! Priorities order the requests of one tenant only: otherwise a tenant that marks everything as high would take the others' shares.
-//! Low priority alone counts between tenants too, since it only steps back.
+//! Priorities order the requests of one tenant only: otherwise a tenant that marks all requests as high would
+//! take the shares of others. Low priority also applies between tenants, as it only yields.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,20 +19,18 @@
 /// Virtual time per unit of cost for a tenant of weight 1.
 const VIRTUAL_SCALE: u64 = 1_000;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiting {
-    /// The request.
     pub ticket: RequestId,
-    /// How urgent it is among its tenant's.
+    /// Its priority among the tenant's requests.
     pub priority: Priority,
-    /// What it will take: milliseconds of one batch slot.
+    /// Estimated cost in milliseconds of one batch slot.
     pub cost: u32,
-    /// When it arrived.
     pub arrived: Timestamp,
-    /// When it must have begun; afterwards it is refused.
+    /// Time after which it is refused.
     pub latest_start: Timestamp,
-    /// Whether `latest_start` comes from the caller's deadline, not from the longest wait.
+    /// Whether `latest_start` derives from the caller's deadline instead of the maximum wait.
     pub by_deadline: bool,
 }
 
@@ -39,7 +38,7 @@
 struct TenantQueue {
     weight: u32,
     virtual_start: u64,
-    /// By priority, the lowest first.
+    /// Indexed by priority, the lowest first.
     waiting: [VecDeque<Waiting>; 3],
 }
 
@@ -65,32 +64,32 @@
     }
 }
 
-/// Requests that wait for one pool.
+/// The queue of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
-    /// Tenants with requests waiting, and those whose virtual start is still ahead of the virtual time.
+    /// Tenants with waiting requests, and those whose virtual start is ahead of the virtual time.
     tenants: BTreeMap<TenantId, TenantQueue>,
     virtual_time: u64,
     len: usize,
 }
 
 impl FairQueue {
-    /// Number of requests that wait.
+    /// Returns the number of waiting requests.
     pub const fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no request waits.
+    /// Whether no request is waiting.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Requests of `tenant` that wait.
+    /// Returns the number of waiting requests of `tenant`.
     pub fn len_of(&self, tenant: &TenantId) -> usize {
         self.tenants.get(tenant).map_or(0, TenantQueue::len)
     }
 
-    /// Tenants with requests waiting: name, weight, number of requests.
+    /// Returns the tenants with waiting requests as name, weight and number of requests.
     pub fn backlogs(&self) -> impl Iterator<Item = (&TenantId, u32, usize)> {
         self.tenants
             .iter()
@@ -98,7 +97,7 @@
             .filter(|(_, _, waiting)| *waiting > 0)
     }
 
-    /// The weight of `tenant`, 1 where it is not known.
+    /// Returns the weight of `tenant`, 1 if it is unknown.
     pub fn weight_of(&self, tenant: &TenantId) -> u32 {
         self.tenants.get(tenant).map_or(1, |queue| queue.weight)
     }
@@ -116,7 +115,7 @@
         self.len += 1;
     }
 
-    /// Takes the request that goes next among tenants that `may_run`.
+    /// Removes and returns the next request among the tenants for which `may_run` holds.
     pub fn pop(&mut self, may_run: impl Fn(&TenantId, u32) -> bool) -> Option<(TenantId, Waiting)> {
         let candidates = self.tenants.iter().filter(|(_, queue)| queue.len() > 0);
         let allowed = candidates.filter(|(tenant, queue)| may_run(tenant, queue.weight));
@@ -131,7 +130,7 @@
         Some((tenant, request))
     }
 
-    /// Removes a request that is given up.
+    /// Removes an abandoned request.
     pub fn remove(&mut self, ticket: &RequestId) -> Option<Waiting> {
         let queues = self.tenants.values_mut().flat_map(|queue| &mut queue.waiting);
         let removed = queues.into_iter().find_map(|queue| {
@@ -142,7 +141,8 @@
         removed
     }
 
-    /// Removes the newest request of the tenant with the most waiting for its weight, where that is more than `tenant` would have with one more.
+    /// Removes the newest request of the tenant with the most waiting requests per weight, if that is more
+    /// than `tenant` would have with one more.
     pub fn evict_for(&mut self, tenant: &TenantId, weight: u32) -> Option<Waiting> {
         let load = |waiting: usize, weight: u32| waiting as f64 / f64::from(weight.max(1));
         let longest = self.tenants.iter().filter(|(_, queue)| queue.len() > 0);
@@ -159,7 +159,7 @@
         removed
     }
 
-    /// Removes all requests that can no longer begin in time.
+    /// Removes all requests that can no longer start in time.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Waiting> {
         let mut expired = Vec::new();
         for queue in self.tenants.values_mut().flat_map(|queue| &mut queue.waiting) {
@@ -174,7 +174,7 @@
         expired
     }
 
-    /// When the next request would expire.
+    /// Returns when the next request expires.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         let queues = self.tenants.values().flat_map(|queue| &queue.waiting);
         queues.flatten().map(|waiting| waiting.latest_start).min()
--- a/crates/core/src/admission/share.rs
+++ b/crates/core/src/admission/share.rs
@@ -1,7 +1,7 @@
-//! Max-min fair shares.
+//! Computes max-min fair shares.
 
-/// The level at which `capacity` is used up when each tenant, given as what it wants and its weight, gets what it wants but no more
-/// than its weight times the level. Infinite where all get what they want.
+/// Returns the level at which `capacity` is used up if each tenant, given as demand and weight, gets its
+/// demand up to its weight times the level. Returns infinity if all demand fits.
 pub fn fair_level(capacity: f64, mut tenants: Vec<(f64, f64)>) -> f64 {
     tenants.sort_by(|left, right| (left.0 / left.1).total_cmp(&(right.0 / right.1)));
     let mut left = capacity;
