--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,8 +1,8 @@
-//! Membership of router nodes: who is there, who is suspected, who is gone.
+//! Membership of router nodes: detects which nodes are alive, suspected or dead.
 //!
-//! All nodes run the same [`Membership`]. Within a region each node knows every member; of other regions
-//! it knows a summary. A member that does not answer a probe, directly or through others, is suspected; it
-//! is dead unless it refutes that in time. See `docs/design/membership.md`.
+//! All nodes run the same [`Membership`]. Within a region each node knows every member; of each other region
+//! it knows a summary. A member that does not answer a probe, directly or through other members, is
+//! suspected, and is dead unless it refutes the suspicion in time. See `docs/design/membership.md`.
 
 mod contacts;
 mod gossip;
@@ -29,10 +29,10 @@
     types::{CallId, MembershipAction, MembershipEvent, MembershipSettings, MembershipTiming},
 };
 
-/// How late a wake-up may come before the process counts as having been paused.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Delay of a wake-up from which the process counts as having been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Members that a stopping node tells at once.
+/// Number of members that a stopping node notifies.
 const LEAVE_FANOUT: usize = 5;
 
 /// One node's view of all nodes.
@@ -52,25 +52,25 @@
     superseded: bool,
 }
 
-/// What a call of this node is for.
+/// The purpose of an outgoing call.
 #[derive(Clone, Debug)]
 enum Purpose {
     /// Part of a probe round for a member.
     Round(NodeId),
-    /// On behalf of a peer whose call waits.
+    /// Probes on behalf of a peer whose call is pending.
     Relay(CallId),
-    /// To find or find again a member.
+    /// Contacts a member that is not known to be alive.
     Contact,
-    /// To hear of another region.
+    /// Fetches the summary of another region.
     Region,
-    /// To compare tables.
+    /// Fetches a page of a peer's table.
     Page(SocketAddr),
-    /// To tell of this node's stop.
-    Leave,
+    /// Announces this node's stop.
+    Stop,
 }
 
 impl Membership {
-    /// The membership of a node that starts at `now` and knows only its settings.
+    /// Creates the membership of a node that starts at `now` and knows only its settings.
     pub fn new(settings: MembershipSettings, now: Timestamp) -> Self {
         let own = MemberRecord {
             node: settings.node.clone(),
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Takes in `event` and returns what is to be done.
+    /// Handles `event` and returns the resulting actions.
     pub fn handle(&mut self, event: MembershipEvent<'_>, now: Timestamp) -> Vec<MembershipAction> {
-        self.forgive_after_pause(now);
+        self.recover_from_pause(now);
         match event {
             MembershipEvent::Tick => {}
             MembershipEvent::Request { call, request } => self.serve(call, request, now),
@@ -117,7 +117,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When to send [`MembershipEvent::Tick`] at the latest.
+    /// Returns when [`MembershipEvent::Tick`] is due at the latest.
     pub fn next_wakeup(&self) -> Timestamp {
         let mut next = self.rounds.next_at.min(self.contacts.next_at);
         if self.is_representative() {
@@ -126,37 +126,37 @@
         self.suspicions.values().copied().fold(next, Timestamp::min)
     }
 
-    /// All members of this region, this node among them.
+    /// Returns the members of this region, this node included.
     pub const fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// What is known of the other regions, with ages as of `now`.
+    /// Returns the summaries of the other regions, with ages as of `now`.
     pub fn other_regions(&self, now: Timestamp) -> Vec<RegionSummary> {
         self.regions.all(now)
     }
 
-    /// The summary of this region.
+    /// Returns the summary of this region.
     pub fn own_region(&self) -> RegionSummary {
         self.table.summary()
     }
 
-    /// Whether this node answers for its region towards others.
+    /// Whether this node represents its region towards other regions.
     pub fn is_representative(&self) -> bool {
         self.table.representatives().any(|record| record.node == self.settings.node)
     }
 
-    /// Whether a later process runs under this node's name.
+    /// Whether a later incarnation runs under this node's name.
     pub const fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// A process that was stopped for a while can tell nothing from answers that it did not read.
-    fn forgive_after_pause(&mut self, now: Timestamp) {
-        if now.saturating_since(self.next_wakeup()) < PAUSE {
+    /// Discards probe rounds and extends suspicions after a pause, as answers may have arrived unread.
+    fn recover_from_pause(&mut self, now: Timestamp) {
+        if now.saturating_since(self.next_wakeup()) < PAUSE_THRESHOLD {
             return;
         }
-        self.rounds.void();
+        self.rounds.cancel_all();
         for deadline in self.suspicions.values_mut() {
             *deadline = now + self.settings.timing.suspicion_timeout;
         }
@@ -169,11 +169,11 @@
             self.begin_round();
         }
         if self.contacts.next_at <= now {
-            self.contact_someone(now);
+            self.contact_candidate(now);
         }
         if self.regions.next_at <= now && self.is_representative() {
             self.regions.next_at = now + self.settings.timing.region_interval;
-            self.probe_a_region(now);
+            self.probe_region(now);
         }
     }
 
@@ -183,26 +183,26 @@
         for node in expired {
             let Some(record) = self.table.get(&node) else { continue };
             let dead = MemberRecord { state: MemberState::Dead, ..record.clone() };
-            self.learn(&dead, now);
+            self.merge_record(&dead, now);
         }
     }
 
-    /// Takes in what someone believes of a member of this region.
-    fn learn(&mut self, record: &MemberRecord, now: Timestamp) {
+    /// Merges a record of a member of this region.
+    fn merge_record(&mut self, record: &MemberRecord, now: Timestamp) {
         if record.region != self.settings.region {
             return;
         }
         if record.node == self.settings.node {
-            self.learn_of_self(record);
+            self.merge_own_record(record);
             return;
         }
         let is_new = self.table.get(&record.node).is_none();
         if !self.table.merge(record) {
             return;
         }
-        let is_gone = matches!(record.state, MemberState::Dead | MemberState::Left);
-        if is_new && is_gone {
-            return; // Nothing to tell: others know, or have forgotten it already.
+        let has_gone = matches!(record.state, MemberState::Dead | MemberState::Left);
+        if is_new && has_gone {
+            return; // Other members know of it already, or have forgotten it.
         }
         if record.state == MemberState::Suspect {
             self.suspicions.insert(record.node.clone(), now + self.settings.timing.suspicion_timeout);
@@ -213,7 +213,7 @@
         self.actions.push(MembershipAction::Changed(record.clone()));
     }
 
-    fn learn_of_self(&mut self, record: &MemberRecord) {
+    fn merge_own_record(&mut self, record: &MemberRecord) {
         if record.incarnation > self.settings.incarnation {
             if !self.superseded {
                 self.actions.push(MembershipAction::Superseded);
@@ -231,9 +231,9 @@
         match request {
             MembershipRequest::Probe { gossip } => {
                 self.apply_gossip(gossip, now);
-                let mut told = Box::new(self.gossip_for(&gossip.sender));
-                told.regions = self.regions_for(&gossip.sender, now);
-                let answer = MembershipAnswer::Alive { gossip: told };
+                let mut reply = Box::new(self.gossip_for(&gossip.sender));
+                reply.regions = self.regions_for(&gossip.sender, now);
+                let answer = MembershipAnswer::Alive { gossip: reply };
                 self.actions.push(MembershipAction::Answer { call, answer });
             }
             MembershipRequest::ProbeFor { target } => {
@@ -264,9 +264,9 @@
                 }
             }
             MembershipAnswer::Members { members, more } => {
-                members.iter().for_each(|record| self.learn(record, now));
+                members.iter().for_each(|record| self.merge_record(record, now));
                 if let (Purpose::Page(address), true, Some(last)) = (purpose, *more, members.last()) {
-                    self.ask_page(address, Some(last.node.clone()));
+                    self.request_page(address, Some(last.node.clone()));
                 }
             }
         }
@@ -295,8 +295,8 @@
     }
 
     fn apply_gossip(&mut self, gossip: &Gossip, now: Timestamp) {
-        self.learn(&gossip.sender, now);
-        gossip.updates.iter().for_each(|record| self.learn(record, now));
+        self.merge_record(&gossip.sender, now);
+        gossip.updates.iter().for_each(|record| self.merge_record(record, now));
         gossip.regions.iter().for_each(|summary| self.regions.merge(summary, now));
         let own_region = gossip.sender.region == self.settings.region;
         for item in gossip.items.iter().filter(|_| own_region) {
@@ -319,10 +319,10 @@
         }
     }
 
-    /// Accounts of regions ride on answers alone, which halves what they cost.
+    /// Returns the region summaries for an answer. Only answers carry them, which halves the traffic.
     fn regions_for(&mut self, receiver: &MemberRecord, now: Timestamp) -> Vec<RegionSummary> {
         if receiver.region == self.settings.region {
-            self.regions.next_to_tell(now)
+            self.regions.next_to_send(now)
         } else {
             vec![self.table.summary()]
         }
@@ -334,10 +334,10 @@
             return;
         }
         self.next_table_comparison = now + self.settings.timing.table_interval;
-        self.ask_page(gossip.sender.address, None);
+        self.request_page(gossip.sender.address, None);
     }
 
-    fn ask_page(&mut self, address: SocketAddr, after: Option<NodeId>) {
+    fn request_page(&mut self, address: SocketAddr, after: Option<NodeId>) {
         let request = MembershipRequest::Members { after };
         self.call(address, request, Purpose::Page(address), self.settings.timing.probe_timeout);
     }
@@ -346,7 +346,7 @@
         self.table.leave();
         self.dissemination.enqueue(&self.settings.node, self.table.len());
         for member in self.table.pick_alive(LEAVE_FANOUT, &[], &mut self.random) {
-            self.probe(&member, Purpose::Leave, self.settings.timing.probe_timeout);
+            self.probe(&member, Purpose::Stop, self.settings.timing.probe_timeout);
         }
     }
 
@@ -364,17 +364,18 @@
 
     fn set_machines(&mut self, list: &MachineList) {
         self.contacts.set_machines(list, &self.settings);
-        self.regions.keep_listed(list);
+        self.regions.sync_listed(list);
         for node in self.contacts.forgettable(&self.table) {
             self.table.forget(&node);
             self.dissemination.forget(&node);
         }
     }
 
-    /// Members that a majority of this region is counted among: those known or listed that have not left.
+    /// Returns the number of members that a majority is counted among: known or listed members that have not
+    /// left.
     pub fn quorum_base(&self) -> usize {
-        let unknown = self.contacts.listed_unknown(&self.table);
-        let hoped_for = if self.contacts.has_seeds() { 2 } else { 1 };
-        (self.table.known().count() + unknown).max(hoped_for)
+        let unknown = self.contacts.count_listed_unknown(&self.table);
+        let minimum = if self.contacts.has_seeds() { 2 } else { 1 };
+        (self.table.known().count() + unknown).max(minimum)
     }
 }
--- a/crates/core/src/membership/contacts.rs
+++ b/crates/core/src/membership/contacts.rs
@@ -1,4 +1,5 @@
-//! Where nodes may be found that are not known to be alive: seeds, machines of the list, dead members.
+//! Addresses at which nodes that are not known to be alive may be found: seeds, listed machines and dead
+//! members.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,15 +16,15 @@
 
 use super::{MemberTable, Membership, MembershipSettings, Purpose};
 
-/// Seeds, and the nodes of the machine list.
+/// Seeds and the nodes of the machine list.
 #[derive(Debug)]
 pub(super) struct Contacts {
-    /// When the next try is due.
+    /// When the next contact attempt is due.
     pub(super) next_at: Timestamp,
     seeds: Vec<SocketAddr>,
     own_region: Vec<(NodeId, SocketAddr)>,
     other_regions: BTreeMap<RegionId, Vec<Representative>>,
-    /// Seeds that answered from other regions; representatives keep in touch with those.
+    /// Seeds that answered from other regions; representatives keep probing those.
     seeds_elsewhere: BTreeSet<SocketAddr>,
 }
 
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Replaces the listed nodes by those that the list calls live.
+    /// Replaces the listed nodes by the live ones of `list`.
     pub(super) fn set_machines(&mut self, list: &MachineList, settings: &MembershipSettings) {
         self.own_region.clear();
         self.other_regions.clear();
@@ -57,42 +58,42 @@
         }
     }
 
-    /// Dead and left members that the machine list no longer calls live.
+    /// Returns dead and left members that are not live on the machine list.
     pub(super) fn forgettable(&self, table: &MemberTable) -> Vec<NodeId> {
         let is_listed = |node: &NodeId| self.own_region.iter().any(|(listed, _)| listed == node);
-        let gone = |record: &&MemberRecord| matches!(record.state, MemberState::Dead | MemberState::Left);
+        let has_gone = |record: &&MemberRecord| matches!(record.state, MemberState::Dead | MemberState::Left);
         let own = &table.own().node;
         table
             .all()
-            .filter(gone)
+            .filter(has_gone)
             .filter(|record| record.node != *own && !is_listed(&record.node))
             .map(|record| record.node.clone())
             .collect()
     }
 
-    /// Listed nodes of this region that the table has no record of.
-    pub(super) fn listed_unknown(&self, table: &MemberTable) -> usize {
+    /// Counts listed nodes of this region without a record in the table.
+    pub(super) fn count_listed_unknown(&self, table: &MemberTable) -> usize {
         self.own_region.iter().filter(|(node, _)| table.get(node).is_none()).count()
     }
 
-    /// Whether the settings name other nodes.
+    /// Whether the settings contain seeds other than this node.
     pub(super) const fn has_seeds(&self) -> bool {
         !self.seeds.is_empty()
     }
 
-    /// A seed answered from another region; it need not be asked again.
+    /// Records that a seed answered from another region and needs no further contact.
     pub(super) fn found_elsewhere(&mut self, address: SocketAddr) {
         if self.seeds.contains(&address) {
             self.seeds_elsewhere.insert(address);
         }
     }
 
-    /// Any listed node of another region.
+    /// Returns a random listed node of another region.
     pub(super) fn in_region(&self, region: &RegionId, random: &mut SmallRng) -> Option<Representative> {
         self.other_regions.get(region)?.choose(random).cloned()
     }
 
-    /// Seeds and listed nodes of this region that the table does not know to be alive, and dead members.
+    /// Returns seeds and listed nodes of this region that are not known to be alive, and dead members.
     fn candidates(&self, table: &MemberTable) -> Vec<SocketAddr> {
         let live: Vec<SocketAddr> = table.live().map(|record| record.address).collect();
         let left = |node: &NodeId| table.get(node).is_some_and(|record| record.state == MemberState::Left);
@@ -109,8 +110,8 @@
 }
 
 impl Membership {
-    /// Probes a seed, a listed node or a dead member; more often while this node knows nobody.
-    pub(super) fn contact_someone(&mut self, now: Timestamp) {
+    /// Probes a seed, a listed node or a dead member, more often while no other member is known.
+    pub(super) fn contact_candidate(&mut self, now: Timestamp) {
         let timing = self.settings.timing;
         let is_alone = self.table.live().nth(1).is_none();
         let interval = if is_alone { timing.probe_interval } else { timing.contact_interval };
@@ -118,7 +119,7 @@
         self.contact(1);
     }
 
-    /// Probes up to `count` living members, or as many candidates where no member is known.
+    /// Probes up to `count` live members, or as many candidates if no member is known.
     pub(super) fn probe_now(&mut self, count: usize) {
         let members = self.table.pick_alive(count, &[], &mut self.random);
         if members.is_empty() {
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! What rides on probes: changed member records and the items of other parts.
+//! Piggybacked gossip: changed member records and items of other components.
 
 use std::collections::BTreeMap;
 
@@ -16,9 +16,9 @@
 use super::MemberTable;
 
 /// A changed record is sent this many times the binary logarithm of the number of members.
-const TRANSMISSIONS_FACTOR: u32 = 3;
+const TRANSMISSION_FACTOR: u32 = 3;
 
-/// Queue of changed records, and the present items.
+/// Queue of changed records, and the current items.
 #[derive(Debug, Default)]
 pub(super) struct Dissemination {
     remaining: BTreeMap<NodeId, u32>,
@@ -27,29 +27,28 @@
 }
 
 impl Dissemination {
-    /// Sends the record of `node` to about every one of `members`.
+    /// Queues the record of `node` for enough transmissions to reach about all of `members`.
     pub(super) fn enqueue(&mut self, node: &NodeId, members: usize) {
         let rounds = usize::BITS - members.leading_zeros();
-        self.remaining.insert(node.clone(), rounds.max(1) * TRANSMISSIONS_FACTOR);
+        self.remaining.insert(node.clone(), rounds.max(1) * TRANSMISSION_FACTOR);
     }
 
-    /// Stops sending the record of `node`.
     pub(super) fn forget(&mut self, node: &NodeId) {
         self.remaining.remove(node);
     }
 
-    /// Replaces the item of a topic; one that is too large is dropped.
+    /// Replaces the item of a topic; an oversized item is dropped.
     pub(super) fn offer(&mut self, item: PiggybackItem) {
         if encoded_bytes(&item) <= PIGGYBACK_ITEM_BYTES {
             self.items.insert(item.topic, item);
         }
     }
 
-    /// Records for `receiver`, within [`UPDATE_BYTES`]: first what is believed of the receiver itself
-    /// where it is worse than alive, so that it can refute, then the least sent ones.
+    /// Returns records for `receiver` within [`UPDATE_BYTES`]: first the receiver's own record if it is not
+    /// alive, so that the receiver can refute it, then the least often sent ones.
     pub(super) fn updates_for(&mut self, receiver: &MemberRecord, table: &MemberTable) -> Vec<MemberRecord> {
-        let doubted = table.get(&receiver.node).filter(|record| record.state != MemberState::Alive);
-        let mut updates: Vec<MemberRecord> = doubted.cloned().into_iter().collect();
+        let receiver_record = table.get(&receiver.node).filter(|record| record.state != MemberState::Alive);
+        let mut updates: Vec<MemberRecord> = receiver_record.cloned().into_iter().collect();
         let mut used: usize = updates.iter().map(encoded_bytes).sum();
         let mut queue: Vec<(u32, NodeId)> =
             self.remaining.iter().map(|(node, remaining)| (*remaining, node.clone())).collect();
@@ -75,7 +74,7 @@
         }
     }
 
-    /// As many items as fit into [`PIGGYBACK_BYTES`], beginning after the topic that was sent last.
+    /// Returns as many items as fit into [`PIGGYBACK_BYTES`], starting after the topic sent last.
     pub(super) fn items(&mut self) -> Vec<PiggybackItem> {
         let after = self.items.values().filter(|item| Some(item.topic) > self.last_topic);
         let before = self.items.values().filter(|item| Some(item.topic) <= self.last_topic);
--- a/crates/core/src/membership/regions.rs
+++ b/crates/core/src/membership/regions.rs
@@ -1,4 +1,4 @@
-//! Summaries of the other regions, exchanged by a few representatives of each.
+//! Summaries of the other regions, exchanged by a few representatives of each region.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -17,44 +17,51 @@
 
 use super::{Membership, Purpose};
 
-/// Age beyond which a summary's representatives are not the only ones tried.
-const STALE: Duration = Duration::from_secs(15);
+/// Age of a summary beyond which listed nodes are tried besides its representatives.
+const STALE_AGE: Duration = Duration::from_secs(15);
 
-/// Of so many messages one carries a whole summary.
-const WHOLE_SUMMARY_EVERY: u32 = 4;
+/// One in this many messages carries a complete summary.
+const COMPLETE_SUMMARY_INTERVAL: u32 = 4;
 
-/// What is known of the other regions.
+/// The latest summaries of the other regions.
 #[derive(Debug)]
 pub(super) struct Regions {
     own: RegionId,
-    /// When this node, as a representative, probes a region next.
+    /// When this node probes the next region, if it is a representative.
     pub(super) next_at: Timestamp,
-    summaries: BTreeMap<RegionId, Received>,
+    summaries: BTreeMap<RegionId, ReceivedSummary>,
     last_probed: Option<RegionId>,
-    last_told: Option<RegionId>,
-    told: u32,
+    last_sent: Option<RegionId>,
+    messages: u32,
 }
 
 #[derive(Debug)]
-struct Received {
+struct ReceivedSummary {
     summary: RegionSummary,
-    /// When the account was given, by this node's clock.
-    given_at: Timestamp,
+    /// When the summary was made, by this node's clock.
+    made_at: Timestamp,
 }
 
 impl Regions {
     pub(super) const fn new(own: RegionId, now: Timestamp) -> Self {
-        Self { own, next_at: now, summaries: BTreeMap::new(), last_probed: None, last_told: None, told: 0 }
+        Self {
+            own,
+            next_at: now,
+            summaries: BTreeMap::new(),
+            last_probed: None,
+            last_sent: None,
+            messages: 0,
+        }
     }
 
-    /// Takes in an account that is newer than the one at hand.
+    /// Stores a summary that is newer than the known one.
     pub(super) fn merge(&mut self, summary: &RegionSummary, now: Timestamp) {
         if summary.region == self.own || summary.representatives.len() > REPRESENTATIVES {
             return;
         }
-        let given_at = now - Duration::from_millis(u64::from(summary.age_ms));
+        let made_at = now - Duration::from_millis(u64::from(summary.age_ms));
         let known = self.summaries.get(&summary.region);
-        if known.is_some_and(|known| known.given_at >= given_at) {
+        if known.is_some_and(|known| known.made_at >= made_at) {
             return;
         }
         let mut summary = summary.clone();
@@ -62,23 +69,23 @@
             let known = known.map(|known| known.summary.representatives.clone());
             summary.representatives = known.unwrap_or_default();
         }
-        self.summaries.insert(summary.region.clone(), Received { summary, given_at });
+        self.summaries.insert(summary.region.clone(), ReceivedSummary { summary, made_at });
     }
 
-    /// All summaries with their ages.
+    /// Returns all summaries with their current ages.
     pub(super) fn all(&self, now: Timestamp) -> Vec<RegionSummary> {
         self.summaries.values().map(|received| received.aged(now)).collect()
     }
 
-    /// The summaries to tell in the next message, within [`REGION_BYTES`]: mostly all of them without their
-    /// representatives, as ages must travel fast; at times a whole one, in turn.
-    pub(super) fn next_to_tell(&mut self, now: Timestamp) -> Vec<RegionSummary> {
-        self.told += 1;
-        if self.told.is_multiple_of(WHOLE_SUMMARY_EVERY) {
-            return self.next_whole(now).into_iter().collect();
+    /// Returns the summaries for the next message, within [`REGION_BYTES`]: usually all of them without
+    /// representatives, so that ages spread quickly, and regularly one complete summary in turn.
+    pub(super) fn next_to_send(&mut self, now: Timestamp) -> Vec<RegionSummary> {
+        self.messages += 1;
+        if self.messages.is_multiple_of(COMPLETE_SUMMARY_INTERVAL) {
+            return self.next_complete(now).into_iter().collect();
         }
         let mut used = 0;
-        let short = self.summaries.values().filter(|received| received.given_at > Timestamp::ZERO);
+        let short = self.summaries.values().filter(|received| received.made_at > Timestamp::ZERO);
         let short = short.map(|received| RegionSummary { representatives: Vec::new(), ..received.aged(now) });
         short
             .take_while(|summary| {
@@ -88,15 +95,15 @@
             .collect()
     }
 
-    fn next_whole(&mut self, now: Timestamp) -> Option<RegionSummary> {
-        let region = next_after(self.summaries.keys(), self.last_told.as_ref())?;
-        self.last_told = Some(region.clone());
+    fn next_complete(&mut self, now: Timestamp) -> Option<RegionSummary> {
+        let region = next_after(self.summaries.keys(), self.last_sent.as_ref())?;
+        self.last_sent = Some(region.clone());
         let summary = self.summaries[&region].aged(now);
         (encoded_bytes(&summary) <= REGION_BYTES).then_some(summary)
     }
 
-    /// Forgets regions that the machine list no longer has.
-    pub(super) fn keep_listed(&mut self, list: &MachineList) {
+    /// Drops regions that are not on the machine list and adds listed ones.
+    pub(super) fn sync_listed(&mut self, list: &MachineList) {
         let is_listed = |region: &RegionId| list.machines.iter().any(|machine| machine.region == *region);
         self.summaries.retain(|region, _| is_listed(region));
         let own = self.own.clone();
@@ -105,7 +112,7 @@
             if machine.state != MachineState::Live {
                 continue;
             }
-            let received = self.summaries.entry(machine.region.clone()).or_insert_with(|| Received {
+            let received = self.summaries.entry(machine.region.clone()).or_insert_with(|| ReceivedSummary {
                 summary: RegionSummary {
                     region: machine.region.clone(),
                     alive: 0,
@@ -113,31 +120,31 @@
                     age_ms: 0,
                     representatives: Vec::new(),
                 },
-                given_at: Timestamp::ZERO,
+                made_at: Timestamp::ZERO,
             });
-            received.take_listed(node, machine.address);
+            received.add_listed(node, machine.address);
         }
     }
 }
 
-impl Received {
+impl ReceivedSummary {
     fn aged(&self, now: Timestamp) -> RegionSummary {
-        let age = now.saturating_since(self.given_at).as_millis();
+        let age = now.saturating_since(self.made_at).as_millis();
         RegionSummary { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.summary.clone() }
     }
 
-    /// Before the first account, and only then, the list says whom to ask.
-    fn take_listed(&mut self, node: &NodeId, address: SocketAddr) {
+    /// Uses listed nodes as representatives until the first summary arrives.
+    fn add_listed(&mut self, node: &NodeId, address: SocketAddr) {
         let representatives = &mut self.summary.representatives;
         let is_known = representatives.iter().any(|known| known.node == *node);
-        if self.given_at == Timestamp::ZERO && representatives.len() < REPRESENTATIVES && !is_known {
+        if self.made_at == Timestamp::ZERO && representatives.len() < REPRESENTATIVES && !is_known {
             let node = node.clone();
             representatives.push(Representative { node, address });
         }
     }
 }
 
-/// The key after `last` in a circle.
+/// Returns the key after `last`, in circular order.
 fn next_after<'a>(
     mut keys: impl Iterator<Item = &'a RegionId> + Clone,
     last: Option<&RegionId>,
@@ -148,7 +155,7 @@
 
 impl Membership {
     /// Probes a representative of the next region.
-    pub(super) fn probe_a_region(&mut self, now: Timestamp) {
+    pub(super) fn probe_region(&mut self, now: Timestamp) {
         let last = self.regions.last_probed.as_ref();
         let Some(region) = next_after(self.regions.summaries.keys(), last) else { return };
         self.regions.last_probed = Some(region.clone());
@@ -163,10 +170,10 @@
         self.probe(&target, Purpose::Region, self.settings.timing.probe_timeout * 2);
     }
 
-    /// A member that answers for another region; another one each time.
+    /// Returns a random representative of another region.
     pub fn representative_of(&mut self, region: &RegionId, now: Timestamp) -> Option<Representative> {
         let received = self.regions.summaries.get(region)?;
-        let is_stale = now.saturating_since(received.given_at) > STALE;
+        let is_stale = now.saturating_since(received.made_at) > STALE_AGE;
         let listed = self.contacts.in_region(region, &mut self.random).filter(|_| is_stale);
         listed.or_else(|| received.summary.representatives.choose(&mut self.random).cloned())
     }
--- a/crates/core/src/membership/rounds.rs
+++ b/crates/core/src/membership/rounds.rs
@@ -1,4 +1,4 @@
-//! Probe rounds: one member after the other, directly, then again and through others.
+//! Probe rounds: probes one member after the other, directly and then through other members.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +11,20 @@
 
 use super::{Membership, Purpose};
 
-/// The running probe rounds of a node.
+/// A node's probe rounds.
 #[derive(Debug)]
 pub(super) struct Rounds {
-    /// When the next round begins.
     pub(super) next_at: Timestamp,
-    /// Members that this pass has still to probe, in a random order.
+    /// Members still to probe in this pass, in random order.
     order: Vec<NodeId>,
     running: BTreeMap<NodeId, Round>,
 }
 
 #[derive(Debug)]
 struct Round {
-    /// Calls that have not ended.
+    /// Number of pending calls.
     pending: usize,
-    /// Whether others have been asked.
+    /// Whether other members have been asked to probe.
     indirect: bool,
 }
 
@@ -34,8 +33,8 @@
         Self { next_at: now, order: Vec::new(), running: BTreeMap::new() }
     }
 
-    /// Ends all rounds without a result.
-    pub(super) fn void(&mut self) {
+    /// Cancels all rounds.
+    pub(super) fn cancel_all(&mut self) {
         self.running.clear();
     }
 
@@ -54,7 +53,8 @@
         self.probe(&target, purpose, self.settings.timing.probe_timeout);
     }
 
-    /// Each pass visits every living member once, so that the time to probe all is bounded.
+    /// Returns the next member to probe. Each pass visits every live member once, which bounds the time to
+    /// probe all.
     fn next_target(&mut self) -> Option<MemberRecord> {
         if self.rounds.order.is_empty() {
             let own = &self.settings.node;
@@ -71,7 +71,8 @@
         None
     }
 
-    /// A call of a round ended; the last one without success makes it indirect, or the member suspected.
+    /// Handles the end of a round's call. If all calls of the round failed, the round becomes indirect, or
+    /// the member is suspected.
     pub(super) fn round_call_ended(&mut self, node: &NodeId, reached: bool, now: Timestamp) {
         if reached {
             self.rounds.reached(node);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Tries once more directly and through others, so that a lost message raises no suspicion.
+    /// Probes again, directly and through other members, so that a lost message raises no suspicion.
     fn probe_through_others(&mut self, node: &NodeId) {
         let Some(target) = self.table.get(node).cloned() else { return };
         let timing = self.settings.timing;
@@ -110,6 +111,6 @@
             return;
         }
         let suspected = MemberRecord { state: MemberState::Suspect, ..record.clone() };
-        self.learn(&suspected, now);
+        self.merge_record(&suspected, now);
     }
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members of one region as one node believes them to be.
+//! One node's view of the members of its region.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use rand::{rngs::SmallRng, seq::IndexedRandom};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The members of a region, the node's own record among them.
+/// The member records of a region, including the node's own.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: NodeId,
@@ -21,7 +21,8 @@
     representatives: Vec<NodeId>,
 }
 
-/// The weight of `member` for `subject` in rendezvous hashing: the members with the greatest weights are chosen.
+/// Returns the rendezvous hashing weight of `member` for `subject`; the members with the greatest weights are
+/// chosen.
 pub fn rendezvous_weight(subject: &str, member: &NodeId) -> u64 {
     xxh3_64_with_seed(member.as_str().as_bytes(), xxh3_64(subject.as_bytes()))
 }
@@ -31,7 +32,7 @@
 }
 
 impl MemberTable {
-    /// A table with only the node itself.
+    /// Creates a table that contains only the node itself.
     pub(super) fn new(own: MemberRecord) -> Self {
         let name = own.node.clone();
         let digest = fingerprint(&own);
@@ -41,62 +42,62 @@
         table
     }
 
-    /// The node's own record.
+    /// Returns the node's own record.
     pub fn own(&self) -> &MemberRecord {
         &self.members[&self.own]
     }
 
-    /// A member's record.
+    /// Returns a member's record.
     pub fn get(&self, node: &NodeId) -> Option<&MemberRecord> {
         self.members.get(node)
     }
 
-    /// Records in any state, the node's own among them.
+    /// Returns the number of records in any state, including the node's own.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there is no record; never the case, as the node's own is always there.
+    /// Always false, as the table contains the node's own record.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// All records.
+    /// Returns all records.
     pub fn all(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values()
     }
 
-    /// Members that are alive or suspected, the node itself among them.
+    /// Returns the members that are alive or suspected, including the node itself.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().filter(|record| is_live(record.state))
     }
 
-    /// Members that have not left: a majority is counted among these, so that a node that is cut off from
-    /// the others and takes them for dead still counts them.
+    /// Returns the members that have not left. Majorities are counted among these, so that a partitioned node
+    /// that believes others to be dead still counts them.
     pub fn known(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().filter(|record| record.state != MemberState::Left)
     }
 
-    /// The `count` living members of `zone` with the greatest rendezvous weights for `subject`.
+    /// Returns the `count` live members of `zone` with the greatest rendezvous weights for `subject`.
     pub fn chosen_in_zone(&self, zone: &ZoneId, subject: &str, count: usize) -> Vec<&MemberRecord> {
         let live = self.live().filter(|record| record.zone == *zone);
-        let mut weighed: Vec<_> =
+        let mut weighted: Vec<_> =
             live.map(|record| (rendezvous_weight(subject, &record.node), record)).collect();
-        weighed.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-        weighed.into_iter().take(count).map(|(_, record)| record).collect()
+        weighted.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
+        weighted.into_iter().take(count).map(|(_, record)| record).collect()
     }
 
-    /// The members that answer for the region towards others.
+    /// Returns the members that represent the region towards other regions.
     pub fn representatives(&self) -> impl Iterator<Item = &MemberRecord> {
         self.representatives.iter().filter_map(|node| self.members.get(node))
     }
 
-    /// A hash over the living members; equal tables have equal digests.
+    /// Returns a hash over the live members; equal tables have equal digests.
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The region's summary, of age 0.
+    /// Returns the region's summary, with age 0.
     pub fn summary(&self) -> RegionSummary {
         RegionSummary {
             region: self.own().region.clone(),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Records whose names follow `after`, as many as fit into `bytes`, and whether more follow.
+    /// Returns the records whose names follow `after` that fit into `bytes`, and whether more follow.
     pub(super) fn page(&self, after: Option<&NodeId>, bytes: usize) -> (Vec<MemberRecord>, bool) {
         let mut used = 0;
         let mut page = Vec::new();
@@ -121,7 +122,7 @@
         (page, false)
     }
 
-    /// Up to `count` living members at random, without the node itself and `except`.
+    /// Returns up to `count` random live members, except the node itself and `except`.
     pub(super) fn pick_alive(
         &self,
         count: usize,
@@ -133,7 +134,7 @@
         others.sample(random, count).map(|record| (*record).clone()).collect()
     }
 
-    /// Takes in a record where it takes precedence; returns whether it did.
+    /// Stores a record that takes precedence over the known one. Returns whether it did.
     pub(super) fn merge(&mut self, record: &MemberRecord) -> bool {
         let known = self.members.get(&record.node);
         if known.is_some_and(|known| known.precedence() >= record.precedence()) {
@@ -151,13 +152,12 @@
         self.replace(refuted);
     }
 
-    /// Marks the node itself as left.
     pub(super) fn leave(&mut self) {
         let left = MemberRecord { state: MemberState::Left, ..self.own().clone() };
         self.replace(left);
     }
 
-    /// Drops a record.
+    /// Removes a record.
     pub(super) fn forget(&mut self, node: &NodeId) {
         if let Some(record) = self.members.remove(node) {
             self.digest ^= fingerprint(&record);
@@ -174,18 +174,18 @@
 
     fn choose_representatives(&mut self) {
         let region = self.own().region.clone();
-        let mut weighed: Vec<(u64, NodeId)> = self
+        let mut weighted: Vec<(u64, NodeId)> = self
             .members
             .values()
             .filter(|record| record.state == MemberState::Alive)
             .map(|record| (rendezvous_weight(region.as_str(), &record.node), record.node.clone()))
             .collect();
-        weighed.sort_unstable_by(|left, right| right.cmp(left));
-        self.representatives = weighed.into_iter().take(REPRESENTATIVES).map(|(_, node)| node).collect();
+        weighted.sort_unstable_by(|left, right| right.cmp(left));
+        self.representatives = weighted.into_iter().take(REPRESENTATIVES).map(|(_, node)| node).collect();
     }
 }
 
-/// The short form of a record that summaries carry.
+/// Returns the short form of a record for summaries.
 pub(super) fn representative(record: &MemberRecord) -> Representative {
     Representative { node: record.node.clone(), address: record.address }
 }
@@ -194,11 +194,12 @@
     u16::try_from(number).unwrap_or(u16::MAX)
 }
 
-/// Zero for members that are not living, so that nodes which forgot them at different times agree.
+/// Hashes a record; zero for members that are not live, so that nodes that forgot them at different times
+/// agree.
 fn fingerprint(record: &MemberRecord) -> u64 {
     if !is_live(record.state) {
         return 0;
     }
-    let life = record.incarnation.0.rotate_left(20) ^ u64::from(record.refutation);
-    xxh3_64_with_seed(record.node.as_str().as_bytes(), life)
+    let version = record.incarnation.0.rotate_left(20) ^ u64::from(record.refutation);
+    xxh3_64_with_seed(record.node.as_str().as_bytes(), version)
 }
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -8,47 +8,43 @@
     platform::MachineList,
 };
 
-/// Identifies one call between peers at one node, whether it makes or serves the call.
+/// Identifies one call between peers at one node, incoming or outgoing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 /// Settings of a node's [`Membership`].
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// This node.
     pub node: NodeId,
-    /// Where it listens for peers.
+    /// The address at which it listens for peers.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: ZoneId,
-    /// Its region.
     pub region: RegionId,
-    /// Its life; rises with each start.
+    /// The process's incarnation; increases with each start.
     pub incarnation: Incarnation,
-    /// Where other nodes may be found.
+    /// Addresses at which other nodes may be found.
     pub seeds: Vec<SocketAddr>,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Periods and bounds.
     pub timing: MembershipTiming,
 }
 
-/// Periods and bounds of membership.
+/// Intervals and bounds of membership.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipTiming {
-    /// Time between two probes that a node begins.
+    /// Interval between two probe rounds.
     pub probe_interval: Duration,
-    /// How long a probe waits for its answer.
+    /// Timeout of a probe.
     pub probe_timeout: Duration,
-    /// Members that are asked to probe a member that did not answer.
+    /// Number of members asked to probe a member that did not answer.
     pub indirect_probes: usize,
-    /// Time that a suspected member has to refute.
+    /// Time that a suspected member has to refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Time between two tries to reach a dead member or an unknown machine.
+    /// Interval between attempts to reach a dead member or an unknown machine.
     pub contact_interval: Duration,
-    /// Time between two probes of a representative to other regions.
+    /// Interval between a representative's probes of other regions.
     pub region_interval: Duration,
-    /// Least time between two comparisons of whole tables.
+    /// Minimum interval between comparisons of complete tables.
     pub table_interval: Duration,
 }
 
@@ -66,70 +62,49 @@
     }
 }
 
-/// Something that happens to a node's membership.
+/// An input to [`Membership::handle`].
 #[derive(Clone, Debug)]
 pub enum MembershipEvent<'a> {
     /// The time of [`Membership::next_wakeup`] has come.
     Tick,
-    /// A peer calls.
+    /// A peer calls this node.
     Request {
-        /// The call, numbered by the driver; to be answered under the same number.
+        /// The call, numbered by the driver; its answer carries the same number.
         call: CallId,
-        /// What it asks.
         request: &'a MembershipRequest,
     },
     /// A call made by [`MembershipAction::Call`] was answered.
     Answer {
-        /// The call.
         call: CallId,
-        /// The answer.
         answer: &'a MembershipAnswer,
     },
-    /// A call made by [`MembershipAction::Call`] failed or was not answered in time.
+    /// A call made by [`MembershipAction::Call`] failed or timed out.
     Failed {
-        /// The call.
         call: CallId,
     },
-    /// The machine list was read.
     Machines(&'a MachineList),
-    /// From now on this item rides on probes, in place of the topic's earlier one.
+    /// Piggyback this item on probes from now on, replacing the topic's previous one.
     Offer(PiggybackItem),
-    /// So many members are to be probed at once, or places where members may be found while none is known.
+    /// Probe this many members now, or candidates if no member is known.
     ProbeNow(usize),
-    /// This node begins a planned stop.
+    /// This node starts a planned stop.
     Stop,
 }
 
-/// What a driver is to do for membership.
+/// An output of [`Membership::handle`] for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
-    /// Call a peer; exactly one `Answer` or `Failed` is to follow.
-    Call {
-        /// The call.
-        call: CallId,
-        /// Where to.
-        address: SocketAddr,
-        /// What to ask.
-        request: MembershipRequest,
-        /// How long to wait.
-        timeout: Duration,
-    },
-    /// Answer a peer's call.
+    /// Call a peer; exactly one `Answer` or `Failed` must follow.
+    Call { call: CallId, address: SocketAddr, request: MembershipRequest, timeout: Duration },
     Answer {
-        /// The call.
         call: CallId,
         /// The answer.
         answer: MembershipAnswer,
     },
-    /// A member of this region is new or changed.
+    /// A member of this region was added or changed.
     Changed(MemberRecord),
-    /// A peer's item arrived.
-    Item {
-        /// Who sent it.
-        from: NodeId,
-        /// The item.
-        item: PiggybackItem,
-    },
-    /// A later process runs under this node's name; this one must stop.
+    /// An item arrived from a peer.
+    Item { from: NodeId, item: PiggybackItem },
+    /// A later incarnation runs under this node's name; this process must stop.
     Superseded,
 }
