--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,9 +1,9 @@
-//! At most once: claims on idempotency keys, kept in the memory of a few nodes.
+//! At-most-once execution by claims on idempotency keys, which a few nodes hold in memory.
 //!
-//! A request that must not be repeated is run by a [`ClaimCoordinator`] only after a majority of the
-//! key's replicas has granted the claim. [`ClaimReplica`] is one replica's memory. [`placement`] says
-//! which nodes are the replicas of a key. `docs/design/claims.md` has the argument for why a request
-//! cannot run twice and what that rests on.
+//! A [`ClaimCoordinator`] dispatches a request that must not run twice only after a majority of the key's
+//! replicas has granted the claim. [`ClaimReplica`] is the state of one replica, and [`placement`] selects a
+//! key's replicas. `docs/design/claims.md` explains why a request cannot run twice and under which
+//! assumptions.
 
 mod coordinator;
 mod key;
@@ -22,17 +22,17 @@
 /// Limits of claims. All nodes must use the same `clock_skew`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimSettings {
-    /// How far the clocks of two machines may differ.
+    /// Maximum difference between the clocks of two machines.
     pub clock_skew: Duration,
-    /// Keys issued longer ago are refused, and what is known of them is forgotten.
+    /// Age from which keys are refused and their claims dropped.
     pub retention: Duration,
-    /// Claims that a replica remembers at most; beyond, the oldest go first.
+    /// Maximum number of claims per replica; beyond it, the oldest are dropped.
     pub max_entries: usize,
-    /// Bytes of kept answers at most; beyond, the oldest claims go first.
+    /// Maximum bytes of stored answers; beyond it, the oldest claims are dropped.
     pub max_bytes: usize,
-    /// The largest answer that is kept for a caller that asks again.
+    /// Maximum size of an answer that is stored for retries.
     pub max_answer_bytes: usize,
-    /// How long a coordinator waits for replicas, in either phase.
+    /// Timeout for replicas' replies in either phase.
     pub reply_timeout: Duration,
 }
 
--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -11,105 +11,89 @@
 
 use super::{ClaimSettings, placement::majority, verdict};
 
-/// A silent replica is waited for this part of the reply time-out before the next one is asked.
-const PATIENCE_PART: u32 = 4;
+/// Fraction of the reply timeout after which the next replica is asked while one does not reply.
+const NEXT_REPLICA_DIVISOR: u32 = 4;
 
 /// A request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimedRequest {
-    /// The key.
+    /// The idempotency key.
     pub key: ClaimKey,
-    /// This try; unique over all nodes and their lives.
+    /// This attempt; unique over all nodes and incarnations.
     pub owner: AttemptId,
-    /// The request.
+    /// The request's digest.
     pub fingerprint: Fingerprint,
-    /// The placement that `replicas` is from.
+    /// The epoch of the placement that `replicas` is from.
     pub epoch: PlacementEpoch,
-    /// The key's replicas.
     pub replicas: Vec<NodeId>,
-    /// The caller's deadline.
     pub deadline: Timestamp,
 }
 
-/// Something that happens to a claimed request.
+/// An input to [`ClaimCoordinator::handle`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimEvent {
-    /// A replica answered a claim.
+    /// A replica replied to a claim.
     Replied {
-        /// The replica.
         replica: NodeId,
-        /// Its answer.
         reply: ClaimReply,
     },
-    /// A replica noted the record of the ending.
+    /// A replica acknowledged the recorded outcome.
     Noted {
-        /// The replica.
         replica: NodeId,
     },
-    /// A replica could not be reached, or answered too late.
+    /// A replica could not be reached or replied too late.
     Unreachable {
-        /// The replica.
         replica: NodeId,
     },
-    /// A back end's answer to the dispatch.
+    /// A dispatch to a back end ended.
     DispatchEnded(RunResult),
-    /// Time has passed.
     Tick,
 }
 
-/// How one dispatch to a back end ended.
+/// The result of one dispatch to a back end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RunResult {
-    /// The back end ran it to its end.
+    /// The back end completed the request.
     Completed {
         /// The answer's body as JSON text.
         answer: String,
     },
-    /// The back end said that it has not run it, or it never left this node.
+    /// The back end reported that it did not run the request, or the request never left this node.
     NotRun {
-        /// Why.
         code: RefusalCode,
-        /// For people.
         message: String,
-        /// Whether another back end may be tried.
+        /// Whether another back end can be tried.
         others_left: bool,
     },
-    /// Anything else: the request may have run.
-    Unknown {
-        /// For people.
-        message: String,
-    },
+    /// Any other result: the request may have run.
+    Unknown { message: String },
 }
 
-/// What to do for a claimed request.
+/// An output of the coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimAction {
-    /// Send a message to a replica.
     Send {
-        /// The replica.
         to: NodeId,
-        /// The message.
         message: ClaimMessage,
     },
-    /// Send the request to one back end, once, and report how that ended.
+    /// Send the request to one back end, once, and report the result.
     Dispatch,
-    /// Report [`ClaimEvent::Tick`] at this time.
+    /// Send [`ClaimEvent::Tick`] at this time.
     WakeAt(Timestamp),
-    /// Give the caller its answer.
+    /// Answer the caller.
     End(ClaimOutcome),
 }
 
-/// What the caller is told.
+/// The outcome for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimOutcome {
-    /// The whole answer.
+    /// The complete answer.
     Answered {
         /// The answer's body as JSON text.
         answer: String,
-        /// Whether it is the kept answer of an earlier try.
+        /// Whether it is the stored answer of an earlier attempt.
         replayed: bool,
     },
-    /// No answer.
     Refused(Refusal),
 }
 
@@ -118,7 +102,7 @@
     Claiming,
     Running,
     Recording,
-    /// The caller has its answer; the back end may still send one.
+    /// The caller was answered; the back end may still complete the request.
     EndedUnknown,
     Ended,
 }
@@ -130,21 +114,21 @@
     reply_timeout: Duration,
     phase: Phase,
     replies: BTreeMap<NodeId, Option<ClaimReply>>,
-    /// Replicas that have been asked, from the first on.
+    /// Number of replicas asked so far, in order.
     asked: usize,
-    /// When the next replica is asked although one has not answered.
-    ask_next_at: Timestamp,
-    noted: Vec<NodeId>,
+    /// When the next replica is asked although one has not replied.
+    next_ask_at: Timestamp,
+    acknowledged: Vec<NodeId>,
     answer: Option<String>,
     wait_until: Timestamp,
 }
 
 impl ClaimCoordinator {
-    /// Begins to claim.
+    /// Starts to claim the key.
     ///
-    /// The replicas are asked in their order until one grants; only then are the rest asked, all at once. Two tries
-    /// for one key therefore meet at the first replica that both can reach, and one of them stops there: asked
-    /// all at once, each could hold one of the last two replicas, and neither would win.
+    /// The replicas are asked in order until one grants; then all others are asked at once. Two attempts for
+    /// one key therefore meet at the first replica that both can reach, and one of them stops there. If all
+    /// were asked at once, each attempt could hold one of the last two replicas and neither would win.
     pub fn begin(
         request: ClaimedRequest,
         settings: &ClaimSettings,
@@ -157,28 +141,28 @@
             phase: Phase::Claiming,
             replies: BTreeMap::new(),
             asked: 0,
-            ask_next_at: now + settings.reply_timeout / PATIENCE_PART,
-            noted: Vec::new(),
+            next_ask_at: now + settings.reply_timeout / NEXT_REPLICA_DIVISOR,
+            acknowledged: Vec::new(),
             answer: None,
             wait_until,
         };
         let mut actions = coordinator.ask_next(now);
-        actions.push(ClaimAction::WakeAt(coordinator.ask_next_at.min(wait_until)));
+        actions.push(ClaimAction::WakeAt(coordinator.next_ask_at.min(wait_until)));
         actions.extend(coordinator.conclude_claim(now));
         (coordinator, actions)
     }
 
-    /// Whether the caller has its answer.
+    /// Whether the caller was answered.
     pub fn has_ended(&self) -> bool {
         matches!(self.phase, Phase::Ended | Phase::EndedUnknown)
     }
 
-    /// Takes in what happened at `now`.
+    /// Handles `event` and returns the resulting actions.
     pub fn handle(&mut self, event: ClaimEvent, now: Timestamp) -> Vec<ClaimAction> {
         match event {
             ClaimEvent::Replied { replica, reply } => self.replied(replica, Some(reply), now),
             ClaimEvent::Unreachable { replica } => self.unreachable(replica, now),
-            ClaimEvent::Noted { replica } => self.noted(replica),
+            ClaimEvent::Noted { replica } => self.acknowledged(replica),
             ClaimEvent::DispatchEnded(result) => self.dispatch_ended(result, now),
             ClaimEvent::Tick => self.tick(now),
         }
@@ -210,11 +194,11 @@
         actions
     }
 
-    /// Asks one replica more while none has granted, and all of them once one has.
+    /// Asks one more replica while none has granted, and all of them once one has.
     fn ask_next(&mut self, now: Timestamp) -> Vec<ClaimAction> {
-        let next = if self.granted() > 0 {
+        let next = if self.count_granted() > 0 {
             self.request.replicas.len()
-        } else if self.is_held() || (self.replies.len() < self.asked && now < self.ask_next_at) {
+        } else if self.is_held() || (self.replies.len() < self.asked && now < self.next_ask_at) {
             self.asked
         } else {
             (self.asked + 1).min(self.request.replicas.len())
@@ -223,25 +207,25 @@
         let send = |to: &NodeId| ClaimAction::Send { to: to.clone(), message: message.clone() };
         let actions = self.request.replicas[self.asked..next].iter().map(send).collect();
         self.asked = next;
-        if now >= self.ask_next_at {
-            self.ask_next_at = now + self.reply_timeout / PATIENCE_PART;
+        if now >= self.next_ask_at {
+            self.next_ask_at = now + self.reply_timeout / NEXT_REPLICA_DIVISOR;
         }
         actions
     }
 
     fn tick_claiming(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
-        if now >= self.ask_next_at {
+        if now >= self.next_ask_at {
             actions.extend(self.ask_next(now));
         }
         if now < self.wait_until {
-            actions.push(ClaimAction::WakeAt(self.ask_next_at.min(self.wait_until)));
+            actions.push(ClaimAction::WakeAt(self.next_ask_at.min(self.wait_until)));
         }
         actions.extend(self.conclude_claim(now));
         actions
     }
 
-    /// Whether another try holds the key at a replica.
+    /// Whether another attempt holds the key at a replica.
     fn is_held(&self) -> bool {
         self.replies.values().any(|reply| matches!(reply, Some(ClaimReply::Held { .. })))
     }
@@ -249,44 +233,44 @@
     fn unreachable(&mut self, replica: NodeId, now: Timestamp) -> Vec<ClaimAction> {
         match self.phase {
             Phase::Claiming => self.replied(replica, None, now),
-            Phase::Recording => self.noted(replica),
+            Phase::Recording => self.acknowledged(replica),
             _ => Vec::new(),
         }
     }
 
-    fn granted(&self) -> usize {
+    fn count_granted(&self) -> usize {
         self.replies.values().filter(|reply| matches!(reply, Some(ClaimReply::Granted))).count()
     }
 
-    /// Dispatches once a majority has granted; gives up once that is ruled out and all replicas have
-    /// answered, or at the end of the wait.
+    /// Dispatches once a majority has granted. Abandons the request when the replies show an outcome, when
+    /// all asked replicas have replied, or at the timeout.
     fn conclude_claim(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         if self.phase != Phase::Claiming {
             return Vec::new();
         }
         let needed = majority(self.request.replicas.len());
         if now >= self.request.deadline {
-            return self.give_up(verdict::deadline_exceeded());
+            return self.abandon(verdict::deadline_exceeded());
         }
-        if self.granted() >= needed {
+        if self.count_granted() >= needed {
             self.phase = Phase::Running;
             return vec![ClaimAction::Dispatch, ClaimAction::WakeAt(self.request.deadline)];
         }
-        if let Some(ending) = verdict::known_ending(&self.replies, self.request.fingerprint) {
-            return self.give_up(ending);
+        if let Some(outcome) = verdict::known_outcome(&self.replies, self.request.fingerprint) {
+            return self.abandon(outcome);
         }
         let waiting = self.asked - self.replies.len();
         if waiting == 0 || now >= self.wait_until {
-            return self.give_up(verdict::not_granted(&self.replies));
+            return self.abandon(verdict::not_granted(&self.replies));
         }
         Vec::new()
     }
 
-    /// Ends a request that this try has not run and never will.
-    fn give_up(&mut self, ending: ClaimOutcome) -> Vec<ClaimAction> {
+    /// Ends a request that this attempt has not run and will not run.
+    fn abandon(&mut self, outcome: ClaimOutcome) -> Vec<ClaimAction> {
         self.phase = Phase::Ended;
         let mut actions = self.release();
-        actions.push(ClaimAction::End(ending));
+        actions.push(ClaimAction::End(outcome));
         actions
     }
 
@@ -313,7 +297,7 @@
                 vec![ClaimAction::Dispatch]
             }
             (Phase::Running, RunResult::NotRun { code, message, .. }) => {
-                self.give_up(ClaimOutcome::Refused(Refusal::not_run(code, message)))
+                self.abandon(ClaimOutcome::Refused(Refusal::not_run(code, message)))
             }
             (Phase::Running, RunResult::Unknown { message }) => {
                 self.end_unknown(Refusal::unknown(RefusalCode::BackendFailed, message))
@@ -326,7 +310,7 @@
         }
     }
 
-    /// Records the answer before the caller gets it, so that a caller whose connection breaks can ask again.
+    /// Records the answer before the caller gets it, so that a caller whose connection breaks can retry.
     fn completed(&mut self, answer: String, now: Timestamp) -> Vec<ClaimAction> {
         self.phase = Phase::Recording;
         self.wait_until = now + self.reply_timeout;
@@ -343,12 +327,12 @@
         actions
     }
 
-    fn noted(&mut self, replica: NodeId) -> Vec<ClaimAction> {
-        if self.phase != Phase::Recording || self.noted.contains(&replica) {
+    fn acknowledged(&mut self, replica: NodeId) -> Vec<ClaimAction> {
+        if self.phase != Phase::Recording || self.acknowledged.contains(&replica) {
             return Vec::new();
         }
-        self.noted.push(replica);
-        if self.noted.len() < majority(self.request.replicas.len()) {
+        self.acknowledged.push(replica);
+        if self.acknowledged.len() < majority(self.request.replicas.len()) {
             return Vec::new();
         }
         self.answer_caller()
--- a/crates/core/src/claims/key.rs
+++ b/crates/core/src/claims/key.rs
@@ -1,4 +1,4 @@
-//! Reading idempotency keys.
+//! Parses and hashes idempotency keys.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const UUID_VARIANT: usize = 19;
 const TIME_DIGITS: usize = 12;
 
-/// Why a key cannot be used.
+/// The idempotency key is not a UUID of version 7.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the idempotency key is not a UUID of version 7; such a UUID carries the time at which it was made, \
@@ -24,11 +24,11 @@
 )]
 pub struct InvalidKey;
 
-/// The time at which a key was made, by the clock of whoever made it.
+/// Returns the time at which a key was made, by its issuer's clock.
 ///
 /// # Errors
 ///
-/// The key is not a UUID of version 7 in the usual form with hyphens.
+/// Returns an error if the key is not a UUID of version 7 in the usual form with hyphens.
 pub fn issued_at(key: &IdempotencyKey) -> Result<Timestamp, InvalidKey> {
     let text = key.as_str().as_bytes();
     if text.len() != UUID_LENGTH || text[UUID_VERSION] != b'7' {
@@ -48,8 +48,8 @@
     Ok(Timestamp::ZERO + Duration::from_millis(milliseconds))
 }
 
-/// The digest of a request to a service. `body` must be in one form for equal bodies, such as JSON with
-/// sorted names.
+/// Returns the digest of a request to a service. `body` must be in canonical form, such as JSON with sorted
+/// names.
 pub fn fingerprint(service: &ServiceId, operation: &str, body: &str) -> Fingerprint {
     let mut bytes = Vec::with_capacity(service.as_str().len() + operation.len() + body.len() + 2);
     for part in [service.as_str(), operation, body] {
@@ -59,7 +59,8 @@
     Fingerprint(xxh3_64(&bytes))
 }
 
-/// The claim's name for a tenant's key. The digits of a UUID mean the same in both cases.
+/// Returns the claim key for a tenant's idempotency key, in lower case as the hexadecimal digits of a UUID
+/// are case-insensitive.
 pub fn claim_key(tenant: &TenantId, key: &IdempotencyKey) -> ClaimKey {
     ClaimKey { tenant: tenant.clone(), key: IdempotencyKey::from(key.as_str().to_ascii_lowercase()) }
 }
--- a/crates/core/src/claims/replica.rs
+++ b/crates/core/src/claims/replica.rs
@@ -1,4 +1,4 @@
-//! One replica's memory of claims.
+//! Stores claims at one replica.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,14 +13,14 @@
 
 use super::{ClaimSettings, key};
 
-/// Bytes that an entry takes beside its key and answer; for the bound on memory only.
+/// Estimated bytes of an entry besides its key and answer, for the memory bound.
 const ENTRY_BYTES: usize = 256;
 
-/// The claims that one node remembers.
+/// The claims that one node holds.
 ///
-/// The replica grants a claim only for a key issued after `floor`. It remembers every claim that any of its
-/// earlier lives may have granted for a key issued after `floor`: a fresh replica puts the floor
-/// above each key that could have been granted before its start, and forgetting raises the floor.
+/// The replica grants a claim only for a key issued after `floor`, and holds every claim that any of its
+/// earlier incarnations may have granted for such a key: a new replica sets the floor above each key that
+/// could have been granted before its start, and dropping claims raises the floor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimReplica {
     settings: ClaimSettings,
@@ -43,27 +43,26 @@
 enum EntryState {
     Held { until: Timestamp },
     Ended(RecordedEnding),
-    GivenBack,
+    Released,
 }
 
-/// What a replica holds.
+/// Memory usage of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaUsage {
-    /// Claims remembered.
     pub entries: usize,
-    /// Bytes of keys and answers, and an estimate for the rest.
+    /// Bytes of keys and answers, plus an estimate for the remainder.
     pub bytes: usize,
     /// Keys issued at or before this time are refused.
     pub floor: Timestamp,
 }
 
 impl ClaimReplica {
-    /// The memory of a process that starts at `now`.
+    /// Creates the state of a process that starts at `now`.
     pub fn new(settings: ClaimSettings, epoch: PlacementEpoch, now: Timestamp) -> Self {
         Self::with_floor(settings, epoch, now + settings.clock_skew * 2)
     }
 
-    /// A memory that claims to reach back to `floor`. Only for tests of what happens when it does not.
+    /// Creates a state that claims to reach back to `floor`. Only for tests of the case that it does not.
     pub fn with_floor(settings: ClaimSettings, epoch: PlacementEpoch, floor: Timestamp) -> Self {
         Self {
             settings,
@@ -76,13 +75,13 @@
         }
     }
 
-    /// What the replica holds.
+    /// Returns the memory usage.
     pub fn usage(&self) -> ReplicaUsage {
         ReplicaUsage { entries: self.entries.len(), bytes: self.bytes, floor: self.floor }
     }
 
-    /// Goes by another placement. A replica never goes back to an earlier epoch. At the start of an epoch it
-    /// refuses all keys that a replica of the epoch before may have granted.
+    /// Adopts a placement epoch; earlier epochs are ignored. With a new epoch, the replica refuses all keys
+    /// that a replica of the previous epoch may have granted.
     pub fn adopt(&mut self, epoch: PlacementEpoch, sealed: bool, now: Timestamp) {
         if epoch > self.epoch {
             self.epoch = epoch;
@@ -92,9 +91,9 @@
         self.sealed |= sealed && epoch == self.epoch;
     }
 
-    /// Answers a message.
+    /// Handles a message and returns the reply.
     pub fn handle(&mut self, message: &ClaimMessage, now: Timestamp) -> ClaimReply {
-        self.forget(now);
+        self.drop_old(now);
         match message {
             ClaimMessage::Claim { epoch, key, owner, fingerprint, run_for_ms } => {
                 let until = now + Duration::from_millis(*run_for_ms);
@@ -121,10 +120,10 @@
         until: Timestamp,
         now: Timestamp,
     ) -> ClaimReply {
-        if let Some(reply) = self.remembered(key, owner, now) {
+        if let Some(reply) = self.existing_reply(key, owner, now) {
             return reply;
         }
-        if let Some(reply) = self.refused(epoch, key, now) {
+        if let Some(reply) = self.refusal(epoch, key, now) {
             return reply;
         }
         let entry = Entry { owner: owner.clone(), fingerprint, state: EntryState::Held { until } };
@@ -132,13 +131,13 @@
         ClaimReply::Granted
     }
 
-    /// The answer from memory, where there is one.
-    fn remembered(&self, key: &ClaimKey, owner: &AttemptId, now: Timestamp) -> Option<ClaimReply> {
+    /// Returns the reply for a key with an entry.
+    fn existing_reply(&self, key: &ClaimKey, owner: &AttemptId, now: Timestamp) -> Option<ClaimReply> {
         let entry = self.entries.get(key)?;
         let fingerprint = entry.fingerprint;
         match &entry.state {
-            EntryState::GivenBack if entry.owner == *owner => Some(ClaimReply::GivenBack),
-            EntryState::GivenBack => None,
+            EntryState::Released if entry.owner == *owner => Some(ClaimReply::GivenBack),
+            EntryState::Released => None,
             EntryState::Held { .. } if entry.owner == *owner => Some(ClaimReply::Granted),
             EntryState::Held { until } if now <= *until => Some(ClaimReply::Held { fingerprint }),
             EntryState::Held { .. } => {
@@ -148,8 +147,8 @@
         }
     }
 
-    /// Why a key that is not remembered is not granted.
-    fn refused(&self, epoch: PlacementEpoch, key: &ClaimKey, now: Timestamp) -> Option<ClaimReply> {
+    /// Returns the reason for which a key without an entry is not granted.
+    fn refusal(&self, epoch: PlacementEpoch, key: &ClaimKey, now: Timestamp) -> Option<ClaimReply> {
         if epoch != self.epoch || self.sealed {
             return Some(ClaimReply::OtherEpoch { epoch: self.epoch });
         }
@@ -162,8 +161,8 @@
         (issued > now + self.settings.clock_skew).then_some(ClaimReply::FromFuture { now })
     }
 
-    /// Records an ending, also for a key that is too old to be granted: knowing an ending cannot make
-    /// anything run.
+    /// Records an outcome, also for a key that is too old to be granted, as a recorded outcome cannot cause
+    /// another run.
     fn record(
         &mut self,
         key: &ClaimKey,
@@ -173,19 +172,19 @@
         now: Timestamp,
     ) {
         let Ok(issued) = key::issued_at(&key.key) else { return };
-        let forgotten = issued <= now - self.settings.retention;
+        let is_expired = issued <= now - self.settings.retention;
         let other_completed = self.entries.get(key).is_some_and(|entry| {
             entry.owner != *owner
                 && matches!(entry.state, EntryState::Ended(RecordedEnding::Completed { .. }))
         });
-        if forgotten || other_completed {
+        if is_expired || other_completed {
             return;
         }
-        let state = EntryState::Ended(self.bounded(ending));
+        let state = EntryState::Ended(self.without_oversized_answer(ending));
         self.insert(key, Entry { owner: owner.clone(), fingerprint, state });
     }
 
-    fn bounded(&self, ending: &RecordedEnding) -> RecordedEnding {
+    fn without_oversized_answer(&self, ending: &RecordedEnding) -> RecordedEnding {
         match ending {
             RecordedEnding::Completed { answer: Some(answer) }
                 if answer.len() > self.settings.max_answer_bytes =>
@@ -196,7 +195,7 @@
         }
     }
 
-    /// Notes that `owner` will not run. Noted also where the claim itself has not arrived yet.
+    /// Records that `owner` will not run the request, also if its claim has not arrived yet.
     fn release(&mut self, key: &ClaimKey, owner: &AttemptId, now: Timestamp) {
         let Ok(issued) = key::issued_at(&key.key) else { return };
         if issued <= self.floor || issued > now + self.settings.clock_skew {
@@ -209,7 +208,7 @@
             .is_some_and(|entry| entry.owner != *owner || matches!(entry.state, EntryState::Ended(_)));
         if !held_by_other {
             let fingerprint = self.entries.get(key).map_or(Fingerprint(0), |entry| entry.fingerprint);
-            self.insert(key, Entry { owner: owner.clone(), fingerprint, state: EntryState::GivenBack });
+            self.insert(key, Entry { owner: owner.clone(), fingerprint, state: EntryState::Released });
         }
     }
 
@@ -234,8 +233,8 @@
         ClaimReply::Noted
     }
 
-    /// Drops claims that are older than the stated age, and the oldest where memory is full.
-    fn forget(&mut self, now: Timestamp) {
+    /// Drops claims older than the retention, and the oldest ones above the memory bounds.
+    fn drop_old(&mut self, now: Timestamp) {
         self.raise_floor(now - self.settings.retention);
         while self.entries.len() > self.settings.max_entries || self.bytes > self.settings.max_bytes {
             let Some((issued, _)) = self.by_age.first() else { return };
