--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,11 +1,11 @@
-//! The configuration: what a change may do, how it is made once, how every node comes to hold it.
+//! Configuration changes: validation, storage exactly once, and distribution to all nodes.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`validation`] | rules that a whole document keeps |
-//! | [`apply`] | one change of one document, conflicts with changes made since |
-//! | [`change`] | read, check, put: a change against the store, made once |
-//! | [`freshness`] | how long ago nothing newer than this node's revision was accepted |
+//! | [`validation`] | rules for a complete document |
+//! | [`apply`] | one change of one document, and conflicts with later changes |
+//! | [`change`] | read, check, put: a change written to the store once |
+//! | [`freshness`] | the age of the confirmation of a node's revision |
 //! | [`replica`] | a node's document, and its use of the store and of peers |
 //! | [`confirmation`] | which members hold a revision |
 //!
--- a/crates/core/src/configuration/apply.rs
+++ b/crates/core/src/configuration/apply.rs
@@ -1,4 +1,4 @@
-//! One change of one document.
+//! Applies one change to one document.
 
 use paddlemount_protocol::{
     configuration::{
@@ -11,16 +11,13 @@
 
 use super::validation::{ValidationError, validate};
 
-/// The object that a change touches.
+/// The object that a change modifies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Object {
-    /// A tenant.
     Tenant(TenantId),
-    /// A pool.
     Pool(PoolId),
-    /// A service.
     Service(ServiceId),
-    /// An engine's drain.
+    /// The drain of an engine.
     Engine(EngineId),
 }
 
@@ -35,38 +32,32 @@
     }
 }
 
-/// Why a change is refused.
+/// The reason for refusing a change.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ChangeError {
-    /// The document after it would not be valid.
+    /// The resulting document would not be valid.
     #[error(transparent)]
     Invalid(#[from] ValidationError),
-    /// The object does not exist.
     #[error("{object} does not exist; check the name against the current configuration")]
-    NotFound {
-        /// The object.
-        object: Object,
-    },
+    NotFound { object: Object },
     /// The object was changed after the revision that the change is based on.
     #[error(
         "{object} was changed by {operator} (change {change}) after revision {based_on}; read it again and repeat the change"
     )]
     Conflict {
-        /// The object.
         object: Object,
-        /// Who changed it.
+        /// The operator who changed it.
         operator: String,
-        /// That change.
+        /// The conflicting change.
         change: ChangeId,
         /// The revision that the refused change is based on.
         based_on: Revision,
     },
-    /// More changes were made since than the document remembers.
+    /// More changes were made since than the document records.
     #[error(
         "revision {based_on} is too old to tell whether {object} changed since; read it again and repeat the change"
     )]
     BasedOnTooOld {
-        /// The object.
         object: Object,
         /// The revision that the refused change is based on.
         based_on: Revision,
@@ -79,13 +70,10 @@
     },
     /// The change's identity was used for another change.
     #[error("change {change} was made before with other contents; choose a new identity for a new change")]
-    IdentityReused {
-        /// The identity.
-        change: ChangeId,
-    },
+    IdentityReused { change: ChangeId },
 }
 
-/// The object that `change` touches.
+/// Returns the object that `change` modifies.
 pub fn object(change: &Change) -> Object {
     match change {
         Change::PutTenant { tenant, .. } | Change::DeleteTenant { tenant } => Object::Tenant(tenant.clone()),
@@ -101,11 +89,11 @@
     }
 }
 
-/// The document after `request`, which is asked for at `at`.
+/// Returns the document after `request`, which was requested at `at`.
 ///
 /// # Errors
 ///
-/// Why the change is refused; nothing is changed then.
+/// Returns the reason for refusing the change; nothing is changed then.
 pub fn evaluate(
     current: &RevisedConfiguration,
     request: &ChangeRequest,
@@ -113,30 +101,30 @@
 ) -> Result<Configuration, ChangeError> {
     check_conflict(current, request)?;
     let mut next = current.configuration.clone();
-    alter(&mut next, &request.change)?;
-    remember(&mut next, record(request, current.revision, at));
+    apply_change(&mut next, &request.change)?;
+    append_record(&mut next, record(request, current.revision, at));
     validate(&next)?;
     Ok(next)
 }
 
-/// Repeats an accepted change on the document that it was accepted on.
+/// Applies an accepted change to the document that it was accepted on.
 ///
 /// # Errors
 ///
-/// The change does not fit the document.
+/// Returns an error if the change does not fit the document.
 pub fn replay(configuration: &mut Configuration, record: &ChangeRecord) -> Result<(), ChangeError> {
     if let Some(change) = &record.change {
-        alter(configuration, change)?;
+        apply_change(configuration, change)?;
     }
-    remember(configuration, record.clone());
+    append_record(configuration, record.clone());
     Ok(())
 }
 
-/// The revision that the change with `id` made, where the document remembers it.
+/// Returns the revision that the change with `id` made, if the document records it.
 ///
 /// # Errors
 ///
-/// The identity was used for another change than `change`.
+/// Returns an error if the identity was used for another change than `change`.
 pub fn find_applied(
     current: &RevisedConfiguration,
     id: &ChangeId,
@@ -144,19 +132,19 @@
 ) -> Result<Option<Revision>, ChangeError> {
     let changes = &current.configuration.changes;
     let Some(position) = changes.iter().position(|record| record.id == *id) else { return Ok(None) };
-    if changes[position].change.as_ref().is_some_and(|made| made != change) {
+    if changes[position].change.as_ref().is_some_and(|recorded| recorded != change) {
         return Err(ChangeError::IdentityReused { change: id.clone() });
     }
     Ok(Some(changes.get(position + 1).map_or(current.revision, |following| following.based_on)))
 }
 
-/// Whether the document remembers every change made on top of `revision`.
-pub fn remembers_since(configuration: &Configuration, revision: Revision) -> bool {
+/// Whether the document records every change made on top of `revision`.
+pub fn records_since(configuration: &Configuration, revision: Revision) -> bool {
     let is_complete = configuration.changes.len() < REMEMBERED_CHANGES;
     is_complete || configuration.changes.first().is_some_and(|oldest| oldest.based_on <= revision)
 }
 
-/// A hash of the whole document; equal documents have equal digests.
+/// Returns a hash of the complete document; equal documents have equal digests.
 pub fn digest(configuration: &Configuration) -> u64 {
     let mut hasher = HashWriter(Xxh3::new());
     match serde_json::to_writer(&mut hasher, configuration) {
@@ -184,7 +172,7 @@
     if based_on > current.revision {
         return Err(ChangeError::BasedOnFuture { based_on });
     }
-    if !remembers_since(&current.configuration, based_on) {
+    if !records_since(&current.configuration, based_on) {
         return Err(ChangeError::BasedOnTooOld { object, based_on });
     }
     let later = current.configuration.changes.iter().filter(|record| record.based_on >= based_on);
@@ -201,7 +189,7 @@
     }
 }
 
-fn alter(configuration: &mut Configuration, change: &Change) -> Result<(), ChangeError> {
+fn apply_change(configuration: &mut Configuration, change: &Change) -> Result<(), ChangeError> {
     let existed = match change {
         Change::PutTenant { tenant, settings } => {
             configuration.tenants.insert(tenant.clone(), settings.clone());
@@ -242,7 +230,7 @@
     }
 }
 
-fn remember(configuration: &mut Configuration, record: ChangeRecord) {
+fn append_record(configuration: &mut Configuration, record: ChangeRecord) {
     configuration.changes.push(record);
     let excess = configuration.changes.len().saturating_sub(REMEMBERED_CHANGES);
     configuration.changes.drain(..excess);
--- a/crates/core/src/configuration/change.rs
+++ b/crates/core/src/configuration/change.rs
@@ -1,8 +1,8 @@
-//! A change against the store: read, check, put by compare-and-swap, and read again after a lost reply.
+//! A change written to the store: read, check, put by compare-and-swap, and read again after a lost reply.
 //!
 //! [`ConfigurationChange`] makes a change at most once under its identity. A put whose reply was lost is
-//! settled by reading: the document remembers the identity, or its revision has passed the one that the put
-//! expected, so that the put can no longer take effect.
+//! resolved by reading: either the document records the identity, or its revision has passed the one that the
+//! put expected, so that the put can no longer take effect.
 
 use paddlemount_protocol::{
     configuration::{ChangeRequest, Configuration, RevisedConfiguration},
@@ -11,76 +11,73 @@
     time::Timestamp,
 };
 
-use super::apply::{evaluate, find_applied, remembers_since};
+use super::apply::{evaluate, find_applied, records_since};
 
-/// Calls to the store that one change may make.
+/// Maximum number of store calls of one change.
 pub const MAX_STORE_CALLS: u32 = 24;
 
-/// How a call to the store failed.
+/// How a store call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StoreFailure {
-    /// The store surely did nothing: it could not be reached, or refused.
+    /// The store did not apply the call: it could not be reached, or refused.
     NotApplied,
-    /// The store may have done it: the reply was lost or did not come in time.
+    /// The store may have applied the call: the reply was lost or timed out.
     Unclear,
 }
 
-/// What a change learns.
+/// An input to [`ConfigurationChange::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeEvent {
-    /// The document was read.
+    /// A read ended.
     Read(Result<RevisedConfiguration, StoreFailure>),
-    /// The put ended.
+    /// A put ended.
     Put(Result<StorePutResult, StoreFailure>),
-    /// Time is up.
+    /// The deadline has passed.
     Deadline,
 }
 
-/// What a change does next.
+/// The next step of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeStep {
-    /// Read the document.
     Read,
-    /// Read the document after a pause, as the store did not answer.
+    /// Read the document after a delay, as the last call failed.
     RetryRead,
-    /// Replace the document where its revision is still the expected one.
+    /// Replace the document if its revision is `expected`.
     Put {
-        /// The revision.
         expected: Revision,
-        /// The new document.
         configuration: Box<Configuration>,
     },
-    /// It has ended.
+    /// The change has ended.
     End(StoreOutcome),
 }
 
-/// How a change ended at the store.
+/// The outcome of a change at the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreOutcome {
-    /// The store holds it.
+    /// The store holds the change.
     Stored {
-        /// The revision it made.
+        /// The revision that the change made.
         revision: Revision,
-        /// The document with it, where this change's own put made it or a read showed it as the latest.
+        /// The resulting document, if this change's own put made it or a read showed it as the latest.
         configuration: Option<Box<Configuration>>,
     },
-    /// A dry run found nothing wrong.
+    /// A dry run succeeded.
     WouldApply {
-        /// The revision it was checked against.
+        /// The revision that it was checked against.
         revision: Revision,
     },
-    /// Not made, and will not be.
+    /// The change was not made and will not be.
     Refused {
         /// The current revision, as far as known.
         revision: Revision,
-        /// Why, and what to do.
+        /// The cause and the remedy.
         reason: String,
     },
-    /// It may have been made.
+    /// The change may have been made.
     Unknown,
 }
 
-/// One change on its way into the store.
+/// The state machine of one change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationChange {
     request: ChangeRequest,
@@ -91,18 +88,18 @@
     calls: u32,
 }
 
-/// The latest put, as long as it may have taken effect or may still do so.
+/// The latest put, while it may have taken effect or may still do so.
 #[derive(Clone, Debug, PartialEq)]
 struct SentPut {
     expected: Revision,
     configuration: Box<Configuration>,
-    /// Whether a reply to it was lost, so that a copy of it may be under way.
+    /// Whether a reply was lost, so that a copy may still be in flight.
     unclear: bool,
 }
 
 impl ConfigurationChange {
-    /// A change asked for at `at`; `floor` is the revision in force at this node, which no revision from the
-    /// store may fall below. Begin with [`ChangeStep::Read`].
+    /// Creates a change requested at `at`. `floor` is the revision in force at this node, below which no
+    /// revision from the store may fall. Start with [`ChangeStep::Read`].
     pub const fn new(request: ChangeRequest, floor: Revision, at: Timestamp) -> Self {
         Self { request, at, floor, put: None, awaits_put: false, calls: 1 }
     }
@@ -112,7 +109,7 @@
         self.awaits_put
     }
 
-    /// What follows from `event`.
+    /// Returns the step that follows from `event`.
     pub fn step(&mut self, event: ChangeEvent) -> ChangeStep {
         let step = self.step_after(event);
         self.awaits_put = matches!(step, ChangeStep::Put { .. });
@@ -122,11 +119,11 @@
     fn step_after(&mut self, event: ChangeEvent) -> ChangeStep {
         match event {
             ChangeEvent::Read(Ok(current)) => self.after_read(&current),
-            ChangeEvent::Read(Err(_)) => self.again(ChangeStep::RetryRead),
+            ChangeEvent::Read(Err(_)) => self.call_again(ChangeStep::RetryRead),
             ChangeEvent::Put(Ok(StorePutResult::Stored { revision })) => self.after_stored(revision),
             ChangeEvent::Put(Ok(StorePutResult::Conflict { .. })) => self.after_failed_put(None),
             ChangeEvent::Put(Err(failure)) => self.after_failed_put(Some(failure)),
-            ChangeEvent::Deadline => self.give_up(),
+            ChangeEvent::Deadline => self.abandon(),
         }
     }
 
@@ -149,18 +146,18 @@
                 let configuration = is_latest.then(|| Box::new(current.configuration.clone()));
                 ChangeStep::End(StoreOutcome::Stored { revision, configuration })
             }
-            Ok(None) => self.after_not_found(current),
+            Ok(None) => self.after_missing(current),
         }
     }
 
-    fn after_not_found(&mut self, current: &RevisedConfiguration) -> ChangeStep {
+    fn after_missing(&mut self, current: &RevisedConfiguration) -> ChangeStep {
         if let Some(put) = &self.put {
             if current.revision == put.expected {
-                // It may still arrive. Sent again it takes effect once at most, as both expect this revision.
+                // The put may still arrive. A copy cannot take effect twice, as both expect this revision.
                 let (expected, configuration) = (put.expected, put.configuration.clone());
-                return self.again(ChangeStep::Put { expected, configuration });
+                return self.call_again(ChangeStep::Put { expected, configuration });
             }
-            if !remembers_since(&current.configuration, put.expected) {
+            if !records_since(&current.configuration, put.expected) {
                 return ChangeStep::End(StoreOutcome::Unknown);
             }
             self.put = None;
@@ -176,7 +173,7 @@
 
     fn send_put(&mut self, expected: Revision, configuration: Box<Configuration>) -> ChangeStep {
         self.put = Some(SentPut { expected, configuration: configuration.clone(), unclear: false });
-        self.again(ChangeStep::Put { expected, configuration })
+        self.call_again(ChangeStep::Put { expected, configuration })
     }
 
     fn after_stored(&mut self, revision: Revision) -> ChangeStep {
@@ -184,26 +181,26 @@
         ChangeStep::End(StoreOutcome::Stored { revision, configuration })
     }
 
-    /// The put met another revision, where `failure` is none, or it failed.
+    /// Handles a put that failed, or that met another revision if `failure` is `None`.
     fn after_failed_put(&mut self, failure: Option<StoreFailure>) -> ChangeStep {
         if let Some(put) = self.put.as_mut().filter(|_| failure == Some(StoreFailure::Unclear)) {
             put.unclear = true;
         }
-        // Where no reply was ever lost, the only copy of the put surely did nothing.
+        // Without a lost reply, the only copy of the put was not applied.
         self.put.take_if(|put| !put.unclear);
-        self.again(if failure.is_none() { ChangeStep::Read } else { ChangeStep::RetryRead })
+        self.call_again(if failure.is_none() { ChangeStep::Read } else { ChangeStep::RetryRead })
     }
 
-    fn again(&mut self, step: ChangeStep) -> ChangeStep {
+    fn call_again(&mut self, step: ChangeStep) -> ChangeStep {
         if self.calls >= MAX_STORE_CALLS {
-            return self.give_up();
+            return self.abandon();
         }
         self.calls += 1;
         step
     }
 
-    /// At the deadline a put may be under way; without one the change is surely not made.
-    fn give_up(&self) -> ChangeStep {
+    /// Ends the change. It is refused if no put can be in flight, and unknown otherwise.
+    fn abandon(&self) -> ChangeStep {
         if self.put.is_some() {
             return ChangeStep::End(StoreOutcome::Unknown);
         }
--- a/crates/core/src/configuration/confirmation.rs
+++ b/crates/core/src/configuration/confirmation.rs
@@ -1,4 +1,4 @@
-//! Which members hold a revision: rounds of questions until all do, or time is up.
+//! Tracks which members hold a revision, in rounds of requests until all do or the time limit is reached.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -12,50 +12,50 @@
 
 use crate::membership::MemberTable;
 
-/// Confirmation of one revision in this node's region.
+/// The confirmation of one revision in this node's region.
 #[derive(Clone, Debug)]
 pub struct RegionConfirmation {
     revision: Revision,
     holding: BTreeSet<NodeId>,
-    asked: BTreeSet<NodeId>,
+    pending: BTreeSet<NodeId>,
 }
 
 impl RegionConfirmation {
-    /// Confirmation of `revision`, which no member is known to hold.
+    /// Creates the confirmation of `revision`, which no member is known to hold.
     pub const fn new(revision: Revision) -> Self {
-        Self { revision, holding: BTreeSet::new(), asked: BTreeSet::new() }
+        Self { revision, holding: BTreeSet::new(), pending: BTreeSet::new() }
     }
 
-    /// The revision.
+    /// Returns the revision to confirm.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Living members to ask now; each is to be followed by [`answered`](Self::answered) or
+    /// Returns the live members to ask now; each must be followed by [`answered`](Self::answered) or
     /// [`failed`](Self::failed).
     pub fn to_ask(&mut self, table: &MemberTable) -> Vec<(NodeId, SocketAddr)> {
         let own = &table.own().node;
-        let is_open = |node: &NodeId| !self.holding.contains(node) && !self.asked.contains(node);
+        let is_open = |node: &NodeId| !self.holding.contains(node) && !self.pending.contains(node);
         let open = table.live().filter(|record| record.node != *own && is_open(&record.node));
         let open: Vec<_> = open.map(|record| (record.node.clone(), record.address)).collect();
-        self.asked.extend(open.iter().map(|(node, _)| node.clone()));
+        self.pending.extend(open.iter().map(|(node, _)| node.clone()));
         open
     }
 
-    /// A member holds `revision`.
+    /// Records that a member holds `revision`.
     pub fn answered(&mut self, node: NodeId, revision: Revision) {
-        self.asked.remove(&node);
+        self.pending.remove(&node);
         if revision >= self.revision {
             self.holding.insert(node);
         }
     }
 
-    /// A member did not answer.
+    /// Records that a member did not answer.
     pub fn failed(&mut self, node: &NodeId) {
-        self.asked.remove(node);
+        self.pending.remove(node);
     }
 
-    /// How far the region holds the revision, of which `base` members are known at least.
+    /// Returns how far the region, of at least `base` known members, holds the revision.
     pub fn status(&self, table: &MemberTable, base: usize) -> RegionHolds {
         let known = table.known().filter(|record| self.holding.contains(&record.node));
         let unconfirmed = table.live().filter(|record| !self.holding.contains(&record.node));
@@ -69,7 +69,7 @@
     }
 }
 
-/// Whether all living members of a region hold the revision, and a majority of the known ones.
+/// Whether all live members of a region hold the revision, and a majority of the known ones.
 pub fn is_in_force(holds: &RegionHolds) -> bool {
     holds.unconfirmed.is_empty() && is_accepted(holds)
 }
@@ -79,9 +79,9 @@
     holds.holding > holds.known / 2
 }
 
-/// The first region that was not heard of within `greatest_age_ms`; a change made now could not be accepted.
-pub fn unresponsive_region(regions: &[RegionSummary], greatest_age_ms: u32) -> Option<&RegionId> {
-    regions.iter().find(|summary| summary.age_ms > greatest_age_ms).map(|summary| &summary.region)
+/// Returns the first region without a report within `max_age_ms`; a change made now could not be accepted.
+pub fn unresponsive_region(regions: &[RegionSummary], max_age_ms: u32) -> Option<&RegionId> {
+    regions.iter().find(|summary| summary.age_ms > max_age_ms).map(|summary| &summary.region)
 }
 
 fn count(number: usize) -> u16 {
--- a/crates/core/src/configuration/replica.rs
+++ b/crates/core/src/configuration/replica.rs
@@ -1,4 +1,4 @@
-//! A node's document: taken from the store or from peers, never replaced by an older one.
+//! A node's copy of the document, read from the store or from peers and never replaced by an older one.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,91 +20,88 @@
 };
 use crate::membership::MemberTable;
 
-/// Nodes of each zone that watch the store.
+/// Number of nodes per zone that watch the store.
 pub const WATCHERS_PER_ZONE: usize = 2;
 
 /// How long one watch of the store waits for a change.
 pub const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// The subject under which watchers are chosen.
+/// The rendezvous hashing subject for choosing watchers.
 const WATCH_SUBJECT: &str = "configuration-watcher";
 
-/// Time that a starting node gives its peers before it asks the store.
+/// Delay before a starting node reads the store, in which peers may send the document.
 const START_DELAY: Duration = Duration::from_millis(700);
 
-/// Time between two reads of the store by a node that is no watcher but was long without confirmation.
+/// Interval between store reads of a node that is no watcher but lacks confirmation.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Age of the last confirmation at which a node that is no watcher reads the store itself.
+/// Age of the last confirmation at which a node that is no watcher reads the store.
 const READ_AT_AGE: Duration = Duration::from_secs(6);
 
-/// First and greatest pause after a failed call to the store.
+/// First and maximum delay after a failed store call.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(4));
 
-/// What the replica asks for.
+/// An output of the replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaAction {
-    /// Watch the store; to be followed by [`Replica::store_answered`].
+    /// Watch the store; [`Replica::store_answered`] must follow.
     Watch(StoreWatch),
-    /// Ask a peer; to be followed by [`Replica::pulled`].
+    /// Pull from a peer; [`Replica::pulled`] must follow.
     Pull {
-        /// Where to.
         address: SocketAddr,
-        /// What to ask.
         request: ConfigurationRequest,
     },
-    /// A newer document is in force at this node.
     Installed(Arc<RevisedConfiguration>),
 }
 
-/// A node's document and what it knows of its freshness.
+/// A node's document and its freshness.
 #[derive(Clone, Debug)]
 pub struct Replica {
     current: Option<Arc<RevisedConfiguration>>,
     freshness: Freshness,
-    store_asked_at: Option<Timestamp>,
+    store_requested_at: Option<Timestamp>,
     store_next_at: Timestamp,
     failures: u32,
     pulling: bool,
-    /// When a read of the store confirmed a revision that this node does not hold yet, by a peer's word.
-    store_age_at_peer: Option<(Revision, Timestamp)>,
+    /// A newer revision that a peer holds, and when a read of the store confirmed it.
+    peer_confirmation: Option<(Revision, Timestamp)>,
     jitter: Duration,
 }
 
 impl Replica {
-    /// A replica without a document, at a node that starts at `now`. Its reads of the store are shifted by
-    /// `jitter`, so that nodes that start together do not ask together; one without seeds asks at once.
+    /// Creates a replica without a document at a node that starts at `now`. Its store reads are shifted by
+    /// `jitter`, so that nodes that start together do not read together; one without seeds reads at once.
     pub fn new(now: Timestamp, jitter: Duration, has_seeds: bool) -> Self {
         let delay = if has_seeds { START_DELAY + jitter } else { Duration::ZERO };
         Self {
             current: None,
             freshness: Freshness::default(),
-            store_asked_at: None,
+            store_requested_at: None,
             store_next_at: now + delay,
             failures: 0,
             pulling: false,
-            store_age_at_peer: None,
+            peer_confirmation: None,
             jitter,
         }
     }
 
-    /// The document in force at this node.
+    /// Returns the document in force at this node.
     pub const fn current(&self) -> Option<&Arc<RevisedConfiguration>> {
         self.current.as_ref()
     }
 
-    /// The revision in force at this node; 0 where it has no document.
+    /// Returns the revision in force at this node; 0 without a document.
     pub fn revision(&self) -> Revision {
         self.current.as_ref().map_or(Revision(0), |current| current.revision)
     }
 
-    /// When nothing newer had been accepted, for all that this node knows.
+    /// Returns the latest time at which nothing newer is known to have been accepted.
     pub fn confirmed_at(&self, table: &MemberTable, base: usize, now: Timestamp) -> Option<Timestamp> {
         self.current.as_ref()?;
         self.freshness.confirmed_at(table, base, now)
     }
 
-    /// Whether this node may take new work: it has a document that was confirmed not long ago.
+    /// Whether this node may accept new work: it has a recently confirmed document.
     pub fn may_serve(&self, table: &MemberTable, base: usize, now: Timestamp) -> bool {
         let confirmed_at = self.confirmed_at(table, base, now);
         confirmed_at.is_some_and(|at| now.saturating_since(at) < STALE_AFTER)
@@ -117,21 +114,21 @@
         chosen.iter().any(|record| record.node == own.node)
     }
 
-    /// When to call [`tick`](Self::tick) at the latest.
+    /// Returns when [`tick`](Self::tick) is due at the latest.
     pub const fn next_wakeup(&self) -> Timestamp {
         self.store_next_at
     }
 
-    /// Asks the store where it is time to.
+    /// Starts a store call if one is due.
     pub fn tick(&mut self, table: &MemberTable, base: usize, now: Timestamp) -> Option<ReplicaAction> {
         if self.store_next_at > now {
             return None;
         }
         self.store_next_at = now + READ_INTERVAL + self.jitter;
-        if self.store_asked_at.is_some() || !self.should_ask_store(table, base, now) {
+        if self.store_requested_at.is_some() || !self.should_read_store(table, base, now) {
             return None;
         }
-        self.store_asked_at = Some(now);
+        self.store_requested_at = Some(now);
         let (after, wait) = if self.current.is_none() || !Self::is_watcher(table) {
             (self.revision(), Duration::ZERO)
         } else {
@@ -141,21 +138,21 @@
         Some(ReplicaAction::Watch(StoreWatch { key: DOCUMENT_KEY.to_owned(), after, wait_ms }))
     }
 
-    fn should_ask_store(&self, table: &MemberTable, base: usize, now: Timestamp) -> bool {
+    fn should_read_store(&self, table: &MemberTable, base: usize, now: Timestamp) -> bool {
         let confirmed_at = self.confirmed_at(table, base, now);
         let is_old = confirmed_at.is_none_or(|at| now.saturating_since(at) >= READ_AT_AGE);
         is_old || Self::is_watcher(table)
     }
 
-    /// Takes in what the store answered to the latest [`ReplicaAction::Watch`].
+    /// Handles the store's reply to the latest [`ReplicaAction::Watch`].
     pub fn store_answered(
         &mut self,
         result: Result<StoredDocument, StoreFailure>,
         now: Timestamp,
     ) -> Option<ReplicaAction> {
-        let asked_at = self.store_asked_at.take()?;
+        let requested_at = self.store_requested_at.take()?;
         let revision = match &result {
-            Ok(StoredDocument::Present(read)) => Some(read.revision),
+            Ok(StoredDocument::Present(document)) => Some(document.revision),
             Ok(StoredDocument::Unchanged(revision)) => Some(*revision).filter(|_| self.current.is_some()),
             Err(_) => None,
         };
@@ -167,11 +164,11 @@
         self.failures = 0;
         self.store_next_at = now + self.jitter / 4;
         let action = match result {
-            Ok(StoredDocument::Present(read)) => self.install(Arc::new(read)),
+            Ok(StoredDocument::Present(document)) => self.install(Arc::new(document)),
             _ => None,
         };
         if revision == Some(self.revision()) {
-            self.freshness.confirm_by_store(asked_at);
+            self.freshness.confirm_by_store(requested_at);
         }
         action
     }
@@ -182,75 +179,76 @@
         self.store_next_at = now + doubled.min(BACKOFF.1) + self.jitter;
     }
 
-    /// Takes in a document that this node put into the store itself.
+    /// Installs a document that this node wrote to the store.
     pub fn stored(&mut self, revision: Revision, configuration: Configuration) -> Option<ReplicaAction> {
         self.install(Arc::new(RevisedConfiguration { revision, configuration }))
     }
 
-    /// Puts a newer document in force; an older or equal one changes nothing.
-    fn install(&mut self, read: Arc<RevisedConfiguration>) -> Option<ReplicaAction> {
-        if self.current.as_ref().is_some_and(|current| current.revision >= read.revision) {
+    /// Puts a newer document in force; ignores an older or equal one.
+    fn install(&mut self, document: Arc<RevisedConfiguration>) -> Option<ReplicaAction> {
+        if self.current.as_ref().is_some_and(|current| current.revision >= document.revision) {
             return None;
         }
-        self.current = Some(Arc::clone(&read));
-        // What a peer said before its document was pulled, so that a starting node serves at once.
-        let told = self.store_age_at_peer.take_if(|(revision, _)| *revision <= read.revision);
-        if let Some((_, at)) = told {
+        self.current = Some(Arc::clone(&document));
+        // Applies the peer's confirmation that came before its document, so that a starting node serves at
+        // once.
+        let confirmed = self.peer_confirmation.take_if(|(revision, _)| *revision <= document.revision);
+        if let Some((_, at)) = confirmed {
             self.freshness.confirm_by_peer_store_read(Duration::ZERO, at);
         }
-        Some(ReplicaAction::Installed(read))
+        Some(ReplicaAction::Installed(document))
     }
 
-    /// What to say of this node's revision; `to_asker` in an answer, in a region of `base`
-    /// members at least.
+    /// Returns the gossip about this node's revision, with confirmations if `is_answer`. The region has at
+    /// least `base` members.
     pub fn gossip(
         &self,
         own: &MemberRecord,
-        to_asker: bool,
+        is_answer: bool,
         base: usize,
         now: Timestamp,
     ) -> ConfigurationGossip {
-        if self.current.is_none() || !to_asker {
+        if self.current.is_none() || !is_answer {
             return ConfigurationGossip { revision: self.revision(), ..ConfigurationGossip::default() };
         }
         let store_age = self.freshness.store_confirmed_at().map(|at| now.saturating_since(at));
         ConfigurationGossip {
             revision: self.revision(),
-            store_age_ms: store_age.filter(|age| *age < STALE_AFTER).map(milliseconds_up),
+            store_age_ms: store_age.filter(|age| *age < STALE_AFTER).map(millis_rounded_up),
             heard: self.freshness.advertise(&own.node, base, now),
         }
     }
 
-    /// Takes in a peer's gossip; `asked_at` where it came in an answer.
+    /// Applies a peer's gossip; `requested_at` is set if it came in an answer.
     pub fn apply_gossip(
         &mut self,
         from: &MemberRecord,
         gossip: &ConfigurationGossip,
-        asked_at: Option<Timestamp>,
+        requested_at: Option<Timestamp>,
         table: &MemberTable,
         now: Timestamp,
     ) -> Option<ReplicaAction> {
         let is_first = self.current.is_none() && !gossip.heard.is_empty();
         if gossip.revision > self.revision() || is_first {
-            if let (Some(asked_at), Some(age_ms)) = (asked_at, gossip.store_age_ms) {
-                let at = asked_at - Duration::from_millis(u64::from(age_ms));
-                self.store_age_at_peer = Some((gossip.revision, at));
+            if let (Some(requested_at), Some(age_ms)) = (requested_at, gossip.store_age_ms) {
+                let at = requested_at - Duration::from_millis(u64::from(age_ms));
+                self.peer_confirmation = Some((gossip.revision, at));
             }
             return self.pull(from.address);
         }
-        let asked_at = asked_at.filter(|_| self.current.is_some())?;
+        let requested_at = requested_at.filter(|_| self.current.is_some())?;
         if let Some(age_ms) = gossip.store_age_ms {
-            self.freshness.confirm_by_peer_store_read(Duration::from_millis(u64::from(age_ms)), asked_at);
+            self.freshness.confirm_by_peer_store_read(Duration::from_millis(u64::from(age_ms)), requested_at);
         }
         if from.region == table.own().region && !gossip.heard.is_empty() {
-            self.freshness.confirm_by_peer(&from.node, &gossip.heard, asked_at);
+            self.freshness.confirm_by_peer(&from.node, &gossip.heard, requested_at);
             self.freshness.count_self(table);
             self.freshness.forget_old(now);
         }
         None
     }
 
-    /// Asks the peer at `address` for what is newer, unless such a question is open.
+    /// Requests newer changes from the peer at `address`, unless a pull is pending.
     pub fn pull(&mut self, address: SocketAddr) -> Option<ReplicaAction> {
         if self.pulling {
             return None;
@@ -262,7 +260,7 @@
         Some(ReplicaAction::Pull { address, request })
     }
 
-    /// Takes in the answer to a pull from `address`; none where it failed.
+    /// Handles the answer to a pull from `address`; `None` if it failed.
     pub fn pulled(
         &mut self,
         address: SocketAddr,
@@ -286,7 +284,7 @@
         }
     }
 
-    /// Answers a peer's pull.
+    /// Returns the answer to a peer's pull.
     pub fn answer_pull(
         &self,
         revision: Revision,
@@ -313,6 +311,6 @@
     }
 }
 
-fn milliseconds_up(age: Duration) -> u32 {
+fn millis_rounded_up(age: Duration) -> u32 {
     u32::try_from(age.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/configuration/validation.rs
+++ b/crates/core/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! Rules that a whole configuration keeps. Each error names the place and the remedy.
+//! Validation of a complete configuration. Each error states the place and the remedy.
 
 use std::collections::BTreeMap;
 
@@ -8,92 +8,59 @@
     peer::encoded_bytes,
 };
 
-/// Greatest length of a name, in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Greatest size of the whole document as JSON.
+/// Maximum size of the document as JSON.
 pub const MAX_DOCUMENT_BYTES: usize = 512 * 1024;
 
-/// Greatest share weight of a tenant.
+/// Maximum weight of a tenant.
 pub const MAX_TENANT_WEIGHT: u32 = 1_000;
 
 /// Hexadecimal digits of a SHA-256 hash.
 const HASH_DIGITS: usize = 64;
 
-/// Why a document is not valid.
+/// The reason for which a document is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValidationError {
-    /// A name is empty, too long, or has other characters.
+    /// A name is empty, too long, or has characters that are not allowed.
     #[error(
         "{place}: the name must have 1 to 64 characters of a-z, A-Z, 0-9, '-', '_' and '.'; choose another name"
     )]
-    Name {
-        /// Where.
-        place: String,
-    },
+    Name { place: String },
     /// A caller key is not given as its hash.
     #[error("{place}: a key hash must be 64 hexadecimal digits; give the SHA-256 of the key, not the key")]
-    KeyHash {
-        /// Where.
-        place: String,
-    },
-    /// Two tenants share a key.
+    KeyHash { place: String },
     #[error("{place}: tenant {other} has the same key hash; issue a key of its own")]
-    SharedKey {
-        /// Where.
-        place: String,
-        /// The other tenant.
-        other: String,
-    },
-    /// A number is out of its range.
+    SharedKey { place: String, other: String },
     #[error("{place}: {value} is out of range; give {range}")]
     Range {
-        /// Where.
         place: String,
-        /// The number.
         value: String,
-        /// What is allowed.
+        /// The allowed range.
         range: &'static str,
     },
-    /// A tenant names a model that no pool serves.
+    /// A tenant lists a model that no pool serves.
     #[error("{place}: no pool serves model {model}; create the pool first or leave the model out")]
-    UnknownModel {
-        /// Where.
-        place: String,
-        /// The model.
-        model: String,
-    },
-    /// Two pools serve one model.
+    UnknownModel { place: String, model: String },
     #[error("{place}: pool {other} serves model {model} already; give each pool its own model")]
-    SharedModel {
-        /// Where.
-        place: String,
-        /// The other pool.
-        other: String,
-        /// The model.
-        model: String,
-    },
-    /// A rollout to the version that is in use.
+    SharedModel { place: String, other: String, model: String },
+    /// A rollout targets the version that is in use.
     #[error("{place}: version {version} is in use already; roll out another version")]
     RolloutInUse {
-        /// Where.
         place: String,
         /// The version.
         version: u64,
     },
-    /// The document is too large.
     #[error("the document would have {bytes} bytes, more than 524288; delete what is not used")]
-    TooLarge {
-        /// Its size.
-        bytes: usize,
-    },
+    TooLarge { bytes: usize },
 }
 
-/// Checks the whole document.
+/// Validates the complete document.
 ///
 /// # Errors
 ///
-/// The first rule that it breaks.
+/// Returns the first rule that it violates.
 pub fn validate(configuration: &Configuration) -> Result<(), ValidationError> {
     check_names(configuration)?;
     let models = check_pools(configuration)?;
