--- a/crates/cli/src/commands/forward.rs
+++ b/crates/cli/src/commands/forward.rs
@@ -4,7 +4,7 @@
 
 use lexopt::prelude::*;
 use paddlemount_forward::process::StartError;
-use paddlemount_platform::UsersPlatform;
+use paddlemount_platform::PlatformAdapter;
 
 use super::CommandError;
 
@@ -20,7 +20,7 @@
     let Some(settings) = settings else {
         return Err(CommandError::Usage("--settings FILE is missing".into()));
     };
-    paddlemount_forward::process::run(settings.clone(), Box::new(UsersPlatform)).map_err(
+    paddlemount_forward::process::run(settings.clone(), Box::new(PlatformAdapter)).map_err(
         |error| match error {
             StartError::Settings(error) => {
                 CommandError::ForwardSettings { path: settings, message: error.to_string() }
--- a/crates/cli/tests/forward/announced.rs
+++ b/crates/cli/tests/forward/announced.rs
@@ -13,7 +13,9 @@
 
 use futures_util::future::join_all;
 use http::{StatusCode, header};
-use paddlemount_platform_standin::{Behaviour, Identity, Place, Return, Runner, place::KEY, store::Trouble};
+use paddlemount_platform_standin::{
+    Behaviour, Cluster, Identity, RestartPlan, Runner, cluster::KEY, store::StoreFault,
+};
 use serde_json::Value;
 
 use crate::router::{DRAIN_TIMEOUT, Got, Router, gauge};
@@ -32,8 +34,8 @@
 /// How long requests are sent after the moment from which none may arrive.
 const WATCHED: Duration = Duration::from_millis(1_500);
 
-async fn place() -> Place {
-    let place = Place::start().await.expect("a place starts");
+async fn place() -> Cluster {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     place
 }
@@ -57,13 +59,13 @@
 /// Sends requests, a few at once so that all get some, until a runner has answered one since it says that it leaves, or wants
 /// none; when that was.
 async fn until_told(router: &Router, path: &str, runner: &Runner) -> Instant {
-    let told = || runner.seen().into_iter().find(|seen| seen.told_leaving || seen.retry_after.is_some());
+    let told = || runner.seen().into_iter().find(|seen| seen.announced_leaving || seen.retry_after.is_some());
     let heard = async || {
         join_all((0..AT_ONCE).map(|_| ask(router, path))).await;
         told().is_some()
     };
     router.until("told by an answer", heard).await;
-    runner.take_again();
+    runner.accept_requests();
     told().expect("an answer that tells").at
 }
 
@@ -83,13 +85,13 @@
     answers.iter().all(|got| got.status == StatusCode::OK)
 }
 
-async fn gets_nothing_while_the_store_is_away(path: &str, leaving: impl Fn(&Place) -> Runner) {
+async fn gets_nothing_while_the_store_is_away(path: &str, leaving: impl Fn(&Cluster) -> Runner) {
     let place = place().await;
     let router = Router::start(&place).await;
     router.until("serving", async || ask(&router, path).await.status == StatusCode::OK).await;
     let runner = leaving(&place);
-    place.store.set_trouble(Trouble::Silent);
-    runner.leave();
+    place.store.set_fault(StoreFault::Silent);
+    runner.announce_leaving();
     let told = until_told(&router, path, &runner).await;
     let answers = ask_for(&router, path, DRAIN_TIMEOUT + WATCHED).await;
     let late = arrivals_after(&runner, told + DRAIN_TIMEOUT);
@@ -113,7 +115,7 @@
     let place = place().await;
     let router = Router::start(&place).await;
     let runner = &place.bookings[0];
-    runner.leave();
+    runner.announce_leaving();
     let told = until_told(&router, "/quote/1", runner).await;
     // Entries that were written before it left: one changed, one that comes anew after a lapse.
     place.change_slots(runner, 9);
@@ -132,10 +134,10 @@
     let place = place().await;
     let router = Router::start(&place).await;
     let runner = &place.bookings[0];
-    runner.leave();
+    runner.announce_leaving();
     until_told(&router, "/quote/1", runner).await;
-    runner.crash_until(Return { after: Duration::from_millis(100), identity: Identity::Same });
-    router.until("whole again", async || place.is_whole()).await;
+    runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
+    router.until("whole again", async || place.all_running()).await;
     let back = Instant::now();
     let serves = async || {
         ask(&router, "/quote/1").await;
@@ -150,8 +152,8 @@
     let place = place().await;
     let router = Router::start(&place).await;
     router.until("serving", async || ask(&router, "/quote/1").await.status == StatusCode::OK).await;
-    place.store.set_trouble(Trouble::Silent);
-    place.bookings.iter().for_each(Runner::leave);
+    place.store.set_fault(StoreFault::Silent);
+    place.bookings.iter().for_each(Runner::announce_leaving);
     let mut told = Vec::new();
     for runner in &place.bookings {
         told.push(until_told(&router, "/quote/1", runner).await);
@@ -182,7 +184,7 @@
     }
     second.until("reporting", async || second.told("parent_changed")).await;
     let runner = &place.bookings[0];
-    runner.leave();
+    runner.announce_leaving();
     until_told(&second, "/quote/1", runner).await;
     first.until("told", async || first.told("backend_leaving")).await;
     let line = lines_of(&first, "backend_leaving").remove(0);
@@ -200,8 +202,8 @@
     let router = Router::start(&place).await;
     router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
     let engine = &place.engines[0];
-    engine.leave();
-    place.name_version(2);
+    engine.announce_leaving();
+    place.set_target_version(2);
     router.until("heard", async || router.told("backend_leaving")).await;
     let others = async || place.engines[1..].iter().all(|engine| engine.version() == 2);
     router.until("loaded elsewhere", others).await;
@@ -222,7 +224,7 @@
     let place = place().await;
     let router = Router::start(&place).await;
     let runner = &place.engines[0];
-    runner.turn_away(REST_TEXT, ALWAYS);
+    runner.reject_requests(REST_TEXT, ALWAYS);
     let told = until_told(&router, "/claim/1", runner).await;
     let resting = gauge(&router, "paddlemount_forward_backends_resting").await;
     assert_eq!(resting, Some(1.0), "a metric tells");
@@ -242,7 +244,7 @@
 async fn where_all_ask_for_rest_callers_are_refused_at_once_until_the_first_may_be_asked_again() {
     let place = place().await;
     let router = Router::start(&place).await;
-    place.engines.iter().for_each(|engine| engine.turn_away(REST_TEXT, ALWAYS));
+    place.engines.iter().for_each(|engine| engine.reject_requests(REST_TEXT, ALWAYS));
     let mut told = Vec::new();
     for engine in &place.engines {
         told.push(until_told(&router, "/claim/1", engine).await);
@@ -275,7 +277,7 @@
     let place = place().await;
     let router = Router::start(&place).await;
     for engine in &place.engines[1..] {
-        engine.turn_away(REST_TEXT, ALWAYS);
+        engine.reject_requests(REST_TEXT, ALWAYS);
     }
     let mut told = Vec::new();
     for engine in &place.engines[1..] {
@@ -300,13 +302,13 @@
     let router = Router::start(&place).await;
     let runner = &place.bookings[0];
     for text in ["-3", "soon", "NaN", "0"] {
-        runner.turn_away(text, ALWAYS);
+        runner.reject_requests(text, ALWAYS);
         let told = async || {
             ask(&router, "/quote/1").await;
             runner.seen().iter().any(|seen| seen.retry_after.as_deref() == Some(text))
         };
         router.until("turned away", told).await;
-        runner.take_again();
+        runner.accept_requests();
         let before = runner.seen().len();
         let again = async || {
             ask(&router, "/quote/1").await;
--- a/crates/cli/tests/forward/belief.rs
+++ b/crates/cli/tests/forward/belief.rs
@@ -1,19 +1,19 @@
 //! What a node believes of its configuration, back ends and weights, and what follows from it.
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Place, Runner, place::KEY, store::Trouble};
+use paddlemount_platform_standin::{Cluster, Runner, cluster::KEY, store::StoreFault};
 
 use crate::router::{Router, settings};
 
-async fn place() -> Place {
-    let place = Place::start().await.expect("a place starts");
+async fn place() -> Cluster {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     place
 }
 
 #[tokio::test]
 async fn a_node_that_knows_no_configuration_is_not_ready_and_promises_not_to_have_run() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     let router = Router::start_unready(&place).await;
     assert_eq!(router.ask_readiness().await, Some(StatusCode::SERVICE_UNAVAILABLE));
     let got = router.send("/hold/1", "a1").await.expect("an answer");
@@ -36,14 +36,14 @@
 async fn a_node_that_cannot_confirm_its_keys_refuses_them_and_serves_again_afterwards() {
     let place = place().await;
     let router = Router::start(&place).await;
-    place.store.set_trouble(Trouble::Silent);
+    place.store.set_fault(StoreFault::Silent);
     let refused = async || {
         let got = router.send("/hold/1", "c1").await;
         got.is_some_and(|got| got.status == StatusCode::SERVICE_UNAVAILABLE)
     };
     router.until("refused", refused).await;
     assert_eq!(router.ask_readiness().await, Some(StatusCode::SERVICE_UNAVAILABLE));
-    place.store.set_trouble(Trouble::None);
+    place.store.set_fault(StoreFault::None);
     let served = async || router.send("/hold/1", "c2").await.is_some_and(|got| got.status == StatusCode::OK);
     router.until("served again", served).await;
     router.until("told", async || router.told("store_lost") && router.told("store_regained")).await;
@@ -70,12 +70,12 @@
 async fn nonsense_in_the_store_is_named_and_what_was_known_holds_on() {
     let place = place().await;
     let router = Router::start(&place).await;
-    place.configure_nonsense();
+    place.configure_invalid();
     router.until("named", async || router.told("item_unreadable")).await;
     assert_eq!(router.send("/hold/1", "e1").await.expect("an answer").status, StatusCode::OK);
-    place.store.set_trouble(Trouble::Nonsense);
+    place.store.set_fault(StoreFault::Nonsense);
     router.until("named", async || router.told("store_lost")).await;
-    place.store.set_trouble(Trouble::None);
+    place.store.set_fault(StoreFault::None);
     router.until("regained", async || router.told("store_regained")).await;
     assert_eq!(router.send("/hold/1", "e2").await.expect("an answer").status, StatusCode::OK);
 }
@@ -84,11 +84,11 @@
 async fn a_store_that_forgot_its_history_is_listed_anew() {
     let place = place().await;
     let router = Router::start(&place).await;
-    place.store.set_trouble(Trouble::Silent);
+    place.store.set_fault(StoreFault::Silent);
     place.configure(2, &["another-key"]);
     place.unregister(&place.bookings[0]);
-    place.store.forget_history();
-    place.store.set_trouble(Trouble::None);
+    place.store.compact_history();
+    place.store.set_fault(StoreFault::None);
     let refused =
         async || router.send("/hold/1", "f1").await.is_some_and(|got| got.status == StatusCode::UNAUTHORIZED);
     router.until("refused", refused).await;
@@ -117,7 +117,7 @@
         engine.lose_order_answers(1);
     }
     let router = Router::start(&place).await;
-    place.name_version(2);
+    place.set_target_version(2);
     let brought = async || place.engines.iter().all(|engine| engine.version() == 2);
     router.until("brought to the version", brought).await;
     assert!(place.engines.iter().all(|engine| engine.loads() == 1), "no engine loads twice");
@@ -128,7 +128,7 @@
     let place = place().await;
     let router = Router::start(&place).await;
     assert_eq!(router.send("/claim/1", "i1").await.expect("an answer").status, StatusCode::OK);
-    place.name_version(2);
+    place.set_target_version(2);
     let brought = async || place.engines.iter().all(|engine| engine.version() == 2);
     router.until("brought to the version", brought).await;
     let served = async || router.send("/claim/1", "i2").await.is_some_and(|got| got.status == StatusCode::OK);
--- a/crates/cli/tests/forward/budget.rs
+++ b/crates/cli/tests/forward/budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Place, Runner, place::KEY, runner::Behaviour};
+use paddlemount_platform_standin::{Cluster, Runner, cluster::KEY, runner::Behaviour};
 use serde_json::Value;
 use tokio::net::TcpSocket;
 
@@ -35,7 +35,7 @@
 /// grew by five shares a request, and 535 repeats reached the engines where 430 were allowed.
 #[tokio::test]
 async fn a_request_earns_its_share_of_repeats_once_however_many_connections_are_refused() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let closed = closed_addresses(place.engines.len());
     for (engine, socket) in place.engines.iter().zip(&closed) {
@@ -64,14 +64,14 @@
 /// an arrival at a service that may be allowed hardly any.
 #[tokio::test]
 async fn a_back_end_whose_address_another_process_has_is_asked_once_at_most() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let router = Router::start(&place).await;
     let gone = &place.bookings[0];
     let id = gone.id();
     gone.crash();
-    router.until("whole again", async || place.is_whole()).await;
-    place.register_gone(&id, gone);
+    router.until("whole again", async || place.all_running()).await;
+    place.register_stale(&id, gone);
     let heard_again = async || {
         let changes = lines_of(&router, "backend_changed");
         let appeared = |line: &&Value| line["backend"] == id.as_str() && line["change"] == "appeared";
@@ -83,9 +83,9 @@
         assert_eq!(got.status, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    let asked = gone.seen().into_iter().filter(|seen| seen.meant_for == id && !seen.ran).count();
+    let asked = gone.seen().into_iter().filter(|seen| seen.intended_for == id && !seen.ran).count();
     assert!(asked <= 1, "{asked} requests were sent to a process that is gone");
-    let ran = gone.seen().into_iter().filter(|seen| seen.ran && seen.meant_for == gone.id()).count();
+    let ran = gone.seen().into_iter().filter(|seen| seen.ran && seen.intended_for == gone.id()).count();
     assert!(ran > 0, "the process that has the address gets work of its own");
 }
 
@@ -93,11 +93,11 @@
 /// the next one was wrong as often as the first.
 #[tokio::test]
 async fn a_request_goes_on_from_a_wrong_address_once_and_is_refused_then() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     for (number, engine) in place.engines.iter().enumerate() {
         place.unregister(engine);
-        place.register_gone(&format!("gone-{number}"), engine);
+        place.register_stale(&format!("gone-{number}"), engine);
     }
     let router = Router::start(&place).await;
     for number in 0..REQUESTS {
@@ -121,7 +121,7 @@
 /// Which of two instances that request goes to is drawn: several nodes are asked.
 #[tokio::test]
 async fn the_first_request_of_a_node_may_leave_a_silent_back_end() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     for number in 0..6 {
         let router = Router::start(&place).await;
--- a/crates/cli/tests/forward/delivery.rs
+++ b/crates/cli/tests/forward/delivery.rs
@@ -1,7 +1,7 @@
 //! What callers and back ends see of single requests.
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Behaviour, Place, Runner, place::KEY};
+use paddlemount_platform_standin::{Behaviour, Cluster, Runner, cluster::KEY};
 
 use crate::router::Router;
 
@@ -9,8 +9,8 @@
 pub const WHOLE_STREAM: &str = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n\
                             id: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\n";
 
-async fn place_and_router() -> (Place, Router) {
-    let place = Place::start().await.expect("a place starts");
+async fn place_and_router() -> (Cluster, Router) {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let router = Router::start(&place).await;
     (place, router)
@@ -32,14 +32,14 @@
     let (place, router) = place_and_router().await;
     let got = router.send("/hold/1", "r1").await.expect("an answer");
     assert_eq!((got.status, got.body.as_str()), (StatusCode::OK, "whole body"));
-    assert!(got.headers.contains_key(Place::SIGNATURE));
+    assert!(got.headers.contains_key(Cluster::SIGNATURE));
     let seen: Vec<_> = place.bookings.iter().flat_map(Runner::seen).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(
-        (seen[0].tenant.as_str(), seen[0].carried_key, seen[0].body.as_slice()),
+        (seen[0].tenant.as_str(), seen[0].had_authorization, seen[0].body.as_slice()),
         ("alpha", false, &b"the body"[..])
     );
-    assert!(place.bookings.iter().any(|runner| runner.id() == seen[0].meant_for));
+    assert!(place.bookings.iter().any(|runner| runner.id() == seen[0].intended_for));
     assert!(seen[0].deadline_ms > 0 && seen[0].deadline_ms <= 3_500);
 }
 
--- a/crates/cli/tests/forward/ending.rs
+++ b/crates/cli/tests/forward/ending.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Behaviour, Place, place::KEY};
+use paddlemount_platform_standin::{Behaviour, Cluster, cluster::KEY};
 
 use crate::{raw_caller::RawCaller, router::Router};
 
@@ -12,7 +12,7 @@
 
 #[tokio::test]
 async fn a_planned_stop_takes_the_node_out_first_and_cuts_off_no_stream() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let mut router = Router::start(&place).await;
     for engine in &place.engines {
@@ -33,7 +33,7 @@
 
 #[tokio::test]
 async fn the_lease_is_given_up_at_a_planned_stop() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let mut router = Router::start(&place).await;
     router.until("leading", async || router.told("leadership_gained")).await;
@@ -44,7 +44,7 @@
 
 #[tokio::test]
 async fn a_configuration_that_was_acknowledged_outlasts_a_loss_of_all_nodes() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY, REMOVED_KEY]);
     for version in 2..6 {
         let names = ["node-1", "node-2", "node-3"];
@@ -75,7 +75,7 @@
 
 #[tokio::test]
 async fn a_head_that_never_ends_keeps_a_connection_no_longer_than_a_rest() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure_idle(1, &[KEY], 300);
     let router = Router::start(&place).await;
     let mut caller = RawCaller::connect(router.callers).await;
@@ -98,7 +98,7 @@
     let test = std::thread::spawn(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let place = Place::start().await.expect("a place starts");
+            let place = Cluster::start().await.expect("a place starts");
             let router = Router::start_unready(&place).await;
             let process = router.process();
             assert!(runs(process));
--- a/crates/cli/tests/forward/fleet.rs
+++ b/crates/cli/tests/forward/fleet.rs
@@ -2,16 +2,16 @@
 
 use http::StatusCode;
 use paddlemount_platform_standin::{
-    Place,
-    place::KEY,
-    proxy::{Harm, Proxy},
+    Cluster,
+    cluster::KEY,
+    proxy::{LinkFault, Proxy},
 };
 
 use crate::router::{Router, gauge};
 
 /// Three nodes, each with its own way to the store, that know of each other.
-pub async fn fleet() -> (Place, Vec<Proxy>, Vec<Router>) {
-    let place = Place::start().await.expect("a place starts");
+pub async fn fleet() -> (Cluster, Vec<Proxy>, Vec<Router>) {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let (mut links, mut routers) = (Vec::new(), Vec::new());
     for number in 0..3 {
@@ -46,7 +46,7 @@
 async fn a_node_that_is_cut_off_from_the_store_hears_of_changes_from_the_others() {
     let (place, links, routers) = fleet().await;
     let cut_off = (leader(&routers).await + 1) % routers.len();
-    links[cut_off].set(Harm::Silent);
+    links[cut_off].set(LinkFault::Silent);
     place.configure(2, &["another-key"]);
     let router = &routers[cut_off];
     let refused =
@@ -79,7 +79,7 @@
 
 #[tokio::test]
 async fn a_leader_that_is_killed_and_starts_again_need_not_wait_until_its_own_lease_runs_out() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let link = Proxy::start(place.store_address).await.expect("a proxy starts");
     let start = async || Router::start_with_long_lease(place.store_address, "node-0", &link).await;
@@ -94,7 +94,7 @@
 async fn a_leader_that_is_cut_off_from_the_store_proves_nothing_to_the_others() {
     let (place, links, routers) = fleet().await;
     let cut_off = leader(&routers).await;
-    links[cut_off].set(Harm::Silent);
+    links[cut_off].set(LinkFault::Silent);
     place.configure(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
         let refused = async || {
@@ -112,7 +112,7 @@
 async fn connections_to_the_store_that_fall_silent_for_good_are_replaced() {
     let (place, links, routers) = fleet().await;
     for link in &links {
-        link.silence_open_connections();
+        link.stall_open_connections();
     }
     place.configure(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate() {
@@ -126,11 +126,11 @@
 
 #[tokio::test]
 async fn connections_to_back_ends_that_fall_silent_for_good_are_replaced() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let mut links = Vec::new();
     for runner in place.engines.iter().chain(&place.bookings) {
-        let link = Proxy::start_before(runner).await.expect("a proxy starts");
+        let link = Proxy::start_for_runner(runner).await.expect("a proxy starts");
         place.register_at(runner, "ready", link.address);
         links.push(link);
     }
@@ -144,7 +144,7 @@
     };
     for path in ["/hold/1", "/quote/1", "/chat/1", "/claim/1"] {
         serves(path, "before").await;
-        links.iter().for_each(Proxy::silence_open_connections);
+        links.iter().for_each(Proxy::stall_open_connections);
         serves(path, "after").await;
     }
 }
@@ -206,7 +206,7 @@
     for router in &routers {
         listed.push(calls_for(router, "list").await);
     }
-    place.configure_and_forget(2, &["another-key"]);
+    place.configure_and_compact(2, &["another-key"]);
     for router in &routers {
         until_served_by(router, "another-key").await;
     }
@@ -222,14 +222,14 @@
     // They used to take the snapshot of the root, which is older than what they know, again and again.
     let (place, links, routers) = fleet().await;
     let cut_off = leader(&routers).await;
-    links[cut_off].set(Harm::Silent);
-    place.configure_and_forget(2, &["another-key"]);
+    links[cut_off].set(LinkFault::Silent);
+    place.configure_and_compact(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
         until_served_by(router, "another-key").await;
         let refused = router.send("/hold/1", &format!("o{number}")).await;
         assert!(refused.is_some_and(|got| got.status == StatusCode::UNAUTHORIZED));
     }
-    place.configure_and_forget(3, &["a-third-key"]);
+    place.configure_and_compact(3, &["a-third-key"]);
     for (_, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
         until_served_by(router, "a-third-key").await;
     }
@@ -238,7 +238,7 @@
 #[tokio::test]
 async fn a_node_that_starts_serves_by_the_first_pages_and_takes_the_rest_from_the_node_above() {
     let (place, _links, routers) = fleet().await;
-    place.store.set_page(2);
+    place.store.set_page_size(2);
     let started = Router::start_at(place.store_address, "node-9").await;
     let taken = async || gauge(&started, "paddlemount_forward_snapshots_taken_total").await == Some(1.0);
     started.until("told the rest", taken).await;
@@ -251,9 +251,9 @@
 
 #[tokio::test]
 async fn a_node_that_starts_where_nobody_gives_it_the_rest_lists_all_pages() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
-    place.store.set_page(2);
+    place.store.set_page_size(2);
     let router = Router::start(&place).await;
     until_served_by(&router, KEY).await;
     for path in ["/hold/1", "/chat/1"] {
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -4,7 +4,7 @@
 
 use futures_util::future::join_all;
 use http::{StatusCode, header};
-use paddlemount_platform_standin::{Identity, Place, Return, Runner, place::KEY};
+use paddlemount_platform_standin::{Cluster, Identity, RestartPlan, Runner, cluster::KEY};
 use serde_json::Value;
 
 use crate::{
@@ -31,13 +31,13 @@
 }
 
 struct Nodes {
-    place: Place,
+    place: Cluster,
     routers: Vec<Router>,
 }
 
 impl Nodes {
     async fn start() -> Self {
-        let place = Place::start().await.expect("a place starts");
+        let place = Cluster::start().await.expect("a place starts");
         place.configure(1, &[KEY]);
         let mut routers = Vec::new();
         for number in 0..NODES {
@@ -100,7 +100,7 @@
 }
 
 fn arrivals_at(runner: &Runner) -> Vec<Arrival> {
-    let arrival = |seen: paddlemount_platform_standin::Seen| Arrival {
+    let arrival = |seen: paddlemount_platform_standin::ReceivedRequest| Arrival {
         node: node_of(&seen.id),
         at: seen.at,
         starts: seen.starts,
@@ -131,7 +131,7 @@
     let nodes = Nodes::start().await;
     let runner = &nodes.place.engines[0];
     nodes.ask_for(Duration::from_secs(1)).await;
-    runner.name_limit("1.1");
+    runner.advertise_limit("1.1");
     let named = Instant::now();
     let answers = nodes.ask_for(WATCHED).await;
     assert_eq!(exceeded_at(runner), 0, "windows with too many requests");
@@ -146,7 +146,7 @@
 async fn where_all_back_ends_name_limits_they_are_used_and_what_goes_beyond_is_refused_at_once() {
     let nodes = Nodes::start().await;
     nodes.ask_for(Duration::from_secs(1)).await;
-    nodes.place.engines.iter().for_each(|engine| engine.name_limit("5"));
+    nodes.place.engines.iter().for_each(|engine| engine.advertise_limit("5"));
     let named = Instant::now();
     let answers = nodes.ask_for(WATCHED).await;
     for engine in &nodes.place.engines {
@@ -169,7 +169,7 @@
 async fn a_node_that_was_told_of_a_limit_by_another_one_keeps_to_it() {
     let nodes = Nodes::start().await;
     let runner = &nodes.place.engines[0];
-    runner.name_limit("0.5");
+    runner.advertise_limit("0.5");
     let heard = async || {
         nodes.ask_until(&[1], Instant::now() + PAUSE).await;
         nodes.lines_of("backend_limited").len() >= NODES
@@ -187,9 +187,9 @@
 async fn a_limit_ends_with_an_answer_that_names_none() {
     let nodes = Nodes::start().await;
     let runner = &nodes.place.engines[0];
-    runner.name_limit("0.5");
+    runner.advertise_limit("0.5");
     nodes.ask_while_not("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
-    runner.name_no_limit();
+    runner.withdraw_limit();
     nodes.ask_while_not("unlimited", || nodes.lines_of("backend_unlimited").len() >= NODES).await;
     let ended = Instant::now();
     nodes.ask_for(Duration::from_secs(2)).await;
@@ -201,10 +201,10 @@
 async fn a_limit_of_nothing_is_kept_to_and_its_end_is_noticed() {
     let nodes = Nodes::start().await;
     let runner = &nodes.place.engines[0];
-    runner.name_limit("0");
+    runner.advertise_limit("0");
     nodes.ask_for(WATCHED).await;
     assert_eq!(exceeded_at(runner), 0, "windows with too many requests");
-    runner.name_no_limit();
+    runner.withdraw_limit();
     nodes.ask_while_not("unlimited", || !nodes.lines_of("backend_unlimited").is_empty()).await;
 }
 
@@ -212,10 +212,10 @@
 async fn a_new_start_of_a_back_end_ends_the_limit_of_the_process_before_it() {
     let nodes = Nodes::start().await;
     let runner = &nodes.place.engines[0];
-    runner.name_limit("0");
+    runner.advertise_limit("0");
     nodes.ask_while_not("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
-    runner.crash_until(Return { after: Duration::from_millis(100), identity: Identity::Same });
-    nodes.routers[0].until("whole again", async || nodes.place.is_whole()).await;
+    runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
+    nodes.routers[0].until("whole again", async || nodes.place.all_running()).await;
     let back = Instant::now();
     let most = allowed(0.0) as usize;
     nodes.ask_while_not("serving again", || count_after(runner, back) > most).await;
@@ -226,7 +226,7 @@
     let nodes = Nodes::start().await;
     let runner = &nodes.place.engines[0];
     for (number, text) in ["-1", "NaN", "soon", "inf", ""].into_iter().enumerate() {
-        runner.name_limit(text);
+        runner.advertise_limit(text);
         let before = runner.seen().len();
         let most = before + allowed(0.0) as usize;
         nodes.ask_while_not("served on", || runner.seen().len() > most).await;
--- a/crates/cli/tests/forward/planned_soak.rs
+++ b/crates/cli/tests/forward/planned_soak.rs
@@ -14,7 +14,7 @@
     time::{Duration, Instant},
 };
 
-use paddlemount_platform_standin::{Behaviour, Place, place::KEY, store::Trouble};
+use paddlemount_platform_standin::{Behaviour, Cluster, cluster::KEY, store::StoreFault};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 use crate::{
@@ -63,7 +63,7 @@
 }
 
 struct PlannedSoak {
-    place: Place,
+    place: Cluster,
     routers: Vec<Mutex<Option<Arc<Router>>>>,
     /// Held by the series that stops a node.
     taken: Vec<tokio::sync::Mutex<()>>,
@@ -82,7 +82,7 @@
 
 impl PlannedSoak {
     async fn start(nodes: usize, seconds: u64) -> Self {
-        let place = Place::start().await.expect("a place starts");
+        let place = Cluster::start().await.expect("a place starts");
         place.configure(1, &[KEY]);
         let mut routers = Vec::new();
         for number in 0..nodes {
@@ -175,14 +175,14 @@
     /// Outages of the store, one after the other.
     async fn outages(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(SERIES));
-        let troubles = [Trouble::Silent, Trouble::Refuses, Trouble::LosesAnswers];
+        let troubles = [StoreFault::Silent, StoreFault::Refuses, StoreFault::LosesAnswers];
         while Instant::now() < self.until {
             tokio::time::sleep(Duration::from_millis(random.random_range(200..2_000))).await;
             let trouble = troubles[random.random_range(0..troubles.len())];
             self.tell(&format!("store {trouble:?}"));
-            self.place.store.set_trouble(trouble);
+            self.place.store.set_fault(trouble);
             tokio::time::sleep(Duration::from_millis(random.random_range(200..3_000))).await;
-            self.place.store.set_trouble(Trouble::None);
+            self.place.store.set_fault(StoreFault::None);
         }
     }
 
@@ -256,7 +256,7 @@
             *weights
         };
         self.tell(&format!("version {version} is named"));
-        self.place.name_version(version);
+        self.place.set_target_version(version);
     }
 
     /// A back end leaves as planned, and is there again.
@@ -284,7 +284,7 @@
     }
 }
 
-async fn start_node(place: &Place, number: usize) -> Router {
+async fn start_node(place: &Cluster, number: usize) -> Router {
     let router = Router::start_at(place.store_address, &format!("node-{number}")).await;
     router.until("ready", async || router.ask_readiness().await.is_some_and(|status| status == 200)).await;
     router
--- a/crates/cli/tests/forward/poison.rs
+++ b/crates/cli/tests/forward/poison.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Behaviour, Place, Runner, place::KEY, store::Trouble};
+use paddlemount_platform_standin::{Behaviour, Cluster, Runner, cluster::KEY, store::StoreFault};
 
 use crate::{
     fleet::fleet,
@@ -21,20 +21,20 @@
 /// How long a place may need to be whole again.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn poisoned(place: &Place) {
+fn poisoned(place: &Cluster) {
     for runner in place.engines.iter().chain(&place.bookings) {
         runner.crash_on(POISON.as_bytes());
     }
 }
 
-fn poison_runs(place: &Place) -> usize {
+fn poison_runs(place: &Cluster) -> usize {
     let runners = place.engines.iter().chain(&place.bookings);
     runners.flat_map(Runner::seen).filter(|seen| seen.ran && seen.body == POISON.as_bytes()).count()
 }
 
-async fn whole_again(place: &Place) {
+async fn whole_again(place: &Cluster) {
     let began = Instant::now();
-    while !place.is_whole() {
+    while !place.all_running() {
         assert!(began.elapsed() < PATIENCE, "crashed runners are not back");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -42,7 +42,7 @@
 
 /// Sends the poison at node after node, each time to a place that is whole and through a node that serves others.
 async fn send_poison(
-    place: &Place,
+    place: &Cluster,
     routers: &[Router],
     path: &str,
     name: &str,
@@ -137,7 +137,7 @@
     for router in &routers {
         serves(router, "/chat/1").await;
     }
-    place.store.set_trouble(Trouble::Refuses);
+    place.store.set_fault(StoreFault::Refuses);
     let mut held = vec![false; routers.len()];
     for time in 0..200 {
         let number = time % routers.len();
@@ -161,9 +161,9 @@
     for router in &routers {
         serves(router, "/chat/1").await;
     }
-    place.store.set_trouble(Trouble::LosesChanges);
+    place.store.set_fault(StoreFault::LosesChanges);
     send_poison(&place, &routers, "/chat/1", "lost", 6).await;
-    place.store.set_trouble(Trouble::None);
+    place.store.set_fault(StoreFault::None);
     send_poison(&place, &routers, "/chat/1", "after", 6).await;
     let runs = poison_runs(&place);
     assert!(runs <= CRASHES + STRAYS, "{runs} requests reached a back end that they crashed");
@@ -249,14 +249,14 @@
 /// for the cause, and held back for 600 s.
 #[tokio::test]
 async fn a_request_under_which_back_ends_end_as_they_had_said_is_not_held_back() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let router = Router::start(&place).await;
     for round in 0..CRASHES {
         whole_again(&place).await;
         serves(&router, "/chat/1").await;
         for engine in &place.engines {
-            engine.leave();
+            engine.announce_leaving();
             engine.script(&[Behaviour::Long]);
         }
         let id = format!("long-{round}");
--- a/crates/cli/tests/forward/quota.rs
+++ b/crates/cli/tests/forward/quota.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use http::{StatusCode, header::RETRY_AFTER};
-use paddlemount_platform_standin::{Place, Runner, place::KEY};
+use paddlemount_platform_standin::{Cluster, Runner, cluster::KEY};
 
 use crate::router::Router;
 
@@ -14,7 +14,7 @@
 const WINDOW_S: f64 = 10.0;
 const REQUESTS: usize = 400;
 
-async fn fleet(place: &Place) -> Vec<Router> {
+async fn fleet(place: &Cluster) -> Vec<Router> {
     let mut routers = Vec::new();
     for number in 0..3 {
         routers.push(Router::start_at(place.store_address, &format!("node-{number}")).await);
@@ -33,7 +33,7 @@
 
 #[tokio::test]
 async fn a_tenant_beyond_its_quota_is_refused_at_all_nodes_and_what_is_refused_does_not_run() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure_quota(1, &[KEY], TOKENS_PER_SECOND);
     let routers = fleet(&place).await;
     let runs = |id: &str| place.bookings.iter().map(|runner: &Runner| runner.runs(id)).sum::<usize>();
@@ -66,7 +66,7 @@
 
 #[tokio::test]
 async fn a_quota_that_is_raised_or_taken_away_refuses_nothing_any_more() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure_quota(1, &[KEY], 1);
     let router = Router::start(&place).await;
     let refused = async || {
--- a/crates/cli/tests/forward/raw_caller.rs
+++ b/crates/cli/tests/forward/raw_caller.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, time::Duration};
 
 use paddlemount_platform_standin::{
-    Place,
-    place::{HOST, KEY},
+    Cluster,
+    cluster::{HOST, KEY},
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -151,11 +151,11 @@
     let mut text = format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Bearer {KEY}\r\n{}: {id}\r\n{}: 9000\r\n\
          Content-Length: {length}\r\n",
-        Place::REQUEST_ID,
-        Place::DEADLINE,
+        Cluster::REQUEST_ID,
+        Cluster::DEADLINE,
     );
     if path.starts_with("/chat/") || path.starts_with("/claim/") {
-        for (name, value) in Place::prompt_headers() {
+        for (name, value) in Cluster::prompt_headers() {
             text.push_str(&format!("{name}: {value}\r\n"));
         }
     }
--- a/crates/cli/tests/forward/restored.rs
+++ b/crates/cli/tests/forward/restored.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Place, Runner, place::KEY, store::Trouble};
+use paddlemount_platform_standin::{Cluster, Runner, cluster::KEY, store::StoreFault};
 
 use crate::router::{Router, gauge};
 
@@ -27,8 +27,8 @@
 /// How long a node may take to hear of a change.
 const HEARD: Duration = Duration::from_millis(1_500);
 
-async fn place() -> Place {
-    let place = Place::start().await.expect("a place starts");
+async fn place() -> Cluster {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     place
 }
@@ -47,7 +47,7 @@
 }
 
 /// Revisions pass that nobody needs.
-fn pass_revisions(place: &Place, count: u32) {
+fn pass_revisions(place: &Cluster, count: u32) {
     for slots in 0..count {
         place.change_slots(&place.bookings[0], 10 + slots % 2);
     }
@@ -58,11 +58,11 @@
     let place = place().await;
     let router = Router::start(&place).await;
     until_served(&router, KEY).await;
-    let copy = place.store.copy();
+    let copy = place.store.backup();
     pass_revisions(&place, MANY);
     tokio::time::sleep(HEARD).await;
     let written = place.store.restore(&copy);
-    place.store.write_again(&written);
+    place.store.rewrite(&written);
     place.configure(2, &[KEY, LATE_KEY]);
     until_served(&router, LATE_KEY).await;
     router.until("told", async || router.told("store_restored")).await;
@@ -74,33 +74,33 @@
     let place = place().await;
     let router = Router::start(&place).await;
     until_served(&router, KEY).await;
-    let copy = place.store.copy();
+    let copy = place.store.backup();
     pass_revisions(&place, MANY);
     tokio::time::sleep(HEARD).await;
-    place.store.set_trouble(Trouble::Refuses);
+    place.store.set_fault(StoreFault::Refuses);
     tokio::time::sleep(AWAY).await;
     let written = place.store.restore(&copy);
-    place.store.write_again(&written);
+    place.store.rewrite(&written);
     place.configure(2, &[KEY, LATE_KEY]);
     pass_revisions(&place, MANY * 2);
-    place.store.set_trouble(Trouble::None);
+    place.store.set_fault(StoreFault::None);
     until_served(&router, LATE_KEY).await;
 }
 
 #[tokio::test]
 async fn a_leader_gives_orders_under_tokens_that_rise_over_restores() {
     let place = place().await;
-    let copy = place.store.copy();
+    let copy = place.store.backup();
     let router = Router::start(&place).await;
     until_leading(&router).await;
     pass_revisions(&place, MANY);
-    place.name_version(2);
+    place.set_target_version(2);
     let loaded = |version| place.engines.iter().all(|engine| engine.version() == version);
     router.until("loaded", async || loaded(2)).await;
     for version in 3..5 {
         let written = place.store.restore(&copy);
-        place.store.write_again(&written);
-        place.name_version(version);
+        place.store.rewrite(&written);
+        place.set_target_version(version);
         router.until("loaded again", async || loaded(version)).await;
     }
     assert!(!router.lines().iter().any(|line| line.contains("\"fenced\"")), "no order is refused as older");
@@ -108,11 +108,11 @@
 
 #[tokio::test]
 async fn a_key_that_was_taken_away_stays_away_while_the_copy_has_it() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY, REMOVED_KEY]);
     let router = Router::start(&place).await;
     until_served(&router, REMOVED_KEY).await;
-    let copy = place.store.copy();
+    let copy = place.store.backup();
     place.configure(2, &[KEY]);
     let refused = async || status(&router, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
     router.until("refusing the key", refused).await;
@@ -121,7 +121,7 @@
         assert_eq!(status(&router, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
         tokio::time::sleep(AWAY / 10).await;
     }
-    place.store.write_again(&written);
+    place.store.rewrite(&written);
     until_served(&router, KEY).await;
     assert_eq!(status(&router, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
 }
@@ -132,22 +132,22 @@
     let router = Router::start(&place).await;
     until_leading(&router).await;
     until_served(&router, KEY).await;
-    let copy = place.store.copy();
+    let copy = place.store.backup();
     place.engines.iter().for_each(|engine| engine.crash_on(POISON.as_bytes()));
     let held = async || {
-        router.until("whole", async || place.is_whole()).await;
+        router.until("whole", async || place.all_running()).await;
         let id = format!("poison-{}", rand::random::<u64>());
         let got = router.send_body("/chat/1", &id, KEY, POISON).await;
         got.is_some_and(|got| got.body.contains("held_back"))
     };
     router.until("held back", held).await;
-    router.until("written", async || place.holds_a_request()).await;
+    router.until("written", async || place.has_quarantined_request()).await;
     let runs =
         || place.engines.iter().flat_map(Runner::seen).filter(|seen| seen.body == POISON.as_bytes()).count();
     let before = runs();
     let written = place.store.restore(&copy);
-    place.store.write_again(&written);
-    router.until("written again", async || place.holds_a_request()).await;
+    place.store.rewrite(&written);
+    router.until("written again", async || place.has_quarantined_request()).await;
     assert!(held().await, "it is held back all the time");
     assert_eq!(runs(), before);
 }
@@ -160,11 +160,11 @@
     let second = Router::start_at(place.store_address, "node-1").await;
     until_served(&second, KEY).await;
     second.until("reporting", async || second.told("parent_changed")).await;
-    let copy = place.store.copy();
+    let copy = place.store.backup();
     pass_revisions(&place, MANY);
     tokio::time::sleep(HEARD).await;
     let written = place.store.restore(&copy);
-    place.store.write_again(&written);
+    place.store.rewrite(&written);
     place.configure(2, &[KEY, LATE_KEY]);
     for router in [&first, &second] {
         until_served(router, LATE_KEY).await;
@@ -175,11 +175,11 @@
 /// know better.
 #[tokio::test]
 async fn a_node_that_starts_before_all_is_written_again_goes_by_what_the_others_know() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY, REMOVED_KEY]);
     let first = Router::start_at(place.store_address, "node-0").await;
     until_leading(&first).await;
-    let copy = place.store.copy();
+    let copy = place.store.backup();
     place.configure(2, &[KEY]);
     let refused = async || status(&first, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
     first.until("refusing the key", refused).await;
@@ -199,7 +199,7 @@
         assert_eq!(status(&second, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
         tokio::time::sleep(AWAY / 10).await;
     }
-    place.store.write_again(&written);
+    place.store.rewrite(&written);
     until_served(&second, KEY).await;
     assert_eq!(status(&second, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
 }
--- a/crates/cli/tests/forward/router.rs
+++ b/crates/cli/tests/forward/router.rs
@@ -16,8 +16,8 @@
     rt::TokioExecutor,
 };
 use paddlemount_platform_standin::{
-    Place,
-    place::{HOST, KEY},
+    Cluster,
+    cluster::{HOST, KEY},
     proxy::Proxy,
 };
 use serde_json::Value;
@@ -83,14 +83,14 @@
 
 impl Router {
     /// Starts a node on `place` and waits until it is ready.
-    pub async fn start(place: &Place) -> Self {
+    pub async fn start(place: &Cluster) -> Self {
         let router = Self::start_unready(place).await;
         router.until("ready", async || router.ask_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
     /// Starts a node for the first time in its place's life, in place of one that started again.
-    pub async fn start_first(place: &Place) -> Self {
+    pub async fn start_first(place: &Cluster) -> Self {
         let text = format!("first_start = true\n{}", settings(place, 5_000));
         let router = Self::start_with(&text).await;
         router.until("ready", async || router.ask_readiness().await == Some(StatusCode::OK)).await;
@@ -98,7 +98,7 @@
     }
 
     /// Starts a node and waits until it listens.
-    pub async fn start_unready(place: &Place) -> Self {
+    pub async fn start_unready(place: &Cluster) -> Self {
         Self::start_at(place.store_address, "node-1").await
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Starts a node that is killed so many seconds after it is told to stop, and waits until it is ready.
-    pub async fn start_with_grace(place: &Place, seconds: u64) -> Self {
+    pub async fn start_with_grace(place: &Cluster, seconds: u64) -> Self {
         let text = settings(place, 5_000).replace("grace_s = 6", &format!("grace_s = {seconds}"));
         let router = Self::start_with(&text).await;
         router.until("ready", async || router.ask_readiness().await == Some(StatusCode::OK)).await;
@@ -124,7 +124,7 @@
     /// The same, where other nodes reach it only through `link`.
     pub async fn start_behind(store: SocketAddr, name: &str, link: &Proxy) -> Self {
         let router = Self::start_with(&settings_behind(store, name, link)).await;
-        link.aim(router.peers);
+        link.set_target(router.peers);
         router
     }
 
@@ -132,7 +132,7 @@
     pub async fn start_with_long_lease(store: SocketAddr, name: &str, link: &Proxy) -> Self {
         let text = settings_behind(store, name, link).replace("lease_ms = 3000", "lease_ms = 600000");
         let router = Self::start_with(&text).await;
-        link.aim(router.peers);
+        link.set_target(router.peers);
         router
     }
 
@@ -207,10 +207,10 @@
         let mut request = Request::post(format!("http://{}{path}", self.callers))
             .header(http::header::HOST, HOST)
             .header(http::header::AUTHORIZATION, format!("Bearer {key}"))
-            .header(Place::REQUEST_ID, id)
-            .header(Place::DEADLINE, "3500");
+            .header(Cluster::REQUEST_ID, id)
+            .header(Cluster::DEADLINE, "3500");
         if path.starts_with("/chat/") || path.starts_with("/claim/") {
-            for (name, value) in Place::prompt_headers() {
+            for (name, value) in Cluster::prompt_headers() {
                 request = request.header(name, value);
             }
         }
@@ -314,7 +314,7 @@
 }
 
 /// Settings of a node on `place`.
-pub fn settings(place: &Place, revocation_ms: u64) -> String {
+pub fn settings(place: &Cluster, revocation_ms: u64) -> String {
     settings_at(place.store_address, "node-1", revocation_ms)
 }
 
--- a/crates/cli/tests/forward/soak/announced.rs
+++ b/crates/cli/tests/forward/soak/announced.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use paddlemount_platform_standin::Seen;
+use paddlemount_platform_standin::ReceivedRequest;
 
 use super::disturbance::Disturbance;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Arrival<'a> {
     /// What the back end saw.
-    pub seen: &'a Seen,
+    pub seen: &'a ReceivedRequest,
     /// The node that sent it.
     pub node: usize,
     /// When its caller sent it.
@@ -63,7 +63,7 @@
     drain_timeout: Duration,
     parted: &impl Fn(usize, Instant, Instant) -> bool,
 ) -> Vec<Unheeded> {
-    let told = arrivals.iter().find(|arrival| arrival.seen.told_leaving && arrival.passed_on);
+    let told = arrivals.iter().find(|arrival| arrival.seen.announced_leaving && arrival.passed_on);
     let Some(told) = told.map(|told| told.seen.at) else { return Vec::new() };
     let bound = told + ON_ITS_WAY + drain_timeout;
     let late = arrivals.iter().filter(|late| late.sent_at > bound && !parted(node, told, late.seen.at));
@@ -100,14 +100,14 @@
 
     const DRAIN: Duration = Duration::from_secs(2);
 
-    fn seen(start: Instant, ms: u64) -> Seen {
-        Seen {
+    fn seen(start: Instant, ms: u64) -> ReceivedRequest {
+        ReceivedRequest {
             at: start + Duration::from_millis(ms),
             id: format!("r{ms}"),
             ran: true,
             tenant: String::new(),
-            carried_key: false,
-            meant_for: String::new(),
+            had_authorization: false,
+            intended_for: String::new(),
             scope: String::new(),
             version: 1,
             deadline_ms: 1,
@@ -115,21 +115,21 @@
             body: Vec::new(),
             starts: 0,
             misdirected: false,
-            told_leaving: false,
+            announced_leaving: false,
             retry_after: None,
             limit: None,
         }
     }
 
-    fn leaving(start: Instant, ms: u64) -> Seen {
-        Seen { told_leaving: true, ..seen(start, ms) }
+    fn leaving(start: Instant, ms: u64) -> ReceivedRequest {
+        ReceivedRequest { announced_leaving: true, ..seen(start, ms) }
     }
 
-    fn resting(start: Instant, ms: u64) -> Seen {
-        Seen { retry_after: Some("3".into()), ran: false, ..seen(start, ms) }
+    fn resting(start: Instant, ms: u64) -> ReceivedRequest {
+        ReceivedRequest { retry_after: Some("3".into()), ran: false, ..seen(start, ms) }
     }
 
-    fn judged(all: &[Seen], disturbances: &[Disturbance]) -> usize {
+    fn judged(all: &[ReceivedRequest], disturbances: &[Disturbance]) -> usize {
         let arrival = |seen| Arrival { seen, node: 1, sent_at: seen.at, passed_on: seen.ran };
         let arrivals: Vec<Arrival> = all.iter().map(arrival).collect();
         unheeded(&arrivals, disturbances, DRAIN).len()
@@ -145,14 +145,14 @@
     #[test]
     fn what_a_node_has_not_passed_on_binds_it_to_nothing() {
         let start = Instant::now();
-        let broken = Seen { ran: false, ..leaving(start, 0) };
+        let broken = ReceivedRequest { ran: false, ..leaving(start, 0) };
         assert_eq!(judged(&[broken, seen(start, 9_000)], &[]), 0);
     }
 
     #[test]
     fn a_new_start_of_the_back_end_ends_both() {
         let start = Instant::now();
-        let again = |ms| Seen { starts: 1, ..seen(start, ms) };
+        let again = |ms| ReceivedRequest { starts: 1, ..seen(start, ms) };
         assert_eq!(judged(&[leaving(start, 0), again(9_000)], &[]), 0);
         assert_eq!(judged(&[resting(start, 0), again(900), again(950), again(990)], &[]), 0);
     }
--- a/crates/cli/tests/forward/soak/callers.rs
+++ b/crates/cli/tests/forward/soak/callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use paddlemount_platform_standin::place::KEY;
+use paddlemount_platform_standin::cluster::KEY;
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
 use super::{ORDINARY, POISON, Play, REMOVED_KEY, Soak, locked};
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -6,7 +6,7 @@
 };
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Place, Runner, Seen};
+use paddlemount_platform_standin::{Cluster, ReceivedRequest, Runner};
 
 use super::{
     ORDINARY, POISON, REMOVED_KEY, Soak,
@@ -38,7 +38,7 @@
     /// What is wrong with what callers got and back ends saw.
     pub(super) fn violations(&self, sent: &[Sent]) -> Vec<String> {
         let seen = self.seen();
-        let mut by_id: BTreeMap<&str, Vec<&Seen>> = BTreeMap::new();
+        let mut by_id: BTreeMap<&str, Vec<&ReceivedRequest>> = BTreeMap::new();
         for one in &seen {
             by_id.entry(&one.id).or_default().push(one);
         }
@@ -73,8 +73,8 @@
         let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
         let disturbances = locked(&self.disturbances);
         let runners = self.place.engines.iter().chain(&self.place.bookings);
-        let seen_by: Vec<Vec<Seen>> = runners.map(Runner::seen).collect();
-        let of_runner = |seen: &Vec<Seen>| {
+        let seen_by: Vec<Vec<ReceivedRequest>> = runners.map(Runner::seen).collect();
+        let of_runner = |seen: &Vec<ReceivedRequest>| {
             let arrivals: Vec<announced::Arrival> = seen
                 .iter()
                 .filter_map(|seen| {
@@ -168,7 +168,7 @@
             let all = locked(&self.asked);
             let asked = all.iter().filter(|asked| asked.service == service).map(|asked| asked.at);
             let asked: Vec<Instant> = asked.collect();
-            let seen: Vec<Seen> = runners.iter().flat_map(Runner::seen).collect();
+            let seen: Vec<ReceivedRequest> = runners.iter().flat_map(Runner::seen).collect();
             let arrivals: Vec<Arrival> =
                 seen.iter().map(|seen| Arrival { id: &seen.id, at: seen.at }).collect();
             Some((service, fullest_window(&asked, &arrivals, &budget)?))
@@ -191,13 +191,13 @@
             - self.began.saturating_duration_since(at).as_secs_f64()
     }
 
-    fn seen(&self) -> Vec<Seen> {
+    fn seen(&self) -> Vec<ReceivedRequest> {
         self.place.engines.iter().chain(&self.place.bookings).flat_map(Runner::seen).collect()
     }
 
     /// The identities of tries that crashed a back end.
     pub(super) fn poison_runs(&self) -> Vec<String> {
-        let ran = |seen: &Seen| seen.ran && seen.body == POISON.as_bytes();
+        let ran = |seen: &ReceivedRequest| seen.ran && seen.body == POISON.as_bytes();
         self.seen().into_iter().filter(ran).map(|seen| seen.id).collect()
     }
 
@@ -218,17 +218,18 @@
 
 impl Got {
     /// Whether it is the whole answer of the back end that a request was meant for.
-    fn is_answer_of(&self, seen: &Seen) -> bool {
-        let signature = self.headers.get(Place::SIGNATURE).and_then(|value| value.to_str().ok());
-        let signed = signature.is_some_and(|signature| signature.ends_with(&format!("-{}", seen.meant_for)));
+    fn is_answer_of(&self, seen: &ReceivedRequest) -> bool {
+        let signature = self.headers.get(Cluster::SIGNATURE).and_then(|value| value.to_str().ok());
+        let signed =
+            signature.is_some_and(|signature| signature.ends_with(&format!("-{}", seen.intended_for)));
         self.whole && self.status == StatusCode::OK && signed
     }
 }
 
-fn wrong_at_back_end(seen: &Seen) -> Option<String> {
+fn wrong_at_back_end(seen: &ReceivedRequest) -> Option<String> {
     let bodies = [ORDINARY.to_owned(), POISON.to_owned(), own_body(&seen.id)];
     let known_body = bodies.iter().any(|body| seen.body == body.as_bytes());
-    if seen.carried_key || seen.tenant != "alpha" || !known_body {
+    if seen.had_authorization || seen.tenant != "alpha" || !known_body {
         return Some(format!("changed on its way: {seen:?}"));
     }
     let other_weights = !seen.scope.is_empty() && !seen.scope.contains(&format!("/{}/", seen.version));
@@ -250,7 +251,7 @@
     }
     match got.status {
         StatusCode::SERVICE_UNAVAILABLE if allowed == 1 && runs > 0 => Some("refused and ran"),
-        StatusCode::OK if !got.headers.contains_key(Place::SIGNATURE) => Some("no back end's answer"),
+        StatusCode::OK if !got.headers.contains_key(Cluster::SIGNATURE) => Some("no back end's answer"),
         StatusCode::OK if is_stream && got.whole && got.body != WHOLE_STREAM => Some("not the whole stream"),
         StatusCode::OK if is_stream && !WHOLE_STREAM.starts_with(&got.body) => Some("a stream out of order"),
         StatusCode::OK if !is_stream && got.whole && got.body != "whole body" => Some("another body"),
--- a/crates/cli/tests/forward/soak/faults.rs
+++ b/crates/cli/tests/forward/soak/faults.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use paddlemount_platform_standin::{Behaviour, Runner, place::KEY, proxy::Harm, store::Trouble};
+use paddlemount_platform_standin::{Behaviour, Runner, cluster::KEY, proxy::LinkFault, store::StoreFault};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 use super::{
@@ -57,13 +57,14 @@
     }
 
     async fn trouble_store(&self, random: &mut StdRng, length: Duration) {
-        let troubles = [Trouble::Silent, Trouble::Refuses, Trouble::LosesAnswers, Trouble::Nonsense];
+        let troubles =
+            [StoreFault::Silent, StoreFault::Refuses, StoreFault::LosesAnswers, StoreFault::Nonsense];
         let trouble = troubles[random.random_range(0..troubles.len())];
         self.tell(format!("store {trouble:?} for {length:?}"));
         let from = Instant::now();
-        self.place.store.set_trouble(trouble);
+        self.place.store.set_fault(trouble);
         tokio::time::sleep(length).await;
-        self.place.store.set_trouble(Trouble::None);
+        self.place.store.set_fault(StoreFault::None);
         self.disturbed(Cause::Store, from);
     }
 
@@ -71,14 +72,20 @@
         let all = [&self.store_links, &self.runner_links, &self.peer_links];
         let kind = random.random_range(0..all.len());
         let number = random.random_range(0..all[kind].len());
-        let harms = [Harm::Late(length / 8), Harm::CutThere, Harm::CutBack, Harm::Silent, Harm::Reset];
+        let harms = [
+            LinkFault::Late(length / 8),
+            LinkFault::CutThere,
+            LinkFault::CutBack,
+            LinkFault::Silent,
+            LinkFault::Reset,
+        ];
         let harm = harms[random.random_range(0..harms.len())];
         let link = &all[kind][number];
         self.tell(format!("link {kind}.{number} {harm:?} for {length:?}"));
         let from = Instant::now();
         link.set(harm);
         tokio::time::sleep(length).await;
-        link.set(Harm::None);
+        link.set(LinkFault::None);
         // A node that others do not reach may be the one that concludes for them.
         self.disturbed(Cause::Link, from);
     }
@@ -90,7 +97,7 @@
         let number = random.random_range(0..all[kind].len());
         self.tell(format!("open connections over link {kind}.{number} fall silent for good"));
         let from = Instant::now();
-        all[kind][number].silence_open_connections();
+        all[kind][number].stall_open_connections();
         self.disturbed(Cause::Link, from);
     }
 
@@ -168,7 +175,7 @@
     pub(super) fn name_weights(&self) {
         let mut namings = locked(&self.namings);
         let version = namings.last().map_or(2, |naming| naming.version + 1);
-        self.place.name_version(version);
+        self.place.set_target_version(version);
         namings.push(Naming { version, at: Instant::now() });
         drop(namings);
         self.tell(format!("version {version} is named"));
--- a/crates/cli/tests/forward/soak/leaving.rs
+++ b/crates/cli/tests/forward/soak/leaving.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future::join_all;
-use paddlemount_platform_standin::{Identity, Return, Runner, store::Trouble};
+use paddlemount_platform_standin::{Identity, RestartPlan, Runner, store::StoreFault};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 use super::{Soak, disturbance::Cause};
@@ -77,8 +77,8 @@
                 Fault::LeaveWhileStoreIsAway => {
                     tokio::join!(self.store_away(length * 2), self.leave(&mut random));
                 }
-                Fault::Rest => self.turn_away(&mut random, 1),
-                Fault::AllRest => self.turn_away(&mut random, self.place.engines.len()),
+                Fault::Rest => self.reject_requests(&mut random, 1),
+                Fault::AllRest => self.reject_requests(&mut random, self.place.engines.len()),
                 Fault::Limit => self.limit(&mut random, 1).await,
                 Fault::AllLimit => self.limit(&mut random, self.place.engines.len()).await,
                 Fault::StoreAway => self.store_away(length).await,
@@ -96,9 +96,9 @@
     async fn store_away(&self, length: Duration) {
         self.tell(format!("the store is away for {length:?}"));
         let from = Instant::now();
-        self.place.store.set_trouble(Trouble::Silent);
+        self.place.store.set_fault(StoreFault::Silent);
         tokio::time::sleep(length).await;
-        self.place.store.set_trouble(Trouble::None);
+        self.place.store.set_fault(StoreFault::None);
         self.disturbed(Cause::Store, from);
     }
 
@@ -106,16 +106,16 @@
     async fn restore_store(&self, age: Duration) {
         // Two at once would make one of the copies older than the other's era.
         let Ok(_taken) = self.restoring.try_lock() else { return };
-        let copy = self.place.store.copy();
+        let copy = self.place.store.backup();
         tokio::time::sleep(age).await;
         self.tell(format!("the store comes back from a copy of {age:?} ago"));
         let from = Instant::now();
-        self.place.store.set_trouble(Trouble::Silent);
+        self.place.store.set_fault(StoreFault::Silent);
         tokio::time::sleep(RESTORE).await;
         let written = self.place.store.restore(&copy);
-        self.place.store.set_trouble(Trouble::None);
+        self.place.store.set_fault(StoreFault::None);
         tokio::time::sleep(RESTORE).await;
-        self.place.store.write_again(&written);
+        self.place.store.rewrite(&written);
         self.disturbed(Cause::Store, from);
     }
 
@@ -129,7 +129,7 @@
         let identity = if random.random_range(0..2) == 0 { Identity::Same } else { Identity::Another };
         let names: Vec<String> = leaving.iter().map(|runner| runner.id()).collect();
         self.tell(format!("{names:?} leave in {serves_on:?}, entries say so: {says}"));
-        leaving.iter().for_each(|runner| runner.leave());
+        leaving.iter().for_each(|runner| runner.announce_leaving());
         let ends = leaving.iter().map(|runner| async {
             if says {
                 self.place.drain_at(runner);
@@ -139,7 +139,7 @@
                 self.place.change_slots(runner, 7);
             }
             tokio::time::sleep(serves_on / 2).await;
-            runner.crash_until(Return { after: Duration::from_millis(300), identity });
+            runner.crash_with(RestartPlan { after: Duration::from_millis(300), identity });
         });
         join_all(ends).await;
     }
@@ -153,21 +153,21 @@
         for _ in 0..random.random_range(2..9) {
             let text = LIMITS[random.random_range(0..LIMITS.len())];
             self.tell(format!("{count} from {} on name a limit of {text:?}", runners[first].id()));
-            limited.iter().for_each(|runner| runner.name_limit(text));
+            limited.iter().for_each(|runner| runner.advertise_limit(text));
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
-        limited.iter().for_each(|runner| runner.name_no_limit());
+        limited.iter().for_each(|runner| runner.withdraw_limit());
     }
 
     /// Back ends of one service turn requests away for a while, and ask for rest.
-    fn turn_away(&self, random: &mut StdRng, count: usize) {
+    fn reject_requests(&self, random: &mut StdRng, count: usize) {
         let runners = if random.random_range(0..2) == 0 { &self.place.engines } else { &self.place.bookings };
         let text = RESTS[random.random_range(0..RESTS.len())];
         let lasts = Duration::from_millis(random.random_range(200..4_000));
         let first = random.random_range(0..runners.len());
         self.tell(format!("{count} from {} on ask for {text:?} over {lasts:?}", runners[first].id()));
         for number in 0..count.min(runners.len()) {
-            runners[(first + number) % runners.len()].turn_away(text, lasts);
+            runners[(first + number) % runners.len()].reject_requests(text, lasts);
         }
     }
 }
--- a/crates/cli/tests/forward/soak/mod.rs
+++ b/crates/cli/tests/forward/soak/mod.rs
@@ -25,7 +25,7 @@
 };
 
 use http::StatusCode;
-use paddlemount_platform_standin::{Place, place::KEY, proxy::Proxy};
+use paddlemount_platform_standin::{Cluster, cluster::KEY, proxy::Proxy};
 
 use self::{
     callers::{Asked, Sent},
@@ -99,7 +99,7 @@
 }
 
 struct Soak {
-    place: Place,
+    place: Cluster,
     routers: Vec<Mutex<Option<Arc<Router>>>>,
     /// Held by the series whose fault concerns a node's process.
     taken: Vec<tokio::sync::Mutex<()>>,
@@ -127,11 +127,11 @@
 
 impl Soak {
     async fn start(nodes: usize, seconds: u64) -> Self {
-        let place = Place::start().await.expect("a place starts");
+        let place = Cluster::start().await.expect("a place starts");
         place.configure(1, &[KEY, REMOVED_KEY]);
         let mut runner_links = Vec::new();
         for runner in place.engines.iter().chain(&place.bookings) {
-            let link = Proxy::start_before(runner).await.expect("a proxy starts");
+            let link = Proxy::start_for_runner(runner).await.expect("a proxy starts");
             place.register_at(runner, "ready", link.address);
             runner.crash_on(POISON.as_bytes());
             runner_links.push(link);
@@ -163,7 +163,7 @@
             began: now,
             until: now,
         };
-        soak.place.engines.iter().for_each(|engine| engine.load_for(LOAD));
+        soak.place.engines.iter().for_each(|engine| engine.set_load_time(LOAD));
         for number in 0..nodes {
             soak.serves(number).await;
         }
@@ -219,7 +219,7 @@
     /// Engines tell of their weights, until all is over and each has the version that was named last; whether they got it.
     async fn heartbeats(&self) -> bool {
         loop {
-            self.place.tell_of_weights();
+            self.place.publish_weights();
             let newest = locked(&self.namings).last().map_or(0, |naming| naming.version);
             let over = Instant::now() >= self.until;
             if over && self.place.engines.iter().all(|engine| engine.version() >= newest) {
--- a/crates/cli/tests/forward/soak/namings.rs
+++ b/crates/cli/tests/forward/soak/namings.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future::join_all;
-use paddlemount_platform_standin::{Behaviour, Identity, Return};
+use paddlemount_platform_standin::{Behaviour, Identity, RestartPlan};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 use super::{Soak, disturbance::Cause};
@@ -127,7 +127,7 @@
         for engine in engines.iter().take(count) {
             // They do not come back all at the same moment.
             let apart = Duration::from_millis(random.random_range(0..600));
-            engine.crash_until(Return { after: away + apart, identity });
+            engine.crash_with(RestartPlan { after: away + apart, identity });
         }
     }
 
@@ -159,7 +159,7 @@
         } else {
             self.tell("all nodes start again".into());
             let away = Duration::from_millis(random.random_range(0..500));
-            join_all((0..self.nodes()).map(|node| self.start_again(node, false, away))).await;
+            join_all((0..self.nodes()).map(|node| self.restart_process(node, false, away))).await;
         }
     }
 
@@ -173,7 +173,7 @@
             tokio::time::sleep(Duration::from_millis(random.random_range(100..700))).await;
             let identity = if random.random_range(0..2) == 0 { Identity::Same } else { Identity::Another };
             let after = Duration::from_millis(random.random_range(250..800));
-            engines[random.random_range(0..engines.len())].crash_until(Return { after, identity });
+            engines[random.random_range(0..engines.len())].crash_with(RestartPlan { after, identity });
         }
     }
 
@@ -188,7 +188,7 @@
             tokio::time::sleep(before).await;
         }
         self.tell(format!("all nodes start again after {away:?}, planned: {planned}"));
-        let starts = join_all((0..self.nodes()).map(|node| self.start_again(node, planned, away)));
+        let starts = join_all((0..self.nodes()).map(|node| self.restart_process(node, planned, away)));
         let naming = async {
             if random.random_range(0..2) == 0 {
                 tokio::time::sleep(after).await;
@@ -198,7 +198,7 @@
         tokio::join!(starts, naming);
     }
 
-    async fn start_again(&self, node: usize, planned: bool, away: Duration) {
+    async fn restart_process(&self, node: usize, planned: bool, away: Duration) {
         let Ok(_taken) = self.taken[node].try_lock() else { return };
         let Some(router) = self.router(node) else { return };
         let from = Instant::now();
--- a/crates/cli/tests/forward/unanswered.rs
+++ b/crates/cli/tests/forward/unanswered.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use paddlemount_platform_standin::{Behaviour, Place, place::KEY};
+use paddlemount_platform_standin::{Behaviour, Cluster, cluster::KEY};
 
 use crate::{
     delivery::WHOLE_STREAM,
@@ -23,16 +23,16 @@
 /// How long before and after that moment the node gets no processor time.
 const HELD_UP: Duration = Duration::from_millis(350);
 
-async fn place_and_router() -> (Place, Router) {
-    let place = Place::start().await.expect("a place starts");
+async fn place_and_router() -> (Cluster, Router) {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let router = Router::start(&place).await;
     (place, router)
 }
 
 /// Engines whose next streams take 3 s, before a node that has 4 s for a planned stop.
-async fn long_streams_and_short_grace() -> (Place, Router) {
-    let place = Place::start().await.expect("a place starts");
+async fn long_streams_and_short_grace() -> (Cluster, Router) {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
     let router = Router::start_with_grace(&place, 4).await;
     for engine in &place.engines {
@@ -183,7 +183,7 @@
 /// to on connections that were open already.
 #[tokio::test]
 async fn a_longer_rest_counts_for_connections_that_are_open() {
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure_idle(1, &[KEY], 500);
     let router = Router::start(&place).await;
     let mut caller = RawCaller::connect(router.callers).await;
@@ -201,7 +201,7 @@
 async fn what_lies_in_connections_that_have_rested_for_long_is_answered() {
     /// After a rest of 300 ms that callers may count on.
     const CLOSES_AFTER: Duration = Duration::from_millis(5_300);
-    let place = Place::start().await.expect("a place starts");
+    let place = Cluster::start().await.expect("a place starts");
     place.configure_idle(1, &[KEY], 300);
     let router = Router::start(&place).await;
     let mut callers = Vec::new();
--- a/crates/cli/tests/forward/weights_named.rs
+++ b/crates/cli/tests/forward/weights_named.rs
@@ -11,9 +11,9 @@
 
 use http::{StatusCode, header};
 use paddlemount_platform_standin::{
-    Place,
-    place::KEY,
-    proxy::{Harm, Proxy},
+    Cluster,
+    cluster::KEY,
+    proxy::{LinkFault, Proxy},
     runner::{Behaviour, Runner},
 };
 
@@ -34,11 +34,11 @@
 const LONG_BOUND_MS: u64 = 600_000;
 
 /// A place whose engines do not come to new weights.
-async fn place() -> Place {
-    let place = Place::start().await.expect("a place starts");
+async fn place() -> Cluster {
+    let place = Cluster::start().await.expect("a place starts");
     place.configure(1, &[KEY]);
-    place.engines.iter().for_each(|engine| engine.load_for(LOAD));
-    place.name_version(1);
+    place.engines.iter().for_each(|engine| engine.set_load_time(LOAD));
+    place.set_target_version(1);
     place
 }
 
@@ -53,7 +53,7 @@
 }
 
 /// How often engines have run anything.
-fn runs(place: &Place) -> usize {
+fn runs(place: &Cluster) -> usize {
     let seen = place.engines.iter().flat_map(Runner::seen);
     seen.filter(|seen| seen.ran).count()
 }
@@ -76,7 +76,7 @@
 }
 
 /// Requests are refused at once, not run, and their callers are told when to come back.
-async fn refuses_older_weights(place: &Place, router: &Router) {
+async fn refuses_older_weights(place: &Cluster, router: &Router) {
     router.until("told of the version", async || told_of(router, 2)).await;
     let known = async || {
         let got = ask(router, "/hold/1").await;
@@ -97,7 +97,7 @@
 async fn a_node_that_starts_alone_uses_no_weights_older_than_the_ones_that_it_finds_named() {
     // A node that finds a version named at its start cannot know for how long it has been.
     let place = place().await;
-    place.name_version(2);
+    place.set_target_version(2);
     let router = Router::start(&place).await;
     refuses_older_weights(&place, &router).await;
 }
@@ -108,7 +108,7 @@
     let router = Router::start_with_weights_bound(place.store_address, "node-1", BOUND_MS).await;
     until_served(&router).await;
     router.freeze();
-    place.name_version(2);
+    place.set_target_version(2);
     tokio::time::sleep(UNHEARD).await;
     router.thaw();
     refuses_older_weights(&place, &router).await;
@@ -120,10 +120,10 @@
     let link = Proxy::start(place.store_address).await.expect("a proxy starts");
     let router = Router::start_with_weights_bound(link.address, "node-1", BOUND_MS).await;
     until_served(&router).await;
-    link.set(Harm::Silent);
-    place.name_version(2);
+    link.set(LinkFault::Silent);
+    place.set_target_version(2);
     tokio::time::sleep(UNHEARD).await;
-    link.set(Harm::None);
+    link.set(LinkFault::None);
     refuses_older_weights(&place, &router).await;
 }
 
@@ -136,19 +136,19 @@
     let first = start("node-0").await;
     first.until("leading", async || gauge(&first, "paddlemount_forward_leads").await == Some(1.0)).await;
     until_served(&first).await;
-    place.name_version(2);
+    place.set_target_version(2);
     first.until("told of the version", async || told_of(&first, 2)).await;
     let started = start("node-1").await;
     until_served(&started).await;
 }
 
 /// A node leads, hears of a version, records that in the store, and is killed.
-async fn killed_after_a_naming(place: &Place, bound_ms: u64) {
+async fn killed_after_a_naming(place: &Cluster, bound_ms: u64) {
     let router = Router::start_with_weights_bound(place.store_address, "node-1", bound_ms).await;
     router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
     until_served(&router).await;
-    place.name_version(2);
-    router.until("recorded", async || place.has_recorded_naming()).await;
+    place.set_target_version(2);
+    router.until("recorded", async || place.has_recorded_target()).await;
 }
 
 #[tokio::test]
@@ -181,7 +181,7 @@
     let naming = async {
         let waiting = async || place.engines.iter().any(|engine| engine.runs("waits") > 0);
         router.until("waiting at an engine", waiting).await;
-        place.name_version(2);
+        place.set_target_version(2);
     };
     let (got, ()) = tokio::join!(router.send(path, "waits"), naming);
     assert!(got.is_some_and(|got| !got.status.is_success()));
