--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -39,7 +39,7 @@
         Self {
             runners: vec![12, 110, 350, 1_100],
             decisions: 20_000,
-            belief_records: paddlemount_core::routing::DEFAULT_BELIEF_RECORDS,
+            belief_records: paddlemount_core::routing::DEFAULT_CACHE_INDEX_RECORDS,
             seed: 1,
         }
     }
@@ -127,7 +127,7 @@
 impl Bench {
     fn new(runners: usize, settings: &DecisionBenchSettings) -> Self {
         let mut router = Router::new(RouterSettings {
-            belief_records: settings.belief_records,
+            cache_index_records: settings.belief_records,
             ..RouterSettings::new(ZoneId::from("zone-0"), settings.seed)
         });
         router.apply(RouterEvent::Nodes { count: 350 }, Timestamp::ZERO);
@@ -221,7 +221,7 @@
                 let blocks = self.prompt();
                 self.decide_and_learn(&blocks);
             }
-            let records = self.router.belief_size().records;
+            let records = self.router.cache_index_size().records;
             if records < before {
                 return;
             }
@@ -249,7 +249,7 @@
     }
 
     fn measure(mut self, decisions: usize, grown: Option<usize>) -> DecisionBenchResult {
-        let filled = self.router.belief_size();
+        let filled = self.router.cache_index_size();
         let mut choose = Vec::with_capacity(decisions);
         let mut learn = Vec::with_capacity(decisions);
         let (mut candidates, mut blocks) = (0, 0);
@@ -261,7 +261,7 @@
             candidates += weighed;
             blocks += prompt.len();
         }
-        let size = self.router.belief_size();
+        let size = self.router.cache_index_size();
         DecisionBenchResult {
             runners: self.runners,
             decisions,
--- a/crates/bench/src/drill/engines.rs
+++ b/crates/bench/src/drill/engines.rs
@@ -173,7 +173,7 @@
             );
         }
         let Ok(progress) = engine.model.resume(attempt, incarnation) else {
-            let lost = RequestEvent::Lost { attempt: attempt.clone(), resumable: false };
+            let lost = RequestEvent::ConnectionLost { attempt: attempt.clone(), resumable: false };
             return self.reply_request(number, from, request, lost);
         };
         let stream = Stream { to: from, request: request.clone(), last_at: now, broken: false };
@@ -296,7 +296,7 @@
         engine.due = None;
         let streams = std::mem::take(&mut engine.streams);
         for (attempt, stream) in streams {
-            let lost = RequestEvent::Lost { attempt, resumable: true };
+            let lost = RequestEvent::ConnectionLost { attempt, resumable: true };
             self.reply_request(number, stream.to, &stream.request, lost);
         }
     }
--- a/crates/bench/src/drill/models.rs
+++ b/crates/bench/src/drill/models.rs
@@ -3,8 +3,8 @@
 use std::{collections::VecDeque, time::Duration};
 
 use paddlemount_core::{
-    placement::{choose_version, other_version, version_share},
-    request::{Continuation, ModelRequest, RequestAction, RequestEvent, RequestSettings, RequestTerms},
+    placement::{choose_version, fallback_version, version_counts},
+    request::{Continuation, ModelRequest, RequestAction, RequestEvent, RequestSettings, RequestSpec},
     routing::{RouteRequest, RouterEvent},
 };
 use paddlemount_protocol::{
@@ -58,10 +58,10 @@
             let message = "the configuration is not known or not confirmed";
             return self.answer_ends(request, refuse(RefusalCode::Unavailable, message), now);
         };
-        let share = version_share(&pool_name(), pool, memory.statuses.values());
+        let share = version_counts(&pool_name(), pool, memory.statuses.values());
         let weights = choose_version(pool, share, request);
         let scope = CacheScope::new(&tenant, &model_name(), weights, None);
-        let terms = RequestTerms {
+        let terms = RequestSpec {
             request: request.clone(),
             repeatable: true,
             max_tokens: tokens,
@@ -109,14 +109,14 @@
                 let attempt = AttemptId::from(format!("{request}.{}", active.machine.attempts()));
                 Some(RequestEvent::Frame(Frame { attempt, ..frame }))
             }
-            (Breakage::BreakIsEnd, RequestEvent::Lost { attempt, resumable }) => {
+            (Breakage::BreakIsEnd, RequestEvent::ConnectionLost { attempt, resumable }) => {
                 let begun =
                     self.history.answers.get(request).is_some_and(|answer| !answer.received.is_empty());
                 if begun {
                     self.request_ends(at, request, AnswerEnding::Finished, now)?;
                     return None;
                 }
-                Some(RequestEvent::Lost { attempt, resumable })
+                Some(RequestEvent::ConnectionLost { attempt, resumable })
             }
             (_, event) => Some(event),
         }
@@ -153,7 +153,7 @@
                 let engine = engine_number(&engine);
                 self.send_to_engine(at, engine, Event::Cancel { engine, attempt });
             }
-            RequestAction::Relearn { engine } => self.ask_status(at, engine_number(&engine), now),
+            RequestAction::RefreshStatus { engine } => self.ask_status(at, engine_number(&engine), now),
             RequestAction::Ended { attempt, ending } => {
                 let event = RouterEvent::Ended { attempt: &attempt, ending };
                 self.memory(at)?.router.apply(event, now);
@@ -207,12 +207,13 @@
         }
         let weights = self.memory(at)?.requests.get(request)?.weights;
         let decided = self.choose_version_of(at, request, excluded, weights, now)?;
-        if !matches!(decided, RequestEvent::NoneServes { .. }) {
+        if !matches!(decided, RequestEvent::NoEngineAvailable { .. }) {
             return Some(decided);
         }
         let document = self.configuration(at)?;
         let pool = document.configuration.pools.get(&pool_name())?;
-        let newest = if pool.weights > weights { Some(pool.weights) } else { other_version(pool, weights) };
+        let newest =
+            if pool.weights > weights { Some(pool.weights) } else { fallback_version(pool, weights) };
         match newest {
             Some(other) => self.choose_version_of(at, request, excluded, other, now),
             None => Some(decided),
@@ -255,13 +256,13 @@
         };
         let decision = router.choose(&route, now);
         let Some(precondition) = decision.chosen else {
-            return Some(RequestEvent::NoneServes { retry_after: None });
+            return Some(RequestEvent::NoEngineAvailable { retry_after: None });
         };
         let attempt = AttemptId::from(format!("{request}.{}", active.machine.attempts() + 1));
         let event =
             RouterEvent::Dispatched { attempt: &attempt, engine: &precondition.engine, request: &route };
         router.apply(event, now);
-        Some(RequestEvent::Decided(precondition))
+        Some(RequestEvent::EngineChosen(precondition))
     }
 
     fn plan_timer(&mut self, at: NodeLife, request: &RequestId, now: Timestamp) {
--- a/crates/bench/src/drill/node.rs
+++ b/crates/bench/src/drill/node.rs
@@ -164,8 +164,8 @@
             ttl: Duration::from_secs(6),
         };
         let placement = PlacementSettings {
-            trial: Duration::from_secs(3),
-            retry: Duration::from_secs(2),
+            canary_period: Duration::from_secs(3),
+            retry_interval: Duration::from_secs(2),
             ..PlacementSettings::default()
         };
         Self {
--- a/crates/bench/src/drill/placing.rs
+++ b/crates/bench/src/drill/placing.rs
@@ -59,11 +59,11 @@
     }
 
     /// An engine's status arrives.
-    pub fn status(&mut self, at: NodeLife, status: &EngineStatus, asked_at: Timestamp, now: Timestamp) {
+    pub fn status(&mut self, at: NodeLife, status: &EngineStatus, requested_at: Timestamp, now: Timestamp) {
         let Some(memory) = self.memory(at) else { return };
         memory.router.apply(RouterEvent::Status(status), now);
         memory.statuses.insert(status.engine.clone(), status.clone());
-        let actions = memory.placer.handle(PlacementEvent::Status { status, asked_at }, now);
+        let actions = memory.placer.handle(PlacementEvent::Status { status, requested_at }, now);
         self.place(at, actions, now);
     }
 
@@ -109,7 +109,7 @@
                     let event = Event::Order { engine, from: at, order };
                     self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event);
                 }
-                PlacementAction::LostLease => self.lease_event(at, LeaseEvent::Fenced, now),
+                PlacementAction::ReleaseLease => self.lease_event(at, LeaseEvent::Fenced, now),
                 PlacementAction::CompleteRollout { pool, weights } => {
                     self.complete_rollout(at, pool, weights, now);
                 }
@@ -147,7 +147,7 @@
     ) {
         let engine = EngineId::from(format!("engine-{engine}"));
         let event = match result {
-            Ok(_) => PlacementEvent::Obeyed { engine: &engine, order },
+            Ok(_) => PlacementEvent::Accepted { engine: &engine, order },
             Err(refusal) => PlacementEvent::Refused { engine: &engine, order, code: refusal.code },
         };
         let Some(memory) = self.memory(at) else { return };
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -97,9 +97,9 @@
 
     const fn switch_off(self, mechanisms: &mut Mechanisms) {
         match self {
-            Self::HeatCopies => mechanisms.heat_copies = false,
+            Self::HeatCopies => mechanisms.replicate_hot_prefixes = false,
             Self::OwnInFlight => mechanisms.own_in_flight = false,
-            Self::Anchors => mechanisms.anchors = false,
+            Self::Anchors => mechanisms.preferred_engines = false,
             Self::Feeds => mechanisms.feeds = false,
             Self::Answers => mechanisms.answers = false,
             Self::ExpectedEviction => mechanisms.expected_eviction = false,
--- a/crates/bench/src/experiment/overload.rs
+++ b/crates/bench/src/experiment/overload.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::{
     admission::{Admission, AdmissionAction, AdmissionEvent, AdmissionRequest, AdmissionSettings},
-    retry::{RetryBudget, RetrySettings, RetryVerdict},
+    retry::{RetryBudget, RetryDecision, RetrySettings},
 };
 use paddlemount_protocol::{
     engine::Priority,
@@ -137,7 +137,7 @@
     /// Whether a node's budget allows one more try of a request.
     pub(super) fn may_retry(&mut self, node: usize, attempts: u32) -> bool {
         let Some(protection) = &mut self.nodes[node].protection else { return true };
-        protection.retries.retry(attempts) == RetryVerdict::Granted
+        protection.retries.retry(attempts) == RetryDecision::Granted
     }
 }
 
--- a/crates/bench/src/policy/mod.rs
+++ b/crates/bench/src/policy/mod.rs
@@ -128,7 +128,7 @@
         PolicyName::Prefix => Box::new(PrefixPolicy::new(router_settings(settings), settings.nodes)),
         PolicyName::Oracle => {
             let truth =
-                RouterSettings { mechanisms: Mechanisms::with_true_knowledge(), ..router_settings(settings) };
+                RouterSettings { mechanisms: Mechanisms::with_exact_state(), ..router_settings(settings) };
             Box::new(PrefixPolicy::new(truth, 1))
         }
     }
--- a/crates/core/src/rest.rs
+++ b/crates/core/src/back_off.rs
@@ -11,7 +11,7 @@
 const SPREAD: f64 = 0.25;
 
 /// When one of many callers that may come back after `least` is told to; `draw` is drawn evenly from 0 to 1 for it.
-pub fn spread(least: Duration, draw: f64) -> Duration {
+pub fn with_jitter(least: Duration, draw: f64) -> Duration {
     least.mul_f64(1.0 + SPREAD * draw)
 }
 
@@ -20,11 +20,11 @@
 
 /// Spaces the returns of callers out that were refused since all back ends of a service are limited.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReturnSchedule {
+pub struct RetryAfterSchedule {
     last: Timestamp,
 }
 
-impl ReturnSchedule {
+impl RetryAfterSchedule {
     /// When one more caller may come back, where requests can be sent from `opens_at` on, `per_second` of them in a second.
     pub fn next(&mut self, opens_at: Timestamp, per_second: f64, now: Timestamp) -> Duration {
         let latest = now + LATEST_RETURN;
--- a/crates/core/src/belief/feed.rs
+++ b/crates/core/src/cache_index/feed.rs
@@ -7,11 +7,11 @@
     time::Timestamp,
 };
 
-use super::{Belief, ResidenceId, Slot, eviction::EvictionAge, short};
+use super::{CacheEpochId, CacheIndex, Slot, eviction::EvictionAge, short_hash};
 
 /// How far an engine's feed can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FeedTrust {
+pub enum FeedState {
     /// This node does not read the feed.
     NotRead,
     /// All events up to the last one seen are known.
@@ -23,16 +23,16 @@
 /// A snapshot that arrives in pages.
 #[derive(Clone, Copy, Debug)]
 struct SnapshotProgress {
-    residence: ResidenceId,
+    epoch: CacheEpochId,
     as_of: EventSequence,
     last_block: Option<BlockHash>,
 }
 
-/// The state of one engine's feed within one residence.
+/// The state of one engine's feed within one epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct Feed {
     next: EventSequence,
-    trust: FeedTrust,
+    state: FeedState,
     /// The first event known after the last gap.
     gap_end: EventSequence,
     snapshot: Option<SnapshotProgress>,
@@ -43,7 +43,7 @@
     fn default() -> Self {
         Self {
             next: EventSequence(1),
-            trust: FeedTrust::NotRead,
+            state: FeedState::NotRead,
             gap_end: EventSequence(0),
             snapshot: None,
             lost_events: 0,
@@ -54,19 +54,19 @@
 /// The parts of a view of one engine that its feed changes.
 pub struct FeedTarget<'a> {
     /// Where records are kept.
-    pub belief: &'a mut Belief,
+    pub cache_index: &'a mut CacheIndex,
     /// The engine.
     pub slot: Slot,
-    /// Its present residence; replaced when the cache is cleared or a snapshot is complete.
-    pub residence: &'a mut ResidenceId,
+    /// Its present epoch; replaced when the cache is cleared or a snapshot is complete.
+    pub epoch: &'a mut CacheEpochId,
     /// Its eviction age.
     pub eviction: &'a mut EvictionAge,
 }
 
 impl Feed {
     /// How far the feed can be trusted now.
-    pub const fn trust(&self) -> FeedTrust {
-        self.trust
+    pub const fn state(&self) -> FeedState {
+        self.state
     }
 
     /// Events known to be lost within this incarnation.
@@ -76,8 +76,8 @@
 
     /// Takes in a batch of this incarnation's events.
     pub fn apply_batch(&mut self, batch: &CacheEventBatch, target: &mut FeedTarget<'_>, now: Timestamp) {
-        if self.trust == FeedTrust::NotRead {
-            self.trust = FeedTrust::Complete;
+        if self.state == FeedState::NotRead {
+            self.state = FeedState::Complete;
         }
         for event in &batch.events {
             if event.sequence < self.next {
@@ -98,50 +98,50 @@
 
     fn note_gap(&mut self, first_after: EventSequence) {
         self.lost_events += first_after.0 - self.next.0;
-        self.trust = FeedTrust::Gap;
+        self.state = FeedState::Gap;
         self.gap_end = first_after;
     }
 
     fn apply_change(&mut self, change: &CacheChange, target: &mut FeedTarget<'_>, now: Timestamp) {
         match change {
             CacheChange::Stored { blocks } => {
-                target.belief.record(*target.residence, blocks.iter().copied().map(short), now);
+                target.cache_index.record(*target.epoch, blocks.iter().copied().map(short_hash), now);
                 if let Some(snapshot) = self.snapshot {
-                    target.belief.record(snapshot.residence, blocks.iter().copied().map(short), now);
+                    target.cache_index.record(snapshot.epoch, blocks.iter().copied().map(short_hash), now);
                 }
             }
             CacheChange::Removed { blocks } => self.remove(blocks, target, now),
             CacheChange::Cleared => {
-                self.drop_snapshot(target.belief);
-                target.replace_residence(None);
-                self.trust = FeedTrust::Complete;
+                self.drop_snapshot(target.cache_index);
+                target.replace_epoch(None);
+                self.state = FeedState::Complete;
             }
         }
     }
 
     fn remove(&self, blocks: &[BlockHash], target: &mut FeedTarget<'_>, now: Timestamp) {
         for block in blocks {
-            let age_micros = target.belief.forget(*target.residence, short(*block), now);
+            let age_micros = target.cache_index.forget(*target.epoch, short_hash(*block), now);
             if let Some(age_micros) = age_micros {
                 target.eviction.evicted_at(age_micros);
             }
             if let Some(snapshot) = self.snapshot {
-                target.belief.forget(snapshot.residence, short(*block), now);
+                target.cache_index.forget(snapshot.epoch, short_hash(*block), now);
             }
         }
     }
 
     /// Takes in a page of a snapshot of this incarnation.
     ///
-    /// Pages are gathered in a residence of their own, which replaces the present one when the last
-    /// page is in; until then the present belief stands.
+    /// Pages are gathered in a epoch of their own, which replaces the present one when the last
+    /// page is in; until then the present cache_index stands.
     pub fn apply_snapshot(&mut self, page: &CacheSnapshot, target: &mut FeedTarget<'_>, now: Timestamp) {
         let mut progress = self.progress_for(page, target);
         for block in &page.blocks {
-            let age_micros = target.belief.age_at(*target.residence, short(*block), now);
+            let age_micros = target.cache_index.age_at(*target.epoch, short_hash(*block), now);
             let assumed = (target.eviction.seconds() * 0.5e6) as u64;
             let used = Timestamp(now.0.saturating_sub(age_micros.unwrap_or(assumed)));
-            target.belief.record(progress.residence, [short(*block)], used);
+            target.cache_index.record(progress.epoch, [short_hash(*block)], used);
         }
         progress.last_block = page.blocks.last().copied().or(progress.last_block);
         self.snapshot = Some(progress);
@@ -160,33 +160,33 @@
                 SnapshotProgress { as_of: progress.as_of.min(page.as_of), ..progress }
             }
             _ => {
-                self.drop_snapshot(target.belief);
-                let residence = target.belief.open(target.slot);
-                SnapshotProgress { residence, as_of: page.as_of, last_block: None }
+                self.drop_snapshot(target.cache_index);
+                let epoch = target.cache_index.open(target.slot);
+                SnapshotProgress { epoch, as_of: page.as_of, last_block: None }
             }
         }
     }
 
     fn finish_snapshot(&mut self, progress: SnapshotProgress, target: &mut FeedTarget<'_>) {
         self.snapshot = None;
-        target.replace_residence(Some(progress.residence));
+        target.replace_epoch(Some(progress.epoch));
         if progress.as_of.next() >= self.gap_end {
-            self.trust = FeedTrust::Complete;
+            self.state = FeedState::Complete;
         }
         self.next = self.next.max(progress.as_of.next());
     }
 
     /// Gives up a snapshot that is only half there.
-    pub fn drop_snapshot(&mut self, belief: &mut Belief) {
+    pub fn drop_snapshot(&mut self, cache_index: &mut CacheIndex) {
         if let Some(progress) = self.snapshot.take() {
-            belief.close(progress.residence);
+            cache_index.close(progress.epoch);
         }
     }
 }
 
 impl FeedTarget<'_> {
-    fn replace_residence(&mut self, with: Option<ResidenceId>) {
-        self.belief.close(*self.residence);
-        *self.residence = with.unwrap_or_else(|| self.belief.open(self.slot));
+    fn replace_epoch(&mut self, with: Option<CacheEpochId>) {
+        self.cache_index.close(*self.epoch);
+        *self.epoch = with.unwrap_or_else(|| self.cache_index.open(self.slot));
     }
 }
--- a/crates/core/src/belief/holders.rs
+++ b/crates/core/src/cache_index/holders.rs
@@ -2,7 +2,7 @@
 
 use paddlemount_protocol::time::Timestamp;
 
-use super::ResidenceId;
+use super::CacheEpochId;
 
 /// Engines remembered for one prefix at most; the one not used for longest makes room.
 pub(super) const MAX_HOLDERS: usize = 64;
@@ -12,13 +12,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Holder {
-    pub(super) residence: ResidenceId,
+    pub(super) epoch: CacheEpochId,
     used: u32,
 }
 
 impl Holder {
-    pub(super) const fn new(residence: ResidenceId, now: Timestamp) -> Self {
-        Self { residence, used: (now.0 >> TIME_SHIFT) as u32 }
+    pub(super) const fn new(epoch: CacheEpochId, now: Timestamp) -> Self {
+        Self { epoch, used: (now.0 >> TIME_SHIFT) as u32 }
     }
 
     pub(super) const fn age_micros(self, now: Timestamp) -> u64 {
@@ -54,7 +54,7 @@
                 *self = Self::One(holder);
                 1
             }
-            Self::One(present) if present.residence == holder.residence => {
+            Self::One(present) if present.epoch == holder.epoch => {
                 *present = holder;
                 0
             }
@@ -71,25 +71,25 @@
         let present = match self {
             Self::None => None,
             Self::One(present) => Some(present),
-            Self::Many(holders) => holders.0.iter_mut().find(|present| present.residence == holder.residence),
+            Self::Many(holders) => holders.0.iter_mut().find(|present| present.epoch == holder.epoch),
         };
-        if let Some(present) = present.filter(|present| present.residence == holder.residence) {
+        if let Some(present) = present.filter(|present| present.epoch == holder.epoch) {
             *present = holder;
         }
     }
 
-    pub(super) fn remove(&mut self, residence: ResidenceId) -> Option<Holder> {
+    pub(super) fn remove(&mut self, epoch: CacheEpochId) -> Option<Holder> {
         match self {
             Self::None => None,
             Self::One(holder) => {
-                let found = (holder.residence == residence).then_some(*holder);
+                let found = (holder.epoch == epoch).then_some(*holder);
                 if found.is_some() {
                     *self = Self::None;
                 }
                 found
             }
             Self::Many(holders) => {
-                let index = holders.0.iter().position(|holder| holder.residence == residence)?;
+                let index = holders.0.iter().position(|holder| holder.epoch == epoch)?;
                 Some(holders.0.swap_remove(index))
             }
         }
@@ -116,7 +116,7 @@
 }
 
 fn put_among(holders: &mut Vec<Holder>, holder: Holder) -> usize {
-    if let Some(present) = holders.iter_mut().find(|present| present.residence == holder.residence) {
+    if let Some(present) = holders.iter_mut().find(|present| present.epoch == holder.epoch) {
         *present = holder;
         return 0;
     }
--- a/crates/core/src/belief/mod.rs
+++ b/crates/core/src/cache_index/mod.rs
@@ -1,10 +1,10 @@
 //! What a node believes that engines hold in their caches.
 //!
-//! A belief only steers: each dispatch carries a precondition that the engine checks, so a wrong
-//! belief costs time and never correctness. That is why 64 of a block hash's 128 bits are enough here.
+//! A cache_index only steers: each dispatch carries a precondition that the engine checks, so a wrong
+//! cache_index costs time and never correctness. That is why 64 of a block hash's 128 bits are enough here.
 //!
-//! Records belong to a [`ResidenceId`]: one engine in one incarnation under one weights version. A
-//! new incarnation or version opens a new residence, and everything recorded under the one before
+//! Records belong to a [`CacheEpochId`]: one engine in one incarnation under one weights version. A
+//! new incarnation or version opens a new epoch, and everything recorded under the one before
 //! is void at once, without a search. Memory is bounded by two generations of records: when the
 //! young one is half the limit, it becomes the old one, and the old one is dropped. Records in use move
 //! to the young generation, so the ones dropped are those not used for longest.
@@ -28,19 +28,19 @@
 
 /// One engine in one incarnation under one weights version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ResidenceId(pub(crate) u32);
+pub struct CacheEpochId(pub(crate) u32);
 
 /// The part of a block hash that records are kept under.
 pub type ShortHash = u64;
 
-/// The short form of a block hash.
-pub const fn short(hash: BlockHash) -> ShortHash {
+/// The short_hash form of a block hash.
+pub const fn short_hash(hash: BlockHash) -> ShortHash {
     hash.0 as u64
 }
 
 /// What one engine is believed to hold of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Holding {
+pub struct PrefixMatch {
     /// The engine.
     pub slot: Slot,
     /// Blocks of the prompt up to the deepest one that was seen there.
@@ -55,7 +55,7 @@
     depth_here: u32,
 }
 
-/// How thoroughly [`Belief::holdings`] looks.
+/// How thoroughly [`CacheIndex::matches`] looks.
 #[derive(Clone, Copy, Debug)]
 pub struct Search {
     limit: usize,
@@ -104,11 +104,11 @@
 }
 
 /// Which prefixes which engines are believed to hold.
-pub struct Belief {
+pub struct CacheIndex {
     young: Generation,
     old: Generation,
     limit: usize,
-    residences: Vec<Option<Slot>>,
+    epochs: Vec<Option<Slot>>,
 }
 
 /// A survival probability must exceed another by this much to be worth a step in an expectation.
@@ -116,42 +116,42 @@
 /// At this survival probability, shallower blocks of the same engine are not looked at.
 const SURE: f64 = 0.9;
 
-impl Belief {
-    /// An empty belief of at most `limit` records, a record being one prefix at one engine.
+impl CacheIndex {
+    /// An empty cache_index of at most `limit` records, a record being one prefix at one engine.
     pub fn new(limit: usize) -> Self {
         let limit = limit.max(4 * MAX_HOLDERS);
-        Self { young: Generation::default(), old: Generation::default(), limit, residences: Vec::new() }
+        Self { young: Generation::default(), old: Generation::default(), limit, epochs: Vec::new() }
     }
 
-    /// Starts a residence of the engine at `slot`, with nothing in its cache.
-    pub fn open(&mut self, slot: Slot) -> ResidenceId {
-        let residence = ResidenceId(self.residences.len() as u32);
-        self.residences.push(Some(slot));
-        residence
+    /// Starts a epoch of the engine at `slot`, with nothing in its cache.
+    pub fn open(&mut self, slot: Slot) -> CacheEpochId {
+        let epoch = CacheEpochId(self.epochs.len() as u32);
+        self.epochs.push(Some(slot));
+        epoch
     }
 
-    /// Ends a residence; all that was believed of it is void.
-    pub fn close(&mut self, residence: ResidenceId) {
-        if let Some(slot) = self.residences.get_mut(residence.0 as usize) {
+    /// Ends a epoch; all that was believed of it is void.
+    pub fn close(&mut self, epoch: CacheEpochId) {
+        if let Some(slot) = self.epochs.get_mut(epoch.0 as usize) {
             *slot = None;
         }
     }
 
-    fn slot_of(&self, residence: ResidenceId) -> Option<Slot> {
-        self.residences.get(residence.0 as usize).copied().flatten()
+    fn slot_of(&self, epoch: CacheEpochId) -> Option<Slot> {
+        self.epochs.get(epoch.0 as usize).copied().flatten()
     }
 
-    /// Records that the residence held `blocks` at `now`.
+    /// Records that the epoch held `blocks` at `now`.
     pub fn record(
         &mut self,
-        residence: ResidenceId,
+        epoch: CacheEpochId,
         blocks: impl IntoIterator<Item = ShortHash>,
         now: Timestamp,
     ) {
-        if self.slot_of(residence).is_none() {
+        if self.slot_of(epoch).is_none() {
             return;
         }
-        let holder = Holder::new(residence, now);
+        let holder = Holder::new(epoch, now);
         for block in blocks {
             self.record_one(block, holder);
         }
@@ -170,8 +170,8 @@
             }
             None => Holders::None,
         };
-        let residences = &self.residences;
-        holders.retain(|other| residences[other.residence.0 as usize].is_some());
+        let epochs = &self.epochs;
+        holders.retain(|other| epochs[other.epoch.0 as usize].is_some());
         holders.put(holder);
         self.young.records += holders.as_slice().len();
         self.young.prefixes.insert(block, holders);
@@ -183,9 +183,9 @@
         }
     }
 
-    /// Records that those of `blocks` that the residence is believed to hold were used at `now`.
-    pub fn refresh(&mut self, residence: ResidenceId, blocks: &[ShortHash], now: Timestamp) {
-        let holder = Holder::new(residence, now);
+    /// Records that those of `blocks` that the epoch is believed to hold were used at `now`.
+    pub fn refresh(&mut self, epoch: CacheEpochId, blocks: &[ShortHash], now: Timestamp) {
+        let holder = Holder::new(epoch, now);
         for block in blocks {
             for generation in [&mut self.young, &mut self.old] {
                 if let Some(holders) = generation.prefixes.get_mut(block) {
@@ -195,11 +195,11 @@
         }
     }
 
-    /// Forgets that the residence holds `block`; answers when it was last known to use it.
-    pub fn forget(&mut self, residence: ResidenceId, block: ShortHash, now: Timestamp) -> Option<u64> {
+    /// Forgets that the epoch holds `block`; answers when it was last known to use it.
+    pub fn forget(&mut self, epoch: CacheEpochId, block: ShortHash, now: Timestamp) -> Option<u64> {
         for generation in [&mut self.young, &mut self.old] {
             let Some(holders) = generation.prefixes.get_mut(&block) else { continue };
-            let removed = holders.remove(residence);
+            let removed = holders.remove(epoch);
             if removed.is_some() {
                 generation.records -= 1;
             }
@@ -216,71 +216,66 @@
         holders.map_or(&[], Holders::as_slice)
     }
 
-    /// The deepest of `blocks` known at the residence, counted from 1, and microseconds since its use.
-    pub fn depth_at(
-        &self,
-        residence: ResidenceId,
-        blocks: &[ShortHash],
-        now: Timestamp,
-    ) -> Option<(u32, u64)> {
-        self.slot_of(residence)?;
+    /// The deepest of `blocks` known at the epoch, counted from 1, and microseconds since its use.
+    pub fn depth_at(&self, epoch: CacheEpochId, blocks: &[ShortHash], now: Timestamp) -> Option<(u32, u64)> {
+        self.slot_of(epoch)?;
         for (index, block) in blocks.iter().enumerate().rev() {
-            if let Some(holder) = self.holders(*block).iter().find(|holder| holder.residence == residence) {
+            if let Some(holder) = self.holders(*block).iter().find(|holder| holder.epoch == epoch) {
                 return Some((index as u32 + 1, holder.age_micros(now)));
             }
         }
         None
     }
 
-    /// Microseconds since the residence was last known to use `block`.
-    pub fn age_at(&self, residence: ResidenceId, block: ShortHash, now: Timestamp) -> Option<u64> {
-        self.slot_of(residence)?;
+    /// Microseconds since the epoch was last known to use `block`.
+    pub fn age_at(&self, epoch: CacheEpochId, block: ShortHash, now: Timestamp) -> Option<u64> {
+        self.slot_of(epoch)?;
         let holders = self.holders(block);
-        holders.iter().find(|holder| holder.residence == residence).map(|holder| holder.age_micros(now))
+        holders.iter().find(|holder| holder.epoch == epoch).map(|holder| holder.age_micros(now))
     }
 
     /// Engines believed to hold part of a prompt, those that hold most first.
     ///
     /// `survival` gives the probability that an engine still holds what it used some microseconds ago.
-    pub fn holdings(
+    pub fn matches(
         &self,
         blocks: &[BlockHash],
         search: Search,
         now: Timestamp,
         survival: impl Fn(Slot, u64) -> f64,
-    ) -> Vec<Holding> {
-        let mut holdings: Vec<Holding> = Vec::new();
+    ) -> Vec<PrefixMatch> {
+        let mut matches: Vec<PrefixMatch> = Vec::new();
         let mut unsure = 0_usize;
         let limit = search.limit;
         let stride = search.stride_divisor.map_or(1, |divisor| blocks.len().div_ceil(divisor));
         let mut remaining = blocks.len();
-        while remaining > 0 && (holdings.len() < limit || unsure > 0) {
+        while remaining > 0 && (matches.len() < limit || unsure > 0) {
             let depth = remaining as u32;
             let block = blocks[remaining - 1];
-            remaining -= if holdings.is_empty() { 1 } else { stride.min(remaining) };
-            for holder in self.holders(short(block)) {
-                let Some(slot) = self.slot_of(holder.residence) else { continue };
-                let full = holdings.len() >= limit;
-                let known = holdings.iter_mut().find(|holding| holding.slot == slot);
-                if known.as_ref().is_some_and(|holding| holding.survival_here >= SURE) {
+            remaining -= if matches.is_empty() { 1 } else { stride.min(remaining) };
+            for holder in self.holders(short_hash(block)) {
+                let Some(slot) = self.slot_of(holder.epoch) else { continue };
+                let full = matches.len() >= limit;
+                let known = matches.iter_mut().find(|matched| matched.slot == slot);
+                if known.as_ref().is_some_and(|matched| matched.survival_here >= SURE) {
                     continue;
                 }
                 let age_micros = holder.age_micros(now);
                 let probability = survival(slot, age_micros);
                 match known {
-                    Some(holding) => unsure -= usize::from(holding.step(depth, probability)),
+                    Some(matched) => unsure -= usize::from(matched.step(depth, probability)),
                     None if !full => {
                         unsure += usize::from(probability < SURE);
-                        holdings.push(Holding::new(slot, depth, age_micros, probability));
+                        matches.push(PrefixMatch::new(slot, depth, age_micros, probability));
                     }
                     None => {}
                 }
             }
         }
-        for holding in &mut holdings {
-            holding.finish();
+        for matched in &mut matches {
+            matched.finish();
         }
-        holdings
+        matches
     }
 
     /// Records held; never more than the limit.
@@ -295,7 +290,7 @@
 
     /// Bytes that the records take, allocation overhead left out.
     pub fn approximate_bytes(&self) -> usize {
-        self.young.bytes() + self.old.bytes() + self.residences.capacity() * size_of::<Option<Slot>>()
+        self.young.bytes() + self.old.bytes() + self.epochs.capacity() * size_of::<Option<Slot>>()
     }
 }
 
@@ -307,7 +302,7 @@
     }
 }
 
-impl Holding {
+impl PrefixMatch {
     fn new(slot: Slot, depth: u32, age_micros: u64, confidence: f64) -> Self {
         Self {
             slot,
--- a/crates/core/src/decisions.rs
+++ b/crates/core/src/decisions.rs
@@ -13,7 +13,7 @@
 pub use journal::{Entry, Journal, JournalPage, MemorySize};
 use paddlemount_protocol::{identity::RequestId, time::Timestamp};
 pub use record::{
-    AttemptRecord, AttemptResult, DecisionRecord, LimitKind, LimitMet, MAX_CANDIDATES, MAX_RECORD_ITEMS,
+    AttemptRecord, AttemptResult, DecisionRecord, LimitHit, LimitKind, MAX_CANDIDATES, MAX_RECORD_ITEMS,
     Mechanism, MechanismEvent, RequestEnding, Timings,
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -47,15 +47,15 @@
 
 impl DecisionSettings {
     /// Why a record is notable by itself, whatever the load.
-    pub fn notable_reason(&self, record: &DecisionRecord) -> Option<Kept> {
+    pub fn notable_reason(&self, record: &DecisionRecord) -> Option<RetentionReason> {
         if !matches!(record.ending, RequestEnding::Completed) {
-            return Some(Kept::Refused);
+            return Some(RetentionReason::Refused);
         }
         if record.attempts.len() > 1 {
-            return Some(Kept::Retried);
+            return Some(RetentionReason::Retried);
         }
         let slow = record.timings.first_token_ms.is_some_and(|ms| ms >= self.slow_first_token_ms);
-        slow.then_some(Kept::Slow)
+        slow.then_some(RetentionReason::Slow)
     }
 
     /// Bytes that a ring with these settings takes at most.
@@ -66,7 +66,7 @@
 
 /// Why a record was kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kept {
+pub enum RetentionReason {
     /// The request was refused or its answer is incomplete.
     Refused,
     /// It was tried more than once.
@@ -87,7 +87,7 @@
     /// Ordinary records kept.
     pub sampled: u64,
     /// Ordinary records left out of the sample.
-    pub left_out: u64,
+    pub unsampled: u64,
 }
 
 /// How far a reader has read a [`DecisionRing`]; the default is the beginning.
@@ -135,15 +135,15 @@
     }
 
     /// Offers the record of a request that ended at `now`; answers why it was kept, if it was.
-    pub fn offer(&mut self, record: DecisionRecord, now: Timestamp) -> Option<Kept> {
+    pub fn offer(&mut self, record: DecisionRecord, now: Timestamp) -> Option<RetentionReason> {
         self.counts.offered += 1;
         let kept = self.reason_to_keep(&record, now);
         let journal = match kept {
             None => {
-                self.counts.left_out += 1;
+                self.counts.unsampled += 1;
                 return None;
             }
-            Some(Kept::Sampled) => {
+            Some(RetentionReason::Sampled) => {
                 self.counts.sampled += 1;
                 &mut self.sampled
             }
@@ -157,14 +157,14 @@
         kept
     }
 
-    fn reason_to_keep(&mut self, record: &DecisionRecord, now: Timestamp) -> Option<Kept> {
+    fn reason_to_keep(&mut self, record: &DecisionRecord, now: Timestamp) -> Option<RetentionReason> {
         if let Some(notable) = self.settings.notable_reason(record) {
             return Some(notable);
         }
         let rate = self.rate.count(now);
         let share = f64::from(self.settings.samples_per_second) / rate.max(1) as f64;
         let position = sample_position(&record.request, self.settings.seed);
-        (position < share).then_some(Kept::Sampled)
+        (position < share).then_some(RetentionReason::Sampled)
     }
 
     /// Records after `cursor`, the oldest first, at most `limit`.
--- a/crates/core/src/decisions/record.rs
+++ b/crates/core/src/decisions/record.rs
@@ -19,7 +19,7 @@
 
 /// A limit that a request met.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitMet {
+pub struct LimitHit {
     /// Which limit.
     pub limit: LimitKind,
     /// Whether it refused the request; otherwise it only delayed it.
@@ -161,7 +161,7 @@
     /// Age in milliseconds of the oldest load report among the candidates.
     pub belief_age_ms: u64,
     /// Limits that it met.
-    pub limits: Vec<LimitMet>,
+    pub limits: Vec<LimitHit>,
     /// Its tries, each with its precondition.
     pub attempts: Vec<AttemptRecord>,
     /// Tokens of the prompt.
@@ -204,7 +204,7 @@
     }
 
     /// Records the engines weighed for the first try and why the choice fell; later calls change nothing.
-    pub fn weighed(&mut self, candidates: &[Candidate], reason: ChoiceReason) {
+    pub fn record_candidates(&mut self, candidates: &[Candidate], reason: ChoiceReason) {
         if self.reason.is_some() {
             return;
         }
@@ -216,14 +216,14 @@
     }
 
     /// Records a limit that the request met, up to [`MAX_RECORD_ITEMS`].
-    pub fn limit_met(&mut self, limit: LimitMet) {
+    pub fn record_limit(&mut self, limit: LimitHit) {
         if self.limits.len() < MAX_RECORD_ITEMS {
             self.limits.push(limit);
         }
     }
 
     /// Records a try, up to [`MAX_RECORD_ITEMS`]; the last place always holds the latest one.
-    pub fn attempted(&mut self, attempt: AttemptRecord) {
+    pub fn record_attempt(&mut self, attempt: AttemptRecord) {
         if self.attempts.len() == MAX_RECORD_ITEMS {
             self.attempts.pop();
         }
@@ -253,7 +253,7 @@
             + self.candidates.iter().map(|candidate| candidate.engine.as_str().len()).sum::<usize>();
         let attempts = self.attempts.capacity() * size_of::<AttemptRecord>()
             + self.attempts.iter().map(attempt_heap).sum::<usize>();
-        texts + candidates + attempts + self.limits.capacity() * size_of::<LimitMet>()
+        texts + candidates + attempts + self.limits.capacity() * size_of::<LimitHit>()
     }
 }
 
--- a/crates/core/src/forwarding/announcements/mod.rs
+++ b/crates/core/src/forwarding/announcements/mod.rs
@@ -28,7 +28,7 @@
 
 use self::rate_limit::{RateLimit, TreePosition};
 use super::backends::{Backend, BackendEntry, BackendId, BackendState, Backends};
-use crate::rest::MAX_BACK_OFF;
+use crate::back_off::MAX_BACK_OFF;
 
 /// How long the announcements of a process are kept after its last one.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(600);
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -28,15 +28,15 @@
     /// Share of failures within the window that ejects an engine, from 0.0 to 1.0.
     pub failure_ratio: f64,
     /// Results within the window below which the ratio says nothing.
-    pub ratio_minimum: u32,
+    pub min_ratio_results: u32,
     /// Length of the window of the ratio.
     pub window: Duration,
     /// Duration of a first ejection; doubles with each one that follows a failed probe.
     pub ejection: Duration,
     /// Longest ejection.
-    pub longest_ejection: Duration,
+    pub max_ejection: Duration,
     /// Share of a pool that is ejected at most, from 0.0 to 1.0.
-    pub ejected_share: f64,
+    pub max_ejected_share: f64,
     /// A probe without result after this time counts as failed.
     pub probe_timeout: Duration,
     /// Time from an engine's return until it gets its whole share.
@@ -50,11 +50,11 @@
         Self {
             consecutive_failures: 3,
             failure_ratio: 0.5,
-            ratio_minimum: 10,
+            min_ratio_results: 10,
             window: Duration::from_secs(10),
             ejection: Duration::from_secs(1),
-            longest_ejection: Duration::from_secs(30),
-            ejected_share: 0.5,
+            max_ejection: Duration::from_secs(30),
+            max_ejected_share: 0.5,
             probe_timeout: Duration::from_secs(10),
             slow_start: Duration::from_secs(5),
             slow_start_floor: 0.1,
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum HealthEvent<'a> {
     /// The engine exists in this life; repeated at will.
-    Seen {
+    Observed {
         /// Its pool.
         pool: &'a PoolId,
         /// Its life.
@@ -88,7 +88,7 @@
 
 /// What health says about sending one request to an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum HealthVerdict {
+pub enum Availability {
     /// Send it.
     Usable,
     /// The engine is returning and this request is not among its present share.
@@ -105,7 +105,7 @@
     },
 }
 
-impl HealthVerdict {
+impl Availability {
     /// Whether a request may be sent.
     pub const fn admits(self) -> bool {
         matches!(self, Self::Usable | Self::Probe)
@@ -166,7 +166,7 @@
 
     fn is_outlier(&self, settings: &HealthSettings) -> bool {
         let ratio = f64::from(self.window_failures) / f64::from(self.window_results.max(1));
-        let by_ratio = self.window_results >= settings.ratio_minimum && ratio >= settings.failure_ratio;
+        let by_ratio = self.window_results >= settings.min_ratio_results && ratio >= settings.failure_ratio;
         by_ratio || self.consecutive >= settings.consecutive_failures
     }
 
@@ -192,7 +192,7 @@
     /// Takes in what was learned about `engine` at `now`.
     pub fn apply(&mut self, engine: &EngineId, event: HealthEvent<'_>, now: Timestamp) {
         match event {
-            HealthEvent::Seen { pool, incarnation } => self.seen(engine, pool, incarnation, now),
+            HealthEvent::Observed { pool, incarnation } => self.seen(engine, pool, incarnation, now),
             HealthEvent::Dispatched => self.dispatched(engine, now),
             HealthEvent::Succeeded => self.succeeded(engine, now),
             HealthEvent::Failed => self.failed(engine, now),
@@ -208,19 +208,19 @@
     /// example from a hash of both; it decides which requests a returning engine gets.
     ///
     /// An engine that was never seen is usable: other parts decide whether it exists.
-    pub fn verdict(&self, engine: &EngineId, draw: f64, now: Timestamp) -> HealthVerdict {
-        let Some(health) = self.engines.get(engine) else { return HealthVerdict::Usable };
+    pub fn availability(&self, engine: &EngineId, draw: f64, now: Timestamp) -> Availability {
+        let Some(health) = self.engines.get(engine) else { return Availability::Usable };
         match health.circuit {
-            Circuit::Closed => HealthVerdict::Usable,
+            Circuit::Closed => Availability::Usable,
             Circuit::SlowStart { since } => {
                 let weight = self.slow_start_weight(since, now);
-                if draw < weight { HealthVerdict::Usable } else { HealthVerdict::SlowStart { weight } }
+                if draw < weight { Availability::Usable } else { Availability::SlowStart { weight } }
             }
-            Circuit::Open { until } if now >= until => HealthVerdict::Probe,
-            Circuit::Open { until } => HealthVerdict::Ejected { until },
+            Circuit::Open { until } if now >= until => Availability::Probe,
+            Circuit::Open { until } => Availability::Ejected { until },
             Circuit::HalfOpen { probe_sent } => {
                 let until = probe_sent + self.settings.probe_timeout;
-                if now >= until { HealthVerdict::Probe } else { HealthVerdict::Ejected { until } }
+                if now >= until { Availability::Probe } else { Availability::Ejected { until } }
             }
         }
     }
@@ -340,14 +340,14 @@
         let (size, ejected) = of_pool.fold((0_u32, 0_u32), |(size, ejected), health| {
             (size + 1, ejected + u32::from(health.is_ejected()))
         });
-        f64::from(ejected + 1) <= f64::from(size) * self.settings.ejected_share
+        f64::from(ejected + 1) <= f64::from(size) * self.settings.max_ejected_share
     }
 }
 
 impl EngineHealth {
     fn eject(&mut self, settings: &HealthSettings, now: Timestamp) {
         let doublings = self.ejections.min(16);
-        let duration = settings.ejection.saturating_mul(1 << doublings).min(settings.longest_ejection);
+        let duration = settings.ejection.saturating_mul(1 << doublings).min(settings.max_ejection);
         self.ejections += 1;
         self.forget_results(now);
         self.circuit = Circuit::Open { until: now + duration };
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,23 +5,23 @@
 //! the model checker therefore run the same code.
 
 pub mod admission;
-pub mod belief;
+pub mod back_off;
+pub mod cache_index;
 pub mod claims;
 pub mod configuration;
 pub mod decisions;
 pub mod feed_owners;
 pub mod forwarding;
 pub mod health;
-pub mod heat;
 pub mod lease;
 pub mod limits;
 pub mod membership;
 pub mod peers;
 pub mod placement;
+pub mod popularity;
 pub mod quarantine;
 pub mod recent_rate;
 pub mod request;
-pub mod rest;
 pub mod retry;
 pub mod routing;
 pub mod service;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -8,13 +8,13 @@
 //!   and counts an engine that it has not yet fenced as one that may be loading.
 //! - At least half of a pool's engines keep serving during a rollout.
 //! - A rollout begins with one engine, and goes on only after that engine has served for
-//!   [`PlacementSettings::trial`].
+//!   [`PlacementSettings::canary_period`].
 //!
-//! Orders name the engine's life and carry the lease's token; the engine decides, not this module's belief.
+//! Orders name the engine's life and carry the lease's token; the engine decides, not this module's cache_index.
 
 mod rollout;
 
-pub use rollout::{Share, choose_version, other_version, version_share};
+pub use rollout::{VersionCounts, choose_version, fallback_version, version_counts};
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -35,20 +35,20 @@
     /// Loads from the weight store at the same time, over all pools.
     pub max_loads: usize,
     /// An engine that has not been heard of for this long no longer counts as one that may be loading.
-    pub load_limit: Duration,
+    pub load_timeout: Duration,
     /// How long the first engine of a rollout serves before others follow.
-    pub trial: Duration,
+    pub canary_period: Duration,
     /// Time before an order without a clear answer is sent again, and before a failed load is ordered anew.
-    pub retry: Duration,
+    pub retry_interval: Duration,
 }
 
 impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
             max_loads: 2,
-            load_limit: Duration::from_secs(300),
-            trial: Duration::from_secs(30),
-            retry: Duration::from_secs(5),
+            load_timeout: Duration::from_secs(300),
+            canary_period: Duration::from_secs(30),
+            retry_interval: Duration::from_secs(5),
         }
     }
 }
@@ -56,12 +56,12 @@
 /// Something that a placer learns.
 #[derive(Clone, Debug)]
 pub enum PlacementEvent<'a> {
-    /// An engine's own account of itself, asked for at `asked_at`.
+    /// An engine's own account of itself, asked for at `requested_at`.
     Status {
         /// The account.
         status: &'a EngineStatus,
         /// When the question was sent.
-        asked_at: Timestamp,
+        requested_at: Timestamp,
     },
     /// An engine no longer exists.
     Removed(&'a EngineId),
@@ -70,7 +70,7 @@
     /// The lease's token, or none where this node no longer believes that it holds the lease.
     Lease(Option<FencingToken>),
     /// An engine took an order.
-    Obeyed {
+    Accepted {
         /// The engine.
         engine: &'a EngineId,
         /// The order.
@@ -100,7 +100,7 @@
         order: Order,
     },
     /// An engine has seen a higher token: give up the lease.
-    LostLease,
+    ReleaseLease,
     /// All engines of the pool serve the new version: make it the pool's version.
     CompleteRollout {
         /// The pool.
@@ -132,7 +132,7 @@
 struct OpenOrder {
     order: Order,
     sent_at: Timestamp,
-    obeyed_at: Option<Timestamp>,
+    accepted_at: Option<Timestamp>,
 }
 
 impl Placer {
@@ -151,20 +151,20 @@
     /// Takes in what was learned and says what to do.
     pub fn handle(&mut self, event: PlacementEvent<'_>, now: Timestamp) -> Vec<PlacementAction> {
         match event {
-            PlacementEvent::Status { status, asked_at } => self.learn_status(status, asked_at, now),
+            PlacementEvent::Status { status, requested_at } => self.learn_status(status, requested_at, now),
             PlacementEvent::Removed(engine) => {
                 self.engines.remove(engine);
             }
             PlacementEvent::Pools(pools) => self.pools.clone_from(pools),
             PlacementEvent::Lease(token) => self.learn_lease(token, now),
-            PlacementEvent::Obeyed { engine, order } => self.obeyed(engine, order, now),
+            PlacementEvent::Accepted { engine, order } => self.accepted(engine, order, now),
             PlacementEvent::Refused { engine, order, code } => return self.refused(engine, order, code, now),
             PlacementEvent::Tick => {}
         }
         self.plan(now)
     }
 
-    fn learn_status(&mut self, status: &EngineStatus, asked_at: Timestamp, now: Timestamp) {
+    fn learn_status(&mut self, status: &EngineStatus, requested_at: Timestamp, now: Timestamp) {
         let view = self.engines.entry(status.engine.clone()).or_insert_with(|| EngineView {
             status: status.clone(),
             heard_at: now,
@@ -180,7 +180,7 @@
         view.status = status.clone();
         view.heard_at = now;
         let concluded =
-            view.order.as_ref().is_some_and(|open| !same_life || open.is_concluded(status, asked_at));
+            view.order.as_ref().is_some_and(|open| !same_life || open.is_concluded(status, requested_at));
         if concluded {
             view.order = None;
         }
@@ -198,10 +198,10 @@
         }
     }
 
-    fn obeyed(&mut self, engine: &EngineId, order: &str, now: Timestamp) {
+    fn accepted(&mut self, engine: &EngineId, order: &str, now: Timestamp) {
         let view = self.engines.get_mut(engine);
         if let Some(open) = view.and_then(|view| view.order.as_mut()).filter(|open| open.order.id == order) {
-            open.obeyed_at.get_or_insert(now);
+            open.accepted_at.get_or_insert(now);
         }
     }
 
@@ -218,7 +218,7 @@
         }
         if code == RefusalCode::Fenced {
             self.learn_lease(None, now);
-            return vec![PlacementAction::LostLease];
+            return vec![PlacementAction::ReleaseLease];
         }
         view.order = None;
         Vec::new()
@@ -228,7 +228,7 @@
         let Some(token) = self.token else { return Vec::new() };
         if self.engines.values().any(|view| view.status.fence > token) {
             self.learn_lease(None, now);
-            return vec![PlacementAction::LostLease];
+            return vec![PlacementAction::ReleaseLease];
         }
         let mut actions = self.repeat_orders(now);
         actions.extend(self.raise_fences(token, now));
@@ -240,11 +240,11 @@
 
     /// The same order again, with the same identity, while its answer is not known.
     fn repeat_orders(&mut self, now: Timestamp) -> Vec<PlacementAction> {
-        let retry = self.settings.retry;
+        let retry = self.settings.retry_interval;
         let mut actions = Vec::new();
         for (engine, view) in &mut self.engines {
             let Some(open) = &mut view.order else { continue };
-            if open.obeyed_at.is_none() && now >= open.sent_at + retry {
+            if open.accepted_at.is_none() && now >= open.sent_at + retry {
                 open.sent_at = now;
                 actions.push(PlacementAction::Order { engine: engine.clone(), order: open.order.clone() });
             }
@@ -292,7 +292,8 @@
 
     /// Engines that load, or may load by an order of this holder or an earlier one.
     fn may_be_loading(&self, token: FencingToken, now: Timestamp) -> usize {
-        let recent = |view: &EngineView| now < view.heard_at.max(self.held_since) + self.settings.load_limit;
+        let recent =
+            |view: &EngineView| now < view.heard_at.max(self.held_since) + self.settings.load_timeout;
         let may_load =
             |view: &EngineView| view.status.fence < token || view.status.loading || view.is_ordered_to_load();
         self.engines.values().filter(|view| recent(view) && may_load(view)).count()
@@ -309,7 +310,7 @@
         self.orders += 1;
         let id = format!("{token}.{}", self.orders);
         let order = Order { id, token, incarnation: Some(view.status.incarnation), command };
-        view.order = Some(OpenOrder { order: order.clone(), sent_at: now, obeyed_at: None });
+        view.order = Some(OpenOrder { order: order.clone(), sent_at: now, accepted_at: None });
         Some(PlacementAction::Order { engine: engine.clone(), order })
     }
 }
@@ -336,9 +337,9 @@
 }
 
 impl OpenOrder {
-    /// Whether a status that was asked for at `asked_at` shows the order's effect, or that it had none.
-    fn is_concluded(&self, status: &EngineStatus, asked_at: Timestamp) -> bool {
-        let seen = self.obeyed_at.is_some_and(|obeyed_at| asked_at > obeyed_at);
+    /// Whether a status that was asked for at `requested_at` shows the order's effect, or that it had none.
+    fn is_concluded(&self, status: &EngineStatus, requested_at: Timestamp) -> bool {
+        let seen = self.accepted_at.is_some_and(|accepted_at| requested_at > accepted_at);
         match &self.order.command {
             OrderCommand::LoadModel { .. } => seen && !status.loading,
             _ => seen,
--- a/crates/core/src/placement/rollout.rs
+++ b/crates/core/src/placement/rollout.rs
@@ -41,7 +41,7 @@
 
     /// Whether another engine may leave the old version: half of the pool keeps serving (a pool of one
     /// cannot), and the first engine
-    /// with the new version has served for the time of the trial.
+    /// with the new version has served for the time of the canary_period.
     fn may_take_one_more(
         &self,
         pool: &PoolId,
@@ -64,7 +64,7 @@
         }
         let proven = |view: &&EngineView| {
             let since = view.serving_since.filter(|_| view.serves(&settings.model, next));
-            since.is_some_and(|since| now >= since + self.settings.trial)
+            since.is_some_and(|since| now >= since + self.settings.canary_period)
         };
         engines.iter().any(proven)
     }
@@ -91,7 +91,7 @@
 
 /// How many engines of a pool serve the old and the new version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Share {
+pub struct VersionCounts {
     /// Engines with the pool's version.
     pub current: u32,
     /// Engines with the version that is rolled out.
@@ -99,12 +99,12 @@
 }
 
 /// Counts the engines that can take a request of `pool`, by version.
-pub fn version_share<'a>(
+pub fn version_counts<'a>(
     name: &PoolId,
     pool: &Pool,
     engines: impl IntoIterator<Item = &'a EngineStatus>,
-) -> Share {
-    let mut share = Share::default();
+) -> VersionCounts {
+    let mut share = VersionCounts::default();
     for status in engines {
         let usable = status.pool == *name && !status.draining && status.role == EngineRole::Serving;
         let Some(loaded) = status.loaded.as_ref().filter(|loaded| usable && loaded.model == pool.model)
@@ -119,13 +119,13 @@
 
 /// The version to try where no engine takes the request under `chosen`. Only for a request of whose answer the
 /// caller has nothing yet: an answer is never continued under other weights.
-pub fn other_version(pool: &Pool, chosen: WeightsVersion) -> Option<WeightsVersion> {
+pub fn fallback_version(pool: &Pool, chosen: WeightsVersion) -> Option<WeightsVersion> {
     let next = pool.rollout?;
     Some(if chosen == next { pool.weights } else { next })
 }
 
 /// The version that a new request uses: the new one for a share of requests equal to its share of engines.
-pub fn choose_version(pool: &Pool, share: Share, request: &RequestId) -> WeightsVersion {
+pub fn choose_version(pool: &Pool, share: VersionCounts, request: &RequestId) -> WeightsVersion {
     let Some(next) = pool.rollout else { return pool.weights };
     let engines = u64::from(share.current) + u64::from(share.next);
     if engines == 0 || share.next == 0 {
--- a/crates/core/src/heat.rs
+++ b/crates/core/src/popularity.rs
@@ -2,7 +2,7 @@
 
 use paddlemount_protocol::{prefix::BlockHash, time::Timestamp};
 
-use crate::belief::{ShortHash, ShortHashMap, short};
+use crate::cache_index::{ShortHash, ShortHashMap, short_hash};
 
 /// After this time without requests, a count has halved.
 const HALF_LIFE_SECONDS: f64 = 10.0;
@@ -45,7 +45,7 @@
 }
 
 /// Decayed counts of requests by prefix, in bounded memory.
-pub struct Heat {
+pub struct PrefixPopularity {
     young: ShortHashMap<DecayedCount>,
     old: ShortHashMap<DecayedCount>,
     limit: usize,
@@ -54,7 +54,7 @@
 /// The smallest limit; below it, one long prompt could push out all else.
 const SMALLEST_LIMIT: usize = 256;
 
-impl Heat {
+impl PrefixPopularity {
     /// Counts at most `limit` prefixes.
     pub fn new(limit: usize) -> Self {
         Self {
@@ -67,7 +67,7 @@
     /// Counts a request with this prompt.
     pub fn record(&mut self, blocks: &[BlockHash], now: Timestamp) {
         for depth in level_depths(blocks.len()) {
-            self.add(short(blocks[depth - 1]), now);
+            self.add(short_hash(blocks[depth - 1]), now);
         }
     }
 
@@ -82,7 +82,7 @@
 
     /// Requests for the prefix that ends with `block`, recent ones counting most.
     pub fn count(&self, block: BlockHash, now: Timestamp) -> f64 {
-        let prefix = short(block);
+        let prefix = short_hash(block);
         let count = self.young.get(&prefix).or_else(|| self.old.get(&prefix));
         count.map_or(0.0, |count| count.at(now))
     }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -32,9 +32,9 @@
     /// Reconnections to the same engine at most, without a new token between them.
     pub max_resumes: u32,
     /// From sending a try until the engine has begun to answer, and from there until its first token.
-    pub first_byte: Duration,
+    pub first_byte_timeout: Duration,
     /// Between two tokens of an answer, and until a resumed answer goes on.
-    pub between_frames: Duration,
+    pub frame_timeout: Duration,
     /// When a refused caller should come back, where no engine said anything else.
     pub retry_after: Duration,
 }
@@ -44,8 +44,8 @@
         Self {
             max_attempts: 4,
             max_resumes: 2,
-            first_byte: Duration::from_secs(15),
-            between_frames: Duration::from_secs(2),
+            first_byte_timeout: Duration::from_secs(15),
+            frame_timeout: Duration::from_secs(2),
             retry_after: Duration::from_secs(1),
         }
     }
@@ -53,7 +53,7 @@
 
 /// What a request is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RequestTerms {
+pub struct RequestSpec {
     /// The request.
     pub request: RequestId,
     /// Whether it may be run a second time.
@@ -75,7 +75,7 @@
     pub gap: u32,
 }
 
-impl RequestTerms {
+impl RequestSpec {
     /// The identity of the `number`th try, counted from 1.
     pub fn attempt(&self, number: u32) -> AttemptId {
         AttemptId::from(format!("{}.{number}", self.request))
--- a/crates/core/src/request/events.rs
+++ b/crates/core/src/request/events.rs
@@ -16,14 +16,14 @@
     /// The request has arrived.
     Arrived,
     /// An engine was chosen, as asked by [`RequestAction::Choose`].
-    Decided(Precondition),
+    EngineChosen(Precondition),
     /// No engine can be asked now.
-    NoneServes {
+    NoEngineAvailable {
         /// When it makes sense to come back.
         retry_after: Option<Duration>,
     },
     /// Back ends ended under this request again and again: none gets it.
-    HeldBack {
+    Quarantined {
         /// When it makes sense to come back.
         retry_after: Duration,
     },
@@ -42,7 +42,7 @@
         attempt: AttemptId,
     },
     /// The connection of a try ended without an end of the answer, or its resumption was refused.
-    Lost {
+    ConnectionLost {
         /// The try.
         attempt: AttemptId,
         /// Whether the engine still knows the try, as far as the driver can tell.
@@ -53,7 +53,7 @@
     /// Time has passed; see [`ModelRequest::next_timer`](super::ModelRequest::next_timer).
     Tick,
     /// The caller has taken everything again after frames had to wait for it.
-    CallerCaughtUp,
+    BackpressureEnded,
     /// The caller has left.
     CallerLeft,
 }
@@ -73,11 +73,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestAction {
     /// Learn anew what an engine says of itself, before anything else.
-    Relearn {
+    RefreshStatus {
         /// The engine.
         engine: EngineId,
     },
-    /// Choose an engine; answered by [`RequestEvent::Decided`] or [`RequestEvent::NoneServes`].
+    /// Choose an engine; answered by [`RequestEvent::EngineChosen`] or [`RequestEvent::NoEngineAvailable`].
     Choose {
         /// Engines that must not be chosen.
         excluded: Vec<EngineId>,
--- a/crates/core/src/request/machine.rs
+++ b/crates/core/src/request/machine.rs
@@ -13,7 +13,7 @@
 };
 
 use super::{
-    Continuation, FrameAnomalies, RequestAction, RequestEvent, RequestSettings, RequestTerms,
+    Continuation, FrameAnomalies, RequestAction, RequestEvent, RequestSettings, RequestSpec,
     phase::{Attempt, Phase, Stage},
 };
 use crate::routing::AttemptEnding;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct ModelRequest {
     settings: RequestSettings,
-    terms: RequestTerms,
+    terms: RequestSpec,
     phase: Phase,
     attempts: u32,
     sent: Vec<String>,
@@ -36,7 +36,7 @@
 
 impl ModelRequest {
     /// A request that has not yet [arrived](RequestEvent::Arrived).
-    pub fn new(settings: RequestSettings, terms: RequestTerms) -> Self {
+    pub fn new(settings: RequestSettings, terms: RequestSpec) -> Self {
         Self {
             settings,
             terms,
@@ -78,10 +78,8 @@
     fn patience_ends(&self, attempt: &Attempt) -> Timestamp {
         // An engine sends nothing during prefill, which takes as long in a full batch as the wait for its answer.
         let patience = match attempt.stage {
-            Stage::Answering | Stage::Resuming { .. } if attempt.has_generated => {
-                self.settings.between_frames
-            }
-            Stage::Sent | Stage::Answering | Stage::Resuming { .. } => self.settings.first_byte,
+            Stage::Answering | Stage::Resuming { .. } if attempt.has_generated => self.settings.frame_timeout,
+            Stage::Sent | Stage::Answering | Stage::Resuming { .. } => self.settings.first_byte_timeout,
         };
         attempt.heard_at + patience
     }
@@ -108,9 +106,9 @@
     fn advance(&mut self, event: RequestEvent, now: Timestamp, actions: &mut Vec<RequestAction>) {
         match event {
             RequestEvent::Arrived => self.choose(actions),
-            RequestEvent::Decided(precondition) => self.dispatch(precondition, now, actions),
-            RequestEvent::NoneServes { retry_after } => self.none_serves(retry_after, actions),
-            RequestEvent::HeldBack { retry_after } if self.phase == Phase::Choosing => {
+            RequestEvent::EngineChosen(precondition) => self.dispatch(precondition, now, actions),
+            RequestEvent::NoEngineAvailable { retry_after } => self.none_serves(retry_after, actions),
+            RequestEvent::Quarantined { retry_after } if self.phase == Phase::Choosing => {
                 self.retry_after = Some(retry_after);
                 let message = "engines ended under this request again and again; none gets it";
                 self.refuse(self.last_code, message, actions);
@@ -122,12 +120,12 @@
                 self.refused(&refusal, actions);
             }
             RequestEvent::NotSent { attempt } if self.is_current(&attempt) => self.not_sent(actions),
-            RequestEvent::Lost { attempt, resumable } if self.is_current(&attempt) => {
+            RequestEvent::ConnectionLost { attempt, resumable } if self.is_current(&attempt) => {
                 self.lost(resumable, now, actions);
             }
             RequestEvent::Frame(frame) if self.is_current(&frame.attempt) => self.frame(frame, now, actions),
             RequestEvent::Tick => self.tick(now, actions),
-            RequestEvent::CallerCaughtUp => self.heard(now),
+            RequestEvent::BackpressureEnded => self.heard(now),
             other => self.count_late(&other),
         }
     }
--- a/crates/core/src/request/machine/attempt_endings.rs
+++ b/crates/core/src/request/machine/attempt_endings.rs
@@ -26,9 +26,9 @@
         let Some(attempt) = self.end_attempt(AttemptEnding::Refused, actions) else { return };
         let engine = attempt.engine();
         if refusal.code == RefusalCode::PreconditionFailed {
-            // The belief was out of date. The engine may be chosen again once it was asked.
+            // The cache_index was out of date. The engine may be chosen again once it was asked.
             self.last_code = RefusalCode::Unavailable;
-            actions.push(RequestAction::Relearn { engine });
+            actions.push(RequestAction::RefreshStatus { engine });
         } else {
             self.last_code = match refusal.code {
                 code @ (RefusalCode::Overloaded | RefusalCode::Draining) => code,
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -27,7 +27,7 @@
 
 /// Whether a request may be tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryVerdict {
+pub enum RetryDecision {
     /// It may; the retry has been paid for.
     Granted,
     /// The node's budget is spent: the request must end now.
@@ -66,17 +66,17 @@
     }
 
     /// A request that has been tried `attempts` times asks for one more try.
-    pub fn retry(&mut self, attempts: u32) -> RetryVerdict {
+    pub fn retry(&mut self, attempts: u32) -> RetryDecision {
         if attempts >= self.settings.attempts_per_request {
-            return RetryVerdict::AttemptsSpent;
+            return RetryDecision::AttemptsSpent;
         }
         if self.balance < RETRY_COST {
             self.refused += 1;
-            return RetryVerdict::BudgetSpent;
+            return RetryDecision::BudgetSpent;
         }
         self.balance -= RETRY_COST;
         self.retries += 1;
-        RetryVerdict::Granted
+        RetryDecision::Granted
     }
 
     /// Counts since the node started.
--- a/crates/core/src/routing/attempts.rs
+++ b/crates/core/src/routing/attempts.rs
@@ -4,14 +4,14 @@
 
 use paddlemount_protocol::{identity::AttemptId, prefix::BLOCK_TOKENS, time::Timestamp};
 
-use crate::belief::{ResidenceId, ShortHash, Slot};
+use crate::cache_index::{CacheEpochId, ShortHash, Slot};
 
 /// One try under way.
 pub(super) struct Attempt {
     /// Rises with each try.
     pub(super) number: u64,
     pub(super) slot: Slot,
-    pub(super) residence: ResidenceId,
+    pub(super) epoch: CacheEpochId,
     pub(super) blocks: Box<[ShortHash]>,
     /// Blocks that the engine was believed to hold before the try, and microseconds since their use.
     pub(super) believed: Option<(u32, u64)>,
--- a/crates/core/src/routing/rests.rs
+++ b/crates/core/src/routing/back_off.rs
@@ -10,7 +10,7 @@
 };
 
 use super::{Router, engines::EngineView, types::RouteRequest};
-use crate::rest::MAX_BACK_OFF;
+use crate::back_off::MAX_BACK_OFF;
 
 impl EngineView {
     /// Takes in a refusal of this life. Whether the engine takes no work from now on.
@@ -47,14 +47,14 @@
     }
 
     /// For how long an engine still wants no requests from this node.
-    pub fn rest_of(&self, engine: &EngineId, now: Timestamp) -> Option<Duration> {
+    pub fn remaining_back_off(&self, engine: &EngineId, now: Timestamp) -> Option<Duration> {
         let view = self.engines.slot(engine).and_then(|slot| self.engines.get(slot))?;
         view.rests(now).then(|| view.backed_off_until.saturating_since(now))
     }
 
     /// How long it takes until the first engine may be sent `request` that could serve it, where all of them rest; engines that
     /// have been tried for it count as any other.
-    pub fn least_rest(&self, request: &RouteRequest<'_>, now: Timestamp) -> Option<Duration> {
+    pub fn min_back_off(&self, request: &RouteRequest<'_>, now: Timestamp) -> Option<Duration> {
         let members = self.engines.members(request.pool).iter();
         let could = members.filter_map(|(slot, _)| self.engines.get(*slot)).filter(|view| view.has(request));
         let mut least: Option<Timestamp> = None;
--- a/crates/core/src/routing/kept.rs
+++ b/crates/core/src/routing/cached_prefixes.rs
@@ -16,7 +16,7 @@
 const ASSUMED_BLOCK_BYTES: f64 = 2_097_152.0;
 
 /// An index of kept prefixes by each block that they cover.
-pub(super) struct KeptIndex {
+pub(super) struct CachedPrefixes {
     transfers: BTreeMap<u64, KvTransfer>,
     by_last_block: BTreeMap<BlockHash, u64>,
     by_block: BTreeMap<BlockHash, u64>,
@@ -26,13 +26,13 @@
 
 /// Part of a kept prefix that a request can use.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct KeptPart<'a> {
+pub(super) struct CachedPrefix<'a> {
     transfer: &'a KvTransfer,
     pub(super) blocks: usize,
     pub(super) bytes: f64,
 }
 
-impl KeptPart<'_> {
+impl CachedPrefix<'_> {
     /// The transfer that an engine is to import.
     pub(super) fn to_transfer(self) -> KvTransfer {
         let mut transfer = self.transfer.clone();
@@ -42,7 +42,7 @@
     }
 }
 
-impl Default for KeptIndex {
+impl Default for CachedPrefixes {
     fn default() -> Self {
         Self {
             transfers: BTreeMap::new(),
@@ -54,7 +54,7 @@
     }
 }
 
-impl KeptIndex {
+impl CachedPrefixes {
     pub(super) fn insert(&mut self, transfer: &KvTransfer) {
         let Some(last) = transfer.blocks.last() else { return };
         self.remove(*last);
@@ -125,7 +125,7 @@
         &self,
         request: &RouteRequest<'_>,
         alive: impl Fn(&EngineId, Incarnation) -> bool,
-    ) -> Option<KeptPart<'_>> {
+    ) -> Option<CachedPrefix<'_>> {
         if self.transfers.is_empty() {
             return None;
         }
@@ -140,7 +140,7 @@
                 && alive(&transfer.origin, transfer.origin_incarnation);
             if usable {
                 let bytes = transfer.bytes as f64 * blocks as f64 / transfer.blocks.len() as f64;
-                return Some(KeptPart { transfer, blocks, bytes });
+                return Some(CachedPrefix { transfer, blocks, bytes });
             }
         }
         None
--- a/crates/core/src/routing/choice.rs
+++ b/crates/core/src/routing/choice.rs
@@ -4,18 +4,18 @@
 use rand::{RngExt, rngs::SmallRng};
 
 use super::{
-    FeedTrust, Router,
-    anchors::{self, Member, Place},
+    FeedState, Router,
+    preferred_engines::{self, Member, Place},
     scoring::{Weighing, expected_tokens},
     types::{Candidate, ChoiceReason, Decision, RouteRequest},
 };
-use crate::belief::{Holding, Search, Slot};
+use crate::cache_index::{PrefixMatch, Search, Slot};
 
 /// Pools up to this size are weighed whole.
 const WEIGH_ALL: usize = 32;
 /// Holders weighed in larger pools.
 const MOST_HOLDERS: usize = 16;
-/// Engines drawn at random in larger pools, so that a free one is found even where belief is stale.
+/// Engines drawn at random in larger pools, so that a free one is found even where cache_index is stale.
 const DRAWN: usize = 6;
 /// Costs within this share of the lowest one count as equal.
 const NEAR_SHARE: f64 = 0.2;
@@ -56,10 +56,10 @@
     }
 
     fn place(&self, request: &RouteRequest<'_>, members: &[Member], now: Timestamp) -> Place {
-        if !self.settings.mechanisms.anchors {
+        if !self.settings.mechanisms.preferred_engines {
             return Place { ranked: Vec::new(), wanted: 1, copies: 1, shared_blocks: 0 };
         }
-        anchors::place(members, request.blocks, &self.heat, self.total.at(now), now)
+        preferred_engines::place(members, request.blocks, &self.popularity, self.total.at(now), now)
     }
 
     fn prepare<'a>(
@@ -73,15 +73,15 @@
         let eviction = self.settings.mechanisms.expected_eviction;
         let survival =
             |slot, age_micros| self.engines.get(slot).map_or(0.0, |view| view.survival(age_micros, eviction));
-        let holdings = self.belief.holdings(request.blocks, search, now, survival);
+        let matches = self.cache_index.matches(request.blocks, search, now, survival);
         let best_held_tokens =
-            holdings.iter().map(|held| expected_tokens(held, request.prompt_tokens)).fold(0.0, f64::max);
+            matches.iter().map(|held| expected_tokens(held, request.prompt_tokens)).fold(0.0, f64::max);
         let import = self.settings.mechanisms.import;
         let alive = |engine: &_, incarnation| self.is_alive(engine, incarnation);
         let kept = if import { self.kept.longest(request, alive) } else { None };
-        let copies = copies_of_shared(&holdings, place.shared_blocks);
-        let has_unread_feeds = self.engines.views().any(|view| view.feed.trust() == FeedTrust::NotRead);
-        Weighing { request, place, holdings, kept, best_held_tokens, copies, has_unread_feeds, now }
+        let copies = copies_of_shared(&matches, place.shared_blocks);
+        let has_unread_feeds = self.engines.views().any(|view| view.feed.state() == FeedState::NotRead);
+        Weighing { request, place, matches, kept, best_held_tokens, copies, has_unread_feeds, now }
     }
 
     fn conclude(
@@ -96,7 +96,7 @@
             weighed[..=drawn].rotate_right(1);
         }
         let candidates: Vec<Candidate> = weighed.into_iter().map(|(candidate, _)| candidate).collect();
-        let reason = chosen.as_ref().map_or(ChoiceReason::NoneServes, |(candidate, _)| {
+        let reason = chosen.as_ref().map_or(ChoiceReason::NoEngineAvailable, |(candidate, _)| {
             if drawn > 0 { ChoiceReason::NearEqual } else { reason(weighing, candidate) }
         });
         let import = chosen.as_ref().filter(|(candidate, _)| candidate.import_ms > 0.0);
@@ -130,16 +130,16 @@
     }
 }
 
-fn copies_of_shared(holdings: &[Holding], shared_blocks: usize) -> usize {
+fn copies_of_shared(matches: &[PrefixMatch], shared_blocks: usize) -> usize {
     let enough = LONGEST_SHARE * shared_blocks as f64;
-    holdings.iter().filter(|holding| holding.expected_blocks >= enough).count()
+    matches.iter().filter(|matched| matched.expected_blocks >= enough).count()
 }
 
 fn candidate_slots(members: &[Member], weighing: &Weighing<'_>, random: &mut SmallRng) -> Vec<Slot> {
     if members.len() <= WEIGH_ALL {
         return members.iter().map(|(slot, _)| *slot).collect();
     }
-    let mut slots: Vec<Slot> = weighing.holdings.iter().map(|holding| holding.slot).collect();
+    let mut slots: Vec<Slot> = weighing.matches.iter().map(|matched| matched.slot).collect();
     slots.extend(&weighing.place.ranked);
     slots.extend((0..DRAWN).map(|_| members[random.random_range(0..members.len())].0));
     slots.sort_unstable();
@@ -152,7 +152,7 @@
     let cached = f64::from(chosen.expected_cached_tokens);
     let in_place = chosen.affinity_rank.is_some_and(|rank| (rank as usize) < weighing.place.wanted);
     if best_held < 1.0 {
-        return if in_place { ChoiceReason::AgreedPlace } else { ChoiceReason::LowestCost };
+        return if in_place { ChoiceReason::PreferredEngine } else { ChoiceReason::LowestCost };
     }
     if cached >= LONGEST_SHARE * best_held {
         return ChoiceReason::LongestPrefix;
--- a/crates/core/src/routing/engines.rs
+++ b/crates/core/src/routing/engines.rs
@@ -9,14 +9,14 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{anchors::Member, types::RouteRequest};
+use super::{preferred_engines::Member, types::RouteRequest};
 use crate::{
-    belief::{
-        Belief, ResidenceId, Slot,
+    cache_index::{
+        CacheEpochId, CacheIndex, Slot,
         eviction::EvictionAge,
-        feed::{Feed, FeedTrust},
+        feed::{Feed, FeedState},
     },
-    heat::DecayedCount,
+    popularity::DecayedCount,
 };
 
 /// Own requests older than this are surely part of an engine's reports.
@@ -46,7 +46,7 @@
 pub(super) struct EngineView {
     pub(super) status: EngineStatus,
     pub(super) load_received: Timestamp,
-    pub(super) residence: ResidenceId,
+    pub(super) epoch: CacheEpochId,
     pub(super) feed: Feed,
     pub(super) eviction: EvictionAge,
     pub(super) in_flight: u32,
@@ -64,12 +64,12 @@
 }
 
 impl EngineView {
-    fn new(status: EngineStatus, residence: ResidenceId, now: Timestamp) -> Self {
+    fn new(status: EngineStatus, epoch: CacheEpochId, now: Timestamp) -> Self {
         Self {
             name_hash: xxh3_64(status.engine.as_str().as_bytes()),
             status,
             load_received: now,
-            residence,
+            epoch,
             feed: Feed::default(),
             eviction: EvictionAge::default(),
             in_flight: 0,
@@ -194,9 +194,9 @@
     /// The probability that blocks last used `age_micros` ago are still there.
     pub(super) fn survival(&self, age_micros: u64, expected_eviction: bool) -> f64 {
         let by_age = self.eviction_survival(age_micros, expected_eviction);
-        match self.feed.trust() {
-            FeedTrust::Complete => by_age.max(COMPLETE_FEED_SURVIVAL),
-            FeedTrust::Gap | FeedTrust::NotRead => by_age,
+        match self.feed.state() {
+            FeedState::Complete => by_age.max(COMPLETE_FEED_SURVIVAL),
+            FeedState::Gap | FeedState::NotRead => by_age,
         }
     }
 }
@@ -248,11 +248,11 @@
     pub(super) fn apply_status(
         &mut self,
         status: &EngineStatus,
-        belief: &mut Belief,
+        cache_index: &mut CacheIndex,
         now: Timestamp,
     ) -> Option<Slot> {
         let Some(slot) = self.slot(&status.engine) else {
-            self.insert(status, belief, now);
+            self.insert(status, cache_index, now);
             return None;
         };
         let view = self.get_mut(slot)?;
@@ -276,10 +276,10 @@
             view.backed_off_until = Timestamp::ZERO;
         }
         if emptied {
-            let old = view.residence;
-            view.feed.drop_snapshot(belief);
-            belief.close(old);
-            view.residence = belief.open(slot);
+            let old = view.epoch;
+            view.feed.drop_snapshot(cache_index);
+            cache_index.close(old);
+            view.epoch = cache_index.open(slot);
             if !same_life {
                 view.feed = Feed::default();
             }
@@ -299,19 +299,19 @@
         }
     }
 
-    fn insert(&mut self, status: &EngineStatus, belief: &mut Belief, now: Timestamp) {
+    fn insert(&mut self, status: &EngineStatus, cache_index: &mut CacheIndex, now: Timestamp) {
         let slot = Slot(self.views.len() as u32);
-        let residence = belief.open(slot);
-        self.views.push(Some(EngineView::new(status.clone(), residence, now)));
+        let epoch = cache_index.open(slot);
+        self.views.push(Some(EngineView::new(status.clone(), epoch, now)));
         self.by_id.insert(status.engine.clone(), slot);
         self.index_pools();
     }
 
-    pub(super) fn remove(&mut self, engine: &EngineId, belief: &mut Belief) {
+    pub(super) fn remove(&mut self, engine: &EngineId, cache_index: &mut CacheIndex) {
         let Some(slot) = self.by_id.remove(engine) else { return };
         if let Some(mut view) = self.views.get_mut(slot.0 as usize).and_then(Option::take) {
-            view.feed.drop_snapshot(belief);
-            belief.close(view.residence);
+            view.feed.drop_snapshot(cache_index);
+            cache_index.close(view.epoch);
         }
         self.index_pools();
     }
--- a/crates/core/src/routing/exports.rs
+++ b/crates/core/src/routing/exports.rs
@@ -14,8 +14,8 @@
     types::{ExportHint, RouteRequest},
 };
 use crate::{
-    belief::Search,
-    heat::{Heat, level_depths},
+    cache_index::Search,
+    popularity::{PrefixPopularity, level_depths},
 };
 
 /// Holders of a prefix that are looked at.
@@ -52,9 +52,14 @@
 
 impl ExportWatch {
     /// Watches the deepest hot part of a request's prompt.
-    pub(super) fn record(&mut self, request: &RouteRequest<'_>, heat: &Heat, now: Timestamp) {
+    pub(super) fn record(
+        &mut self,
+        request: &RouteRequest<'_>,
+        popularity: &PrefixPopularity,
+        now: Timestamp,
+    ) {
         let hot = level_depths(request.blocks.len())
-            .take_while(|depth| heat.count(request.blocks[depth - 1], now) >= HOT_COUNT)
+            .take_while(|depth| popularity.count(request.blocks[depth - 1], now) >= HOT_COUNT)
             .last();
         let Some(depth) = hot else { return };
         let last = request.blocks[depth - 1];
@@ -62,7 +67,7 @@
             return;
         }
         if self.by_last_block.len() >= MOST_WATCHED {
-            self.drop_coldest(heat, now);
+            self.drop_coldest(popularity, now);
         }
         let watched = Watched {
             scope: request.scope,
@@ -75,11 +80,11 @@
         self.by_last_block.insert(last, watched);
     }
 
-    fn drop_coldest(&mut self, heat: &Heat, now: Timestamp) {
+    fn drop_coldest(&mut self, popularity: &PrefixPopularity, now: Timestamp) {
         let coldest = self
             .by_last_block
             .keys()
-            .min_by(|left, right| heat.count(**left, now).total_cmp(&heat.count(**right, now)))
+            .min_by(|left, right| popularity.count(**left, now).total_cmp(&popularity.count(**right, now)))
             .copied();
         if let Some(last) = coldest {
             self.by_last_block.remove(&last);
@@ -98,15 +103,15 @@
     /// Prefixes that are still in demand and about to be lost, within the bandwidth for exports.
     ///
     /// The caller asks the engines for them and puts the answers into the kept-cache store; the answer
-    /// comes back as [`RouterEvent::Kept`](super::RouterEvent::Kept).
+    /// comes back as [`RouterEvent::PrefixStored`](super::RouterEvent::PrefixStored).
     pub fn exports(&mut self, now: Timestamp) -> Vec<ExportHint> {
         self.export_watch.refill(self.settings.export_bytes_per_second, now);
         if !self.settings.mechanisms.import {
             return Vec::new();
         }
         let mut watch = std::mem::take(&mut self.export_watch);
-        let heat = &self.heat;
-        watch.by_last_block.retain(|last, _| heat.count(*last, now) >= HOT_COUNT);
+        let popularity = &self.popularity;
+        watch.by_last_block.retain(|last, _| popularity.count(*last, now) >= HOT_COUNT);
         let mut hints = Vec::new();
         for (last, watched) in &mut watch.by_last_block {
             let recent = watched.asked_at.is_some_and(|asked| now < asked + micros(REPEAT_MICROS));
@@ -131,17 +136,17 @@
     fn export_of(&self, watched: &Watched, bytes: u64, now: Timestamp) -> Option<ExportHint> {
         let later = now + micros(AHEAD_MICROS);
         let eviction = self.settings.mechanisms.expected_eviction;
-        let holdings = self.belief.holdings(&watched.blocks, Search::all(MOST_HOLDERS), now, |_, _| 1.0);
+        let matches = self.cache_index.matches(&watched.blocks, Search::all(MOST_HOLDERS), now, |_, _| 1.0);
         let depth = watched.blocks.len() as u32;
-        let holders: Vec<_> = holdings.iter().filter(|holding| holding.depth == depth).collect();
+        let holders: Vec<_> = matches.iter().filter(|matched| matched.depth == depth).collect();
         let survival = |slot, age_micros| {
             self.engines.get(slot).map_or(0.0, |view| view.eviction_survival(age_micros, eviction))
         };
         let ahead = later.0 - now.0;
-        if holders.iter().any(|holding| survival(holding.slot, holding.age_micros + ahead) > SAFE) {
+        if holders.iter().any(|matched| survival(matched.slot, matched.age_micros + ahead) > SAFE) {
             return None;
         }
-        let best = holders.iter().min_by_key(|holding| holding.age_micros)?;
+        let best = holders.iter().min_by_key(|matched| matched.age_micros)?;
         let view = self.engines.get(best.slot)?;
         let precondition = Precondition {
             engine: view.status.engine.clone(),
--- a/crates/core/src/routing/healthy.rs
+++ b/crates/core/src/routing/health_filter.rs
@@ -11,7 +11,7 @@
     types::{AttemptEnding, Candidate, RouteRequest, RouterEvent},
 };
 use crate::{
-    belief::Slot,
+    cache_index::Slot,
     health::{Health, HealthEvent},
 };
 
@@ -25,7 +25,7 @@
     pub(super) fn learn_health(&mut self, event: &RouterEvent<'_>, now: Timestamp) {
         match event {
             RouterEvent::Status(status) => {
-                let seen = HealthEvent::Seen { pool: &status.pool, incarnation: status.incarnation };
+                let seen = HealthEvent::Observed { pool: &status.pool, incarnation: status.incarnation };
                 self.health.apply(&status.engine, seen, now);
             }
             RouterEvent::Dispatched { engine, .. } => self.health.apply(engine, HealthEvent::Dispatched, now),
@@ -63,7 +63,7 @@
         }
         let admits = |candidate: &Candidate| {
             let draw = draw(request, &candidate.engine);
-            self.health.verdict(&candidate.engine, draw, now).admits()
+            self.health.availability(&candidate.engine, draw, now).admits()
         };
         if weighed.iter().any(|(candidate, _)| admits(candidate)) {
             weighed.into_iter().filter(|(candidate, _)| admits(candidate)).collect()
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -12,33 +12,33 @@
 use rand::{SeedableRng, rngs::SmallRng};
 
 pub use self::types::{
-    AttemptEnding, Candidate, ChoiceReason, DEFAULT_BELIEF_RECORDS, DEFAULT_HEAT_RECORDS, Decision,
-    ExportHint, Mechanisms, RouteRequest, RouterEvent, RouterSettings,
+    AttemptEnding, Candidate, ChoiceReason, DEFAULT_CACHE_INDEX_RECORDS, DEFAULT_POPULARITY_RECORDS,
+    Decision, ExportHint, Mechanisms, RouteRequest, RouterEvent, RouterSettings,
 };
 use self::{
     attempts::{Attempt, Attempts, CacheFinding},
+    cached_prefixes::CachedPrefixes,
     engines::{EngineTable, EngineView},
     exports::ExportWatch,
-    kept::KeptIndex,
 };
 use crate::{
-    belief::{
-        Belief, ShortHash,
-        feed::{FeedTarget, FeedTrust},
-        short,
+    cache_index::{
+        CacheIndex, ShortHash,
+        feed::{FeedState, FeedTarget},
+        short_hash,
     },
     health::Health,
-    heat::{DecayedCount, Heat},
+    popularity::{DecayedCount, PrefixPopularity},
 };
 
-mod anchors;
 mod attempts;
+mod back_off;
+mod cached_prefixes;
 mod choice;
 mod engines;
 mod exports;
-mod healthy;
-mod kept;
-mod rests;
+mod health_filter;
+mod preferred_engines;
 mod scoring;
 mod types;
 
@@ -51,12 +51,12 @@
 pub struct Router {
     settings: RouterSettings,
     engines: EngineTable,
-    belief: Belief,
-    heat: Heat,
+    cache_index: CacheIndex,
+    popularity: PrefixPopularity,
     /// Requests counted in all, decayed like the counts of prefixes.
     total: DecayedCount,
     attempts: Attempts,
-    kept: KeptIndex,
+    kept: CachedPrefixes,
     export_watch: ExportWatch,
     nodes: u32,
     health: Health,
@@ -67,7 +67,7 @@
 
 /// A summary of a router's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BeliefSize {
+pub struct CacheIndexSize {
     /// Pairs of prefix and engine that are held.
     pub records: usize,
     /// The most that are ever held.
@@ -75,20 +75,20 @@
     /// Bytes of the records.
     pub approximate_bytes: usize,
     /// Prefixes whose requests are counted.
-    pub heat_records: usize,
+    pub popularity_records: usize,
 }
 
 impl Router {
     /// A router that knows no engine.
     pub fn new(settings: RouterSettings) -> Self {
         Self {
-            belief: Belief::new(settings.belief_records),
-            heat: Heat::new(settings.heat_records),
+            cache_index: CacheIndex::new(settings.cache_index_records),
+            popularity: PrefixPopularity::new(settings.popularity_records),
             random: SmallRng::seed_from_u64(settings.seed),
             engines: EngineTable::default(),
             total: DecayedCount::default(),
             attempts: Attempts::default(),
-            kept: KeptIndex::default(),
+            kept: CachedPrefixes::default(),
             export_watch: ExportWatch::default(),
             nodes: 1,
             health: Health::new(settings.health),
@@ -121,34 +121,34 @@
             RouterEvent::Draining { engine, draining } => {
                 self.engines.set_draining(engine, draining);
             }
-            RouterEvent::Kept { transfer } => self.kept.insert(transfer),
-            RouterEvent::KeptDropped { prefix } => self.kept.remove(prefix),
+            RouterEvent::PrefixStored { transfer } => self.kept.insert(transfer),
+            RouterEvent::PrefixDropped { prefix } => self.kept.remove(prefix),
             RouterEvent::Nodes { count } => self.nodes = count.max(1),
             RouterEvent::Removed { engine } => {
-                self.engines.remove(engine, &mut self.belief);
+                self.engines.remove(engine, &mut self.cache_index);
                 self.kept.remove_origin(engine, None);
             }
         }
     }
 
     fn apply_status(&mut self, status: &EngineStatus, now: Timestamp) {
-        let emptied = self.engines.apply_status(status, &mut self.belief, now);
+        let emptied = self.engines.apply_status(status, &mut self.cache_index, now);
         if emptied.is_some() {
             self.kept.remove_origin(&status.engine, Some(status.incarnation));
         }
     }
 
     fn apply_feed(&mut self, engine: &EngineId, batch: &CacheEventBatch, now: Timestamp) {
-        self.with_feed(engine, batch.incarnation, now, |view, belief, slot| {
-            let EngineView { feed, residence, eviction, .. } = view;
-            feed.apply_batch(batch, &mut FeedTarget { belief, slot, residence, eviction }, now);
+        self.with_feed(engine, batch.incarnation, now, |view, cache_index, slot| {
+            let EngineView { feed, epoch, eviction, .. } = view;
+            feed.apply_batch(batch, &mut FeedTarget { cache_index, slot, epoch, eviction }, now);
         });
     }
 
     fn apply_snapshot(&mut self, engine: &EngineId, page: &CacheSnapshot, now: Timestamp) {
-        self.with_feed(engine, page.incarnation, now, |view, belief, slot| {
-            let EngineView { feed, residence, eviction, .. } = view;
-            feed.apply_snapshot(page, &mut FeedTarget { belief, slot, residence, eviction }, now);
+        self.with_feed(engine, page.incarnation, now, |view, cache_index, slot| {
+            let EngineView { feed, epoch, eviction, .. } = view;
+            feed.apply_snapshot(page, &mut FeedTarget { cache_index, slot, epoch, eviction }, now);
         });
     }
 
@@ -158,7 +158,7 @@
         engine: &EngineId,
         incarnation: Incarnation,
         now: Timestamp,
-        apply: impl FnOnce(&mut EngineView, &mut Belief, crate::belief::Slot),
+        apply: impl FnOnce(&mut EngineView, &mut CacheIndex, crate::cache_index::Slot),
     ) {
         if !self.settings.mechanisms.feeds {
             return;
@@ -166,11 +166,11 @@
         self.take_over_incarnation(engine, incarnation, now);
         let Some((slot, view)) = self.engines.by_id_mut(engine) else { return };
         if view.status.incarnation == incarnation {
-            apply(view, &mut self.belief, slot);
+            apply(view, &mut self.cache_index, slot);
         }
     }
 
-    /// Empties the belief in an engine that turns out to live a later life than known.
+    /// Empties the cache_index in an engine that turns out to live a later life than known.
     fn take_over_incarnation(&mut self, engine: &EngineId, incarnation: Incarnation, now: Timestamp) {
         let Some(slot) = self.engines.slot(engine) else { return };
         let Some(view) = self.engines.get(slot) else { return };
@@ -178,7 +178,7 @@
             return;
         }
         let status = EngineStatus { incarnation, ..view.status.clone() };
-        self.engines.apply_status(&status, &mut self.belief, now);
+        self.engines.apply_status(&status, &mut self.cache_index, now);
         self.kept.remove_origin(engine, Some(incarnation));
     }
 
@@ -190,23 +190,23 @@
         now: Timestamp,
     ) {
         if request.excluded.is_empty() {
-            self.heat.record(request.blocks, now);
+            self.popularity.record(request.blocks, now);
             self.total.add(1.0, now);
-            self.export_watch.record(request, &self.heat, now);
+            self.export_watch.record(request, &self.popularity, now);
         }
-        let blocks: Box<[ShortHash]> = request.blocks.iter().copied().map(short).collect();
+        let blocks: Box<[ShortHash]> = request.blocks.iter().copied().map(short_hash).collect();
         let Some((slot, view)) = self.engines.by_id_mut(engine) else { return };
-        let believed = self.belief.depth_at(view.residence, &blocks, now);
+        let believed = self.cache_index.depth_at(view.epoch, &blocks, now);
         let held = believed.map_or(0, |(depth, _)| depth) * BLOCK_TOKENS;
         let number = self.attempts.next_number();
         view.record_send(number, f64::from(request.prompt_tokens.saturating_sub(held)), now);
         if self.settings.mechanisms.answers {
-            self.belief.record(view.residence, blocks.iter().copied(), now);
+            self.cache_index.record(view.epoch, blocks.iter().copied(), now);
         }
         let attempt = Attempt {
             number,
             slot,
-            residence: view.residence,
+            epoch: view.epoch,
             blocks,
             believed,
             prompt_tokens: request.prompt_tokens,
@@ -261,29 +261,29 @@
                 let answer_ms = now.saturating_since(started_at).as_secs_f64() * 1e3;
                 self.answer_ms += ANSWER_WEIGHT * (answer_ms - self.answer_ms);
             }
-            self.belief.refresh(attempt.residence, &attempt.blocks, now);
+            self.cache_index.refresh(attempt.epoch, &attempt.blocks, now);
             return;
         }
         // It never ran, so the engine holds no more than it did before.
         let kept = attempt.believed.map_or(0, |(depth, _)| depth as usize);
         for block in &attempt.blocks[kept..] {
-            self.belief.forget(attempt.residence, *block, now);
+            self.cache_index.forget(attempt.epoch, *block, now);
         }
     }
 
     /// Engines whose feed has a gap that a snapshot would close.
     pub fn needs_resync(&self) -> Vec<EngineId> {
-        let gaps = self.engines.views().filter(|view| view.feed.trust() == FeedTrust::Gap);
+        let gaps = self.engines.views().filter(|view| view.feed.state() == FeedState::Gap);
         gaps.map(|view| view.status.engine.clone()).collect()
     }
 
     /// How much the router remembers.
-    pub fn belief_size(&self) -> BeliefSize {
-        BeliefSize {
-            records: self.belief.records(),
-            limit: self.belief.limit(),
-            approximate_bytes: self.belief.approximate_bytes(),
-            heat_records: self.heat.records(),
+    pub fn cache_index_size(&self) -> CacheIndexSize {
+        CacheIndexSize {
+            records: self.cache_index.records(),
+            limit: self.cache_index.limit(),
+            approximate_bytes: self.cache_index.approximate_bytes(),
+            popularity_records: self.popularity.records(),
         }
     }
 
--- a/crates/core/src/routing/anchors.rs
+++ b/crates/core/src/routing/preferred_engines.rs
@@ -9,8 +9,8 @@
 use paddlemount_protocol::{prefix::BlockHash, time::Timestamp};
 
 use crate::{
-    belief::{Slot, short},
-    heat::{Heat, level_depths},
+    cache_index::{Slot, short_hash},
+    popularity::{PrefixPopularity, level_depths},
 };
 
 /// Engines in an agreed list at most, and further ones ranked behind it.
@@ -52,7 +52,7 @@
 pub(super) fn place(
     members: &[Member],
     blocks: &[BlockHash],
-    heat: &Heat,
+    popularity: &PrefixPopularity,
     total: f64,
     now: Timestamp,
 ) -> Place {
@@ -64,7 +64,7 @@
     let warm = total >= WARM_REQUESTS;
     for depth in level_depths(blocks.len()) {
         let block = blocks[depth - 1];
-        let count = heat.count(block, now);
+        let count = popularity.count(block, now);
         if count >= SHARED_COUNT {
             shared_blocks = depth;
         } else if warm {
@@ -75,11 +75,11 @@
         if deeper > halvings && wanted < list.len() {
             halvings = deeper;
             narrowed_at = depth;
-            overflow = narrow(&mut list, wanted, short(block));
+            overflow = narrow(&mut list, wanted, short_hash(block));
         }
     }
     let wanted = list.len();
-    let order = blocks.get(shared_blocks.max(narrowed_at).max(1) - 1).map_or(0, |block| short(*block));
+    let order = blocks.get(shared_blocks.max(narrowed_at).max(1) - 1).map_or(0, |block| short_hash(*block));
     sort_head(&mut list, LONGEST_LIST, order);
     let ranked = list.iter().map(|(slot, _)| *slot).chain(overflow).take(LONGEST_LIST).collect();
     Place { ranked, wanted, copies: if warm { wanted } else { 1 }, shared_blocks }
--- a/crates/core/src/routing/scoring.rs
+++ b/crates/core/src/routing/scoring.rs
@@ -4,12 +4,12 @@
 
 use super::{
     Router,
-    anchors::Place,
+    cached_prefixes::CachedPrefix,
     engines::{EngineView, WaitBasis},
-    kept::KeptPart,
+    preferred_engines::Place,
     types::{Candidate, RouteRequest},
 };
-use crate::belief::{Holding, Slot};
+use crate::cache_index::{PrefixMatch, Slot};
 
 /// Weight of recomputation that holds even where a pool asks for tail time alone: prefill that could
 /// have been saved delays others on the same engine.
@@ -29,8 +29,8 @@
 pub(super) struct Weighing<'a> {
     pub(super) request: &'a RouteRequest<'a>,
     pub(super) place: Place,
-    pub(super) holdings: Vec<Holding>,
-    pub(super) kept: Option<KeptPart<'a>>,
+    pub(super) matches: Vec<PrefixMatch>,
+    pub(super) kept: Option<CachedPrefix<'a>>,
     /// Prompt tokens that the best holder is expected to have.
     pub(super) best_held_tokens: f64,
     /// Engines that hold the shared part already.
@@ -45,8 +45,8 @@
         self.place.ranked.iter().position(|ranked| *ranked == slot)
     }
 
-    fn holding(&self, slot: Slot) -> Option<&Holding> {
-        self.holdings.iter().find(|holding| holding.slot == slot)
+    fn matched(&self, slot: Slot) -> Option<&PrefixMatch> {
+        self.matches.iter().find(|matched| matched.slot == slot)
     }
 
     /// Whether one more copy at an engine of this rank is justified by the request rate.
@@ -62,20 +62,20 @@
 }
 
 /// Tokens expected in the cache, never the whole prompt.
-pub(super) fn expected_tokens(holding: &Holding, prompt_tokens: u32) -> f64 {
-    (holding.expected_blocks * f64::from(BLOCK_TOKENS)).min(f64::from(prompt_tokens))
+pub(super) fn expected_tokens(matched: &PrefixMatch, prompt_tokens: u32) -> f64 {
+    (matched.expected_blocks * f64::from(BLOCK_TOKENS)).min(f64::from(prompt_tokens))
 }
 
 impl Router {
     pub(super) fn weigh(&self, weighing: &Weighing<'_>, slot: Slot, view: &EngineView) -> Candidate {
         let request = weighing.request;
         let mechanisms = &self.settings.mechanisms;
-        let holding = weighing.holding(slot);
-        let cached = holding.map_or(0.0, |holding| expected_tokens(holding, request.prompt_tokens));
+        let matched = weighing.matched(slot);
+        let cached = matched.map_or(0.0, |matched| expected_tokens(matched, request.prompt_tokens));
         let missing = f64::from(request.prompt_tokens) - cached;
         let (prefill_ms, import_ms) = self.fill(weighing, view, missing);
         let rank = weighing.rank(slot);
-        let wanted = mechanisms.heat_copies && weighing.copy_is_wanted(rank);
+        let wanted = mechanisms.replicate_hot_prefixes && weighing.copy_is_wanted(rank);
         let lost = (weighing.best_held_tokens - cached).max(0.0);
         let copy_ms = if wanted { 0.0 } else { copy_weight(request.reuse_weight) * view.prefill_ms(lost) };
         let affinity_ms = self.affinity_ms(weighing, rank, view, missing);
@@ -96,9 +96,9 @@
             copy_ms,
             affinity_ms,
             affinity_rank: rank.map(|rank| rank as u32),
-            believed_blocks: holding.map_or(0, |holding| holding.depth),
-            confidence: holding.map_or(0.0, |holding| holding.confidence),
-            belief_age_ms: holding.map_or(0, |holding| holding.age_micros / 1_000),
+            believed_blocks: matched.map_or(0, |matched| matched.depth),
+            confidence: matched.map_or(0.0, |matched| matched.confidence),
+            belief_age_ms: matched.map_or(0, |matched| matched.age_micros / 1_000),
             cost: wait_ms + prefill_ms + import_ms + distance_ms + copy_ms + affinity_ms,
             load_age_ms: view.load_age_micros(weighing.now) / 1_000,
         }
@@ -122,7 +122,7 @@
         view: &EngineView,
         missing: f64,
     ) -> f64 {
-        if !self.settings.mechanisms.anchors {
+        if !self.settings.mechanisms.preferred_engines {
             return 0.0;
         }
         let outside = if weighing.has_unread_feeds { OUTSIDE_PLACE_UNREAD } else { OUTSIDE_PLACE };
--- a/crates/core/src/routing/types.rs
+++ b/crates/core/src/routing/types.rs
@@ -28,10 +28,10 @@
     pub distances: BTreeMap<ZoneId, f64>,
     /// One-way network distance in milliseconds to any other zone.
     pub other_zone_ms: f64,
-    /// Pairs of prefix and engine that the belief holds at most.
-    pub belief_records: usize,
+    /// Pairs of prefix and engine that the cache_index holds at most.
+    pub cache_index_records: usize,
     /// Prefixes whose request rates are counted at most.
-    pub heat_records: usize,
+    pub popularity_records: usize,
     /// Bytes of kept cache that an engine imports in a second.
     pub import_bytes_per_second: f64,
     /// Bytes that all engines together may export in a second, as arranged by this node.
@@ -43,9 +43,9 @@
 }
 
 /// Pairs of prefix and engine that a node believes in by default; at most 48 MB.
-pub const DEFAULT_BELIEF_RECORDS: usize = 600_000;
+pub const DEFAULT_CACHE_INDEX_RECORDS: usize = 600_000;
 /// Prefixes whose rates a node counts by default.
-pub const DEFAULT_HEAT_RECORDS: usize = 100_000;
+pub const DEFAULT_POPULARITY_RECORDS: usize = 100_000;
 const DEFAULT_OTHER_ZONE_MS: f64 = 1.2;
 const DEFAULT_IMPORT_BYTES_PER_SECOND: f64 = 2e9;
 const DEFAULT_EXPORT_BYTES_PER_SECOND: f64 = 2e8;
@@ -58,8 +58,8 @@
             seed,
             distances: BTreeMap::new(),
             other_zone_ms: DEFAULT_OTHER_ZONE_MS,
-            belief_records: DEFAULT_BELIEF_RECORDS,
-            heat_records: DEFAULT_HEAT_RECORDS,
+            cache_index_records: DEFAULT_CACHE_INDEX_RECORDS,
+            popularity_records: DEFAULT_POPULARITY_RECORDS,
             import_bytes_per_second: DEFAULT_IMPORT_BYTES_PER_SECOND,
             export_bytes_per_second: DEFAULT_EXPORT_BYTES_PER_SECOND,
             health: HealthSettings::default(),
@@ -72,11 +72,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
     /// Allow copies of a prefix by its request rate, without a penalty for making them.
-    pub heat_copies: bool,
+    pub replicate_hot_prefixes: bool,
     /// Add this node's own requests to an engine's last load report.
     pub own_in_flight: bool,
     /// Place prefixes that no engine is known to hold by rendezvous hashing.
-    pub anchors: bool,
+    pub preferred_engines: bool,
     /// Learn from the engines' event feeds and snapshots.
     pub feeds: bool,
     /// Learn from answers and this node's own dispatches.
@@ -94,9 +94,9 @@
 impl Default for Mechanisms {
     fn default() -> Self {
         Self {
-            heat_copies: true,
+            replicate_hot_prefixes: true,
             own_in_flight: true,
-            anchors: true,
+            preferred_engines: true,
             feeds: true,
             answers: true,
             expected_eviction: true,
@@ -110,11 +110,11 @@
 impl Mechanisms {
     /// For a router that is told the truth about all caches and queues before each choice: the cost
     /// function alone, without any correction for what is unknown.
-    pub const fn with_true_knowledge() -> Self {
+    pub const fn with_exact_state() -> Self {
         Self {
-            heat_copies: true,
+            replicate_hot_prefixes: true,
             own_in_flight: false,
-            anchors: true,
+            preferred_engines: true,
             feeds: true,
             answers: true,
             expected_eviction: false,
@@ -227,12 +227,12 @@
         draining: bool,
     },
     /// The kept-cache store holds state of a prefix.
-    Kept {
+    PrefixStored {
         /// What it holds.
         transfer: &'a KvTransfer,
     },
     /// The kept-cache store no longer holds state of a prefix.
-    KeptDropped {
+    PrefixDropped {
         /// The prefix, by its last block.
         prefix: BlockHash,
     },
@@ -322,13 +322,15 @@
     /// Engines that hold more of the prompt cost more, mostly by their wait.
     HoldersBusy,
     /// No engine is known to hold the prompt, and this is its agreed place.
-    AgreedPlace,
+    #[serde(rename = "agreed_place")]
+    PreferredEngine,
     /// The prefix is requested so often that another copy pays.
     HotCopy,
     /// Drawn among engines of nearly equal cost.
     NearEqual,
     /// No engine of the pool serves the model at this version.
-    NoneServes,
+    #[serde(rename = "none_serves")]
+    NoEngineAvailable,
 }
 
 /// Cached state that is about to be lost though it is still in demand.
--- a/crates/core/tests/belief_properties.rs
+++ b/crates/core/tests/cache_index_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the belief in engines' caches under any order of events.
+//! Properties of the cache_index in engines' caches under any order of events.
 
 mod routing_support;
 
@@ -36,7 +36,8 @@
 
 impl World {
     fn new() -> Self {
-        let settings = RouterSettings { belief_records: LIMIT, ..RouterSettings::new(ZoneId::from("a"), 1) };
+        let settings =
+            RouterSettings { cache_index_records: LIMIT, ..RouterSettings::new(ZoneId::from("a"), 1) };
         let router = router_with(ENGINES, settings);
         Self { router, incarnations: [1; ENGINES], sequences: [0; ENGINES], attempts: 0, time: 0 }
     }
@@ -139,7 +140,7 @@
         let mut world = World::new();
         for step in steps {
             world.apply(*step);
-            let size = world.router.belief_size();
+            let size = world.router.cache_index_size();
             assert!(size.records <= size.limit, "{size:?}");
             assert_eq!(size.limit, LIMIT);
         }
@@ -148,7 +149,8 @@
 
 #[test]
 fn many_distinct_prompts_stay_within_the_limit_and_the_recent_ones_are_kept() {
-    let settings = RouterSettings { belief_records: 10_000, ..RouterSettings::new(ZoneId::from("a"), 1) };
+    let settings =
+        RouterSettings { cache_index_records: 10_000, ..RouterSettings::new(ZoneId::from("a"), 1) };
     let mut router = router_with(ENGINES, settings);
     for number in 0..4_000_u32 {
         let request = prompt(&[(number, 20)]);
@@ -159,7 +161,7 @@
             &number.to_string(),
             at_ms(number.into()),
         );
-        assert!(router.belief_size().records <= 10_000);
+        assert!(router.cache_index_size().records <= 10_000);
     }
     for number in 3_800..4_000_u32 {
         let decision = router.preview(&prompt(&[(number, 20)]).route(), at_ms(4_000));
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -4,8 +4,8 @@
 
 use paddlemount_core::{
     decisions::{
-        AttemptRecord, AttemptResult, DecisionCursor, DecisionRecord, DecisionRing, DecisionSettings, Kept,
-        MAX_CANDIDATES, RequestEnding,
+        AttemptRecord, AttemptResult, DecisionCursor, DecisionRecord, DecisionRing, DecisionSettings,
+        MAX_CANDIDATES, RequestEnding, RetentionReason,
     },
     routing::{Candidate, ChoiceReason},
 };
@@ -22,8 +22,8 @@
     record.ending = RequestEnding::Completed;
     record.timings.first_token_ms = Some(100);
     let candidates: Vec<Candidate> = (0..20).map(candidate).collect();
-    record.weighed(&candidates, ChoiceReason::LowestCost);
-    record.attempted(attempt(0));
+    record.record_candidates(&candidates, ChoiceReason::LowestCost);
+    record.record_attempt(attempt(0));
     record
 }
 
@@ -71,7 +71,7 @@
     let mut ring = ring();
     for number in 0..200 {
         let now = Timestamp::from_millis(number * 50);
-        assert_eq!(ring.offer(record(number, now), now), Some(Kept::Sampled));
+        assert_eq!(ring.offer(record(number, now), now), Some(RetentionReason::Sampled));
     }
     assert_eq!(ring.newest_first().len(), 200);
 }
@@ -103,12 +103,12 @@
     let mut refused = record(90_001, now);
     refused.ending = RequestEnding::NotRun { code: RefusalCode::QuotaExceeded };
     let mut retried = record(90_002, now);
-    retried.attempted(attempt(1));
+    retried.record_attempt(attempt(1));
     let mut slow = record(90_003, now);
     slow.timings.first_token_ms = Some(780);
-    assert_eq!(ring.offer(refused, now), Some(Kept::Refused));
-    assert_eq!(ring.offer(retried, now), Some(Kept::Retried));
-    assert_eq!(ring.offer(slow, now), Some(Kept::Slow));
+    assert_eq!(ring.offer(refused, now), Some(RetentionReason::Refused));
+    assert_eq!(ring.offer(retried, now), Some(RetentionReason::Retried));
+    assert_eq!(ring.offer(slow, now), Some(RetentionReason::Slow));
     for number in 90_001..=90_003 {
         assert!(ring.find(&RequestId::from(format!("request-{number}"))).is_some());
     }
--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -4,12 +4,12 @@
 
 use bolero::TypeGenerator;
 use paddlemount_core::{
+    back_off::MAX_BACK_OFF,
     forwarding::{
         announcements::{Announcements, BackOff, Departure},
         backends::{BackendEntry, BackendId, BackendState, Backends},
         replacement::EntrySource,
     },
-    rest::MAX_BACK_OFF,
 };
 use paddlemount_protocol::{
     fleet::BackendProcess,
--- a/crates/core/tests/health_circuit.rs
+++ b/crates/core/tests/health_circuit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use paddlemount_core::health::{Health, HealthEvent, HealthSettings, HealthVerdict};
+use paddlemount_core::health::{Availability, Health, HealthEvent, HealthSettings};
 use paddlemount_protocol::{
     identity::{EngineId, Incarnation, PoolId},
     time::Timestamp,
@@ -29,7 +29,7 @@
 fn see(health: &mut Health, number: u8, incarnation: u64, now: Timestamp) {
     let pool = PoolId::from("pool");
     let incarnation = Incarnation(incarnation);
-    health.apply(&engine(number), HealthEvent::Seen { pool: &pool, incarnation }, now);
+    health.apply(&engine(number), HealthEvent::Observed { pool: &pool, incarnation }, now);
 }
 
 fn fail(health: &mut Health, number: u8, times: u32, now: Timestamp) {
@@ -45,10 +45,10 @@
     fail(&mut health, 0, 2, START);
     health.apply(&engine(0), HealthEvent::Succeeded, START);
     fail(&mut health, 0, 2, START);
-    assert_eq!(health.verdict(&engine(0), 0.5, START), HealthVerdict::Usable);
+    assert_eq!(health.availability(&engine(0), 0.5, START), Availability::Usable);
     fail(&mut health, 0, 1, START);
-    assert_eq!(health.verdict(&engine(0), 0.5, START), HealthVerdict::Ejected { until: at(1_000) });
-    assert_eq!(health.verdict(&engine(1), 0.5, START), HealthVerdict::Usable);
+    assert_eq!(health.availability(&engine(0), 0.5, START), Availability::Ejected { until: at(1_000) });
+    assert_eq!(health.availability(&engine(1), 0.5, START), Availability::Usable);
 }
 
 #[test]
@@ -66,16 +66,16 @@
     let mut health = pool_of(4);
     fail(&mut health, 0, 3, START);
     let later = at(1_000);
-    assert_eq!(health.verdict(&engine(0), 0.5, later), HealthVerdict::Probe);
+    assert_eq!(health.availability(&engine(0), 0.5, later), Availability::Probe);
     health.apply(&engine(0), HealthEvent::Dispatched, later);
-    assert!(!health.verdict(&engine(0), 0.5, later).admits(), "one probe at a time");
+    assert!(!health.availability(&engine(0), 0.5, later).admits(), "one probe at a time");
     health.apply(&engine(0), HealthEvent::Succeeded, later);
     let weights = [0, 1_000, 2_500, 5_000].map(|after| health.weight(&engine(0), at(1_000 + after)));
     assert!(weights.windows(2).all(|pair| pair[0] < pair[1]), "{weights:?}");
     assert_eq!((weights[0], weights[3]), (0.1, 1.0));
-    assert!(health.verdict(&engine(0), 0.05, later).admits());
-    assert!(!health.verdict(&engine(0), 0.5, later).admits());
-    assert!(health.verdict(&engine(0), 0.999, at(6_000)).admits());
+    assert!(health.availability(&engine(0), 0.05, later).admits());
+    assert!(!health.availability(&engine(0), 0.5, later).admits());
+    assert!(health.availability(&engine(0), 0.999, at(6_000)).admits());
 }
 
 #[test]
@@ -85,7 +85,7 @@
     let mut now = START;
     let mut waits = Vec::new();
     while waits.len() < 8 {
-        let HealthVerdict::Ejected { until } = health.verdict(&engine(0), 0.5, now) else { panic!() };
+        let Availability::Ejected { until } = health.availability(&engine(0), 0.5, now) else { panic!() };
         waits.push(until.saturating_since(now).as_secs());
         now = until;
         fail(&mut health, 0, 1, now);
@@ -98,11 +98,11 @@
     let mut health = pool_of(4);
     fail(&mut health, 0, 3, START);
     health.apply(&engine(0), HealthEvent::Dispatched, at(1_000));
-    assert!(!health.verdict(&engine(0), 0.5, at(10_999)).admits());
-    assert_eq!(health.verdict(&engine(0), 0.5, at(11_000)), HealthVerdict::Probe);
+    assert!(!health.availability(&engine(0), 0.5, at(10_999)).admits());
+    assert_eq!(health.availability(&engine(0), 0.5, at(11_000)), Availability::Probe);
     health.apply(&engine(0), HealthEvent::Dispatched, at(11_000));
     health.apply(&engine(0), HealthEvent::Inconclusive, at(11_100));
-    assert_eq!(health.verdict(&engine(0), 0.5, at(11_100)), HealthVerdict::Probe);
+    assert_eq!(health.availability(&engine(0), 0.5, at(11_100)), Availability::Probe);
 }
 
 #[test]
@@ -132,11 +132,11 @@
         health.apply(&engine(number), HealthEvent::Dispatched, START);
         health.apply(&engine(number), HealthEvent::Unreachable, START);
     }
-    assert!((0..9).all(|number| !health.verdict(&engine(number), 0.0, START).admits()));
+    assert!((0..9).all(|number| !health.availability(&engine(number), 0.0, START).admits()));
     fail(&mut health, 9, 50, START);
-    assert!(health.verdict(&engine(9), 0.0, START).admits(), "a guess ejects no more than its share");
+    assert!(health.availability(&engine(9), 0.0, START).admits(), "a guess ejects no more than its share");
     let later = at(60_000);
-    assert!((0..10).all(|number| health.verdict(&engine(number), 0.0, later).admits()));
+    assert!((0..10).all(|number| health.availability(&engine(number), 0.0, later).admits()));
 }
 
 #[test]
@@ -159,7 +159,7 @@
         }
         now = now + Duration::from_secs(60);
         for number in 0..size {
-            assert!(health.verdict(&engine(number), 0.0, now).admits());
+            assert!(health.availability(&engine(number), 0.0, now).admits());
             health.apply(&engine(number), HealthEvent::Dispatched, now);
             health.apply(&engine(number), HealthEvent::Succeeded, now);
             assert_eq!(health.weight(&engine(number), now + Duration::from_secs(5)), 1.0);
--- a/crates/core/tests/model_request.rs
+++ b/crates/core/tests/model_request.rs
@@ -53,7 +53,7 @@
     assert_eq!(request.handle(Event::Arrived, at(0)), [first]);
     let dispatch =
         Action::Dispatch { attempt: attempt(1), precondition: precondition("a"), already: Vec::new() };
-    assert_eq!(request.handle(Event::Decided(precondition("a")), at(0)), [dispatch]);
+    assert_eq!(request.handle(Event::EngineChosen(precondition("a")), at(0)), [dispatch]);
     request
 }
 
@@ -85,7 +85,7 @@
 #[test]
 fn a_cut_connection_is_resumed_at_the_next_token() {
     let mut request = answering(true);
-    let lost = Event::Lost { attempt: attempt(1), resumable: true };
+    let lost = Event::ConnectionLost { attempt: attempt(1), resumable: true };
     assert_eq!(request.handle(lost, at(4)), [resume(1, "a", 2)]);
     assert_eq!(request.handle(token(1, 2), at(5)), [emit(2)]);
 }
@@ -93,7 +93,7 @@
 #[test]
 fn reconnections_without_progress_are_bounded() {
     let mut request = answering(true);
-    let lost = Event::Lost { attempt: attempt(1), resumable: true };
+    let lost = Event::ConnectionLost { attempt: attempt(1), resumable: true };
     for _ in 0..RequestSettings::default().max_resumes {
         assert_eq!(request.handle(lost.clone(), at(4)), [resume(1, "a", 2)]);
     }
@@ -104,8 +104,8 @@
 #[test]
 fn a_repeatable_answer_continues_elsewhere_after_the_text_already_sent() {
     let mut request = answering(true);
-    request.handle(Event::Lost { attempt: attempt(1), resumable: false }, at(4));
-    let actions = request.handle(Event::Decided(precondition("b")), at(4));
+    request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(4));
+    let actions = request.handle(Event::EngineChosen(precondition("b")), at(4));
     let already = vec![text(0), text(1)];
     assert_eq!(actions, [Action::Dispatch { attempt: attempt(2), precondition: precondition("b"), already }]);
     assert!(matches!(request.handle(start(2, LIFE), at(5))[..], [Action::Started { .. }]));
@@ -115,7 +115,7 @@
 #[test]
 fn an_answer_that_must_not_be_repeated_ends_as_unknown() {
     let mut request = answering(false);
-    let actions = request.handle(Event::Lost { attempt: attempt(1), resumable: false }, at(4));
+    let actions = request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(4));
     let refusal = refusal_of(&actions);
     assert_eq!((refusal.code, refusal.outcome), (RefusalCode::BackendFailed, Outcome::Unknown));
     assert!(refusal.retry_after_ms.is_some());
@@ -124,7 +124,7 @@
 #[test]
 fn a_try_that_was_sent_and_then_lost_may_have_run() {
     let mut request = sent(false);
-    let actions = request.handle(Event::Lost { attempt: attempt(1), resumable: false }, at(1));
+    let actions = request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(1));
     assert_eq!(refusal_of(&actions).outcome, Outcome::Unknown);
 }
 
@@ -133,7 +133,7 @@
     let mut request = sent(false);
     let ended = Action::Ended { attempt: attempt(1), ending: AttemptEnding::Refused };
     assert_eq!(request.handle(refused(1, RefusalCode::Overloaded), at(1)), [ended, choose(&["a"], false)]);
-    let actions = request.handle(Event::NoneServes { retry_after: None }, at(1));
+    let actions = request.handle(Event::NoEngineAvailable { retry_after: None }, at(1));
     let refusal = refusal_of(&actions);
     assert_eq!((refusal.code, refusal.outcome), (RefusalCode::Overloaded, Outcome::NotRun));
     assert_eq!(refusal.retry_after_ms, Some(250));
@@ -144,14 +144,14 @@
     let mut request = sent(false);
     let actions = request.handle(refused(1, RefusalCode::PreconditionFailed), at(1));
     let ended = Action::Ended { attempt: attempt(1), ending: AttemptEnding::Refused };
-    assert_eq!(actions, [ended, Action::Relearn { engine: EngineId::from("a") }, choose(&[], false)]);
+    assert_eq!(actions, [ended, Action::RefreshStatus { engine: EngineId::from("a") }, choose(&[], false)]);
 }
 
 #[test]
 fn frames_of_an_earlier_try_are_dropped() {
     let mut request = answering(true);
-    request.handle(Event::Lost { attempt: attempt(1), resumable: false }, at(4));
-    request.handle(Event::Decided(precondition("b")), at(4));
+    request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(4));
+    request.handle(Event::EngineChosen(precondition("b")), at(4));
     assert_eq!(request.handle(token(1, 2), at(5)), []);
     assert_eq!(request.handle(end(1, 2), at(5)), []);
     assert_eq!(request.anomalies().late, 2);
@@ -181,7 +181,7 @@
 #[test]
 fn a_stalled_engine_is_asked_again_and_then_left() {
     let mut request = answering(true);
-    let patience = RequestSettings::default().between_frames;
+    let patience = RequestSettings::default().frame_timeout;
     let stalled = request.next_timer();
     assert_eq!(stalled, at(3) + patience);
     assert_eq!(request.handle(Event::Tick, stalled), [resume(1, "a", 2)]);
@@ -194,16 +194,16 @@
     let mut request = sent(true);
     let settings = RequestSettings::default();
     request.handle(start(1, LIFE), at(1));
-    assert_eq!(request.handle(Event::Tick, at(1) + settings.between_frames), []);
-    assert_eq!(request.next_timer(), at(1) + settings.first_byte);
-    assert_eq!(request.handle(Event::Tick, at(1) + settings.first_byte), [resume(1, "a", 0)]);
+    assert_eq!(request.handle(Event::Tick, at(1) + settings.frame_timeout), []);
+    assert_eq!(request.next_timer(), at(1) + settings.first_byte_timeout);
+    assert_eq!(request.handle(Event::Tick, at(1) + settings.first_byte_timeout), [resume(1, "a", 0)]);
 }
 
 #[test]
 fn a_slow_caller_does_not_count_as_a_stalled_engine() {
     let mut request = answering(true);
     let stalled = request.next_timer();
-    assert_eq!(request.handle(Event::CallerCaughtUp, stalled), []);
+    assert_eq!(request.handle(Event::BackpressureEnded, stalled), []);
     assert_eq!(request.handle(Event::Tick, stalled), []);
 }
 
@@ -230,7 +230,7 @@
     for number in 1..RequestSettings::default().max_attempts {
         let actions = request.handle(Event::NotSent { attempt: attempt(number) }, at(1));
         assert!(matches!(actions.last(), Some(Action::Choose { .. })));
-        request.handle(Event::Decided(precondition("b")), at(1));
+        request.handle(Event::EngineChosen(precondition("b")), at(1));
     }
     let last = RequestSettings::default().max_attempts;
     let actions = request.handle(Event::NotSent { attempt: attempt(last) }, at(1));
--- a/crates/core/tests/model_request_properties.rs
+++ b/crates/core/tests/model_request_properties.rs
@@ -68,7 +68,7 @@
                 self.may_send = true;
             }
             Event::Frame(frame) if frame.attempt == attempt(tries) => self.engine_touched = true,
-            Event::Lost { attempt: of, .. } if *of == attempt(tries) => self.engine_touched = true,
+            Event::ConnectionLost { attempt: of, .. } if *of == attempt(tries) => self.engine_touched = true,
             _ => {}
         }
     }
@@ -79,12 +79,12 @@
     let number = if number % 4 == 0 { 1 + u32::from(number / 4) % 4 } else { tries };
     let index = u32::from(index % 6);
     match kind % 12 {
-        0 => Event::Decided(precondition(if index % 2 == 0 { "a" } else { "b" })),
-        1 => Event::NoneServes { retry_after: Some(Duration::from_millis(5)) },
+        0 => Event::EngineChosen(precondition(if index % 2 == 0 { "a" } else { "b" })),
+        1 => Event::NoEngineAvailable { retry_after: Some(Duration::from_millis(5)) },
         2 => refused(number, RefusalCode::Overloaded),
         3 => refused(number, RefusalCode::PreconditionFailed),
         4 => Event::NotSent { attempt: attempt(number) },
-        5 => Event::Lost { attempt: attempt(number), resumable: index % 2 == 0 },
+        5 => Event::ConnectionLost { attempt: attempt(number), resumable: index % 2 == 0 },
         6 => start(number, if index == 5 { Incarnation(8) } else { LIFE }),
         7 | 8 => token(number, index),
         9 => end(number, index),
--- a/crates/core/tests/model_request_support/mod.rs
+++ b/crates/core/tests/model_request_support/mod.rs
@@ -1,6 +1,6 @@
 //! Events of one model request, for its tests.
 
-use paddlemount_core::request::{RequestEvent as Event, RequestTerms};
+use paddlemount_core::request::{RequestEvent as Event, RequestSpec};
 use paddlemount_protocol::{
     engine::{EngineRefusal, FinishReason, Frame, FrameContent, LoadReport, Precondition},
     identity::{AttemptId, EngineId, Incarnation, RequestId, WeightsVersion},
@@ -14,8 +14,8 @@
     Timestamp::from_millis(milliseconds)
 }
 
-pub fn terms(repeatable: bool) -> RequestTerms {
-    RequestTerms { request: RequestId::from("r"), repeatable, max_tokens: 4, deadline: at(60_000) }
+pub fn terms(repeatable: bool) -> RequestSpec {
+    RequestSpec { request: RequestId::from("r"), repeatable, max_tokens: 4, deadline: at(60_000) }
 }
 
 pub fn attempt(number: u32) -> AttemptId {
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::{
     lease::{LeaseEvent, LeaseHolder, LeaseRequest, LeaseSettings},
-    placement::{PlacementAction, PlacementEvent, PlacementSettings, Placer, choose_version, version_share},
+    placement::{PlacementAction, PlacementEvent, PlacementSettings, Placer, choose_version, version_counts},
 };
 use paddlemount_protocol::{
     configuration::Pool,
@@ -129,7 +129,7 @@
     let mut actions = Vec::new();
     let statuses: Vec<EngineStatus> = engines.engines.values().map(|engine| engine.status.clone()).collect();
     for status in &statuses {
-        actions.extend(placer.handle(PlacementEvent::Status { status, asked_at: now }, now));
+        actions.extend(placer.handle(PlacementEvent::Status { status, requested_at: now }, now));
     }
     let mut other = Vec::new();
     while let Some(action) = actions.pop() {
@@ -142,7 +142,7 @@
             continue;
         }
         let event = match engines.obey(engine, order, now) {
-            Ok(()) => PlacementEvent::Obeyed { engine, order: &order.id },
+            Ok(()) => PlacementEvent::Accepted { engine, order: &order.id },
             Err(code) => PlacementEvent::Refused { engine, order: &order.id, code },
         };
         actions.extend(placer.handle(event, now));
@@ -207,7 +207,7 @@
             assert_eq!(engines.obey(&engine, &order, at(55)), Err(RefusalCode::Fenced));
         }
     }
-    assert_eq!(second(&mut paused, &mut engines, at(56), true), [PlacementAction::LostLease]);
+    assert_eq!(second(&mut paused, &mut engines, at(56), true), [PlacementAction::ReleaseLease]);
     for now in 57..300 {
         second(&mut next, &mut engines, at(now), true);
     }
@@ -249,7 +249,7 @@
     let first = engines.engines.values_mut().next().expect("an engine");
     first.status.loaded.as_mut().expect("a model").weights = NEW;
     let statuses: Vec<EngineStatus> = engines.engines.values().map(|engine| engine.status.clone()).collect();
-    let share = version_share(&PoolId::from("p"), &pool, &statuses);
+    let share = version_counts(&PoolId::from("p"), &pool, &statuses);
     assert_eq!((share.current, share.next), (3, 1));
     let chosen = |number: u32| choose_version(&pool, share, &RequestId::from(number.to_string()));
     let new = (0..1_000).filter(|number| chosen(*number) == NEW).count();
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Retries stay within their share of requests, whatever fails.
 
-use paddlemount_core::retry::{RetryBudget, RetrySettings, RetryVerdict};
+use paddlemount_core::retry::{RetryBudget, RetryDecision, RetrySettings};
 
 #[test]
 fn an_outage_gets_a_tenth_more_requests_at_most() {
@@ -10,7 +10,7 @@
     for _ in 0..10_000 {
         budget.request();
         let mut attempts = 1;
-        while budget.retry(attempts) == RetryVerdict::Granted {
+        while budget.retry(attempts) == RetryDecision::Granted {
             attempts += 1;
         }
         sent += u64::from(attempts);
@@ -24,16 +24,16 @@
 fn one_request_gets_a_bounded_number_of_tries() {
     let mut budget = RetryBudget::new(RetrySettings { attempts_per_request: 3, ..RetrySettings::default() });
     budget.request();
-    assert_eq!(budget.retry(1), RetryVerdict::Granted);
-    assert_eq!(budget.retry(2), RetryVerdict::Granted);
-    assert_eq!(budget.retry(3), RetryVerdict::AttemptsSpent);
+    assert_eq!(budget.retry(1), RetryDecision::Granted);
+    assert_eq!(budget.retry(2), RetryDecision::Granted);
+    assert_eq!(budget.retry(3), RetryDecision::AttemptsSpent);
     assert_eq!(budget.counts().retries, 2);
 }
 
 #[test]
 fn the_reserve_lets_all_streams_of_a_crashed_engine_continue() {
     let mut budget = RetryBudget::new(RetrySettings::default());
-    let granted = (0..30).filter(|_| budget.retry(1) == RetryVerdict::Granted).count();
+    let granted = (0..30).filter(|_| budget.retry(1) == RetryDecision::Granted).count();
     assert_eq!(granted, 20);
 }
 
@@ -52,7 +52,7 @@
             if *is_request {
                 budget.request();
                 level = level.saturating_sub(u64::from(*share));
-            } else if budget.retry(1) == RetryVerdict::Granted {
+            } else if budget.retry(1) == RetryDecision::Granted {
                 level += 1_000;
             }
             assert!(level <= u64::from(settings.reserve.max(1)) * 1_000 + u64::from(*share));
--- a/crates/core/tests/routing_rests.rs
+++ b/crates/core/tests/routing_back_off.rs
@@ -37,8 +37,8 @@
     decisions.filter(|decision| decision.chosen.is_some()).map(|decision| chosen(&decision)).collect()
 }
 
-fn least_rest(router: &Router, at: u64) -> Option<Duration> {
-    router.least_rest(&prompt(&[(1, 40)]).route(), at_ms(at))
+fn min_back_off(router: &Router, at: u64) -> Option<Duration> {
+    router.min_back_off(&prompt(&[(1, 40)]).route(), at_ms(at))
 }
 
 #[test]
@@ -58,10 +58,10 @@
 fn where_all_rest_none_is_chosen_and_the_least_rest_is_told() {
     let mut router = router(2, 1);
     refuse(&mut router, 0, &refusal(RefusalCode::Overloaded, 1, Some(3_000)), 0);
-    assert_eq!(least_rest(&router, 100), None, "the other one may be asked");
+    assert_eq!(min_back_off(&router, 100), None, "the other one may be asked");
     refuse(&mut router, 1, &refusal(RefusalCode::Unavailable, 1, Some(2_000)), 500);
     assert!(chosen_among(&mut router, 600).is_empty());
-    assert_eq!(least_rest(&router, 600), Some(Duration::from_millis(1_900)));
+    assert_eq!(min_back_off(&router, 600), Some(Duration::from_millis(1_900)));
     assert_eq!(chosen_among(&mut router, 2_500), BTreeSet::from([engine(1)]));
 }
 
@@ -80,7 +80,7 @@
     assert_eq!(chosen_among(&mut router, 10), BTreeSet::from([engine(1)]));
     router.apply(RouterEvent::Status(&status(0, 1, at_ms(0))), at_ms(20));
     assert_eq!(chosen_among(&mut router, 30), BTreeSet::from([engine(1)]));
-    assert_eq!(least_rest(&router, 30), None);
+    assert_eq!(min_back_off(&router, 30), None);
 }
 
 #[test]
--- a/crates/core/tests/routing_choice.rs
+++ b/crates/core/tests/routing_choice.rs
@@ -1,4 +1,4 @@
-//! Choices by belief, load, distance and mechanisms.
+//! Choices by cache_index, load, distance and mechanisms.
 
 mod routing_support;
 
@@ -97,7 +97,7 @@
     assert_eq!(decision.candidates.len(), 1);
     router.apply(RouterEvent::Removed { engine: &engine(4) }, at_ms(3));
     let decision = router.choose(&request.route(), at_ms(4));
-    assert_eq!((decision.chosen, decision.reason), (None, ChoiceReason::NoneServes));
+    assert_eq!((decision.chosen, decision.reason), (None, ChoiceReason::NoEngineAvailable));
 }
 
 #[test]
@@ -117,7 +117,7 @@
 #[test]
 fn requests_of_one_node_spread_over_engines_of_equal_cost() {
     let settings = RouterSettings {
-        mechanisms: Mechanisms { anchors: false, ..Mechanisms::default() },
+        mechanisms: Mechanisms { preferred_engines: false, ..Mechanisms::default() },
         ..RouterSettings::new(ZoneId::from("a"), 3)
     };
     let mut router = router_with(8, settings);
@@ -144,14 +144,14 @@
 fn kept_cache_is_imported_where_that_is_faster() {
     let mut router = router(3, 1);
     let request = prompt(&[(1, 60), (2, 20)]);
-    router.apply(RouterEvent::Kept { transfer: &kept(0, &request.blocks[..60], "tenant") }, at_ms(1));
+    router.apply(RouterEvent::PrefixStored { transfer: &kept(0, &request.blocks[..60], "tenant") }, at_ms(1));
     let longer = prompt(&[(1, 50), (3, 30)]);
     let import = router.choose(&longer.route(), at_ms(2)).import.expect("49 MB are faster than prefill");
     assert_eq!(import.blocks, longer.blocks[..50]);
     assert_eq!(import.bytes, 50_000_000);
     let slow = RouterSettings { import_bytes_per_second: 1e6, ..RouterSettings::new(ZoneId::from("a"), 1) };
     let mut router = router_with(3, slow);
-    router.apply(RouterEvent::Kept { transfer: &kept(0, &request.blocks[..60], "tenant") }, at_ms(1));
+    router.apply(RouterEvent::PrefixStored { transfer: &kept(0, &request.blocks[..60], "tenant") }, at_ms(1));
     assert_eq!(router.choose(&request.route(), at_ms(2)).import, None);
 }
 
@@ -161,7 +161,7 @@
     let transfer = kept(0, &request.blocks, "tenant");
     let fresh = || {
         let mut router = router(3, 1);
-        router.apply(RouterEvent::Kept { transfer: &transfer }, at_ms(1));
+        router.apply(RouterEvent::PrefixStored { transfer: &transfer }, at_ms(1));
         router
     };
     assert!(fresh().choose(&request.route(), at_ms(2)).import.is_some());
@@ -173,11 +173,11 @@
     assert_eq!(removed.choose(&request.route(), at_ms(3)).import, None);
     let mut other_scope = router(3, 1);
     let foreign = kept(0, &request.blocks, "another tenant");
-    other_scope.apply(RouterEvent::Kept { transfer: &foreign }, at_ms(1));
+    other_scope.apply(RouterEvent::PrefixStored { transfer: &foreign }, at_ms(1));
     assert_eq!(other_scope.choose(&request.route(), at_ms(3)).import, None);
     let mut other_weights = router(3, 1);
     let older = KvTransfer { weights: WeightsVersion(6), ..transfer.clone() };
-    other_weights.apply(RouterEvent::Kept { transfer: &older }, at_ms(1));
+    other_weights.apply(RouterEvent::PrefixStored { transfer: &older }, at_ms(1));
     assert_eq!(other_weights.choose(&request.route(), at_ms(3)).import, None);
 }
 
--- a/crates/forward/src/announced.rs
+++ b/crates/forward/src/announced.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use http::Response;
 use paddlemount_core::{
+    back_off::{self, MAX_BACK_OFF},
     forwarding::{
         announcements::{BackOff, Departure},
         backends::BackendId,
         choice::Choice,
     },
-    rest::{self, MAX_BACK_OFF},
 };
 use paddlemount_protocol::{fleet::BackendProcess, identity::ServiceId, time::Timestamp};
 
@@ -42,7 +42,7 @@
 
 /// When one of many callers that may come back after `least` is told to.
 pub(crate) fn spread(least: Duration) -> Duration {
-    rest::spread(least, rand::random())
+    back_off::with_jitter(least, rand::random())
 }
 
 impl Node {
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/beliefs.rs
@@ -3,6 +3,7 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use paddlemount_core::{
+    back_off::RetryAfterSchedule,
     forwarding::{
         backends::{BackendId, BackendState, Backends},
         budget::{WindowBudget, WindowBudgetSettings, node_reserve},
@@ -17,7 +18,6 @@
     limits::ledger::QuotaLedger,
     quarantine::Quarantine,
     recent_rate::RecentRate,
-    rest::ReturnSchedule,
 };
 use paddlemount_protocol::{
     fleet::Contact,
@@ -77,7 +77,7 @@
     /// Requests that callers ask of this node.
     pub(crate) asked: RecentRate,
     /// When refused callers of services come back whose back ends are limited.
-    pub(crate) returns: BTreeMap<ServiceId, ReturnSchedule>,
+    pub(crate) returns: BTreeMap<ServiceId, RetryAfterSchedule>,
     /// Drawn evenly from 0 to 1: which nodes have one more repeat, or connection to a back end, than others.
     pub(crate) share_draw: f64,
     /// How long a back end that has said itself that it leaves gets requests where nobody else is left.
@@ -255,11 +255,11 @@
     HealthSettings {
         consecutive_failures: 3,
         failure_ratio: 0.35,
-        ratio_minimum: 8,
+        min_ratio_results: 8,
         window: Duration::from_secs(5),
         ejection: Duration::from_secs(1),
-        longest_ejection: Duration::from_secs(6),
-        ejected_share: 0.7,
+        max_ejection: Duration::from_secs(6),
+        max_ejected_share: 0.7,
         probe_timeout: Duration::from_secs(2),
         slow_start: Duration::from_millis(1),
         slow_start_floor: 1.0,
--- a/crates/forward/src/learned_backends.rs
+++ b/crates/forward/src/learned_backends.rs
@@ -54,7 +54,7 @@
         let Some(known) = beliefs.backends.get(id) else { return };
         if known.state != BackendState::Replaced {
             let pool = PoolId::from(known.entry.service.as_str());
-            let seen = HealthEvent::Seen { pool: &pool, incarnation: Incarnation(1) };
+            let seen = HealthEvent::Observed { pool: &pool, incarnation: Incarnation(1) };
             beliefs.health.apply(id, seen, self.now());
         }
     }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -12,7 +12,7 @@
         answer_times::AnswerTimes, backends::BackendId, choice::Choice, document::Route,
         planned_stop::PlannedStop,
     },
-    health::{HealthEvent, HealthVerdict},
+    health::{Availability, HealthEvent},
     limits::ledger::{NodePosition, QuotaGrant},
 };
 use paddlemount_protocol::{
@@ -233,8 +233,8 @@
 
     /// Whether a back end is left alone for what it has failed at.
     pub fn is_ejected(&self, id: &BackendId) -> bool {
-        let verdict = self.beliefs.borrow().health.verdict(id, 0.0, self.now());
-        matches!(verdict, HealthVerdict::Ejected { .. })
+        let verdict = self.beliefs.borrow().health.availability(id, 0.0, self.now());
+        matches!(verdict, Availability::Ejected { .. })
     }
 
     /// The number of nodes as counted lately, where this node has heard of it.
--- a/crates/forward/src/placing.rs
+++ b/crates/forward/src/placing.rs
@@ -11,7 +11,7 @@
         ranks::{rank, rank_for},
         rollout::prefers,
     },
-    health::HealthVerdict,
+    health::Availability,
 };
 use paddlemount_protocol::{
     identity::{ModelId, ServiceId, TenantId, WeightsVersion, ZoneId},
@@ -215,7 +215,7 @@
         backend.state == BackendState::Ready
             && !loading
             && !refused
-            && !matches!(beliefs.health.verdict(id, 0.0, now), HealthVerdict::Ejected { .. })
+            && !matches!(beliefs.health.availability(id, 0.0, now), Availability::Ejected { .. })
             && !beliefs.chooser.loads.is_suspect(id, now)
     }
 
--- a/crates/node/src/admin/observations.rs
+++ b/crates/node/src/admin/observations.rs
@@ -8,8 +8,8 @@
 };
 
 use paddlemount_core::decisions::{
-    DecisionCursor, DecisionRecord, DecisionRing, DecisionSettings, Journal, Kept, LimitKind, LimitMet,
-    Mechanism, MechanismEvent, RequestEnding,
+    DecisionCursor, DecisionRecord, DecisionRing, DecisionSettings, Journal, LimitHit, LimitKind, Mechanism,
+    MechanismEvent, RequestEnding, RetentionReason,
 };
 use paddlemount_language::answer::WatchPosition;
 use paddlemount_protocol::{
@@ -130,7 +130,7 @@
             _ => None,
         };
         if let Some(limit) = limit {
-            record.limit_met(LimitMet { limit, refused: true, waited_ms: 0 });
+            record.record_limit(LimitHit { limit, refused: true, waited_ms: 0 });
         }
         self.remember(record, now);
     }
@@ -272,7 +272,7 @@
     }
 
     /// Why a record is notable by itself, whatever the load.
-    pub fn notable_reason(&self, record: &DecisionRecord) -> Option<Kept> {
+    pub fn notable_reason(&self, record: &DecisionRecord) -> Option<RetentionReason> {
         self.settings.notable_reason(record)
     }
 
@@ -294,7 +294,9 @@
         let mut memory = lock(&self.memory);
         let kept = memory.decisions.offer(record, now);
         for event in events {
-            if kept.is_some_and(|kept| kept != Kept::Sampled || event.mechanism == Mechanism::Routing) {
+            if kept
+                .is_some_and(|kept| kept != RetentionReason::Sampled || event.mechanism == Mechanism::Routing)
+            {
                 let sequence = memory.take_sequence();
                 memory.events.push(sequence, Arc::new(event));
             }
--- a/crates/node/src/admin/prefixes.rs
+++ b/crates/node/src/admin/prefixes.rs
@@ -6,7 +6,7 @@
 };
 
 use paddlemount_core::{
-    heat::{DecayedCount, level_depths},
+    popularity::{DecayedCount, level_depths},
     routing::RouteRequest,
 };
 use paddlemount_language::{schema::Noun, source::Row, value::Value};
--- a/crates/node/src/admin/rows/engines.rs
+++ b/crates/node/src/admin/rows/engines.rs
@@ -62,7 +62,7 @@
         let drained = &self.active.document.configuration.drained;
         let now = self.state.clock.now();
         let views = self.state.directory.engines().into_iter().map(|(engine, entry)| EngineView {
-            rest: self.state.route(|router| router.rest_of(&engine, now)),
+            rest: self.state.route(|router| router.remaining_back_off(&engine, now)),
             pool: entry.pool.clone(),
             report: reports.remove(&engine),
             drained: drained.contains_key(&engine),
--- a/crates/node/src/admin/rows/requests.rs
+++ b/crates/node/src/admin/rows/requests.rs
@@ -3,7 +3,7 @@
 use std::ops::ControlFlow;
 
 use paddlemount_core::{
-    decisions::{DecisionRecord, DecisionRing, Kept, MechanismEvent, RequestEnding},
+    decisions::{DecisionRecord, DecisionRing, MechanismEvent, RequestEnding, RetentionReason},
     routing::Candidate,
 };
 use paddlemount_language::{schema::Noun, source::Row, value::Value};
@@ -52,7 +52,7 @@
 
     /// The rows of one decision; a request that met no engine has one row without any.
     pub(in crate::admin) fn decision_rows(&self, record: &DecisionRecord) -> Vec<Row> {
-        let kept = self.state.observations.notable_reason(record).unwrap_or(Kept::Sampled);
+        let kept = self.state.observations.notable_reason(record).unwrap_or(RetentionReason::Sampled);
         let row = self
             .own_row(Noun::Decisions)
             .with("request", record.request.as_str())
@@ -84,12 +84,12 @@
 }
 
 /// Why a record is kept, in the words of the language.
-pub const fn kept_word(kept: Kept) -> &'static str {
+pub const fn kept_word(kept: RetentionReason) -> &'static str {
     match kept {
-        Kept::Refused => "refused",
-        Kept::Retried => "retried",
-        Kept::Slow => "slow",
-        Kept::Sampled => "sampled",
+        RetentionReason::Refused => "refused",
+        RetentionReason::Retried => "retried",
+        RetentionReason::Slow => "slow",
+        RetentionReason::Sampled => "sampled",
     }
 }
 
--- a/crates/node/src/caller/services.rs
+++ b/crates/node/src/caller/services.rs
@@ -82,7 +82,7 @@
         Err(denied) => {
             record.note(|record| {
                 record.ending = refused_ending(&denied.refusal);
-                record.limit_met(denied.limit);
+                record.record_limit(denied.limit);
             });
             return refuse(state, &request, &denied.refusal);
         }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -12,7 +12,7 @@
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
 use paddlemount_core::{
-    decisions::{LimitKind, LimitMet},
+    decisions::{LimitHit, LimitKind},
     request::{Continuation, ModelRequest, RequestAction, RequestEvent, RequestSettings},
     routing::{AttemptEnding, Decision, RouteRequest, RouterEvent},
 };
@@ -66,8 +66,8 @@
     let (output, receiver) = mpsc::channel(OUTPUT_PARTS);
     let timeouts = state.settings.timeouts;
     let settings = RequestSettings {
-        first_byte: timeouts.first_byte,
-        between_frames: timeouts.between_frames,
+        first_byte_timeout: timeouts.first_byte,
+        frame_timeout: timeouts.between_frames,
         ..RequestSettings::default()
     };
     let exchange = Exchange {
@@ -146,14 +146,14 @@
     async fn act(&mut self, action: RequestAction) -> Option<RequestEvent> {
         self.record.act(&action, self.state.clock.now());
         match action {
-            RequestAction::Relearn { engine } => engines::relearn(&self.state, &engine).await,
+            RequestAction::RefreshStatus { engine } => engines::relearn(&self.state, &engine).await,
             RequestAction::Choose { excluded, continuation, retry } => {
                 let now = self.state.clock.now();
                 if let Some(retry_after) = self.state.quarantine.held_for(&self.terms.fingerprint, now) {
-                    return Some(RequestEvent::HeldBack { retry_after });
+                    return Some(RequestEvent::Quarantined { retry_after });
                 }
                 if retry && !self.state.overload.may_retry(self.machine.attempts()) {
-                    let limit = LimitMet { limit: LimitKind::RetryBudget, refused: true, waited_ms: 0 };
+                    let limit = LimitHit { limit: LimitKind::RetryBudget, refused: true, waited_ms: 0 };
                     self.record.limit_met(limit);
                     return Some(RequestEvent::RetryBudgetSpent);
                 }
@@ -260,8 +260,8 @@
         let distance_ms = decision.candidates.first().map_or(0.0, |candidate| candidate.distance_ms);
         self.distance = Duration::try_from_secs_f64(distance_ms / 1_000.0).unwrap_or_default();
         match decision.chosen {
-            Some(precondition) => RequestEvent::Decided(precondition),
-            None => RequestEvent::NoneServes { retry_after: self.come_back() },
+            Some(precondition) => RequestEvent::EngineChosen(precondition),
+            None => RequestEvent::NoEngineAvailable { retry_after: self.come_back() },
         }
     }
 
@@ -317,7 +317,7 @@
 
     fn resume(&mut self, engine: &EngineId, resume: ResumeRequest) -> Option<RequestEvent> {
         let attempt = resume.attempt.clone();
-        let lost = RequestEvent::Lost { attempt: attempt.clone(), resumable: false };
+        let lost = RequestEvent::ConnectionLost { attempt: attempt.clone(), resumable: false };
         let Some(entry) = self.state.directory.engine(engine) else { return Some(lost) };
         match json_request(entry.address, "/resume", &resume) {
             Ok(request) => {
@@ -355,7 +355,7 @@
             Err(mpsc::error::TrySendError::Full(part)) => part,
         };
         match self.output.send_timeout(part, self.state.settings.timeouts.caller_stall).await {
-            Ok(()) => Some(RequestEvent::CallerCaughtUp),
+            Ok(()) => Some(RequestEvent::BackpressureEnded),
             Err(_) => Some(RequestEvent::CallerLeft),
         }
     }
--- a/crates/node/src/exchange/connection.rs
+++ b/crates/node/src/exchange/connection.rs
@@ -111,13 +111,13 @@
                 Ok(frame) => RequestEvent::Frame(frame),
                 Err(error) => {
                     log::warn!("unreadable frame of {attempt}: {error}");
-                    RequestEvent::Lost { attempt: attempt.clone(), resumable: true }
+                    RequestEvent::ConnectionLost { attempt: attempt.clone(), resumable: true }
                 }
             };
         }
         if buffer.len() > MAX_FRAME_BYTES {
             log::warn!("a frame of {attempt} is longer than {MAX_FRAME_BYTES} bytes");
-            return RequestEvent::Lost { attempt: attempt.clone(), resumable: false };
+            return RequestEvent::ConnectionLost { attempt: attempt.clone(), resumable: false };
         }
         match body.frame().await {
             Some(Ok(frame)) => {
@@ -126,7 +126,7 @@
                 }
             }
             Some(Err(_)) | None => {
-                return RequestEvent::Lost { attempt: attempt.clone(), resumable: true };
+                return RequestEvent::ConnectionLost { attempt: attempt.clone(), resumable: true };
             }
         }
     }
@@ -138,11 +138,11 @@
         ClientError::Connect { .. } => RequestEvent::NotSent { attempt },
         ClientError::Status { body, .. } if !resumed => match refusal_of(body) {
             Some(refusal) => RequestEvent::Refused { attempt, refusal },
-            None => RequestEvent::Lost { attempt, resumable: false },
+            None => RequestEvent::ConnectionLost { attempt, resumable: false },
         },
-        ClientError::Status { .. } => RequestEvent::Lost { attempt, resumable: false },
+        ClientError::Status { .. } => RequestEvent::ConnectionLost { attempt, resumable: false },
         ClientError::Broken { .. } | ClientError::Timeout { .. } | ClientError::Unreadable { .. } => {
-            RequestEvent::Lost { attempt, resumable: true }
+            RequestEvent::ConnectionLost { attempt, resumable: true }
         }
     }
 }
--- a/crates/node/src/exchange/record.rs
+++ b/crates/node/src/exchange/record.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use paddlemount_core::{
-    decisions::{AttemptRecord, AttemptResult, DecisionRecord, LimitMet, RequestEnding},
+    decisions::{AttemptRecord, AttemptResult, DecisionRecord, LimitHit, RequestEnding},
     request::{RequestAction, RequestEvent},
     routing::{AttemptEnding, Decision},
 };
@@ -45,8 +45,8 @@
     }
 
     /// Notes a limit that delayed or refused the request.
-    pub fn limit_met(&self, limit: LimitMet) {
-        self.live.note(|record| record.limit_met(limit));
+    pub fn limit_met(&self, limit: LimitHit) {
+        self.live.note(|record| record.record_limit(limit));
     }
 
     /// Notes that the request was refused before any engine was weighed.
@@ -56,7 +56,7 @@
 
     /// Notes the engines that were weighed.
     pub fn weighed(&self, decision: &Decision) {
-        self.live.note(|record| record.weighed(&decision.candidates, decision.reason));
+        self.live.note(|record| record.record_candidates(&decision.candidates, decision.reason));
     }
 
     /// Notes a try that is sent.
@@ -72,7 +72,7 @@
         self.live.note(|record| {
             record.timings.queued_us.get_or_insert(waited);
             record.weights = attempt.precondition.weights;
-            record.attempted(attempt);
+            record.record_attempt(attempt);
         });
     }
 
--- a/crates/node/src/exchange/refusals.rs
+++ b/crates/node/src/exchange/refusals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use paddlemount_core::{request::RequestEvent, rest::spread, routing::RouterEvent};
+use paddlemount_core::{back_off::with_jitter, request::RequestEvent, routing::RouterEvent};
 use paddlemount_protocol::engine::EngineRefusal;
 
 use super::{Exchange, connection::UNNAMED_LIFE};
@@ -16,9 +16,9 @@
         let refusal = EngineRefusal { incarnation: named.unwrap_or(asked), ..refusal.clone() };
         let now = self.state.clock.now();
         let begins = self.state.route(|router| {
-            let before = router.rest_of(engine, now);
+            let before = router.remaining_back_off(engine, now);
             router.apply(RouterEvent::Refused { engine, refusal: &refusal }, now);
-            router.rest_of(engine, now).filter(|_| before.is_none())
+            router.remaining_back_off(engine, now).filter(|_| before.is_none())
         });
         if let Some(rest) = begins {
             self.state.observations.engine_rests(engine, rest);
@@ -29,7 +29,7 @@
     pub(super) fn come_back(&self) -> Option<Duration> {
         let now = self.state.clock.now();
         let request = self.terms.route_request(&[]);
-        let least = self.state.route(|router| router.least_rest(&request, now))?;
-        Some(spread(least, rand::random()))
+        let least = self.state.route(|router| router.min_back_off(&request, now))?;
+        Some(with_jitter(least, rand::random()))
     }
 }
--- a/crates/node/src/exchange/terms.rs
+++ b/crates/node/src/exchange/terms.rs
@@ -1,6 +1,6 @@
 //! What a request asks for.
 
-use paddlemount_core::{request::RequestTerms, routing::RouteRequest};
+use paddlemount_core::{request::RequestSpec, routing::RouteRequest};
 use paddlemount_protocol::{
     engine::Priority,
     identity::{AdapterId, AttemptId, EngineId, ModelId, PoolId, RequestId, TenantId, WeightsVersion},
@@ -52,8 +52,8 @@
 
 impl ExchangeTerms {
     /// What the request's state machine needs.
-    pub fn request_terms(&self) -> RequestTerms {
-        RequestTerms {
+    pub fn request_terms(&self) -> RequestSpec {
+        RequestSpec {
             request: self.request.clone(),
             repeatable: self.repeatable,
             max_tokens: self.max_tokens,
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -16,7 +16,7 @@
 use paddlemount_core::{
     admission::{Admission, AdmissionAction, AdmissionEvent, PoolView},
     limits::{LimitSettings, LimitView, Limits},
-    retry::{RetryBudget, RetryCounts, RetryVerdict},
+    retry::{RetryBudget, RetryCounts, RetryDecision},
 };
 use paddlemount_protocol::{
     engine::{EngineStatus, Priority},
@@ -100,7 +100,7 @@
 
     /// Whether a request that was tried `attempts` times may be tried again.
     pub fn may_retry(&self, attempts: u32) -> bool {
-        self.lock().retries.retry(attempts) == RetryVerdict::Granted
+        self.lock().retries.retry(attempts) == RetryDecision::Granted
     }
 
     /// What the retry budget has seen.
--- a/crates/node/src/overload/permit.rs
+++ b/crates/node/src/overload/permit.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::{
     admission::{AdmissionEvent, AdmissionRequest},
-    decisions::{LimitKind, LimitMet},
+    decisions::{LimitHit, LimitKind},
     limits::{self, RequestCost},
 };
 use paddlemount_protocol::{
@@ -28,12 +28,12 @@
     /// What to tell the caller; the request has not run.
     pub refusal: Refusal,
     /// The limit, for the record.
-    pub limit: LimitMet,
+    pub limit: LimitHit,
 }
 
 impl Denied {
     fn new(refusal: Refusal, limit: LimitKind, waited: Duration) -> Self {
-        Self { refusal, limit: LimitMet { limit, refused: true, waited_ms: waited.as_millis() as u64 } }
+        Self { refusal, limit: LimitHit { limit, refused: true, waited_ms: waited.as_millis() as u64 } }
     }
 }
 
@@ -67,9 +67,9 @@
     }
 
     /// The queue, where the request had to wait for a place.
-    pub fn limit_met(&self) -> Option<LimitMet> {
+    pub fn limit_met(&self) -> Option<LimitHit> {
         let waited_ms = self.waited.as_millis() as u64;
-        (waited_ms > 0).then_some(LimitMet { limit: LimitKind::Queue, refused: false, waited_ms })
+        (waited_ms > 0).then_some(LimitHit { limit: LimitKind::Queue, refused: false, waited_ms })
     }
 
     /// Says how many of the tokens that were charged the request has used.
