--- a/crates/core/src/cache_index/eviction.rs
+++ b/crates/core/src/cache_index/eviction.rs
@@ -6,9 +6,9 @@
 const EVICTED_WEIGHT: f64 = 0.1;
 const SURVIVED_WEIGHT: f64 = 0.1;
 /// How steeply survival falls around the estimate.
-const STEEPNESS: i32 = 6;
-const SHORTEST_AGE_SECONDS: f64 = 0.05;
-const LONGEST_AGE_SECONDS: f64 = 3_600.0;
+const SURVIVAL_STEEPNESS: i32 = 6;
+const MIN_AGE_SECONDS: f64 = 0.05;
+const MAX_AGE_SECONDS: f64 = 3_600.0;
 const MICROS: f64 = 1e6;
 
 /// The age at which one engine evicts blocks that are not used, learnt from answers and feeds.
@@ -37,7 +37,7 @@
     }
 
     /// A block was found to be gone when it had not been used for `age_micros`.
-    pub fn gone_at(&mut self, age_micros: u64) {
+    pub fn found_evicted(&mut self, age_micros: u64) {
         let seconds = age_micros as f64 / MICROS;
         if seconds < self.seconds {
             self.move_towards(seconds, self.evicted_weight());
@@ -59,13 +59,13 @@
 
     fn move_towards(&mut self, seconds: f64, weight: f64) {
         let moved = self.seconds + weight * (seconds - self.seconds);
-        self.seconds = moved.clamp(SHORTEST_AGE_SECONDS, LONGEST_AGE_SECONDS);
+        self.seconds = moved.clamp(MIN_AGE_SECONDS, MAX_AGE_SECONDS);
         self.samples = self.samples.saturating_add(1);
     }
 
     /// The probability that a block is still there after `age_micros` without use.
     pub fn survival(&self, age_micros: u64) -> f64 {
         let relative = age_micros as f64 / MICROS / self.seconds;
-        1.0 / (1.0 + relative.powi(STEEPNESS))
+        1.0 / (1.0 + relative.powi(SURVIVAL_STEEPNESS))
     }
 }
--- a/crates/core/src/cache_index/feed.rs
+++ b/crates/core/src/cache_index/feed.rs
@@ -84,19 +84,19 @@
                 continue;
             }
             if event.sequence > self.next {
-                self.note_gap(event.sequence);
+                self.record_gap(event.sequence);
             }
             self.next = event.sequence.next();
             self.apply_change(&event.change, target, now);
         }
         // Nothing was sent though there is something: the missing events are gone for good.
         if batch.events.is_empty() && batch.last >= self.next {
-            self.note_gap(batch.last.next());
+            self.record_gap(batch.last.next());
             self.next = batch.last.next();
         }
     }
 
-    fn note_gap(&mut self, first_after: EventSequence) {
+    fn record_gap(&mut self, first_after: EventSequence) {
         self.lost_events += first_after.0 - self.next.0;
         self.state = FeedState::Gap;
         self.gap_end = first_after;
--- a/crates/core/src/cache_index/mod.rs
+++ b/crates/core/src/cache_index/mod.rs
@@ -68,22 +68,22 @@
 
 impl Search {
     /// Looks at each block for at most `limit` engines.
-    pub const fn all(limit: usize) -> Self {
+    pub const fn exhaustive(limit: usize) -> Self {
         Self { limit, stride_divisor: None }
     }
 
     /// Looks at each block until a holder is known and at some of the shallower ones then, so that the
     /// engines after the first may be taken to hold slightly less than they do.
-    pub const fn some(limit: usize) -> Self {
+    pub const fn strided(limit: usize) -> Self {
         Self { limit, stride_divisor: Some(SEARCH_STEPS) }
     }
 }
 
 /// Hashes are uniformly distributed already, so the table uses them unchanged.
 #[derive(Default)]
-pub(crate) struct UnchangedHasher(u64);
+pub(crate) struct IdentityHasher(u64);
 
-impl Hasher for UnchangedHasher {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -95,7 +95,7 @@
     }
 }
 
-pub(crate) type ShortHashMap<V> = HashMap<ShortHash, V, BuildHasherDefault<UnchangedHasher>>;
+pub(crate) type ShortHashMap<V> = HashMap<ShortHash, V, BuildHasherDefault<IdentityHasher>>;
 
 #[derive(Default)]
 struct Generation {
@@ -114,7 +114,7 @@
 /// A survival probability must exceed another by this much to be worth a step in an expectation.
 const SURVIVAL_STEP: f64 = 0.1;
 /// At this survival probability, shallower blocks of the same engine are not looked at.
-const SURE: f64 = 0.9;
+const CERTAIN_SURVIVAL: f64 = 0.9;
 
 impl CacheIndex {
     /// An empty cache_index of at most `limit` records, a record being one prefix at one engine.
@@ -158,7 +158,7 @@
     }
 
     fn record_one(&mut self, block: ShortHash, holder: Holder) {
-        self.turn_over();
+        self.rotate_generations();
         if let Some(holders) = self.young.prefixes.get_mut(&block) {
             self.young.records += holders.put(holder);
             return;
@@ -177,7 +177,7 @@
         self.young.prefixes.insert(block, holders);
     }
 
-    fn turn_over(&mut self) {
+    fn rotate_generations(&mut self) {
         if self.young.records + MAX_HOLDERS > self.limit / 2 {
             self.old = std::mem::take(&mut self.young);
         }
@@ -245,11 +245,11 @@
         survival: impl Fn(Slot, u64) -> f64,
     ) -> Vec<PrefixMatch> {
         let mut matches: Vec<PrefixMatch> = Vec::new();
-        let mut unsure = 0_usize;
+        let mut uncertain = 0_usize;
         let limit = search.limit;
         let stride = search.stride_divisor.map_or(1, |divisor| blocks.len().div_ceil(divisor));
         let mut remaining = blocks.len();
-        while remaining > 0 && (matches.len() < limit || unsure > 0) {
+        while remaining > 0 && (matches.len() < limit || uncertain > 0) {
             let depth = remaining as u32;
             let block = blocks[remaining - 1];
             remaining -= if matches.is_empty() { 1 } else { stride.min(remaining) };
@@ -257,15 +257,15 @@
                 let Some(slot) = self.slot_of(holder.epoch) else { continue };
                 let full = matches.len() >= limit;
                 let known = matches.iter_mut().find(|matched| matched.slot == slot);
-                if known.as_ref().is_some_and(|matched| matched.survival_here >= SURE) {
+                if known.as_ref().is_some_and(|matched| matched.survival_here >= CERTAIN_SURVIVAL) {
                     continue;
                 }
                 let age_micros = holder.age_micros(now);
                 let probability = survival(slot, age_micros);
                 match known {
-                    Some(matched) => unsure -= usize::from(matched.step(depth, probability)),
+                    Some(matched) => uncertain -= usize::from(matched.step(depth, probability)),
                     None if !full => {
-                        unsure += usize::from(probability < SURE);
+                        uncertain += usize::from(probability < CERTAIN_SURVIVAL);
                         matches.push(PrefixMatch::new(slot, depth, age_micros, probability));
                     }
                     None => {}
@@ -323,7 +323,7 @@
         self.expected_blocks += f64::from(self.depth_here - depth) * self.survival_here;
         self.depth_here = depth;
         self.survival_here = survival;
-        survival >= SURE
+        survival >= CERTAIN_SURVIVAL
     }
 
     fn finish(&mut self) {
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -52,16 +52,12 @@
 }
 
 /// The smallest limit; below it, one long prompt could push out all else.
-const SMALLEST_LIMIT: usize = 256;
+const MIN_LIMIT: usize = 256;
 
 impl PrefixPopularity {
     /// Counts at most `limit` prefixes.
     pub fn new(limit: usize) -> Self {
-        Self {
-            young: ShortHashMap::default(),
-            old: ShortHashMap::default(),
-            limit: limit.max(SMALLEST_LIMIT),
-        }
+        Self { young: ShortHashMap::default(), old: ShortHashMap::default(), limit: limit.max(MIN_LIMIT) }
     }
 
     /// Counts a request with this prompt.
--- a/crates/core/src/routing/attempts.rs
+++ b/crates/core/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! Tries that this node has sent and that have not ended.
+//! Attempts that this node has sent and that have not ended.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,21 @@
 
 use crate::cache_index::{CacheEpochId, ShortHash, Slot};
 
-/// One try under way.
+/// One attempt in flight.
 pub(super) struct Attempt {
-    /// Rises with each try.
+    /// Increases with each attempt.
     pub(super) number: u64,
     pub(super) slot: Slot,
     pub(super) epoch: CacheEpochId,
     pub(super) blocks: Box<[ShortHash]>,
-    /// Blocks that the engine was believed to hold before the try, and microseconds since their use.
-    pub(super) believed: Option<(u32, u64)>,
+    /// Blocks expected in the engine's cache before the attempt, and microseconds since their last use.
+    pub(super) expected: Option<(u32, u64)>,
     pub(super) prompt_tokens: u32,
-    /// When the engine took it into its batch.
+    /// When the engine began to answer.
     pub(super) started_at: Option<Timestamp>,
 }
 
-/// All tries under way.
+/// All attempts in flight.
 #[derive(Default)]
 pub(super) struct Attempts {
     by_id: BTreeMap<AttemptId, Attempt>,
@@ -46,31 +46,31 @@
     }
 }
 
-/// What an answer's cached-token count says about the engine's cache.
+/// What the cached-token count of an answer says about the engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CacheFinding {
-    /// Nothing was believed, so nothing is learnt about eviction.
-    NothingBelieved,
-    /// What was believed was there.
+pub(super) enum CacheObservation {
+    /// No blocks were expected, so the count says nothing about eviction.
+    NothingExpected,
+    /// All expected blocks were still cached.
     Survived {
-        /// Microseconds since it was last used.
+        /// Microseconds since the blocks were last used.
         age_micros: u64,
     },
-    /// Part of what was believed was gone.
-    Gone {
-        /// Microseconds since it was last used.
+    /// Some of the expected blocks had been evicted.
+    Evicted {
+        /// Microseconds since the blocks were last used.
         age_micros: u64,
     },
 }
 
 impl Attempt {
-    /// Compares what was believed with the tokens that the engine found in its cache.
-    pub(super) fn finding(&self, cached_tokens: u32) -> CacheFinding {
-        let Some((depth, age_micros)) = self.believed else { return CacheFinding::NothingBelieved };
+    /// Compares the expected blocks with the tokens that the engine found in its cache.
+    pub(super) fn observation(&self, cached_tokens: u32) -> CacheObservation {
+        let Some((depth, age_micros)) = self.expected else { return CacheObservation::NothingExpected };
         if cached_tokens / BLOCK_TOKENS >= depth {
-            CacheFinding::Survived { age_micros }
+            CacheObservation::Survived { age_micros }
         } else {
-            CacheFinding::Gone { age_micros }
+            CacheObservation::Evicted { age_micros }
         }
     }
 }
--- a/crates/core/src/routing/back_off.rs
+++ b/crates/core/src/routing/back_off.rs
@@ -1,7 +1,7 @@
-//! What engines say of themselves when they refuse: for how long they want nothing, and that they take no work.
+//! Back-off times and draining state that engines report in refusals.
 //!
-//! It holds for every request of this node, in every choice, until the rest is over, a later account of the engine says that it
-//! takes work, or its next life begins: the engine knows best, and an account that was measured before is older.
+//! A refusal applies to every request of this node until the back-off time is over, a status that was
+//! measured later shows that the engine accepts work, or the engine's next incarnation starts.
 
 use std::time::Duration;
 
@@ -13,32 +13,32 @@
 use crate::back_off::MAX_BACK_OFF;
 
 impl EngineView {
-    /// Takes in a refusal of this life. Whether the engine takes no work from now on.
+    /// Applies a refusal by the current incarnation. Returns whether the engine stops accepting work with it.
     fn refused(&mut self, refusal: &EngineRefusal, now: Timestamp) -> bool {
         if refusal.incarnation != self.status.incarnation {
             return false;
         }
-        let of_requests = matches!(refusal.code, RefusalCode::Overloaded | RefusalCode::Unavailable);
-        let asked = refusal.retry_after_ms.filter(|_| of_requests).map(Duration::from_millis);
-        if let Some(asked) = asked {
-            // A shorter time may be the answer to an earlier request, and ends nothing.
-            self.backed_off_until = self.backed_off_until.max(now + asked.min(MAX_BACK_OFF));
+        let limits_requests = matches!(refusal.code, RefusalCode::Overloaded | RefusalCode::Unavailable);
+        let requested = refusal.retry_after_ms.filter(|_| limits_requests).map(Duration::from_millis);
+        if let Some(requested) = requested {
+            // A shorter time may answer an earlier request and must not cut the back-off short.
+            self.backed_off_until = self.backed_off_until.max(now + requested.min(MAX_BACK_OFF));
         }
-        let is_news = refusal.code == RefusalCode::Draining && self.refused_after.is_none();
-        if is_news {
-            self.refused_after = Some(self.status.load.measured_at);
+        let starts_draining = refusal.code == RefusalCode::Draining && self.drained_as_of.is_none();
+        if starts_draining {
+            self.drained_as_of = Some(self.status.load.measured_at);
         }
-        is_news
+        starts_draining
     }
 
-    /// Whether the engine wants no requests now.
-    pub(super) fn rests(&self, now: Timestamp) -> bool {
+    /// Whether the engine is within its back-off time.
+    pub(super) fn is_backing_off(&self, now: Timestamp) -> bool {
         now < self.backed_off_until
     }
 }
 
 impl Router {
-    /// An engine refused a try.
+    /// Applies an engine's refusal of an attempt.
     pub(super) fn apply_refused(&mut self, engine: &EngineId, refusal: &EngineRefusal, now: Timestamp) {
         let view = self.engines.by_id_mut(engine).map(|(_, view)| view);
         if view.is_some_and(|view| view.refused(refusal, now)) {
@@ -46,24 +46,25 @@
         }
     }
 
-    /// For how long an engine still wants no requests from this node.
+    /// Returns the remaining back-off time of an engine, or `None` if it has none.
     pub fn remaining_back_off(&self, engine: &EngineId, now: Timestamp) -> Option<Duration> {
         let view = self.engines.slot(engine).and_then(|slot| self.engines.get(slot))?;
-        view.rests(now).then(|| view.backed_off_until.saturating_since(now))
+        view.is_backing_off(now).then(|| view.backed_off_until.saturating_since(now))
     }
 
-    /// How long it takes until the first engine may be sent `request` that could serve it, where all of them rest; engines that
-    /// have been tried for it count as any other.
+    /// Returns the shortest remaining back-off time among the engines that candidates serve `request`, or `None`
+    /// unless all of them are backing off. Engines excluded after earlier attempts count as well.
     pub fn min_back_off(&self, request: &RouteRequest<'_>, now: Timestamp) -> Option<Duration> {
         let members = self.engines.members(request.pool).iter();
-        let could = members.filter_map(|(slot, _)| self.engines.get(*slot)).filter(|view| view.has(request));
-        let mut least: Option<Timestamp> = None;
-        for view in could {
-            if !view.rests(now) {
+        let candidates =
+            members.filter_map(|(slot, _)| self.engines.get(*slot)).filter(|view| view.can_serve(request));
+        let mut min: Option<Timestamp> = None;
+        for view in candidates {
+            if !view.is_backing_off(now) {
                 return None;
             }
-            least = Some(least.map_or(view.backed_off_until, |least| least.min(view.backed_off_until)));
+            min = Some(min.map_or(view.backed_off_until, |min| min.min(view.backed_off_until)));
         }
-        least.map(|until| until.saturating_since(now))
+        min.map(|until| until.saturating_since(now))
     }
 }
--- a/crates/core/src/routing/cached_prefixes.rs
+++ b/crates/core/src/routing/cached_prefixes.rs
@@ -1,4 +1,4 @@
-//! What the kept-cache store holds, and what is worth putting there.
+//! Prefixes that the cache store holds, for import by engines.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 
 use super::types::RouteRequest;
 
-/// Kept prefixes remembered at most; the ones learnt first make room.
-const MOST_TRANSFERS: usize = 4_096;
-/// Bytes of one block's state that are assumed until a transfer tells.
-const ASSUMED_BLOCK_BYTES: f64 = 2_097_152.0;
+/// At this number of transfers, the oldest one is dropped.
+const MAX_TRANSFERS: usize = 4_096;
+/// Bytes of one block's state, until the first transfer reports its size.
+const INITIAL_BLOCK_BYTES: f64 = 2_097_152.0;
 
-/// An index of kept prefixes by each block that they cover.
+/// Index of the cache store's prefixes by every block that they cover.
 pub(super) struct CachedPrefixes {
     transfers: BTreeMap<u64, KvTransfer>,
     by_last_block: BTreeMap<BlockHash, u64>,
@@ -24,7 +24,7 @@
     block_bytes: f64,
 }
 
-/// Part of a kept prefix that a request can use.
+/// The part of a stored prefix that a request can use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CachedPrefix<'a> {
     transfer: &'a KvTransfer,
@@ -33,7 +33,7 @@
 }
 
 impl CachedPrefix<'_> {
-    /// The transfer that an engine is to import.
+    /// Returns the transfer that an engine should import.
     pub(super) fn to_transfer(self) -> KvTransfer {
         let mut transfer = self.transfer.clone();
         transfer.blocks.truncate(self.blocks);
@@ -49,7 +49,7 @@
             by_last_block: BTreeMap::new(),
             by_block: BTreeMap::new(),
             next_number: 0,
-            block_bytes: ASSUMED_BLOCK_BYTES,
+            block_bytes: INITIAL_BLOCK_BYTES,
         }
     }
 }
@@ -58,8 +58,8 @@
     pub(super) fn insert(&mut self, transfer: &KvTransfer) {
         let Some(last) = transfer.blocks.last() else { return };
         self.remove(*last);
-        while self.transfers.len() >= MOST_TRANSFERS {
-            self.remove_first();
+        while self.transfers.len() >= MAX_TRANSFERS {
+            self.remove_oldest();
         }
         let number = self.next_number;
         self.next_number += 1;
@@ -71,14 +71,14 @@
         self.transfers.insert(number, transfer.clone());
     }
 
-    /// Forgets the kept prefix that ends with `last`.
+    /// Removes the stored prefix that ends with `last`.
     pub(super) fn remove(&mut self, last: BlockHash) {
         if let Some(number) = self.by_last_block.get(&last).copied() {
             self.remove_number(number);
         }
     }
 
-    fn remove_first(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some(number) = self.transfers.keys().next().copied() {
             self.remove_number(number);
         }
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Forgets all that an engine computed in a life other than `alive`.
+    /// Removes all prefixes that `origin` computed in another incarnation than `alive`.
     pub(super) fn remove_origin(&mut self, origin: &EngineId, alive: Option<Incarnation>) {
         let dead: Vec<u64> = self
             .transfers
             .iter()
-            .filter(|(_, kept)| kept.origin == *origin && Some(kept.origin_incarnation) != alive)
+            .filter(|(_, cached)| cached.origin == *origin && Some(cached.origin_incarnation) != alive)
             .map(|(number, _)| *number)
             .collect();
         for number in dead {
@@ -117,10 +117,10 @@
         self.block_bytes
     }
 
-    /// The longest kept part of a request's prompt that it may use.
+    /// Returns the longest stored prefix of a request's prompt that the request may use.
     ///
-    /// `alive` tells whether an engine is known to be in the given life still. State is never used in
-    /// another scope, under another model or other weights, or when its origin has died.
+    /// `alive` tells whether an engine is still in the given incarnation. State is never used in another
+    /// scope, for another model or other weights, or after its origin has restarted.
     pub(super) fn longest(
         &self,
         request: &RouteRequest<'_>,
--- a/crates/core/src/routing/engines.rs
+++ b/crates/core/src/routing/engines.rs
@@ -1,4 +1,4 @@
-//! What a router knows of each engine, and how long a new request would wait there.
+//! Per-engine state of a router, and prediction of the wait at an engine.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,30 +19,30 @@
     popularity::DecayedCount,
 };
 
-/// Own requests older than this are surely part of an engine's reports.
-const LONGEST_REPORT_LAG_MICROS: u64 = 10_000_000;
-/// Survival that a complete feed vouches for, whatever the age.
+/// Maximum age of an engine's load report; requests sent before that are included in the report.
+const MAX_REPORT_LAG_MICROS: u64 = 10_000_000;
+/// Minimum survival probability of a block while the engine's feed is complete.
 const COMPLETE_FEED_SURVIVAL: f64 = 0.98;
-const SLOWEST_PREFILL: f64 = 1.0;
+const MIN_PREFILL_TOKENS_PER_SECOND: f64 = 1.0;
 
-/// What a predicted wait is based on besides the engine's report.
+/// Inputs to a predicted wait besides the engine's load report.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WaitBasis {
+pub(super) struct WaitInputs {
     pub(super) own_in_flight: bool,
     pub(super) other_nodes: u32,
-    /// Mean milliseconds that an answer takes.
+    /// Mean duration of an answer.
     pub(super) answer_ms: f64,
 }
 
 /// A request that this node sent to an engine.
 #[derive(Clone, Copy, Debug)]
-struct Send {
+struct SentRequest {
     number: u64,
     at: Timestamp,
     missing_tokens: f64,
 }
 
-/// One engine as this node sees it.
+/// One engine as seen by this node.
 pub(super) struct EngineView {
     pub(super) status: EngineStatus,
     pub(super) load_received: Timestamp,
@@ -51,15 +51,15 @@
     pub(super) eviction: EvictionAge,
     pub(super) in_flight: u32,
     pub(super) draining: bool,
-    /// Where the engine has said in a refusal that it takes no work: when its last account before that was measured. A later
-    /// account takes it back, as after a load of other weights.
-    pub(super) refused_after: Option<Timestamp>,
-    /// Until when the engine wants no requests from this node.
+    /// Set when the engine refused a request as draining: the time at which the last known load was measured.
+    /// A status measured later clears it.
+    pub(super) drained_as_of: Option<Timestamp>,
+    /// The engine has asked for no requests until then.
     pub(super) backed_off_until: Timestamp,
     /// Hash of the engine's name, for rendezvous hashing.
     pub(super) name_hash: u64,
-    sends: VecDeque<Send>,
-    /// Prompt tokens sent by this node, decayed, for the rate.
+    sends: VecDeque<SentRequest>,
+    /// Decayed count of prompt tokens sent by this node.
     sent_tokens: DecayedCount,
 }
 
@@ -74,31 +74,33 @@
             eviction: EvictionAge::default(),
             in_flight: 0,
             draining: false,
-            refused_after: None,
+            drained_as_of: None,
             backed_off_until: Timestamp::ZERO,
             sends: VecDeque::new(),
             sent_tokens: DecayedCount::default(),
         }
     }
 
-    /// Whether the engine takes requests at all.
-    pub(super) fn takes_work(&self) -> bool {
+    /// Whether the engine accepts requests at all.
+    pub(super) fn accepts_work(&self) -> bool {
         !self.draining
-            && self.refused_after.is_none()
+            && self.drained_as_of.is_none()
             && !self.status.draining
             && self.status.role == EngineRole::Serving
             && self.status.loaded.is_some()
     }
 
-    /// Whether the engine may be sent `request` now.
-    pub(super) fn serves(&self, request: &RouteRequest<'_>, now: Timestamp) -> bool {
-        self.has(request) && !self.rests(now) && !request.excluded.contains(&self.status.engine)
+    /// Whether `request` may be sent to the engine now.
+    pub(super) fn is_eligible(&self, request: &RouteRequest<'_>, now: Timestamp) -> bool {
+        self.can_serve(request)
+            && !self.is_backing_off(now)
+            && !request.excluded.contains(&self.status.engine)
     }
 
-    /// Whether the engine takes work and has what `request` asks for.
-    pub(super) fn has(&self, request: &RouteRequest<'_>) -> bool {
+    /// Whether the engine accepts work and has the model, weights and adapter of `request`.
+    pub(super) fn can_serve(&self, request: &RouteRequest<'_>) -> bool {
         let Some(loaded) = &self.status.loaded else { return false };
-        self.takes_work()
+        self.accepts_work()
             && loaded.weights == request.weights
             && loaded.model == *request.model
             && request.adapter.is_none_or(|adapter| loaded.adapters.contains(adapter))
@@ -121,56 +123,57 @@
         }
     }
 
-    /// Notes a request under `number`, numbers rising.
+    /// Records a sent request; `number` increases with each request.
     pub(super) fn record_send(&mut self, number: u64, missing_tokens: f64, now: Timestamp) {
-        let oldest = now.0.saturating_sub(LONGEST_REPORT_LAG_MICROS);
+        let oldest = now.0.saturating_sub(MAX_REPORT_LAG_MICROS);
         while self.sends.front().is_some_and(|send| send.at.0 < oldest) {
             self.sends.pop_front();
         }
-        self.sends.push_back(Send { number, at: now, missing_tokens });
+        self.sends.push_back(SentRequest { number, at: now, missing_tokens });
         self.sent_tokens.add(missing_tokens, now);
         self.in_flight += 1;
     }
 
-    /// Corrects the tokens that a request leaves to be prefilled.
+    /// Corrects the number of tokens that a sent request leaves to prefill.
     pub(super) fn correct_send(&mut self, number: u64, missing_tokens: f64) {
         if let Some(send) = self.sends.iter_mut().find(|send| send.number == number) {
             send.missing_tokens = missing_tokens;
         }
     }
 
-    /// Forgets a request whose prefill is over.
+    /// Removes a request whose prefill has ended.
     pub(super) fn finish_send(&mut self, number: u64) {
         self.sends.retain(|send| send.number != number);
     }
 
-    /// Microseconds since the engine measured its load; by the time of receipt where clocks differ.
+    /// Microseconds since the engine measured its load, bounded by the time of receipt because clocks differ.
     pub(super) fn load_age_micros(&self, now: Timestamp) -> u64 {
         let since_receipt = now.0.saturating_sub(self.load_received.0);
         let since_measured = now.0.saturating_sub(self.status.load.measured_at.0);
-        since_measured.clamp(since_receipt, since_receipt + LONGEST_REPORT_LAG_MICROS)
+        since_measured.clamp(since_receipt, since_receipt + MAX_REPORT_LAG_MICROS)
     }
 
     pub(super) fn prefill_ms(&self, tokens: f64) -> f64 {
-        tokens * 1_000.0 / self.status.speed.prefill_tokens_per_second.max(SLOWEST_PREFILL)
+        tokens * 1_000.0 / self.status.speed.prefill_tokens_per_second.max(MIN_PREFILL_TOKENS_PER_SECOND)
     }
 
-    /// Milliseconds until the engine can begin with a new request.
+    /// Predicts the milliseconds until the engine can begin a new request.
     ///
-    /// The queue of prompt tokens drains from the last report on. With `own_in_flight`, what this node
-    /// sent since is added at the time of sending, and `other_nodes` are taken to send as much as this node
-    /// did of late. Where all slots of the batch are taken, the wait for one to become free is added.
-    pub(super) fn wait_ms(&self, now: Timestamp, basis: WaitBasis) -> f64 {
+    /// The queue of prompt tokens drains from the last report on. With `own_in_flight`, requests that this
+    /// node sent since then are added, and each of `other_nodes` is assumed to send at the same rate as this
+    /// node. If all batch slots are taken, the expected wait for a free slot is added.
+    pub(super) fn wait_ms(&self, now: Timestamp, inputs: WaitInputs) -> f64 {
         let load = &self.status.load;
         let age_micros = self.load_age_micros(now);
         let measured = now.0.saturating_sub(age_micros);
-        let rate_per_micro = self.status.speed.prefill_tokens_per_second.max(SLOWEST_PREFILL) / 1e6;
+        let rate_per_micro =
+            self.status.speed.prefill_tokens_per_second.max(MIN_PREFILL_TOKENS_PER_SECOND) / 1e6;
         let mut drain_per_micro = rate_per_micro;
         let mut queue = f64::from(load.queued_prefill_tokens);
         let mut at = measured;
         let mut sent_since = 0_u32;
-        if basis.own_in_flight {
-            let others = f64::from(basis.other_nodes) * self.sent_tokens.rate(now) / 1e6;
+        if inputs.own_in_flight {
+            let others = f64::from(inputs.other_nodes) * self.sent_tokens.rate(now) / 1e6;
             drain_per_micro = (rate_per_micro - others).max(0.0);
             for send in self.sends.iter().filter(|send| send.at.0 >= measured) {
                 queue = (queue - send.at.0.saturating_sub(at) as f64 * drain_per_micro).max(0.0)
@@ -180,7 +183,7 @@
             }
         }
         queue = (queue - now.0.saturating_sub(at) as f64 * drain_per_micro).max(0.0);
-        queue / rate_per_micro / 1e3 + self.slot_wait_ms(sent_since, age_micros, basis.answer_ms)
+        queue / rate_per_micro / 1e3 + self.slot_wait_ms(sent_since, age_micros, inputs.answer_ms)
     }
 
     fn slot_wait_ms(&self, sent_since: u32, age_micros: u64, answer_ms: f64) -> f64 {
@@ -191,7 +194,7 @@
         excess.max(0.0) * answer_ms / slots
     }
 
-    /// The probability that blocks last used `age_micros` ago are still there.
+    /// Probability that blocks last used `age_micros` ago are still cached.
     pub(super) fn survival(&self, age_micros: u64, expected_eviction: bool) -> f64 {
         let by_age = self.eviction_survival(age_micros, expected_eviction);
         match self.feed.state() {
@@ -202,7 +205,7 @@
 }
 
 impl EngineView {
-    /// The same probability by age alone, as for a time that no feed tells of yet.
+    /// The same probability by age alone, for times that the feed does not cover yet.
     pub(super) fn eviction_survival(&self, age_micros: u64, expected_eviction: bool) -> f64 {
         if expected_eviction { self.eviction.survival(age_micros) } else { 1.0 }
     }
@@ -213,7 +216,7 @@
 pub(super) struct EngineTable {
     views: Vec<Option<EngineView>>,
     by_id: BTreeMap<EngineId, Slot>,
-    /// Engines of each pool that take work.
+    /// Engines that accept work.
     by_pool: BTreeMap<PoolId, Vec<Member>>,
 }
 
@@ -239,12 +242,13 @@
         self.by_id.values().filter_map(|slot| self.get(*slot))
     }
 
-    /// Engines of a pool that take work, in order of their names.
+    /// Returns the engines of a pool that accept work, in order of their names.
     pub(super) fn members(&self, pool: &PoolId) -> &[Member] {
         self.by_pool.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in an engine's account of itself; answers the engine if its cache must be taken for empty.
+    /// Applies a status reported by an engine. Returns the engine's slot if its cache has to be assumed
+    /// empty.
     pub(super) fn apply_status(
         &mut self,
         status: &EngineStatus,
@@ -259,12 +263,12 @@
         if status.incarnation < view.status.incarnation {
             return None;
         }
-        let same_life = status.incarnation == view.status.incarnation;
-        let emptied = !same_life || !same_weights(status, &view.status);
+        let same_incarnation = status.incarnation == view.status.incarnation;
+        let cache_emptied = !same_incarnation || !same_weights(status, &view.status);
         let moved = status.pool != view.status.pool;
-        let took_work = view.takes_work();
-        if same_life {
-            view.refused_after = view.refused_after.filter(|before| status.load.measured_at <= *before);
+        let accepted_work = view.accepts_work();
+        if same_incarnation {
+            view.drained_as_of = view.drained_as_of.filter(|before| status.load.measured_at <= *before);
             let load = view.status.load;
             view.status = EngineStatus { load, ..status.clone() };
             view.apply_load(status.load, now);
@@ -272,26 +276,26 @@
             view.status = status.clone();
             view.load_received = now;
             view.sends.clear();
-            view.refused_after = None;
+            view.drained_as_of = None;
             view.backed_off_until = Timestamp::ZERO;
         }
-        if emptied {
+        if cache_emptied {
             let old = view.epoch;
             view.feed.drop_snapshot(cache_index);
             cache_index.close(old);
             view.epoch = cache_index.open(slot);
-            if !same_life {
+            if !same_incarnation {
                 view.feed = Feed::default();
             }
         }
-        let changed = view.takes_work() != took_work;
+        let changed = view.accepts_work() != accepted_work;
         if moved || changed {
             self.index_pools();
         }
-        emptied.then_some(slot)
+        cache_emptied.then_some(slot)
     }
 
-    /// Notes whether others than the engine want it drained.
+    /// Sets whether the engine is being drained by someone other than itself.
     pub(super) fn set_draining(&mut self, engine: &EngineId, draining: bool) {
         if let Some((_, view)) = self.by_id_mut(engine).filter(|(_, view)| view.draining != draining) {
             view.draining = draining;
@@ -319,7 +323,7 @@
     pub(super) fn index_pools(&mut self) {
         let mut by_pool: BTreeMap<PoolId, Vec<Member>> = BTreeMap::new();
         for slot in self.by_id.values() {
-            if let Some(view) = self.get(*slot).filter(|view| view.takes_work()) {
+            if let Some(view) = self.get(*slot).filter(|view| view.accepts_work()) {
                 by_pool.entry(view.status.pool.clone()).or_default().push((*slot, view.name_hash));
             }
         }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Choice of the engine that serves a request.
+//! Choice of the engine that is_eligible a request.
 //!
-//! [`Router`] is the one entry point: drivers feed it [`RouterEvent`]s and ask it to
-//! [`choose`](Router::choose). A [`Decision`] names every candidate that was weighed and why.
+//! Drivers feed [`RouterEvent`]s to a [`Router`] and call [`choose`](Router::choose). The returned
+//! [`Decision`] lists every scored candidate and the reason for the choice.
 
 use paddlemount_protocol::{
     engine::{CacheEventBatch, CacheSnapshot, EngineStatus},
@@ -16,7 +16,7 @@
     Decision, ExportHint, Mechanisms, RouteRequest, RouterEvent, RouterSettings,
 };
 use self::{
-    attempts::{Attempt, Attempts, CacheFinding},
+    attempts::{Attempt, Attempts, CacheObservation},
     cached_prefixes::CachedPrefixes,
     engines::{EngineTable, EngineView},
     exports::ExportWatch,
@@ -42,44 +42,44 @@
 mod scoring;
 mod types;
 
-/// Milliseconds that an answer is assumed to take before one has ended.
+/// Assumed duration of an answer until the first one has ended.
 const INITIAL_ANSWER_MS: f64 = 1_000.0;
-/// Share of a new sample in the mean duration of answers.
+/// Weight of a new sample in the moving average of answer durations.
 const ANSWER_WEIGHT: f64 = 0.05;
 
-/// A node's view of all engines, and its choices among them.
+/// A node's view of all engines, from which it chooses.
 pub struct Router {
     settings: RouterSettings,
     engines: EngineTable,
     cache_index: CacheIndex,
     popularity: PrefixPopularity,
-    /// Requests counted in all, decayed like the counts of prefixes.
+    /// Decayed count of all requests.
     total: DecayedCount,
     attempts: Attempts,
-    kept: CachedPrefixes,
+    cached_prefixes: CachedPrefixes,
     export_watch: ExportWatch,
     nodes: u32,
     health: Health,
-    /// Mean milliseconds from an answer's start to its end.
+    /// Moving average of the time from an answer's start to its end.
     answer_ms: f64,
     random: SmallRng,
 }
 
-/// A summary of a router's memory.
+/// Memory use of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheIndexSize {
-    /// Pairs of prefix and engine that are held.
+    /// (prefix, engine) pairs held.
     pub records: usize,
-    /// The most that are ever held.
+    /// Maximum number of pairs.
     pub limit: usize,
-    /// Bytes of the records.
+    /// Bytes used by the pairs.
     pub approximate_bytes: usize,
     /// Prefixes whose requests are counted.
     pub popularity_records: usize,
 }
 
 impl Router {
-    /// A router that knows no engine.
+    /// Creates a router that knows no engine.
     pub fn new(settings: RouterSettings) -> Self {
         Self {
             cache_index: CacheIndex::new(settings.cache_index_records),
@@ -88,7 +88,7 @@
             engines: EngineTable::default(),
             total: DecayedCount::default(),
             attempts: Attempts::default(),
-            kept: CachedPrefixes::default(),
+            cached_prefixes: CachedPrefixes::default(),
             export_watch: ExportWatch::default(),
             nodes: 1,
             health: Health::new(settings.health),
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Takes in what was learned at `now`.
+    /// Applies an event that occurred at `now`.
     pub fn apply(&mut self, event: RouterEvent<'_>, now: Timestamp) {
-        self.learn_health(&event, now);
+        self.observe_health(&event, now);
         match event {
             RouterEvent::Status(status) => self.apply_status(status, now),
             RouterEvent::Load { engine, report } => {
@@ -121,20 +121,20 @@
             RouterEvent::Draining { engine, draining } => {
                 self.engines.set_draining(engine, draining);
             }
-            RouterEvent::PrefixStored { transfer } => self.kept.insert(transfer),
-            RouterEvent::PrefixDropped { prefix } => self.kept.remove(prefix),
+            RouterEvent::PrefixStored { transfer } => self.cached_prefixes.insert(transfer),
+            RouterEvent::PrefixDropped { prefix } => self.cached_prefixes.remove(prefix),
             RouterEvent::Nodes { count } => self.nodes = count.max(1),
             RouterEvent::Removed { engine } => {
                 self.engines.remove(engine, &mut self.cache_index);
-                self.kept.remove_origin(engine, None);
+                self.cached_prefixes.remove_origin(engine, None);
             }
         }
     }
 
     fn apply_status(&mut self, status: &EngineStatus, now: Timestamp) {
-        let emptied = self.engines.apply_status(status, &mut self.cache_index, now);
-        if emptied.is_some() {
-            self.kept.remove_origin(&status.engine, Some(status.incarnation));
+        let cache_emptied = self.engines.apply_status(status, &mut self.cache_index, now);
+        if cache_emptied.is_some() {
+            self.cached_prefixes.remove_origin(&status.engine, Some(status.incarnation));
         }
     }
 
@@ -152,7 +152,7 @@
         });
     }
 
-    /// Passes on what concerns the present life of an engine; a later life is taken over first.
+    /// Calls `apply` if the data belongs to the engine's current incarnation, after switching to a later one.
     fn with_feed(
         &mut self,
         engine: &EngineId,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Empties the cache_index in an engine that turns out to live a later life than known.
+    /// Drops what is known of an engine's cache when data of a later incarnation arrives.
     fn take_over_incarnation(&mut self, engine: &EngineId, incarnation: Incarnation, now: Timestamp) {
         let Some(slot) = self.engines.slot(engine) else { return };
         let Some(view) = self.engines.get(slot) else { return };
@@ -179,7 +179,7 @@
         }
         let status = EngineStatus { incarnation, ..view.status.clone() };
         self.engines.apply_status(&status, &mut self.cache_index, now);
-        self.kept.remove_origin(engine, Some(incarnation));
+        self.cached_prefixes.remove_origin(engine, Some(incarnation));
     }
 
     fn apply_dispatched(
@@ -196,8 +196,8 @@
         }
         let blocks: Box<[ShortHash]> = request.blocks.iter().copied().map(short_hash).collect();
         let Some((slot, view)) = self.engines.by_id_mut(engine) else { return };
-        let believed = self.cache_index.depth_at(view.epoch, &blocks, now);
-        let held = believed.map_or(0, |(depth, _)| depth) * BLOCK_TOKENS;
+        let expected = self.cache_index.depth_at(view.epoch, &blocks, now);
+        let held = expected.map_or(0, |(depth, _)| depth) * BLOCK_TOKENS;
         let number = self.attempts.next_number();
         view.record_send(number, f64::from(request.prompt_tokens.saturating_sub(held)), now);
         if self.settings.mechanisms.answers {
@@ -208,7 +208,7 @@
             slot,
             epoch: view.epoch,
             blocks,
-            believed,
+            expected,
             prompt_tokens: request.prompt_tokens,
             started_at: None,
         };
@@ -224,7 +224,7 @@
     ) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.started_at = Some(now);
-        let (slot, finding) = (attempt.slot, attempt.finding(cached_tokens));
+        let (slot, observation) = (attempt.slot, attempt.observation(cached_tokens));
         let (number, missing) = (attempt.number, attempt.prompt_tokens.saturating_sub(cached_tokens));
         let Some(engine) = self.engines.get(slot).map(|view| view.status.engine.clone()) else { return };
         self.take_over_incarnation(&engine, incarnation, now);
@@ -233,10 +233,10 @@
             return;
         }
         view.correct_send(number, f64::from(missing));
-        match finding {
-            CacheFinding::NothingBelieved => {}
-            CacheFinding::Survived { age_micros } => view.eviction.survived(age_micros),
-            CacheFinding::Gone { age_micros } => view.eviction.gone_at(age_micros),
+        match observation {
+            CacheObservation::NothingExpected => {}
+            CacheObservation::Survived { age_micros } => view.eviction.survived(age_micros),
+            CacheObservation::Evicted { age_micros } => view.eviction.found_evicted(age_micros),
         }
     }
 
@@ -264,20 +264,20 @@
             self.cache_index.refresh(attempt.epoch, &attempt.blocks, now);
             return;
         }
-        // It never ran, so the engine holds no more than it did before.
-        let kept = attempt.believed.map_or(0, |(depth, _)| depth as usize);
-        for block in &attempt.blocks[kept..] {
+        // The attempt never ran, so the engine's cache is unchanged.
+        let cached_before = attempt.expected.map_or(0, |(depth, _)| depth as usize);
+        for block in &attempt.blocks[cached_before..] {
             self.cache_index.forget(attempt.epoch, *block, now);
         }
     }
 
-    /// Engines whose feed has a gap that a snapshot would close.
+    /// Engines whose feed has a gap, which a snapshot would close.
     pub fn needs_resync(&self) -> Vec<EngineId> {
         let gaps = self.engines.views().filter(|view| view.feed.state() == FeedState::Gap);
         gaps.map(|view| view.status.engine.clone()).collect()
     }
 
-    /// How much the router remembers.
+    /// Returns the size of the cache index and the request counters.
     pub fn cache_index_size(&self) -> CacheIndexSize {
         CacheIndexSize {
             records: self.cache_index.records(),
--- a/crates/core/src/routing/types.rs
+++ b/crates/core/src/routing/types.rs
@@ -1,4 +1,4 @@
-//! Messages into and out of a [`Router`](super::Router).
+//! Input and output types of a [`Router`](super::Router).
 
 use std::collections::BTreeMap;
 
@@ -20,31 +20,29 @@
 /// Settings of a [`Router`](super::Router).
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// The zone of this node; engines in other zones cost their distance.
+    /// Zone of this node. Engines in other zones cost their network distance.
     pub zone: ZoneId,
-    /// Seed of all random choices. Placement of unknown prefixes doesn't depend on it.
+    /// Seed of all random choices. The preferred engines of a prefix don't depend on it.
     pub seed: u64,
-    /// One-way network distance in milliseconds to zones that differ from `other_zone_ms`.
+    /// One-way network latency in milliseconds to zones that differ from `other_zone_ms`.
     pub distances: BTreeMap<ZoneId, f64>,
-    /// One-way network distance in milliseconds to any other zone.
+    /// One-way network latency in milliseconds to all other zones.
     pub other_zone_ms: f64,
-    /// Pairs of prefix and engine that the cache_index holds at most.
+    /// Maximum number of (prefix, engine) pairs in the cache index.
     pub cache_index_records: usize,
-    /// Prefixes whose request rates are counted at most.
+    /// Maximum number of prefixes whose requests are counted.
     pub popularity_records: usize,
-    /// Bytes of kept cache that an engine imports in a second.
+    /// Rate at which an engine imports cached prefixes.
     pub import_bytes_per_second: f64,
-    /// Bytes that all engines together may export in a second, as arranged by this node.
+    /// Limit on the export rate requested by this node over all engines.
     pub export_bytes_per_second: f64,
-    /// When engines that fail are left out.
     pub health: HealthSettings,
-    /// Mechanisms in use.
     pub mechanisms: Mechanisms,
 }
 
-/// Pairs of prefix and engine that a node believes in by default; at most 48 MB.
+/// Default size of the cache index in (prefix, engine) pairs, which take at most 48 MB.
 pub const DEFAULT_CACHE_INDEX_RECORDS: usize = 600_000;
-/// Prefixes whose rates a node counts by default.
+/// Default number of prefixes whose requests are counted.
 pub const DEFAULT_POPULARITY_RECORDS: usize = 100_000;
 const DEFAULT_OTHER_ZONE_MS: f64 = 1.2;
 const DEFAULT_IMPORT_BYTES_PER_SECOND: f64 = 2e9;
@@ -68,26 +66,26 @@
     }
 }
 
-/// Switches of the mechanisms that improve a choice; each can be turned off to see what it is worth.
+/// Optional parts of the choice. Each can be turned off to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Allow copies of a prefix by its request rate, without a penalty for making them.
+    /// Waive the recomputation penalty for copies that a prefix's request rate justifies.
     pub replicate_hot_prefixes: bool,
-    /// Add this node's own requests to an engine's last load report.
+    /// Add this node's requests since the last load report to the predicted wait.
     pub own_in_flight: bool,
     /// Place prefixes that no engine is known to hold by rendezvous hashing.
     pub preferred_engines: bool,
-    /// Learn from the engines' event feeds and snapshots.
+    /// Update the cache index from the engines' event feeds and snapshots.
     pub feeds: bool,
-    /// Learn from answers and this node's own dispatches.
+    /// Update the cache index from answers and this node's dispatches.
     pub answers: bool,
-    /// Expect eviction of prefixes that were not used for long.
+    /// Discount cached prefixes by the probability of their eviction.
     pub expected_eviction: bool,
     /// Choose at random among engines of nearly equal cost.
     pub near_equals: bool,
-    /// Import kept cache where that is faster than prefill.
+    /// Import cached prefixes where that is faster than prefill.
     pub import: bool,
-    /// Leave out engines that fail, and let returning ones in slowly.
+    /// Exclude failing engines and use slow start for returning ones.
     pub health: bool,
 }
 
@@ -108,8 +106,8 @@
 }
 
 impl Mechanisms {
-    /// For a router that is told the truth about all caches and queues before each choice: the cost
-    /// function alone, without any correction for what is unknown.
+    /// Settings for a router that learns the exact state of all caches and queues before each choice. Turns
+    /// off everything that compensates for stale data.
     pub const fn with_exact_state() -> Self {
         Self {
             replicate_hot_prefixes: true,
@@ -125,221 +123,156 @@
     }
 }
 
-/// What a request needs of an engine.
+/// What a request requires of an engine.
 #[derive(Clone, Debug)]
 pub struct RouteRequest<'a> {
-    /// The request.
     pub request: &'a RequestId,
-    /// Its tenant.
     pub tenant: &'a TenantId,
-    /// The pool that serves its model.
     pub pool: &'a PoolId,
-    /// The model.
     pub model: &'a ModelId,
-    /// The weights version.
     pub weights: WeightsVersion,
-    /// The adapter, if any.
     pub adapter: Option<&'a AdapterId>,
-    /// The boundary of its cached state.
+    /// Cached state is only shared within this scope.
     pub scope: CacheScope,
-    /// Hashes of the prompt's whole blocks.
+    /// Hashes of the prompt's complete blocks.
     pub blocks: &'a [BlockHash],
-    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens to generate at most.
     pub max_tokens: u32,
-    /// How urgent it is.
     pub priority: Priority,
-    /// From 0.0 (tail time to first token alone) to 1.0 (reuse alone).
+    /// From 0.0 (optimize tail time to first token only) to 1.0 (optimize cache reuse only).
     pub reuse_weight: f64,
     /// Engines already tried for this request.
     pub excluded: &'a [EngineId],
 }
 
-/// Something that a router learns.
+/// An input to a router.
 #[derive(Clone, Debug)]
 pub enum RouterEvent<'a> {
-    /// An engine's own account of itself.
+    /// An engine's status report.
     Status(&'a EngineStatus),
-    /// An engine's load, from an answer.
-    Load {
-        /// The engine.
-        engine: &'a EngineId,
-        /// The load.
-        report: LoadReport,
-    },
-    /// Part of an engine's feed.
-    Feed {
-        /// The engine.
-        engine: &'a EngineId,
-        /// The events.
-        batch: &'a CacheEventBatch,
-    },
-    /// A page of an engine's blocks.
-    Snapshot {
-        /// The engine.
-        engine: &'a EngineId,
-        /// The page.
-        snapshot: &'a CacheSnapshot,
-    },
-    /// A try was sent.
-    Dispatched {
-        /// The try.
-        attempt: &'a AttemptId,
-        /// Where to.
-        engine: &'a EngineId,
-        /// The request.
-        request: &'a RouteRequest<'a>,
-    },
+    /// An engine's load report.
+    Load { engine: &'a EngineId, report: LoadReport },
+    /// A batch of cache events from an engine's feed.
+    Feed { engine: &'a EngineId, batch: &'a CacheEventBatch },
+    /// A page of a snapshot of an engine's cache.
+    Snapshot { engine: &'a EngineId, snapshot: &'a CacheSnapshot },
+    /// An attempt was sent.
+    Dispatched { attempt: &'a AttemptId, engine: &'a EngineId, request: &'a RouteRequest<'a> },
     /// An engine began to answer.
     Started {
-        /// The try.
         attempt: &'a AttemptId,
-        /// The engine's life.
         incarnation: Incarnation,
-        /// Tokens found in its cache.
+        /// Prompt tokens found in the engine's cache.
         cached_tokens: u32,
     },
     /// The first token of an answer arrived.
-    FirstToken {
-        /// The try.
-        attempt: &'a AttemptId,
-    },
-    /// A try has ended.
-    Ended {
-        /// The try.
-        attempt: &'a AttemptId,
-        /// How.
-        ending: AttemptEnding,
-    },
-    /// An engine refused a try, which has not run.
-    Refused {
-        /// The engine.
-        engine: &'a EngineId,
-        /// Its answer.
-        refusal: &'a EngineRefusal,
-    },
-    /// An engine takes no new work, or takes it again.
-    Draining {
-        /// The engine.
-        engine: &'a EngineId,
-        /// Whether it drains.
-        draining: bool,
-    },
-    /// The kept-cache store holds state of a prefix.
-    PrefixStored {
-        /// What it holds.
-        transfer: &'a KvTransfer,
-    },
-    /// The kept-cache store no longer holds state of a prefix.
+    FirstToken { attempt: &'a AttemptId },
+    /// An attempt has ended.
+    Ended { attempt: &'a AttemptId, ending: AttemptEnding },
+    /// An engine refused an attempt without running it.
+    Refused { engine: &'a EngineId, refusal: &'a EngineRefusal },
+    /// An engine started or stopped draining.
+    Draining { engine: &'a EngineId, draining: bool },
+    /// The cache store holds a prefix.
+    PrefixStored { transfer: &'a KvTransfer },
+    /// The cache store no longer holds a prefix.
     PrefixDropped {
-        /// The prefix, by its last block.
+        /// Hash of the prefix's last block.
         prefix: BlockHash,
     },
-    /// The number of nodes that share the engines, this one included.
-    Nodes {
-        /// How many.
-        count: u32,
-    },
+    /// The number of nodes that share the engines, including this one.
+    Nodes { count: u32 },
     /// An engine no longer exists.
-    Removed {
-        /// The engine.
-        engine: &'a EngineId,
-    },
+    Removed { engine: &'a EngineId },
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnding {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Completed,
-    /// The engine refused it.
     Refused,
     /// The connection or the engine failed.
     Failed,
-    /// The caller left, or another try took over.
+    /// The caller disconnected, or another attempt replaced this one.
     Cancelled,
 }
 
-/// One engine that was weighed for a request, with each part of its cost.
+/// A scored engine with the parts of its cost.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Candidate {
-    /// The engine.
     pub engine: EngineId,
-    /// Prompt tokens believed to be cached there.
+    /// Prompt tokens expected in the engine's cache.
     pub expected_cached_tokens: u32,
-    /// Predicted milliseconds until the engine can begin.
+    /// Predicted wait until the engine can begin.
     pub wait_ms: f64,
-    /// Predicted milliseconds of prefill of what is missing.
+    /// Predicted time to prefill the tokens that are not cached.
     pub prefill_ms: f64,
-    /// Network distance in milliseconds.
+    /// Network latency.
     pub distance_ms: f64,
-    /// Predicted milliseconds of the import of kept cache, which replaces part of the prefill.
+    /// Predicted time to import a cached prefix, which replaces part of the prefill.
     pub import_ms: f64,
-    /// Penalty in milliseconds for recomputing what another engine holds.
+    /// Penalty for recomputing what another engine holds.
     pub copy_ms: f64,
-    /// Penalty in milliseconds for an engine that is not the agreed place of the prefix.
+    /// Penalty for an engine that is not preferred for the prefix.
     pub affinity_ms: f64,
-    /// Place in the agreed order of engines for the prefix, from 0; none outside that order.
+    /// Rank among the prefix's preferred engines, from 0; `None` if unranked.
     pub affinity_rank: Option<u32>,
-    /// Blocks of the prompt at the deepest point that the engine was known to hold.
+    /// Length of the prompt's prefix, in blocks, that the engine was known to hold.
     pub believed_blocks: u32,
-    /// From 0.0 to 1.0: how likely the engine still holds them.
+    /// Probability that the engine still holds the last of these blocks.
     pub confidence: f64,
-    /// Milliseconds since the engine was last known to use them.
+    /// Milliseconds since the engine last used them.
     pub belief_age_ms: u64,
-    /// The total that decides; lower is better.
+    /// Sum of all parts in milliseconds; the lowest cost is best.
     pub cost: f64,
     /// Milliseconds since the last load report.
     pub load_age_ms: u64,
 }
 
-/// A choice with its reasons.
+/// The result of a choice.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Decision {
-    /// Where to send the request, and under which precondition; none where no engine can serve it.
+    /// The chosen engine and its precondition, or `None` if no engine can serve the request.
     pub chosen: Option<Precondition>,
-    /// Engines weighed, the best first.
+    /// All scored engines, the chosen one first and the others by cost.
     pub candidates: Vec<Candidate>,
-    /// Why the choice fell, in one of few fixed forms.
     pub reason: ChoiceReason,
-    /// Kept cache for the chosen engine to import before prefill, where that is faster.
+    /// Cached prefix for the chosen engine to import before prefill, where that is faster.
     pub import: Option<KvTransfer>,
-    /// Blocks of the prompt that other requests are known to share.
+    /// Leading blocks of the prompt that other requests are known to share.
     pub shared_blocks: u32,
-    /// Copies of that shared part that its request rate justifies.
+    /// Copies of these shared blocks that their request rate justifies.
     pub wanted_copies: u32,
 }
 
-/// Why a choice fell.
+/// The reason for a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChoiceReason {
-    /// It had the lowest predicted cost, for no more special reason.
+    /// It had the lowest predicted cost, and no other reason applies.
     LowestCost,
-    /// It is believed to hold the longest part of the prompt.
+    /// It is expected to hold the longest cached prefix of the prompt.
     LongestPrefix,
-    /// Engines that hold more of the prompt cost more, mostly by their wait.
+    /// Engines that hold a longer prefix cost more, mostly because of their wait.
     HoldersBusy,
-    /// No engine is known to hold the prompt, and this is its agreed place.
+    /// No engine is known to hold the prompt, and this one is preferred for it.
     #[serde(rename = "agreed_place")]
     PreferredEngine,
-    /// The prefix is requested so often that another copy pays.
+    /// The request rate of the prefix justifies another copy.
     HotCopy,
-    /// Drawn among engines of nearly equal cost.
+    /// It was picked at random among engines of nearly equal cost.
     NearEqual,
-    /// No engine of the pool serves the model at this version.
+    /// No engine of the pool can serve the request.
     #[serde(rename = "none_serves")]
     NoEngineAvailable,
 }
 
-/// Cached state that is about to be lost though it is still in demand.
+/// A hot prefix that should be exported before it is evicted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExportHint {
-    /// The engine to ask, and what for.
     pub engine: EngineId,
-    /// The request.
     pub request: ExportRequest,
-    /// Estimated bytes to move.
+    /// Estimated size of the transfer.
     pub bytes: u64,
 }
