--- a/crates/core/src/back_off.rs
+++ b/crates/core/src/back_off.rs
@@ -1,34 +1,34 @@
-//! Times without requests that back ends ask for, and when callers come back after them.
+//! Back-off times requested by back ends, and retry times for the callers refused meanwhile.
 
 use std::time::Duration;
 
 use paddlemount_protocol::time::Timestamp;
 
-/// The longest time without requests that a back end is granted: one that asks for more is asked again after this.
+/// Maximum back-off time granted to a back end; after it, the next request asks again.
 pub const MAX_BACK_OFF: Duration = Duration::from_secs(300);
-/// How much later than the end of a rest callers may be told to come back, as a part of the time until then: they would else
-/// all come at one moment.
-const SPREAD: f64 = 0.25;
+/// Maximum jitter added to a retry time, relative to that time, so that callers do not return all at once.
+const MAX_JITTER: f64 = 0.25;
 
-/// When one of many callers that may come back after `least` is told to; `draw` is drawn evenly from 0 to 1 for it.
-pub fn with_jitter(least: Duration, draw: f64) -> Duration {
-    least.mul_f64(1.0 + SPREAD * draw)
+/// Adds jitter to a retry time. `draw` is uniformly distributed from 0 to 1.
+pub fn with_jitter(min: Duration, draw: f64) -> Duration {
+    min.mul_f64(1.0 + MAX_JITTER * draw)
 }
 
-/// The latest moment at which a refused caller may come back: later ones would find its time nearly over.
-const LATEST_RETURN: Duration = Duration::from_secs(5);
+/// Maximum retry time given to a caller, whose deadline would mostly be over after a longer one.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Spaces the returns of callers out that were refused since all back ends of a service are limited.
+/// Spreads the retry times of callers that were refused because all back ends of a service are rate limited.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryAfterSchedule {
     last: Timestamp,
 }
 
 impl RetryAfterSchedule {
-    /// When one more caller may come back, where requests can be sent from `opens_at` on, `per_second` of them in a second.
+    /// Returns the retry time of the next caller, if requests can be sent from `opens_at` at a rate of
+    /// `per_second`.
     pub fn next(&mut self, opens_at: Timestamp, per_second: f64, now: Timestamp) -> Duration {
-        let latest = now + LATEST_RETURN;
-        let interval = Duration::try_from_secs_f64(1.0 / per_second).unwrap_or(LATEST_RETURN);
+        let latest = now + MAX_RETRY_AFTER;
+        let interval = Duration::try_from_secs_f64(1.0 / per_second).unwrap_or(MAX_RETRY_AFTER);
         self.last = (self.last + interval).max(opens_at).min(latest);
         self.last.saturating_since(now)
     }
--- a/crates/core/src/cache_index/eviction.rs
+++ b/crates/core/src/cache_index/eviction.rs
@@ -1,17 +1,17 @@
-//! An estimate of how long an engine keeps blocks that are not used.
+//! Estimate of the age at which an engine evicts unused blocks.
 
-/// The age in seconds that is assumed before anything was learned.
+/// Initial estimate.
 const INITIAL_AGE_SECONDS: f64 = 20.0;
-/// Share of a new sample in the estimate.
+/// Weight of a new sample in the moving average.
 const EVICTED_WEIGHT: f64 = 0.1;
 const SURVIVED_WEIGHT: f64 = 0.1;
-/// How steeply survival falls around the estimate.
+/// How steeply the survival probability falls around the estimate.
 const SURVIVAL_STEEPNESS: i32 = 6;
 const MIN_AGE_SECONDS: f64 = 0.05;
 const MAX_AGE_SECONDS: f64 = 3_600.0;
 const MICROS: f64 = 1e6;
 
-/// The age at which one engine evicts blocks that are not used, learnt from answers and feeds.
+/// The age at which an engine evicts unused blocks, estimated from answers and feeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvictionAge {
     seconds: f64,
@@ -25,18 +25,18 @@
 }
 
 impl EvictionAge {
-    /// The estimate in seconds.
+    /// Returns the estimate in seconds.
     pub const fn seconds(&self) -> f64 {
         self.seconds
     }
 
-    /// A block was evicted exactly when it had not been used for `age_micros`.
+    /// Records that a block was evicted when it had been unused for exactly `age_micros`.
     pub fn evicted_at(&mut self, age_micros: u64) {
         let seconds = age_micros as f64 / MICROS;
         self.move_towards(seconds, self.evicted_weight());
     }
 
-    /// A block was found to be gone when it had not been used for `age_micros`.
+    /// Records that a block unused for `age_micros` had been evicted at some earlier time.
     pub fn found_evicted(&mut self, age_micros: u64) {
         let seconds = age_micros as f64 / MICROS;
         if seconds < self.seconds {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The first samples replace what was assumed; later ones are averaged.
+    /// The first samples replace the initial estimate; later ones are averaged.
     fn evicted_weight(&self) -> f64 {
         EVICTED_WEIGHT.max(1.0 / f64::from(self.samples.saturating_add(1)))
     }
 
-    /// A block was still there when it had not been used for `age_micros`.
+    /// Records that a block unused for `age_micros` was still cached.
     pub fn survived(&mut self, age_micros: u64) {
         let seconds = age_micros as f64 / MICROS;
         if seconds > self.seconds {
@@ -63,7 +63,7 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The probability that a block is still there after `age_micros` without use.
+    /// Returns the probability that a block unused for `age_micros` is still cached.
     pub fn survival(&self, age_micros: u64) -> f64 {
         let relative = age_micros as f64 / MICROS / self.seconds;
         1.0 / (1.0 + relative.powi(SURVIVAL_STEEPNESS))
--- a/crates/core/src/cache_index/feed.rs
+++ b/crates/core/src/cache_index/feed.rs
@@ -1,4 +1,4 @@
-//! Following one engine's feed of cache events: gaps, snapshots and whether the feed can be trusted.
+//! Processing of an engine's feed of cache events: gap detection, snapshots and completeness.
 
 use paddlemount_protocol::{
     engine::{CacheChange, CacheEventBatch, CacheSnapshot},
@@ -9,18 +9,17 @@
 
 use super::{CacheEpochId, CacheIndex, Slot, eviction::EvictionAge, short_hash};
 
-/// How far an engine's feed can be trusted.
+/// How complete the known part of an engine's feed is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeedState {
-    /// This node does not read the feed.
     NotRead,
-    /// All events up to the last one seen are known.
+    /// All events up to the last received one are known.
     Complete,
-    /// Events were lost; a snapshot is wanted.
+    /// Events were lost; a snapshot is required.
     Gap,
 }
 
-/// A snapshot that arrives in pages.
+/// A snapshot of which some pages have arrived.
 #[derive(Clone, Copy, Debug)]
 struct SnapshotProgress {
     epoch: CacheEpochId,
@@ -28,12 +27,12 @@
     last_block: Option<BlockHash>,
 }
 
-/// The state of one engine's feed within one epoch.
+/// The state of one engine's feed within one cache epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct Feed {
     next: EventSequence,
     state: FeedState,
-    /// The first event known after the last gap.
+    /// The first event after the last gap.
     gap_end: EventSequence,
     snapshot: Option<SnapshotProgress>,
     lost_events: u64,
@@ -51,30 +50,27 @@
     }
 }
 
-/// The parts of a view of one engine that its feed changes.
+/// The parts of an engine's state that its feed updates.
 pub struct FeedTarget<'a> {
-    /// Where records are kept.
     pub cache_index: &'a mut CacheIndex,
-    /// The engine.
     pub slot: Slot,
-    /// Its present epoch; replaced when the cache is cleared or a snapshot is complete.
+    /// Replaced when the cache is cleared or a snapshot is complete.
     pub epoch: &'a mut CacheEpochId,
-    /// Its eviction age.
     pub eviction: &'a mut EvictionAge,
 }
 
 impl Feed {
-    /// How far the feed can be trusted now.
+    /// How complete the feed is now.
     pub const fn state(&self) -> FeedState {
         self.state
     }
 
-    /// Events known to be lost within this incarnation.
+    /// Number of events lost within this incarnation.
     pub const fn lost_events(&self) -> u64 {
         self.lost_events
     }
 
-    /// Takes in a batch of this incarnation's events.
+    /// Applies a batch of events of this incarnation.
     pub fn apply_batch(&mut self, batch: &CacheEventBatch, target: &mut FeedTarget<'_>, now: Timestamp) {
         if self.state == FeedState::NotRead {
             self.state = FeedState::Complete;
@@ -89,7 +85,7 @@
             self.next = event.sequence.next();
             self.apply_change(&event.change, target, now);
         }
-        // Nothing was sent though there is something: the missing events are gone for good.
+        // An empty batch with a later `last` means that the engine no longer has the events in between.
         if batch.events.is_empty() && batch.last >= self.next {
             self.record_gap(batch.last.next());
             self.next = batch.last.next();
@@ -131,10 +127,9 @@
         }
     }
 
-    /// Takes in a page of a snapshot of this incarnation.
+    /// Applies a page of a snapshot of this incarnation.
     ///
-    /// Pages are gathered in a epoch of their own, which replaces the present one when the last
-    /// page is in; until then the present cache_index stands.
+    /// Pages are collected in a cache epoch of their own, which replaces the current one with the last page.
     pub fn apply_snapshot(&mut self, page: &CacheSnapshot, target: &mut FeedTarget<'_>, now: Timestamp) {
         let mut progress = self.progress_for(page, target);
         for block in &page.blocks {
@@ -176,7 +171,7 @@
         self.next = self.next.max(progress.as_of.next());
     }
 
-    /// Gives up a snapshot that is only half there.
+    /// Discards an incomplete snapshot.
     pub fn drop_snapshot(&mut self, cache_index: &mut CacheIndex) {
         if let Some(progress) = self.snapshot.take() {
             cache_index.close(progress.epoch);
@@ -185,8 +180,8 @@
 }
 
 impl FeedTarget<'_> {
-    fn replace_epoch(&mut self, with: Option<CacheEpochId>) {
+    fn replace_epoch(&mut self, replacement: Option<CacheEpochId>) {
         self.cache_index.close(*self.epoch);
-        *self.epoch = with.unwrap_or_else(|| self.cache_index.open(self.slot));
+        *self.epoch = replacement.unwrap_or_else(|| self.cache_index.open(self.slot));
     }
 }
--- a/crates/core/src/cache_index/holders.rs
+++ b/crates/core/src/cache_index/holders.rs
@@ -1,13 +1,13 @@
-//! The engines that hold one prefix, in few bytes.
+//! Compact sets of the engines that hold a prefix.
 
 use paddlemount_protocol::time::Timestamp;
 
 use super::CacheEpochId;
 
-/// Engines remembered for one prefix at most; the one not used for longest makes room.
+/// Maximum number of engines recorded per prefix; a further one replaces the least recently used.
 pub(super) const MAX_HOLDERS: usize = 64;
 
-/// Times are counted in steps of 2^13 microseconds, 8.2 ms, and wrap after 407 days.
+/// Times are stored in units of 2^13 microseconds, or 8.2 ms, and wrap after 407 days.
 const TIME_SHIFT: u32 = 13;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,15 +23,15 @@
 
     pub(super) const fn age_micros(self, now: Timestamp) -> u64 {
         let steps = ((now.0 >> TIME_SHIFT) as u32).wrapping_sub(self.used);
-        // A step back of the clock shows as an enormous age; it counts as no age.
+        // A clock that steps back yields a huge difference, which counts as zero.
         if steps > u32::MAX / 2 { 0 } else { (steps as u64) << TIME_SHIFT }
     }
 }
 
-/// Several holders. Boxed, it takes one word in [`Holders`] where a plain `Vec` would take three.
+/// Several holders, boxed because that takes one word in [`Holders`] instead of three.
 pub(super) struct HolderList(Vec<Holder>);
 
-/// Most prefixes are held by one engine, which needs no allocation.
+/// The holders of one prefix. Most prefixes have a single one, which needs no allocation.
 pub(super) enum Holders {
     None,
     One(Holder),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Adds or renews a holder; answers how many records were added.
+    /// Adds or updates a holder. Returns the number of records added.
     pub(super) fn put(&mut self, holder: Holder) -> usize {
         match self {
             Self::None => {
@@ -62,11 +62,11 @@
                 *self = Self::Many(Box::new(HolderList(vec![*present, holder])));
                 1
             }
-            Self::Many(holders) => put_among(&mut holders.0, holder),
+            Self::Many(holders) => put_in_list(&mut holders.0, holder),
         }
     }
 
-    /// Renews a holder if it is there.
+    /// Updates a holder if it is present.
     pub(super) fn renew(&mut self, holder: Holder) {
         let present = match self {
             Self::None => None,
@@ -115,7 +115,7 @@
     }
 }
 
-fn put_among(holders: &mut Vec<Holder>, holder: Holder) -> usize {
+fn put_in_list(holders: &mut Vec<Holder>, holder: Holder) -> usize {
     if let Some(present) = holders.iter_mut().find(|present| present.epoch == holder.epoch) {
         *present = holder;
         return 0;
--- a/crates/core/src/cache_index/mod.rs
+++ b/crates/core/src/cache_index/mod.rs
@@ -1,13 +1,12 @@
-//! What a node believes that engines hold in their caches.
+//! Index of the prefixes that engines are expected to have in their caches.
 //!
-//! A cache_index only steers: each dispatch carries a precondition that the engine checks, so a wrong
-//! cache_index costs time and never correctness. That is why 64 of a block hash's 128 bits are enough here.
+//! The index is only a hint: each dispatch carries a precondition that the engine checks, so a wrong entry
+//! costs time and never correctness. 64 of a block hash's 128 bits are therefore enough.
 //!
-//! Records belong to a [`CacheEpochId`]: one engine in one incarnation under one weights version. A
-//! new incarnation or version opens a new epoch, and everything recorded under the one before
-//! is void at once, without a search. Memory is bounded by two generations of records: when the
-//! young one is half the limit, it becomes the old one, and the old one is dropped. Records in use move
-//! to the young generation, so the ones dropped are those not used for longest.
+//! Records belong to a [`CacheEpochId`]: one engine in one incarnation with one weights version. A new
+//! incarnation or version opens a new epoch, which invalidates all records of the previous one without a
+//! search. Memory is bounded by two generations: when the young one reaches half of the limit, it replaces
+//! the old one. Records in use move to the young generation, so the least recently used ones are dropped.
 
 use std::{
     collections::HashMap,
@@ -22,64 +21,63 @@
 pub mod feed;
 mod holders;
 
-/// An engine's place in a router's table.
+/// An engine's position in a router's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot(pub u32);
 
-/// One engine in one incarnation under one weights version.
+/// One engine in one incarnation with one weights version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CacheEpochId(pub(crate) u32);
 
-/// The part of a block hash that records are kept under.
+/// The truncated block hash used as a key.
 pub type ShortHash = u64;
 
-/// The short_hash form of a block hash.
+/// Truncates a block hash.
 pub const fn short_hash(hash: BlockHash) -> ShortHash {
     hash.0 as u64
 }
 
-/// What one engine is believed to hold of a prompt.
+/// The part of a prompt that one engine is expected to hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefixMatch {
-    /// The engine.
     pub slot: Slot,
-    /// Blocks of the prompt up to the deepest one that was seen there.
+    /// Number of leading blocks up to the deepest one recorded for the engine.
     pub depth: u32,
-    /// Blocks expected to be there still.
+    /// Expected number of these blocks that are still cached.
     pub expected_blocks: f64,
-    /// Microseconds since the deepest block was known to be used.
+    /// Microseconds since the last known use of the deepest block.
     pub age_micros: u64,
-    /// From 0.0 to 1.0: how likely the deepest block is there still.
+    /// Probability that the deepest block is still cached.
     pub confidence: f64,
     survival_here: f64,
     depth_here: u32,
 }
 
-/// How thoroughly [`CacheIndex::matches`] looks.
+/// How [`CacheIndex::matches`] searches a prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct Search {
     limit: usize,
-    /// Once a holder is known, this share of the depth is passed over with each step.
+    /// Divides the number of blocks to get the step width after the first holder is found.
     stride_divisor: Option<usize>,
 }
 
-/// Steps of a search over a whole prompt once a holder is known.
+/// Maximum number of steps over a whole prompt after the first holder is found.
 const SEARCH_STEPS: usize = 16;
 
 impl Search {
-    /// Looks at each block for at most `limit` engines.
+    /// Looks up every block, for at most `limit` engines.
     pub const fn exhaustive(limit: usize) -> Self {
         Self { limit, stride_divisor: None }
     }
 
-    /// Looks at each block until a holder is known and at some of the shallower ones then, so that the
-    /// engines after the first may be taken to hold slightly less than they do.
+    /// Looks up every block until a holder is found and then only some of the shallower ones, which may
+    /// underestimate what the other engines hold.
     pub const fn strided(limit: usize) -> Self {
         Self { limit, stride_divisor: Some(SEARCH_STEPS) }
     }
 }
 
-/// Hashes are uniformly distributed already, so the table uses them unchanged.
+/// Block hashes are uniformly distributed, so they need no further hashing.
 #[derive(Default)]
 pub(crate) struct IdentityHasher(u64);
 
@@ -103,7 +101,7 @@
     records: usize,
 }
 
-/// Which prefixes which engines are believed to hold.
+/// Index of prefixes by the engines that are expected to hold them.
 pub struct CacheIndex {
     young: Generation,
     old: Generation,
@@ -111,26 +109,26 @@
     epochs: Vec<Option<Slot>>,
 }
 
-/// A survival probability must exceed another by this much to be worth a step in an expectation.
+/// A shallower block changes an expectation only if its survival probability is higher by this much.
 const SURVIVAL_STEP: f64 = 0.1;
-/// At this survival probability, shallower blocks of the same engine are not looked at.
+/// At this survival probability, shallower blocks of the same engine are not looked up.
 const CERTAIN_SURVIVAL: f64 = 0.9;
 
 impl CacheIndex {
-    /// An empty cache_index of at most `limit` records, a record being one prefix at one engine.
+    /// Creates an empty index of at most `limit` records. A record is one prefix at one engine.
     pub fn new(limit: usize) -> Self {
         let limit = limit.max(4 * MAX_HOLDERS);
         Self { young: Generation::default(), old: Generation::default(), limit, epochs: Vec::new() }
     }
 
-    /// Starts a epoch of the engine at `slot`, with nothing in its cache.
+    /// Opens an epoch with an empty cache for the engine at `slot`.
     pub fn open(&mut self, slot: Slot) -> CacheEpochId {
         let epoch = CacheEpochId(self.epochs.len() as u32);
         self.epochs.push(Some(slot));
         epoch
     }
 
-    /// Ends a epoch; all that was believed of it is void.
+    /// Closes an epoch and invalidates its records.
     pub fn close(&mut self, epoch: CacheEpochId) {
         if let Some(slot) = self.epochs.get_mut(epoch.0 as usize) {
             *slot = None;
@@ -141,7 +139,7 @@
         self.epochs.get(epoch.0 as usize).copied().flatten()
     }
 
-    /// Records that the epoch held `blocks` at `now`.
+    /// Records that the engine held `blocks` at `now`.
     pub fn record(
         &mut self,
         epoch: CacheEpochId,
@@ -183,7 +181,7 @@
         }
     }
 
-    /// Records that those of `blocks` that the epoch is believed to hold were used at `now`.
+    /// Updates the time of last use of those of `blocks` that have a record.
     pub fn refresh(&mut self, epoch: CacheEpochId, blocks: &[ShortHash], now: Timestamp) {
         let holder = Holder::new(epoch, now);
         for block in blocks {
@@ -195,7 +193,7 @@
         }
     }
 
-    /// Forgets that the epoch holds `block`; answers when it was last known to use it.
+    /// Removes the record of `block`. Returns the microseconds since its last known use.
     pub fn forget(&mut self, epoch: CacheEpochId, block: ShortHash, now: Timestamp) -> Option<u64> {
         for generation in [&mut self.young, &mut self.old] {
             let Some(holders) = generation.prefixes.get_mut(&block) else { continue };
@@ -216,7 +214,7 @@
         holders.map_or(&[], Holders::as_slice)
     }
 
-    /// The deepest of `blocks` known at the epoch, counted from 1, and microseconds since its use.
+    /// Returns the depth of the deepest recorded block, counted from 1, and the microseconds since its use.
     pub fn depth_at(&self, epoch: CacheEpochId, blocks: &[ShortHash], now: Timestamp) -> Option<(u32, u64)> {
         self.slot_of(epoch)?;
         for (index, block) in blocks.iter().enumerate().rev() {
@@ -227,16 +225,17 @@
         None
     }
 
-    /// Microseconds since the epoch was last known to use `block`.
+    /// Microseconds since the last known use of `block`.
     pub fn age_at(&self, epoch: CacheEpochId, block: ShortHash, now: Timestamp) -> Option<u64> {
         self.slot_of(epoch)?;
         let holders = self.holders(block);
         holders.iter().find(|holder| holder.epoch == epoch).map(|holder| holder.age_micros(now))
     }
 
-    /// Engines believed to hold part of a prompt, those that hold most first.
+    /// Returns the engines expected to hold a prefix of the prompt, the deepest match first.
     ///
-    /// `survival` gives the probability that an engine still holds what it used some microseconds ago.
+    /// `survival` returns the probability that an engine still holds a block last used the given number of
+    /// microseconds ago.
     pub fn matches(
         &self,
         blocks: &[BlockHash],
@@ -278,17 +277,17 @@
         matches
     }
 
-    /// Records held; never more than the limit.
+    /// Number of records, at most the limit.
     pub fn records(&self) -> usize {
         self.young.records + self.old.records
     }
 
-    /// The most records that are ever held.
+    /// Maximum number of records.
     pub const fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Bytes that the records take, allocation overhead left out.
+    /// Bytes used by the records, without allocator overhead.
     pub fn approximate_bytes(&self) -> usize {
         self.young.bytes() + self.old.bytes() + self.epochs.capacity() * size_of::<Option<Slot>>()
     }
@@ -315,7 +314,7 @@
         }
     }
 
-    /// Takes in a shallower block; answers whether the engine's part is sure from here on.
+    /// Adds a shallower block. Returns whether everything up to it is now certain enough.
     fn step(&mut self, depth: u32, survival: f64) -> bool {
         if survival < self.survival_here + SURVIVAL_STEP {
             return false;
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -4,15 +4,15 @@
 
 use crate::cache_index::{ShortHash, ShortHashMap, short_hash};
 
-/// After this time without requests, a count has halved.
 const HALF_LIFE_SECONDS: f64 = 10.0;
 const MICROS: f64 = 1e6;
 /// Depth of the first counted prefix, in blocks.
 const FIRST_DEPTH: usize = 4;
 
-/// Depths, in blocks, at which prefixes are counted and placed; each is a quarter deeper than the one before.
+/// Returns the depths in blocks at which prefixes are counted and placed, each a quarter deeper than the
+/// previous one.
 ///
-/// They are the same on all nodes, whatever a node has seen, so that nodes agree without messages.
+/// The depths are the same on all nodes, so that nodes place prefixes alike without communication.
 pub fn level_depths(blocks: usize) -> impl Iterator<Item = usize> {
     std::iter::successors(Some(FIRST_DEPTH), |depth| Some(depth + depth.div_ceil(4)))
         .take_while(move |depth| *depth <= blocks)
@@ -26,7 +26,7 @@
 }
 
 impl DecayedCount {
-    /// The count at `now`.
+    /// Returns the count at `now`.
     pub fn at(&self, now: Timestamp) -> f64 {
         let seconds = now.0.saturating_sub(self.counted_at.0) as f64 / MICROS;
         self.count * (-seconds / HALF_LIFE_SECONDS).exp2()
@@ -38,24 +38,24 @@
         self.counted_at = now;
     }
 
-    /// The amount a second that keeps the count where it is at `now`.
+    /// Returns the amount per second that would keep the count constant.
     pub fn rate(&self, now: Timestamp) -> f64 {
         self.at(now) * std::f64::consts::LN_2 / HALF_LIFE_SECONDS
     }
 }
 
-/// Decayed counts of requests by prefix, in bounded memory.
+/// Decayed request counts by prefix, in bounded memory.
 pub struct PrefixPopularity {
     young: ShortHashMap<DecayedCount>,
     old: ShortHashMap<DecayedCount>,
     limit: usize,
 }
 
-/// The smallest limit; below it, one long prompt could push out all else.
+/// Below this limit, one long prompt could displace all other prefixes.
 const MIN_LIMIT: usize = 256;
 
 impl PrefixPopularity {
-    /// Counts at most `limit` prefixes.
+    /// Creates counters for at most `limit` prefixes.
     pub fn new(limit: usize) -> Self {
         Self { young: ShortHashMap::default(), old: ShortHashMap::default(), limit: limit.max(MIN_LIMIT) }
     }
@@ -76,14 +76,14 @@
         count.add(1.0, now);
     }
 
-    /// Requests for the prefix that ends with `block`, recent ones counting most.
+    /// Returns the decayed count of requests for the prefix that ends with `block`.
     pub fn count(&self, block: BlockHash, now: Timestamp) -> f64 {
         let prefix = short_hash(block);
         let count = self.young.get(&prefix).or_else(|| self.old.get(&prefix));
         count.map_or(0.0, |count| count.at(now))
     }
 
-    /// Prefixes counted now; never more than the limit.
+    /// Number of prefixes counted, at most the limit.
     pub fn records(&self) -> usize {
         self.young.len() + self.old.len()
     }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,14 +1,14 @@
-//! One model request, from its arrival to its ending.
+//! State machine of one model request, from its arrival to its end.
 //!
-//! [`ModelRequest`] is a state machine: a driver feeds it [`RequestEvent`]s and carries out the
-//! [`RequestAction`]s that it returns. It keeps these promises:
+//! A driver feeds [`RequestEvent`]s to a [`ModelRequest`] and carries out the [`RequestAction`]s that it
+//! returns. The following holds:
 //!
-//! - Tokens are emitted in order, each once, and [`RequestAction::Finish`] follows only after all of them.
-//! - There is exactly one ending: `Finish`, `Refuse`, or silence after the caller has left.
-//! - A refusal says `not_run` only where no engine may have begun to run the request.
-//! - A request that must not be repeated is sent again only after a typed refusal, or where
-//!   nothing was sent.
-//! - Text of one answer comes from one model, weights version and adapter.
+//! - Tokens are emitted in order, each once, and [`RequestAction::Finish`] only follows after all of them.
+//! - A request ends exactly once: by `Finish`, by `Refuse`, or without an action after the caller
+//!   disconnected.
+//! - A refusal says `not_run` only if no engine can have begun to run the request.
+//! - A request that is not repeatable is retried only after a typed refusal, or if nothing was sent.
+//! - The text of one answer comes from one model, weights version and adapter.
 
 mod events;
 mod machine;
@@ -24,18 +24,18 @@
 pub use events::{Continuation, RequestAction, RequestEvent};
 pub use machine::ModelRequest;
 
-/// Bounds of a request's tries.
+/// Limits on the attempts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSettings {
-    /// Tries at most, the first included.
+    /// Maximum number of attempts, including the first.
     pub max_attempts: u32,
-    /// Reconnections to the same engine at most, without a new token between them.
+    /// Maximum number of reconnections to the same engine without a new token in between.
     pub max_resumes: u32,
-    /// From sending a try until the engine has begun to answer, and from there until its first token.
+    /// From sending an attempt until the engine begins to answer, and from there until the first token.
     pub first_byte_timeout: Duration,
-    /// Between two tokens of an answer, and until a resumed answer goes on.
+    /// Between two tokens of an answer, and until a resumed answer continues.
     pub frame_timeout: Duration,
-    /// When a refused caller should come back, where no engine said anything else.
+    /// Retry time for a refused caller if no engine reported one.
     pub retry_after: Duration,
 }
 
@@ -51,32 +51,29 @@
     }
 }
 
-/// What a request is.
+/// The fixed properties of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestSpec {
-    /// The request.
     pub request: RequestId,
-    /// Whether it may be run a second time.
+    /// Whether the request may run a second time.
     pub repeatable: bool,
-    /// Tokens to generate at most.
     pub max_tokens: u32,
-    /// When the caller stops waiting.
     pub deadline: Timestamp,
 }
 
-/// Irregular frames that were seen and had no effect on the answer.
+/// Counts of irregular frames, which have no effect on the answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FrameAnomalies {
-    /// Frames of an earlier try.
+    /// Frames of an earlier attempt.
     pub late: u32,
-    /// Tokens that were there already.
+    /// Tokens that had already arrived.
     pub duplicate: u32,
-    /// Tokens that came too early, so that some between were missing.
+    /// Tokens that arrived before an earlier one.
     pub gap: u32,
 }
 
 impl RequestSpec {
-    /// The identity of the `number`th try, counted from 1.
+    /// Returns the identifier of the attempt with this number, counted from 1.
     pub fn attempt(&self, number: u32) -> AttemptId {
         AttemptId::from(format!("{}.{number}", self.request))
     }
--- a/crates/core/src/request/events.rs
+++ b/crates/core/src/request/events.rs
@@ -1,4 +1,4 @@
-//! What a request learns and what it asks for.
+//! Inputs and outputs of the request state machine.
 
 use std::time::Duration;
 
@@ -10,150 +10,111 @@
 
 use crate::routing::AttemptEnding;
 
-/// Something that a request learns.
+/// An input to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEvent {
-    /// The request has arrived.
     Arrived,
-    /// An engine was chosen, as asked by [`RequestAction::Choose`].
+    /// An engine was chosen, in reply to [`RequestAction::Choose`].
     EngineChosen(Precondition),
-    /// No engine can be asked now.
+    /// No engine can be sent the request now.
     NoEngineAvailable {
-        /// When it makes sense to come back.
         retry_after: Option<Duration>,
     },
-    /// Back ends ended under this request again and again: none gets it.
+    /// The request is in quarantine, because back ends repeatedly crashed while they ran it.
     Quarantined {
-        /// When it makes sense to come back.
         retry_after: Duration,
     },
-    /// Another try was asked for and the retry budget is spent.
+    /// The retry budget does not allow another attempt.
     RetryBudgetSpent,
-    /// The engine refused a try, which therefore did not run there.
+    /// The engine refused an attempt, which did not run there.
     Refused {
-        /// The try.
         attempt: AttemptId,
-        /// The refusal.
         refusal: EngineRefusal,
     },
-    /// No connection came about, so the try was not sent.
+    /// The connection failed before the attempt was sent.
     NotSent {
-        /// The try.
         attempt: AttemptId,
     },
-    /// The connection of a try ended without an end of the answer, or its resumption was refused.
+    /// The connection of an attempt ended before the answer did, or the engine refused to resume it.
     ConnectionLost {
-        /// The try.
         attempt: AttemptId,
-        /// Whether the engine still knows the try, as far as the driver can tell.
+        /// Whether the engine may still know the attempt.
         resumable: bool,
     },
-    /// A frame arrived.
     Frame(Frame),
     /// Time has passed; see [`ModelRequest::next_timer`](super::ModelRequest::next_timer).
     Tick,
-    /// The caller has taken everything again after frames had to wait for it.
+    /// The caller has read all frames that backpressure had held up.
     BackpressureEnded,
-    /// The caller has left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// What later text must have in common with text that the caller already has.
+/// What a continuation must have in common with the text that the caller already has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Continuation {
-    /// The model.
     pub model: ModelId,
-    /// The weights version.
     pub weights: WeightsVersion,
-    /// The adapter.
     pub adapter: Option<AdapterId>,
 }
 
-/// Something that a request asks its driver to do.
+/// An output of a request, for its driver to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestAction {
-    /// Learn anew what an engine says of itself, before anything else.
-    RefreshStatus {
-        /// The engine.
-        engine: EngineId,
-    },
-    /// Choose an engine; answered by [`RequestEvent::EngineChosen`] or [`RequestEvent::NoEngineAvailable`].
+    /// Refresh the engine's status before any further action.
+    RefreshStatus { engine: EngineId },
+    /// Choose an engine; the reply is [`RequestEvent::EngineChosen`] or [`RequestEvent::NoEngineAvailable`].
     Choose {
         /// Engines that must not be chosen.
         excluded: Vec<EngineId>,
         /// What the engine must have in common with earlier ones.
         continuation: Option<Continuation>,
-        /// Whether this is another try, which must be within the retry budget.
+        /// Whether this is a retry, which the retry budget must allow.
         retry: bool,
     },
-    /// Send a try.
+    /// Send an attempt.
     Dispatch {
-        /// The try.
         attempt: AttemptId,
-        /// Where, and under which condition.
         precondition: Precondition,
-        /// Text that the caller already has.
+        /// Tokens that the caller already has.
         already: Vec<String>,
     },
-    /// Connect again to the engine that runs a try.
+    /// Reconnect to the engine that runs an attempt.
     Resume {
-        /// The try.
         attempt: AttemptId,
-        /// The engine.
         engine: EngineId,
-        /// The engine's life.
         incarnation: Incarnation,
-        /// The next token wanted.
+        /// Index of the next expected token.
         next_index: u32,
     },
-    /// Tell an engine to stop work on a try. The driver also drops the try's connection.
-    Cancel {
-        /// The try.
-        attempt: AttemptId,
-        /// The engine.
-        engine: EngineId,
-    },
-    /// A try has ended, for the router's account of what runs where.
-    Ended {
-        /// The try.
-        attempt: AttemptId,
-        /// How.
-        ending: AttemptEnding,
-    },
+    /// Tell an engine to cancel an attempt, and close the attempt's connection.
+    Cancel { attempt: AttemptId, engine: EngineId },
+    /// Report the end of an attempt to the router.
+    Ended { attempt: AttemptId, ending: AttemptEnding },
     /// An engine began to answer.
     Started {
-        /// The try.
         attempt: AttemptId,
-        /// The engine.
         engine: EngineId,
-        /// The engine's life.
         incarnation: Incarnation,
-        /// Tokens of the prompt.
         prompt_tokens: u32,
-        /// Tokens of the prompt found in the engine's cache.
+        /// Prompt tokens found in the engine's cache.
         cached_tokens: u32,
-        /// The engine's load.
         load: LoadReport,
     },
-    /// Give the caller the next token.
+    /// Send the next token to the caller.
     Emit {
-        /// Its position in the answer.
+        /// Position in the answer.
         index: u32,
-        /// Its text.
         text: String,
     },
-    /// End the answer: it is whole.
+    /// End the answer, which is complete.
     Finish {
-        /// Number of its tokens.
+        /// Number of tokens in the answer.
         tokens: u32,
-        /// Why it ended.
         reason: FinishReason,
-        /// The engine and its load, where the engine said so.
+        /// The engine and its load, if the engine reported it.
         load: Option<(EngineId, LoadReport)>,
     },
-    /// End the request without a whole answer.
-    Refuse {
-        /// What to tell the caller.
-        refusal: Refusal,
-    },
+    /// End the request without a complete answer.
+    Refuse { refusal: Refusal },
 }
--- a/crates/core/src/request/machine.rs
+++ b/crates/core/src/request/machine.rs
@@ -18,14 +18,14 @@
 };
 use crate::routing::AttemptEnding;
 
-/// One model request.
+/// The state of one model request.
 #[derive(Clone, Debug)]
 pub struct ModelRequest {
     settings: RequestSettings,
-    terms: RequestSpec,
+    spec: RequestSpec,
     phase: Phase,
     attempts: u32,
-    sent: Vec<String>,
+    emitted: Vec<String>,
     origin: Option<Continuation>,
     excluded: Vec<EngineId>,
     may_have_run: bool,
@@ -35,14 +35,14 @@
 }
 
 impl ModelRequest {
-    /// A request that has not yet [arrived](RequestEvent::Arrived).
-    pub fn new(settings: RequestSettings, terms: RequestSpec) -> Self {
+    /// Creates a request that has not [arrived](RequestEvent::Arrived) yet.
+    pub fn new(settings: RequestSettings, spec: RequestSpec) -> Self {
         Self {
             settings,
-            terms,
+            spec,
             phase: Phase::New,
             attempts: 0,
-            sent: Vec::new(),
+            emitted: Vec::new(),
             origin: None,
             excluded: Vec::new(),
             may_have_run: false,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Irregular frames seen so far.
+    /// Returns the counts of irregular frames.
     pub fn anomalies(&self) -> FrameAnomalies {
         self.anomalies
     }
 
-    /// Tries sent so far.
+    /// Number of attempts sent.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
@@ -67,24 +67,24 @@
         self.phase == Phase::Ended
     }
 
-    /// When to feed [`RequestEvent::Tick`] at the latest.
+    /// Returns the latest time for the next [`RequestEvent::Tick`].
     pub fn next_timer(&self) -> Timestamp {
         match &self.phase {
-            Phase::Trying(attempt) => self.patience_ends(attempt).min(self.terms.deadline),
-            Phase::New | Phase::Choosing | Phase::Ended => self.terms.deadline,
+            Phase::Attempting(attempt) => self.attempt_timeout_at(attempt).min(self.spec.deadline),
+            Phase::New | Phase::Choosing | Phase::Ended => self.spec.deadline,
         }
     }
 
-    fn patience_ends(&self, attempt: &Attempt) -> Timestamp {
-        // An engine sends nothing during prefill, which takes as long in a full batch as the wait for its answer.
-        let patience = match attempt.stage {
-            Stage::Answering | Stage::Resuming { .. } if attempt.has_generated => self.settings.frame_timeout,
+    fn attempt_timeout_at(&self, attempt: &Attempt) -> Timestamp {
+        // An engine sends nothing during prefill, so the time before the first token gets the longer timeout.
+        let timeout = match attempt.stage {
+            Stage::Answering | Stage::Resuming { .. } if attempt.has_token => self.settings.frame_timeout,
             Stage::Sent | Stage::Answering | Stage::Resuming { .. } => self.settings.first_byte_timeout,
         };
-        attempt.heard_at + patience
+        attempt.last_activity_at + timeout
     }
 
-    /// Takes in `event` and says what to do, in this order.
+    /// Applies `event` and returns the actions to carry out, in order.
     pub fn handle(&mut self, event: RequestEvent, now: Timestamp) -> Vec<RequestAction> {
         let mut actions = Vec::new();
         if self.phase == Phase::Ended {
@@ -92,10 +92,10 @@
             return actions;
         }
         if event == RequestEvent::CallerLeft {
-            self.give_up_attempt(AttemptEnding::Cancelled, &mut actions);
+            self.cancel_attempt(AttemptEnding::Cancelled, &mut actions);
             self.phase = Phase::Ended;
-        } else if now >= self.terms.deadline && !matches!(event, RequestEvent::Frame(_)) {
-            self.give_up_attempt(AttemptEnding::Cancelled, &mut actions);
+        } else if now >= self.spec.deadline && !matches!(event, RequestEvent::Frame(_)) {
+            self.cancel_attempt(AttemptEnding::Cancelled, &mut actions);
             self.refuse(RefusalCode::DeadlineExceeded, "the deadline has passed", &mut actions);
         } else {
             self.advance(event, now, &mut actions);
@@ -107,31 +107,33 @@
         match event {
             RequestEvent::Arrived => self.choose(actions),
             RequestEvent::EngineChosen(precondition) => self.dispatch(precondition, now, actions),
-            RequestEvent::NoEngineAvailable { retry_after } => self.none_serves(retry_after, actions),
+            RequestEvent::NoEngineAvailable { retry_after } => self.no_engine_available(retry_after, actions),
             RequestEvent::Quarantined { retry_after } if self.phase == Phase::Choosing => {
                 self.retry_after = Some(retry_after);
-                let message = "engines ended under this request again and again; none gets it";
+                let message = "the request is in quarantine: engines repeatedly crashed while running it";
                 self.refuse(self.last_code, message, actions);
             }
             RequestEvent::RetryBudgetSpent if self.phase == Phase::Choosing => {
-                self.refuse(self.last_code, "the retry budget of this node is spent", actions);
+                self.refuse(self.last_code, "the retry budget of this node is exhausted", actions);
             }
             RequestEvent::Refused { attempt, refusal } if self.is_current(&attempt) => {
                 self.refused(&refusal, actions);
             }
             RequestEvent::NotSent { attempt } if self.is_current(&attempt) => self.not_sent(actions),
             RequestEvent::ConnectionLost { attempt, resumable } if self.is_current(&attempt) => {
-                self.lost(resumable, now, actions);
+                self.connection_lost(resumable, now, actions);
+            }
+            RequestEvent::Frame(frame) if self.is_current(&frame.attempt) => {
+                self.handle_frame(frame, now, actions)
             }
-            RequestEvent::Frame(frame) if self.is_current(&frame.attempt) => self.frame(frame, now, actions),
             RequestEvent::Tick => self.tick(now, actions),
-            RequestEvent::BackpressureEnded => self.heard(now),
+            RequestEvent::BackpressureEnded => self.record_activity(now),
             other => self.count_late(&other),
         }
     }
 
     fn is_current(&self, attempt: &AttemptId) -> bool {
-        matches!(&self.phase, Phase::Trying(current) if current.id == *attempt)
+        matches!(&self.phase, Phase::Attempting(current) if current.id == *attempt)
     }
 
     fn count_late(&mut self, event: &RequestEvent) {
@@ -140,19 +142,19 @@
         }
     }
 
-    fn heard(&mut self, now: Timestamp) {
-        if let Phase::Trying(attempt) = &mut self.phase {
-            attempt.heard_at = now;
+    fn record_activity(&mut self, now: Timestamp) {
+        if let Phase::Attempting(attempt) = &mut self.phase {
+            attempt.last_activity_at = now;
         }
     }
 
     fn choose(&mut self, actions: &mut Vec<RequestAction>) {
         if self.attempts >= self.settings.max_attempts {
-            let message = format!("no engine answered in {} tries", self.attempts);
+            let message = format!("no engine answered in {} attempts", self.attempts);
             return self.refuse(self.last_code, &message, actions);
         }
         self.phase = Phase::Choosing;
-        let continuation = if self.sent.is_empty() { None } else { self.origin.clone() };
+        let continuation = if self.emitted.is_empty() { None } else { self.origin.clone() };
         actions.push(RequestAction::Choose {
             excluded: self.excluded.clone(),
             continuation,
@@ -165,8 +167,8 @@
             return;
         }
         self.attempts += 1;
-        let id = self.terms.attempt(self.attempts);
-        if self.sent.is_empty() {
+        let id = self.spec.attempt(self.attempts);
+        if self.emitted.is_empty() {
             self.origin = Some(Continuation {
                 model: precondition.model.clone(),
                 weights: precondition.weights,
@@ -176,32 +178,32 @@
         actions.push(RequestAction::Dispatch {
             attempt: id.clone(),
             precondition: precondition.clone(),
-            already: self.sent.clone(),
+            already: self.emitted.clone(),
         });
-        self.phase = Phase::Trying(Attempt {
+        self.phase = Phase::Attempting(Attempt {
             id,
             precondition,
             stage: Stage::Sent,
             resumes: 0,
-            heard_at: now,
-            has_generated: false,
+            last_activity_at: now,
+            has_token: false,
         });
     }
 
-    fn none_serves(&mut self, retry_after: Option<Duration>, actions: &mut Vec<RequestAction>) {
+    fn no_engine_available(&mut self, retry_after: Option<Duration>, actions: &mut Vec<RequestAction>) {
         if self.phase != Phase::Choosing {
             return;
         }
         if retry_after.is_some() {
             self.retry_after = retry_after;
-            let message = "all engines that could serve this request have asked for a time without any";
+            let message = "all engines that can serve this request are backing off";
             return self.refuse(RefusalCode::Overloaded, message, actions);
         }
         self.refuse(self.last_code, "no engine can serve this request now", actions);
     }
 
     fn next_index(&self) -> u32 {
-        u32::try_from(self.sent.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.emitted.len()).unwrap_or(u32::MAX)
     }
 
     fn finish(
--- a/crates/core/src/request/machine/attempt_endings.rs
+++ b/crates/core/src/request/machine/attempt_endings.rs
@@ -1,4 +1,4 @@
-//! How a try ends before its answer is whole, and what follows: another connection, another engine, or a refusal.
+//! Ends of attempts before the answer is complete, followed by a reconnection, a retry or a refusal.
 
 use std::time::Duration;
 
@@ -20,13 +20,14 @@
 impl ModelRequest {
     pub(super) fn refused(&mut self, refusal: &EngineRefusal, actions: &mut Vec<RequestAction>) {
         if !self.is_only_sent() {
-            // The engine knew the try before, so this cannot mean that it did not run.
+            // The engine had accepted the attempt, so the refusal does not mean that it never ran.
             return self.abandon(actions);
         }
         let Some(attempt) = self.end_attempt(AttemptEnding::Refused, actions) else { return };
         let engine = attempt.engine();
         if refusal.code == RefusalCode::PreconditionFailed {
-            // The cache_index was out of date. The engine may be chosen again once it was asked.
+            // The router's view of the engine was stale. The engine may be chosen again after a status
+            // refresh.
             self.last_code = RefusalCode::Unavailable;
             actions.push(RequestAction::RefreshStatus { engine });
         } else {
@@ -45,7 +46,7 @@
 
     pub(super) fn not_sent(&mut self, actions: &mut Vec<RequestAction>) {
         if !self.is_only_sent() {
-            // The try itself was sent earlier; only its resumption was not.
+            // The attempt was sent earlier; only its resumption failed.
             return self.abandon(actions);
         }
         let Some(attempt) = self.end_attempt(AttemptEnding::Failed, actions) else { return };
@@ -53,21 +54,26 @@
         self.choose(actions);
     }
 
-    /// Whether nothing was heard of the present try since it was sent.
+    /// Whether the current attempt was sent and nothing has arrived since.
     fn is_only_sent(&self) -> bool {
-        matches!(&self.phase, Phase::Trying(attempt) if attempt.stage == Stage::Sent)
+        matches!(&self.phase, Phase::Attempting(attempt) if attempt.stage == Stage::Sent)
     }
 
-    pub(super) fn lost(&mut self, resumable: bool, now: Timestamp, actions: &mut Vec<RequestAction>) {
+    pub(super) fn connection_lost(
+        &mut self,
+        resumable: bool,
+        now: Timestamp,
+        actions: &mut Vec<RequestAction>,
+    ) {
         let next_index = self.next_index();
         let max_resumes = self.settings.max_resumes;
-        let Phase::Trying(attempt) = &mut self.phase else { return };
+        let Phase::Attempting(attempt) = &mut self.phase else { return };
         if !resumable || attempt.resumes >= max_resumes {
             return self.abandon(actions);
         }
         attempt.resumes += 1;
         attempt.stage = Stage::Resuming { started: attempt.has_started() };
-        attempt.heard_at = now;
+        attempt.last_activity_at = now;
         actions.push(RequestAction::Resume {
             attempt: attempt.id.clone(),
             engine: attempt.engine(),
@@ -76,26 +82,26 @@
         });
     }
 
-    /// Gives up a try that may have run, and goes on elsewhere where that is allowed.
+    /// Abandons an attempt that may have run, and retries if the request is repeatable.
     pub(super) fn abandon(&mut self, actions: &mut Vec<RequestAction>) {
         self.last_code = RefusalCode::BackendFailed;
-        if let Phase::Trying(attempt) = &self.phase {
+        if let Phase::Attempting(attempt) = &self.phase {
             self.excluded.push(attempt.engine());
         }
-        self.give_up_attempt(AttemptEnding::Failed, actions);
-        if self.next_index() >= self.terms.max_tokens {
+        self.cancel_attempt(AttemptEnding::Failed, actions);
+        if self.next_index() >= self.spec.max_tokens {
             return self.finish(FinishReason::Length, None, actions);
         }
-        if self.terms.repeatable {
+        if self.spec.repeatable {
             self.choose(actions);
         } else {
             self.refuse(RefusalCode::BackendFailed, "the engine failed; the request may have run", actions);
         }
     }
 
-    /// Ends the present try with a cancellation; the engine may have begun it.
-    pub(super) fn give_up_attempt(&mut self, ending: AttemptEnding, actions: &mut Vec<RequestAction>) {
-        if let Phase::Trying(attempt) = &self.phase {
+    /// Cancels the current attempt, which the engine may have begun.
+    pub(super) fn cancel_attempt(&mut self, ending: AttemptEnding, actions: &mut Vec<RequestAction>) {
+        if let Phase::Attempting(attempt) = &self.phase {
             self.may_have_run = true;
             let (attempt, engine) = (attempt.id.clone(), attempt.engine());
             actions.push(RequestAction::Cancel { attempt, engine });
@@ -109,7 +115,7 @@
         actions: &mut Vec<RequestAction>,
     ) -> Option<Attempt> {
         match std::mem::replace(&mut self.phase, Phase::Choosing) {
-            Phase::Trying(attempt) => {
+            Phase::Attempting(attempt) => {
                 actions.push(RequestAction::Ended { attempt: attempt.id.clone(), ending });
                 Some(attempt)
             }
@@ -121,12 +127,12 @@
     }
 
     pub(super) fn tick(&mut self, now: Timestamp, actions: &mut Vec<RequestAction>) {
-        let Phase::Trying(attempt) = &self.phase else { return };
-        if now < self.patience_ends(attempt) {
+        let Phase::Attempting(attempt) = &self.phase else { return };
+        if now < self.attempt_timeout_at(attempt) {
             return;
         }
         match attempt.stage {
-            Stage::Answering => self.lost(true, now, actions),
+            Stage::Answering => self.connection_lost(true, now, actions),
             Stage::Sent | Stage::Resuming { .. } => self.abandon(actions),
         }
     }
--- a/crates/core/src/request/machine/frames.rs
+++ b/crates/core/src/request/machine/frames.rs
@@ -1,4 +1,4 @@
-//! What a request does with the frames of its present try's answer.
+//! Handling of the frames of the current attempt's answer.
 
 use paddlemount_protocol::{
     engine::{FinishReason, Frame, FrameContent, LoadReport},
@@ -16,8 +16,8 @@
 };
 
 impl ModelRequest {
-    pub(super) fn frame(&mut self, frame: Frame, now: Timestamp, actions: &mut Vec<RequestAction>) {
-        self.heard(now);
+    pub(super) fn handle_frame(&mut self, frame: Frame, now: Timestamp, actions: &mut Vec<RequestAction>) {
+        self.record_activity(now);
         match frame.content {
             FrameContent::Start { incarnation, prompt_tokens, cached_tokens, load } => {
                 self.start(incarnation, prompt_tokens, cached_tokens, load, actions);
@@ -36,7 +36,7 @@
         load: LoadReport,
         actions: &mut Vec<RequestAction>,
     ) {
-        let Phase::Trying(attempt) = &mut self.phase else { return };
+        let Phase::Attempting(attempt) = &mut self.phase else { return };
         if incarnation != attempt.precondition.incarnation {
             return self.abandon(actions);
         }
@@ -65,15 +65,15 @@
         }
         if index > next {
             self.anomalies.gap += 1;
-            return self.lost(true, now, actions);
+            return self.connection_lost(true, now, actions);
         }
-        if let Phase::Trying(attempt) = &mut self.phase {
+        if let Phase::Attempting(attempt) = &mut self.phase {
             attempt.stage = Stage::Answering;
-            attempt.has_generated = true;
+            attempt.has_token = true;
             attempt.resumes = 0;
         }
         self.may_have_run = true;
-        self.sent.push(text.clone());
+        self.emitted.push(text.clone());
         actions.push(RequestAction::Emit { index, text });
     }
 
@@ -87,7 +87,7 @@
     ) {
         if tokens > self.next_index() {
             self.anomalies.gap += 1;
-            return self.lost(true, now, actions);
+            return self.connection_lost(true, now, actions);
         }
         if tokens < self.next_index() {
             return self.abandon(actions);
--- a/crates/core/src/request/phase.rs
+++ b/crates/core/src/request/phase.rs
@@ -6,40 +6,35 @@
     time::Timestamp,
 };
 
-/// Where a request stands.
+/// The phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Not yet arrived.
     New,
-    /// An engine is being chosen.
     Choosing,
-    /// A try is under way.
-    Trying(Attempt),
-    /// The one ending has been given.
+    Attempting(Attempt),
     Ended,
 }
 
-/// The try under way.
+/// The attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Attempt {
     pub id: AttemptId,
     pub precondition: Precondition,
     pub stage: Stage,
     pub resumes: u32,
-    /// When the engine was last heard, or asked.
-    pub heard_at: Timestamp,
-    /// Whether a token of this try arrived, so that its prefill is over.
-    pub has_generated: bool,
+    /// Time of the last message to or from the engine.
+    pub last_activity_at: Timestamp,
+    /// Whether a token of this attempt has arrived, which means that prefill is over.
+    pub has_token: bool,
 }
 
-/// How far a try has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Sent; the engine has not begun to answer.
+    /// The engine has not begun to answer.
     Sent,
-    /// The engine answers.
     Answering,
-    /// Connecting again.
+    /// Reconnecting to the engine.
     Resuming {
         /// Whether the engine had begun to answer before.
         started: bool,
@@ -47,12 +42,12 @@
 }
 
 impl Attempt {
-    /// The engine that the attempt was sent to.
+    /// The engine that runs the attempt.
     pub fn engine(&self) -> EngineId {
         self.precondition.engine.clone()
     }
 
-    /// Whether the engine is known to have begun.
+    /// Whether the engine is known to have begun to answer.
     pub fn has_started(&self) -> bool {
         match self.stage {
             Stage::Sent => false,
