--- a/crates/core/src/decisions.rs
+++ b/crates/core/src/decisions.rs
@@ -1,9 +1,9 @@
-//! Records of routing decisions, kept in bounded memory.
+//! Bounded in-memory records of routing decisions.
 //!
-//! A node builds one [`DecisionRecord`] for each request and offers it to a [`DecisionRing`] when the
-//! request ends. Refused, retried and slow requests are always kept; of the others a sample that
-//! shrinks as load grows. Both kinds live in a [`Journal`] of their own, so ordinary traffic cannot
-//! displace the records that matter most.
+//! A node builds one [`DecisionRecord`] per request and offers it to a [`DecisionRing`] when the request
+//! ends. Records of refused, retried and slow requests are always retained, others are sampled at a rate that
+//! falls as load grows. Both kinds have a [`Journal`] of their own, so that ordinary traffic cannot displace
+//! the notable records.
 
 mod journal;
 mod record;
@@ -21,15 +21,15 @@
 /// Settings of a [`DecisionRing`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecisionSettings {
-    /// Bytes that the sampled records may take.
+    /// Memory limit of the sampled records.
     pub sampled_bytes: usize,
-    /// Bytes that the records of refused, retried and slow requests may take.
+    /// Memory limit of the records of refused, retried and slow requests.
     pub notable_bytes: usize,
-    /// Ordinary records to keep in a second, on average.
+    /// Average number of ordinary records to retain per second.
     pub samples_per_second: u32,
-    /// A request is slow where its first token took at least this many milliseconds.
+    /// Requests whose first token took at least this long are slow.
     pub slow_first_token_ms: u64,
-    /// Seed of the sampling; nodes with the same seed keep the same requests.
+    /// Seed of the sampling. Nodes with the same seed sample the same requests.
     pub seed: u64,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl DecisionSettings {
-    /// Why a record is notable by itself, whatever the load.
+    /// Returns why a record is retained regardless of sampling, or `None` if it is ordinary.
     pub fn notable_reason(&self, record: &DecisionRecord) -> Option<RetentionReason> {
         if !matches!(record.ending, RequestEnding::Completed) {
             return Some(RetentionReason::Refused);
@@ -58,59 +58,59 @@
         slow.then_some(RetentionReason::Slow)
     }
 
-    /// Bytes that a ring with these settings takes at most.
+    /// Maximum number of bytes used by a ring with these settings.
     pub const fn memory_bound(&self) -> usize {
         self.sampled_bytes + self.notable_bytes
     }
 }
 
-/// Why a record was kept.
+/// Why a record was retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetentionReason {
     /// The request was refused or its answer is incomplete.
     Refused,
-    /// It was tried more than once.
+    /// The request had more than one attempt.
     Retried,
-    /// Its first token took too long.
+    /// The first token took too long.
     Slow,
-    /// It belongs to the sample.
+    /// The record was sampled.
     Sampled,
 }
 
-/// What became of all records offered.
+/// Counts of the records offered to a [`DecisionRing`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DecisionCounts {
-    /// Records offered.
+    /// All records offered.
     pub offered: u64,
-    /// Records kept because of how the request went.
+    /// Records retained because the request was refused, retried or slow.
     pub notable: u64,
-    /// Ordinary records kept.
+    /// Ordinary records retained.
     pub sampled: u64,
-    /// Ordinary records left out of the sample.
+    /// Ordinary records not retained.
     pub unsampled: u64,
 }
 
-/// How far a reader has read a [`DecisionRing`]; the default is the beginning.
+/// Read position in a [`DecisionRing`]. The default is the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DecisionCursor {
-    /// Sampled records read.
+    /// Number of sampled records read.
     pub sampled: u64,
-    /// Records read of refused, retried and slow requests.
+    /// Number of records read of refused, retried and slow requests.
     pub notable: u64,
 }
 
-/// Records that were read.
+/// A page of records.
 #[derive(Debug)]
 pub struct DecisionPage<'a> {
-    /// The records, the oldest first.
+    /// The records, oldest first.
     pub entries: Vec<&'a Entry<Arc<DecisionRecord>>>,
-    /// Records after the cursor that memory no longer holds.
+    /// Number of records after the cursor that have been dropped already.
     pub lost: u64,
-    /// Where to go on reading.
+    /// Cursor for the next page.
     pub next: DecisionCursor,
 }
 
-/// A node's decision records.
+/// The decision records of a node.
 #[derive(Debug)]
 pub struct DecisionRing {
     settings: DecisionSettings,
@@ -122,7 +122,7 @@
 }
 
 impl DecisionRing {
-    /// An empty ring.
+    /// Creates an empty ring.
     pub fn new(settings: DecisionSettings) -> Self {
         Self {
             sampled: Journal::new(settings.sampled_bytes),
@@ -134,11 +134,12 @@
         }
     }
 
-    /// Offers the record of a request that ended at `now`; answers why it was kept, if it was.
+    /// Offers the record of a request that ended at `now`. Returns why it was retained, or `None` if it was
+    /// not.
     pub fn offer(&mut self, record: DecisionRecord, now: Timestamp) -> Option<RetentionReason> {
         self.counts.offered += 1;
-        let kept = self.reason_to_keep(&record, now);
-        let journal = match kept {
+        let retention = self.retention_reason(&record, now);
+        let journal = match retention {
             None => {
                 self.counts.unsampled += 1;
                 return None;
@@ -154,10 +155,10 @@
         };
         journal.push(self.next_sequence, Arc::new(record));
         self.next_sequence += 1;
-        kept
+        retention
     }
 
-    fn reason_to_keep(&mut self, record: &DecisionRecord, now: Timestamp) -> Option<RetentionReason> {
+    fn retention_reason(&mut self, record: &DecisionRecord, now: Timestamp) -> Option<RetentionReason> {
         if let Some(notable) = self.settings.notable_reason(record) {
             return Some(notable);
         }
@@ -167,7 +168,7 @@
         (position < share).then_some(RetentionReason::Sampled)
     }
 
-    /// Records after `cursor`, the oldest first, at most `limit`.
+    /// Returns at most `limit` records after `cursor`, oldest first.
     pub fn read_after(&self, cursor: DecisionCursor, limit: usize) -> DecisionPage<'_> {
         let sampled = self.sampled.read_after(cursor.sampled, limit);
         let notable = self.notable.read_after(cursor.notable, limit);
@@ -187,19 +188,19 @@
         DecisionPage { entries, lost: sampled.lost + notable.lost, next }
     }
 
-    /// The cursor after the newest record.
+    /// Returns the cursor after the newest record.
     pub const fn end(&self) -> DecisionCursor {
         DecisionCursor { sampled: self.sampled.last_position(), notable: self.notable.last_position() }
     }
 
-    /// All records in memory, the newest first. Records are shared, not copied.
+    /// Returns all retained records, newest first, without copying them.
     pub fn newest_first(&self) -> Vec<Arc<DecisionRecord>> {
         let mut entries: Vec<_> = self.sampled.iter().chain(self.notable.iter()).collect();
         entries.sort_by_key(|entry| std::cmp::Reverse(entry.sequence));
         entries.into_iter().map(|entry| Arc::clone(&entry.value)).collect()
     }
 
-    /// The newest record of a request, if memory holds one.
+    /// Returns the newest retained record of a request.
     pub fn find<'a>(&'a self, request: &RequestId) -> Option<&'a Arc<DecisionRecord>> {
         let newest = |journal: &'a Journal<Arc<DecisionRecord>>| {
             journal.iter().rev().find(|entry| entry.value.request == *request)
@@ -208,32 +209,32 @@
         found.into_iter().flatten().max_by_key(|entry| entry.sequence).map(|entry| &entry.value)
     }
 
-    /// What became of all records offered.
+    /// Returns the counts of offered records.
     pub const fn counts(&self) -> DecisionCounts {
         self.counts
     }
 
-    /// Bytes that the records take now.
+    /// Bytes used by the records.
     pub const fn memory(&self) -> usize {
         self.sampled.bytes() + self.notable.bytes()
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub const fn settings(&self) -> &DecisionSettings {
         &self.settings
     }
 }
 
-/// Where a request lies in the sample, from 0.0 to 1.0; the same for the same request and seed.
+/// Maps a request to a number from 0.0 to 1.0, the same for the same request and seed.
 pub fn sample_position(request: &RequestId, seed: u64) -> f64 {
     xxh3_64_with_seed(request.as_str().as_bytes(), seed) as f64 / u64::MAX as f64
 }
 
-/// Ordinary records offered a second: of the last whole second, or of the present one where that is more.
+/// Ordinary records per second: the higher of the counts in the last and the current second.
 #[derive(Debug, Default)]
 struct OfferRate {
     second: u64,
-    present: u64,
+    current: u64,
     last: u64,
 }
 
@@ -241,11 +242,11 @@
     fn count(&mut self, now: Timestamp) -> u64 {
         let second = now.as_millis() / 1_000;
         if second != self.second {
-            self.last = if second == self.second + 1 { self.present } else { 0 };
-            self.present = 0;
+            self.last = if second == self.second + 1 { self.current } else { 0 };
+            self.current = 0;
             self.second = second;
         }
-        self.present += 1;
-        self.last.max(self.present)
+        self.current += 1;
+        self.last.max(self.current)
     }
 }
--- a/crates/core/src/decisions/journal.rs
+++ b/crates/core/src/decisions/journal.rs
@@ -1,14 +1,14 @@
-//! A first-in first-out store bounded by the bytes that its entries take.
+//! A FIFO buffer bounded by the memory of its entries.
 
 use std::{collections::VecDeque, sync::Arc};
 
-/// The memory that a value takes.
+/// Memory use of a value.
 pub trait MemorySize {
-    /// Bytes on the heap, besides the value itself. Shared text is counted in full.
+    /// Bytes on the heap, excluding the value itself. Shared strings count in full.
     fn heap_bytes(&self) -> usize;
 }
 
-/// Bytes of the two counters beside a shared value.
+/// The strong and weak counters of an `Arc`.
 const SHARED_COUNTERS: usize = 2 * size_of::<usize>();
 
 impl<T: MemorySize> MemorySize for Arc<T> {
@@ -17,31 +17,30 @@
     }
 }
 
-/// A value with the sequence it was pushed under.
+/// A value with its sequence number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry<T> {
-    /// Rises with each entry.
+    /// Increases with each entry.
     pub sequence: u64,
-    /// The value.
     pub value: T,
     bytes: usize,
 }
 
-/// Entries that were read, and how many were gone before they could be read.
+/// Entries read, with the number of entries dropped before they could be read.
 #[derive(Debug)]
 pub struct JournalPage<'a, T> {
-    /// The entries, the oldest first.
+    /// The entries, oldest first.
     pub entries: Vec<&'a Entry<T>>,
-    /// Entries after the asked position that memory no longer holds.
+    /// Number of entries after the requested position that have been dropped.
     pub lost: u64,
-    /// The position to ask after next.
+    /// Position for the next read.
     pub next: u64,
 }
 
-/// The newest values pushed, within a bound of bytes.
+/// The newest values, within a memory limit.
 ///
-/// A position counts all entries ever pushed, so a reader that comes back with its last position
-/// learns exactly how many entries it missed.
+/// Positions count all entries ever pushed, so a reader that resumes at its last position learns how many
+/// entries it missed.
 #[derive(Debug)]
 pub struct Journal<T> {
     bound: usize,
@@ -51,13 +50,13 @@
 }
 
 impl<T: MemorySize> Journal<T> {
-    /// An empty journal that takes at most `bound` bytes.
+    /// Creates an empty journal that uses at most `bound` bytes.
     pub const fn new(bound: usize) -> Self {
         Self { bound, bytes: 0, entries: VecDeque::new(), pushed: 0 }
     }
 
-    /// Adds a value; the oldest go until all fit. A value above the bound by itself displaces all
-    /// entries and is not kept.
+    /// Appends a value and drops the oldest ones until all fit. A value that exceeds the limit by itself is
+    /// dropped along with all entries.
     pub fn push(&mut self, sequence: u64, value: T) {
         self.pushed += 1;
         let bytes = Self::entry_bytes(&value);
@@ -69,32 +68,32 @@
         self.entries.push_back(Entry { sequence, value, bytes });
     }
 
-    /// An entry, twice over: a deque that grows holds up to as many free places as entries.
+    /// Counts an entry twice, because a growing deque has up to as many free slots as entries.
     fn entry_bytes(value: &T) -> usize {
         2 * size_of::<Entry<T>>() + value.heap_bytes()
     }
 
-    /// Entries after `position`, the oldest first, at most `limit`.
+    /// Returns at most `limit` entries after `position`, oldest first.
     pub fn read_after(&self, position: u64, limit: usize) -> JournalPage<'_, T> {
         let position = position.min(self.pushed);
-        let gone = self.pushed - self.entries.len() as u64;
-        let from = position.max(gone);
-        let entries: Vec<_> = self.entries.iter().skip((from - gone) as usize).take(limit).collect();
+        let dropped = self.pushed - self.entries.len() as u64;
+        let from = position.max(dropped);
+        let entries: Vec<_> = self.entries.iter().skip((from - dropped) as usize).take(limit).collect();
         let next = from + entries.len() as u64;
         JournalPage { entries, lost: from - position, next }
     }
 
-    /// All entries, the oldest first.
+    /// Iterates over all entries, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Entry<T>> + ExactSizeIterator {
         self.entries.iter()
     }
 
-    /// The position of the newest entry; 0 where there was none.
+    /// Position of the newest entry, or 0 if there was none.
     pub const fn last_position(&self) -> u64 {
         self.pushed
     }
 
-    /// Bytes that the entries take.
+    /// Bytes used by the entries.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/core/src/decisions/record.rs
+++ b/crates/core/src/decisions/record.rs
@@ -1,4 +1,4 @@
-//! What is recorded of one request, and of one step of a mechanism.
+//! Decision records of requests and events of mechanisms.
 
 use paddlemount_protocol::{
     engine::{Precondition, Priority},
@@ -11,20 +11,18 @@
 use super::journal::MemorySize;
 use crate::routing::{Candidate, ChoiceReason};
 
-/// Candidates recorded for one decision, the best first; the rest are counted.
+/// Maximum number of candidates recorded per decision, best first. Further ones are counted.
 pub const MAX_CANDIDATES: usize = 8;
 
-/// Attempts and limits recorded for one request, the first ones; the rest are counted.
+/// Maximum number of attempts, and of limits, recorded per request.
 pub const MAX_RECORD_ITEMS: usize = 8;
 
-/// A limit that a request met.
+/// A limit that delayed or refused a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitHit {
-    /// Which limit.
     pub limit: LimitKind,
-    /// Whether it refused the request; otherwise it only delayed it.
+    /// Whether the limit refused the request instead of delaying it.
     pub refused: bool,
-    /// Milliseconds of delay.
     pub waited_ms: u64,
 }
 
@@ -32,56 +30,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitKind {
-    /// One of the tenant's quotas.
     Quota,
-    /// The tenant's requests a second.
     RequestsPerSecond,
-    /// The tenant's tokens a second.
     TokensPerSecond,
-    /// The tenant's requests at the same time.
     ConcurrentRequests,
-    /// The node's queue.
     Queue,
-    /// The caller's deadline.
     Deadline,
-    /// The budget of retries.
     RetryBudget,
 }
 
-/// One try of a request.
+/// One attempt of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// The try.
     pub attempt: AttemptId,
-    /// What the engine had to match.
     pub precondition: Precondition,
-    /// When it was sent.
     pub sent_at: Timestamp,
-    /// Milliseconds from sending to its end.
+    /// Milliseconds from sending to the end of the attempt.
     pub took_ms: u64,
-    /// How it ended.
     pub result: AttemptResult,
 }
 
-/// How one try ended.
+/// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum AttemptResult {
-    /// It has not ended.
+    /// The attempt has not ended.
     Running,
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Completed,
-    /// The engine refused it; it has not run there.
-    Refused {
-        /// The code of the refusal.
-        code: RefusalCode,
-    },
-    /// The connection or the engine failed after `tokens` tokens.
+    /// The engine refused the attempt and did not run it.
+    Refused { code: RefusalCode },
+    /// The connection or the engine failed.
     Failed {
-        /// Tokens received.
+        /// Tokens received before the failure.
         tokens: u32,
     },
-    /// The caller left, or another try took over.
+    /// The caller disconnected, or another attempt replaced this one.
     Cancelled,
 }
 
@@ -101,83 +85,64 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum RequestEnding {
-    /// The whole answer was sent.
+    /// The complete answer was sent.
     Completed,
-    /// It was refused and has not run.
-    NotRun {
-        /// The code of the refusal.
-        code: RefusalCode,
-    },
-    /// It may have run, and the answer is not whole.
-    Unknown {
-        /// The code of the refusal.
-        code: RefusalCode,
-    },
-    /// The caller left before the end.
+    /// The request was refused and did not run.
+    NotRun { code: RefusalCode },
+    /// The request may have run, and the answer is incomplete.
+    Unknown { code: RefusalCode },
+    /// The caller disconnected before the end.
     Cancelled,
 }
 
-/// How long the parts of a request took, from its arrival.
+/// Durations of a request's phases, measured from its arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timings {
-    /// Microseconds until it was sent to a back end for the first time.
+    /// Time until the first attempt was sent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub queued_us: Option<u64>,
-    /// Milliseconds until the first token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_token_ms: Option<u64>,
-    /// Milliseconds until the end.
     pub total_ms: u64,
 }
 
-/// Why one request went where it went, and what became of it.
+/// The routing decisions for one request, and its outcome.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DecisionRecord {
-    /// The request.
     pub request: RequestId,
-    /// Its tenant.
     pub tenant: TenantId,
-    /// The tenant's weight, by which tenants are put into classes.
     pub tenant_weight: u32,
-    /// The pool that serves its model.
     pub pool: PoolId,
-    /// The model.
     pub model: ModelId,
-    /// The weights version that it was routed under.
+    /// Version that the request was routed with.
     pub weights: WeightsVersion,
-    /// How urgent it was.
     pub priority: Priority,
-    /// When it arrived.
+    /// Time of arrival.
     pub at: Timestamp,
-    /// The trace id of the W3C trace context, if the caller or the node gave one.
+    /// The trace id of the W3C trace context, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub trace: Option<String>,
-    /// Engines weighed for the first try, the best first, at most [`MAX_CANDIDATES`].
+    /// Engines scored for the first attempt, best first, at most [`MAX_CANDIDATES`].
     pub candidates: Vec<Candidate>,
-    /// Engines weighed and not recorded.
+    /// Number of scored engines that are not recorded.
     pub more_candidates: u32,
-    /// Why the choice fell; none where no choice was made.
+    /// Why the engine was chosen; `None` if no choice was made.
     pub reason: Option<ChoiceReason>,
     /// Age in milliseconds of the oldest load report among the candidates.
     pub belief_age_ms: u64,
-    /// Limits that it met.
+    /// Limits that delayed or refused the request.
     pub limits: Vec<LimitHit>,
-    /// Its tries, each with its precondition.
     pub attempts: Vec<AttemptRecord>,
-    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Prompt tokens that the engine found in its cache.
+    /// Prompt tokens found in the engine's cache.
     pub cached_tokens: u32,
-    /// Tokens generated.
     pub completion_tokens: u32,
-    /// How it ended.
     pub ending: RequestEnding,
-    /// How long it took.
     pub timings: Timings,
 }
 
 impl DecisionRecord {
-    /// The record of a request that has just arrived.
+    /// Creates the record of a request that has just arrived.
     pub fn new(request: RequestId, tenant: TenantId, pool: PoolId, model: ModelId, at: Timestamp) -> Self {
         Self {
             request,
@@ -203,7 +168,7 @@
         }
     }
 
-    /// Records the engines weighed for the first try and why the choice fell; later calls change nothing.
+    /// Records the scored engines and the reason of the first choice. Later calls have no effect.
     pub fn record_candidates(&mut self, candidates: &[Candidate], reason: ChoiceReason) {
         if self.reason.is_some() {
             return;
@@ -215,14 +180,14 @@
         self.belief_age_ms = candidates.iter().map(|candidate| candidate.load_age_ms).max().unwrap_or(0);
     }
 
-    /// Records a limit that the request met, up to [`MAX_RECORD_ITEMS`].
+    /// Records a limit, up to [`MAX_RECORD_ITEMS`].
     pub fn record_limit(&mut self, limit: LimitHit) {
         if self.limits.len() < MAX_RECORD_ITEMS {
             self.limits.push(limit);
         }
     }
 
-    /// Records a try, up to [`MAX_RECORD_ITEMS`]; the last place always holds the latest one.
+    /// Records an attempt. At [`MAX_RECORD_ITEMS`], it replaces the last one.
     pub fn record_attempt(&mut self, attempt: AttemptRecord) {
         if self.attempts.len() == MAX_RECORD_ITEMS {
             self.attempts.pop();
@@ -230,13 +195,13 @@
         self.attempts.push(attempt);
     }
 
-    /// Prompt tokens that were computed again though an engine that was weighed was believed to hold them.
+    /// Prompt tokens that were recomputed although a candidate was expected to have them cached.
     pub fn recomputed_tokens(&self) -> u32 {
         let believed = self.candidates.iter().map(|candidate| candidate.expected_cached_tokens).max();
         believed.unwrap_or(0).saturating_sub(self.cached_tokens)
     }
 
-    /// The engine of the last try.
+    /// Returns the engine of the last attempt.
     pub fn engine(&self) -> Option<&EngineId> {
         self.attempts.last().map(|attempt| &attempt.precondition.engine)
     }
@@ -266,7 +231,7 @@
         + adapter
 }
 
-/// The mechanisms that can be watched.
+/// The mechanisms that emit events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
@@ -274,15 +239,14 @@
     Routing,
     /// Copies of hot prefixes.
     Copies,
-    /// Quotas, queues and shedding.
+    /// Quotas, queues and load shedding.
     Limits,
-    /// Second tries.
     Retries,
-    /// Back ends and nodes that leave.
+    /// Draining of back ends and nodes.
     Drains,
-    /// Which nodes are alive.
+    /// Cluster membership.
     Membership,
-    /// Revisions of the configuration.
+    /// Changes of the configuration.
     Configuration,
     /// Operations that run at most once.
     Claims,
@@ -290,18 +254,16 @@
     Placement,
 }
 
-/// One step that a mechanism took.
+/// An event emitted by a mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MechanismEvent {
-    /// Which mechanism.
     pub mechanism: Mechanism,
-    /// When.
     pub at: Timestamp,
-    /// What it concerns: an engine, a node, a tenant, a prefix, a key.
+    /// The engine, node, tenant, prefix or key that the event concerns.
     pub subject: String,
-    /// What happened, in one of few fixed forms.
+    /// The kind of event, from a small fixed set.
     pub event: String,
-    /// Figures and reasons, for people.
+    /// Details for human readers.
     pub detail: String,
 }
 
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,17 +1,16 @@
-//! Passive health of engines: outlier ejection, half-open probes, slow start.
+//! Passive health checks of engines: outlier ejection, half-open probes and slow start.
 //!
-//! An engine is ejected after consecutive failures, or when the share of failures within a window passes a ratio. After
-//! the ejection time one request at a time is let through as a probe: a success closes the circuit, a failure ejects
-//! for twice as long. A returning engine gets a share of the requests that rises to all of them over the slow start.
+//! An engine is ejected after consecutive failures, or when the failure ratio within a window exceeds a
+//! threshold. After the ejection time one request at a time is let through as a probe: success closes the
+//! circuit, failure ejects the engine for twice as long. A returning engine gets a rising share of requests
+//! during slow start.
 //!
-//! At most a share of a pool is ejected at the same time. When more engines than that fail, the cause is likely not the engines, and
-//! ejecting them would put the whole load on the few that are left.
+//! At most a share of a pool is ejected at the same time. If more engines fail, the engines are probably not
+//! the cause, and ejecting them would overload the remaining ones. A refused connection ejects an engine
+//! regardless of that limit, because nothing listens at its address.
 //!
-//! A refused connection is no guess: nobody listens there. It ejects at once and however many are ejected, as requests that
-//! go there cannot be served.
-//!
-//! Failures are broken connections, broken streams and answers that did not begin in time. A refusal is no failure:
-//! the engine is alive and has said what is wrong.
+//! Failures are broken connections, broken streams and answers that did not begin in time. A refusal is no
+//! failure, because the engine responded.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -23,25 +22,24 @@
 /// Settings of [`Health`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthSettings {
-    /// Failures in a row that eject an engine.
+    /// Consecutive failures that eject an engine.
     pub consecutive_failures: u32,
-    /// Share of failures within the window that ejects an engine, from 0.0 to 1.0.
+    /// Failure ratio within the window that ejects an engine, from 0.0 to 1.0.
     pub failure_ratio: f64,
-    /// Results within the window below which the ratio says nothing.
+    /// Minimum number of results within the window for the ratio to apply.
     pub min_ratio_results: u32,
-    /// Length of the window of the ratio.
+    /// Length of the window of the failure ratio.
     pub window: Duration,
-    /// Duration of a first ejection; doubles with each one that follows a failed probe.
+    /// Duration of the first ejection. Doubles after each failed probe.
     pub ejection: Duration,
-    /// Longest ejection.
     pub max_ejection: Duration,
-    /// Share of a pool that is ejected at most, from 0.0 to 1.0.
+    /// Maximum share of a pool that is ejected, from 0.0 to 1.0.
     pub max_ejected_share: f64,
-    /// A probe without result after this time counts as failed.
+    /// A probe without a result after this time counts as failed.
     pub probe_timeout: Duration,
-    /// Time from an engine's return until it gets its whole share.
+    /// Time until a returning engine gets its full share of requests.
     pub slow_start: Duration,
-    /// The share at the start of slow start, from 0.0 to 1.0.
+    /// The share at the beginning of slow start, from 0.0 to 1.0.
     pub slow_start_floor: f64,
 }
 
@@ -62,51 +60,44 @@
     }
 }
 
-/// Something learned about an engine.
+/// An observation about an engine.
 #[derive(Clone, Copy, Debug)]
 pub enum HealthEvent<'a> {
-    /// The engine exists in this life; repeated at will.
-    Observed {
-        /// Its pool.
-        pool: &'a PoolId,
-        /// Its life.
-        incarnation: Incarnation,
-    },
-    /// A request was sent there.
+    /// The engine exists in this incarnation. May be repeated.
+    Observed { pool: &'a PoolId, incarnation: Incarnation },
+    /// A request was sent to the engine.
     Dispatched,
-    /// A request began to be answered in time.
+    /// The answer to a request began in time.
     Succeeded,
-    /// A connection or stream broke, or nothing came in time.
+    /// A connection or stream broke, or the answer timed out.
     Failed,
-    /// Nobody listens at its address: a connection was refused.
+    /// The engine's address refused a connection.
     Unreachable,
-    /// The request ended without saying anything about the engine: cancelled, or refused.
+    /// The request was cancelled or refused, which says nothing about the engine's health.
     Inconclusive,
     /// The engine no longer exists.
     Removed,
 }
 
-/// What health says about sending one request to an engine.
+/// Whether an engine may be sent a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Availability {
-    /// Send it.
     Usable,
-    /// The engine is returning and this request is not among its present share.
+    /// The engine is in slow start and this request is outside its current share.
     SlowStart {
-        /// Share of requests that it gets now, from 0.0 to 1.0.
+        /// Current share of requests, from 0.0 to 1.0.
         weight: f64,
     },
-    /// The circuit is half open: this request may be the probe.
+    /// The circuit is half-open: this request may be the probe.
     Probe,
-    /// Send nothing.
     Ejected {
-        /// When a probe is let through.
+        /// When a probe will be let through.
         until: Timestamp,
     },
 }
 
 impl Availability {
-    /// Whether a request may be sent.
+    /// Whether the request may be sent.
     pub const fn admits(self) -> bool {
         matches!(self, Self::Usable | Self::Probe)
     }
@@ -125,7 +116,7 @@
     pool: PoolId,
     incarnation: Incarnation,
     circuit: Circuit,
-    consecutive: u32,
+    consecutive_failures: u32,
     window_start: Timestamp,
     window_results: u32,
     window_failures: u32,
@@ -138,7 +129,7 @@
             pool,
             incarnation,
             circuit,
-            consecutive: 0,
+            consecutive_failures: 0,
             window_start: now,
             window_results: 0,
             window_failures: 0,
@@ -146,14 +137,14 @@
         }
     }
 
-    fn forget_results(&mut self, now: Timestamp) {
-        self.consecutive = 0;
+    fn reset_results(&mut self, now: Timestamp) {
+        self.consecutive_failures = 0;
         self.window_start = now;
         self.window_results = 0;
         self.window_failures = 0;
     }
 
-    fn count(&mut self, failed: bool, window: Duration, now: Timestamp) {
+    fn record_result(&mut self, failed: bool, window: Duration, now: Timestamp) {
         if now.saturating_since(self.window_start) >= window {
             self.window_start = now;
             self.window_results = 0;
@@ -161,13 +152,13 @@
         }
         self.window_results += 1;
         self.window_failures += u32::from(failed);
-        self.consecutive = if failed { self.consecutive + 1 } else { 0 };
+        self.consecutive_failures = if failed { self.consecutive_failures + 1 } else { 0 };
     }
 
     fn is_outlier(&self, settings: &HealthSettings) -> bool {
         let ratio = f64::from(self.window_failures) / f64::from(self.window_results.max(1));
         let by_ratio = self.window_results >= settings.min_ratio_results && ratio >= settings.failure_ratio;
-        by_ratio || self.consecutive >= settings.consecutive_failures
+        by_ratio || self.consecutive_failures >= settings.consecutive_failures
     }
 
     const fn is_ejected(&self) -> bool {
@@ -175,7 +166,7 @@
     }
 }
 
-/// The health of all engines, as one node has experienced it.
+/// The health of all engines as observed by one node.
 #[derive(Clone, Debug)]
 pub struct Health {
     settings: HealthSettings,
@@ -184,15 +175,15 @@
 }
 
 impl Health {
-    /// Knows no engine.
+    /// Creates a state without engines.
     pub fn new(settings: HealthSettings) -> Self {
         Self { settings, engines: BTreeMap::new(), first_seen: BTreeMap::new() }
     }
 
-    /// Takes in what was learned about `engine` at `now`.
+    /// Applies an event that concerns `engine`.
     pub fn apply(&mut self, engine: &EngineId, event: HealthEvent<'_>, now: Timestamp) {
         match event {
-            HealthEvent::Observed { pool, incarnation } => self.seen(engine, pool, incarnation, now),
+            HealthEvent::Observed { pool, incarnation } => self.observed(engine, pool, incarnation, now),
             HealthEvent::Dispatched => self.dispatched(engine, now),
             HealthEvent::Succeeded => self.succeeded(engine, now),
             HealthEvent::Failed => self.failed(engine, now),
@@ -204,10 +195,11 @@
         }
     }
 
-    /// Whether a request may go to `engine`. `draw` is a number from 0.0 to 1.0 that is drawn once per request and engine, for
-    /// example from a hash of both; it decides which requests a returning engine gets.
+    /// Returns whether a request may be sent to `engine`. `draw` is a number from 0.0 to 1.0 that is fixed
+    /// per request and engine, for example a hash of both. It selects the requests that a returning engine
+    /// gets.
     ///
-    /// An engine that was never seen is usable: other parts decide whether it exists.
+    /// Unknown engines are usable, because other code decides which engines exist.
     pub fn availability(&self, engine: &EngineId, draw: f64, now: Timestamp) -> Availability {
         let Some(health) = self.engines.get(engine) else { return Availability::Usable };
         match health.circuit {
@@ -225,7 +217,8 @@
         }
     }
 
-    /// The share of requests that `engine` gets: 1.0 healthy, 0.0 ejected, between them in slow start.
+    /// Returns the share of requests that `engine` gets: 1.0 if healthy, 0.0 if ejected, in between during
+    /// slow start.
     pub fn weight(&self, engine: &EngineId, now: Timestamp) -> f64 {
         match self.engines.get(engine).map(|health| health.circuit) {
             None | Some(Circuit::Closed) => 1.0,
@@ -234,26 +227,26 @@
         }
     }
 
-    /// Engines of `pool` that are ejected, half-open ones included.
+    /// Returns the ejected engines of `pool`, including half-open ones.
     pub fn ejected(&self, pool: &PoolId) -> Vec<EngineId> {
         let of_pool = self.engines.iter().filter(|(_, health)| health.pool == *pool);
         of_pool.filter(|(_, health)| health.is_ejected()).map(|(engine, _)| engine.clone()).collect()
     }
 
     fn slow_start_weight(&self, since: Timestamp, now: Timestamp) -> f64 {
-        let whole = self.settings.slow_start.as_secs_f64();
-        if whole <= 0.0 {
+        let duration = self.settings.slow_start.as_secs_f64();
+        if duration <= 0.0 {
             return 1.0;
         }
-        let progress = now.saturating_since(since).as_secs_f64() / whole;
+        let progress = now.saturating_since(since).as_secs_f64() / duration;
         let floor = self.settings.slow_start_floor;
         (floor + (1.0 - floor) * progress).min(1.0)
     }
 
-    fn seen(&mut self, engine: &EngineId, pool: &PoolId, incarnation: Incarnation, now: Timestamp) {
-        let pool_seen = *self.first_seen.entry(pool.clone()).or_insert(now);
-        // A node that has just started finds all engines new: they share the load as they are.
-        let node_is_new = now.saturating_since(pool_seen) < self.settings.slow_start;
+    fn observed(&mut self, engine: &EngineId, pool: &PoolId, incarnation: Incarnation, now: Timestamp) {
+        let pool_first_seen = *self.first_seen.entry(pool.clone()).or_insert(now);
+        // For a node that has just started all engines are new, so none of them gets slow start.
+        let node_is_new = now.saturating_since(pool_first_seen) < self.settings.slow_start;
         match self.engines.get_mut(engine) {
             None => {
                 let circuit = if node_is_new { Circuit::Closed } else { Circuit::SlowStart { since: now } };
@@ -285,20 +278,20 @@
         let settings = self.settings;
         let Some(health) = self.engines.get_mut(engine) else { return };
         match health.circuit {
-            // A late answer to a request from before the ejection is no probe.
+            // A late answer to a request sent before the ejection is not a probe.
             Circuit::Open { .. } => {}
             Circuit::HalfOpen { .. } => {
-                health.forget_results(now);
+                health.reset_results(now);
                 health.circuit = Circuit::SlowStart { since: now };
             }
             Circuit::SlowStart { since } => {
-                health.count(false, settings.window, now);
+                health.record_result(false, settings.window, now);
                 if now.saturating_since(since) >= settings.slow_start {
                     health.circuit = Circuit::Closed;
                     health.ejections = 0;
                 }
             }
-            Circuit::Closed => health.count(false, settings.window, now),
+            Circuit::Closed => health.record_result(false, settings.window, now),
         }
     }
 
@@ -310,7 +303,7 @@
             Circuit::Open { .. } => {}
             Circuit::HalfOpen { .. } => health.eject(&settings, now),
             Circuit::Closed | Circuit::SlowStart { .. } => {
-                health.count(true, settings.window, now);
+                health.record_result(true, settings.window, now);
                 if may_eject && health.is_outlier(&settings) {
                     health.eject(&settings, now);
                 }
@@ -329,7 +322,7 @@
     fn inconclusive(&mut self, engine: &EngineId, now: Timestamp) {
         let Some(health) = self.engines.get_mut(engine) else { return };
         if matches!(health.circuit, Circuit::HalfOpen { .. }) {
-            // The next request is the probe instead.
+            // The next request becomes the probe instead.
             health.circuit = Circuit::Open { until: now };
         }
     }
@@ -349,7 +342,7 @@
         let doublings = self.ejections.min(16);
         let duration = settings.ejection.saturating_mul(1 << doublings).min(settings.max_ejection);
         self.ejections += 1;
-        self.forget_results(now);
+        self.reset_results(now);
         self.circuit = Circuit::Open { until: now + duration };
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Pure decision logic of a router node.
 //!
-//! Nothing in this crate does I/O, reads a clock, spawns a task or draws unseeded randomness: the
-//! present time and seeds are arguments, and effects are returned as values. Nodes, hollow nodes, the simulation and
-//! the model checker therefore run the same code.
+//! Nothing in this crate does I/O, reads a clock, spawns a task or draws unseeded randomness: the current
+//! time and seeds are arguments, and effects are returned as values. Nodes, the simulation and the model
+//! checker therefore run the same code.
 
 pub mod admission;
 pub mod back_off;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,16 +1,17 @@
-//! Which engine serves which model version: orders to engines, issued by the holder of one lease.
+//! Model placement: orders that make engines load the versions that the configuration requires.
 //!
-//! [`Placer`] compares what the configuration asks of each pool with what the engines say of themselves and
-//! issues fenced orders for the difference. It keeps three rules:
+//! The node that holds the placement lease runs a [`Placer`], which compares the configuration of each pool
+//! with the status of its engines and issues fenced orders for the difference. The following holds:
 //!
-//! - At most [`PlacementSettings::max_loads`] engines load weights at once, over all pools. A new holder
-//!   first raises the fence of every engine, so that no order of an earlier holder can take effect any more,
-//!   and counts an engine that it has not yet fenced as one that may be loading.
+//! - At most [`PlacementSettings::max_loads`] engines load weights at once, over all pools. A new lease
+//!   holder first raises the fence of every engine, so that orders of earlier holders have no effect any
+//!   more. It counts an engine that it has not fenced yet as one that may be loading.
 //! - At least half of a pool's engines keep serving during a rollout.
-//! - A rollout begins with one engine, and goes on only after that engine has served for
+//! - A rollout begins with one engine and continues only after that engine has served for
 //!   [`PlacementSettings::canary_period`].
 //!
-//! Orders name the engine's life and carry the lease's token; the engine decides, not this module's cache_index.
+//! An order names the engine's incarnation and carries the lease's token. The engine checks both, so an order
+//! that is based on stale status has no effect.
 
 mod rollout;
 
@@ -32,13 +33,13 @@
 /// Settings of a [`Placer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementSettings {
-    /// Loads from the weight store at the same time, over all pools.
+    /// Maximum number of concurrent loads from the weight store, over all pools.
     pub max_loads: usize,
-    /// An engine that has not been heard of for this long no longer counts as one that may be loading.
+    /// An engine without a status report for this long no longer counts as one that may be loading.
     pub load_timeout: Duration,
-    /// How long the first engine of a rollout serves before others follow.
+    /// How long the first engine of a rollout must serve before others follow.
     pub canary_period: Duration,
-    /// Time before an order without a clear answer is sent again, and before a failed load is ordered anew.
+    /// Time before an order without a clear reply is sent again, and before a failed load is ordered again.
     pub retry_interval: Duration,
 }
 
@@ -53,64 +54,49 @@
     }
 }
 
-/// Something that a placer learns.
+/// An input to a [`Placer`].
 #[derive(Clone, Debug)]
 pub enum PlacementEvent<'a> {
-    /// An engine's own account of itself, asked for at `requested_at`.
+    /// An engine's status report.
     Status {
-        /// The account.
         status: &'a EngineStatus,
-        /// When the question was sent.
+        /// When the report was requested.
         requested_at: Timestamp,
     },
     /// An engine no longer exists.
     Removed(&'a EngineId),
-    /// The configuration's pools.
+    /// The pools of the configuration.
     Pools(&'a BTreeMap<PoolId, Pool>),
-    /// The lease's token, or none where this node no longer believes that it holds the lease.
+    /// The lease's token, or `None` if this node no longer holds the lease.
     Lease(Option<FencingToken>),
-    /// An engine took an order.
+    /// An engine accepted an order.
     Accepted {
-        /// The engine.
         engine: &'a EngineId,
-        /// The order.
+        /// Identifier of the order.
         order: &'a str,
     },
     /// An engine refused an order.
     Refused {
-        /// The engine.
         engine: &'a EngineId,
-        /// The order.
+        /// Identifier of the order.
         order: &'a str,
-        /// Why.
         code: RefusalCode,
     },
-    /// Time has passed.
     Tick,
 }
 
-/// What to do.
+/// An output of a [`Placer`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementAction {
-    /// Send an order to an engine and report how that ended, if it did.
-    Order {
-        /// The engine.
-        engine: EngineId,
-        /// The order.
-        order: Order,
-    },
-    /// An engine has seen a higher token: give up the lease.
+    /// Send an order to an engine and report the reply, if there is one.
+    Order { engine: EngineId, order: Order },
+    /// Release the lease, because an engine has seen a higher token.
     ReleaseLease,
-    /// All engines of the pool serve the new version: make it the pool's version.
-    CompleteRollout {
-        /// The pool.
-        pool: PoolId,
-        /// The version.
-        weights: WeightsVersion,
-    },
+    /// Make this version the pool's current one: all engines of the pool serve it.
+    CompleteRollout { pool: PoolId, weights: WeightsVersion },
 }
 
-/// The state machine of the node that places models.
+/// State machine of the node that places models.
 pub struct Placer {
     settings: PlacementSettings,
     token: Option<FencingToken>,
@@ -122,13 +108,13 @@
 
 struct EngineView {
     status: EngineStatus,
-    heard_at: Timestamp,
-    /// Since when the engine serves its present version without a gap.
+    status_received_at: Timestamp,
+    /// When the engine began to serve its current version.
     serving_since: Option<Timestamp>,
     order: Option<OpenOrder>,
 }
 
-/// An order whose effect is not yet seen in a status.
+/// An order whose effect no status report has shown yet.
 struct OpenOrder {
     order: Order,
     sent_at: Timestamp,
@@ -136,7 +122,7 @@
 }
 
 impl Placer {
-    /// A placer that holds no lease.
+    /// Creates a placer that holds no lease.
     pub const fn new(settings: PlacementSettings) -> Self {
         Self {
             settings,
@@ -148,15 +134,15 @@
         }
     }
 
-    /// Takes in what was learned and says what to do.
+    /// Applies an event and returns the actions to carry out.
     pub fn handle(&mut self, event: PlacementEvent<'_>, now: Timestamp) -> Vec<PlacementAction> {
         match event {
-            PlacementEvent::Status { status, requested_at } => self.learn_status(status, requested_at, now),
+            PlacementEvent::Status { status, requested_at } => self.observe_status(status, requested_at, now),
             PlacementEvent::Removed(engine) => {
                 self.engines.remove(engine);
             }
             PlacementEvent::Pools(pools) => self.pools.clone_from(pools),
-            PlacementEvent::Lease(token) => self.learn_lease(token, now),
+            PlacementEvent::Lease(token) => self.update_lease(token, now),
             PlacementEvent::Accepted { engine, order } => self.accepted(engine, order, now),
             PlacementEvent::Refused { engine, order, code } => return self.refused(engine, order, code, now),
             PlacementEvent::Tick => {}
@@ -164,30 +150,32 @@
         self.plan(now)
     }
 
-    fn learn_status(&mut self, status: &EngineStatus, requested_at: Timestamp, now: Timestamp) {
+    fn observe_status(&mut self, status: &EngineStatus, requested_at: Timestamp, now: Timestamp) {
         let view = self.engines.entry(status.engine.clone()).or_insert_with(|| EngineView {
             status: status.clone(),
-            heard_at: now,
+            status_received_at: now,
             serving_since: None,
             order: None,
         });
-        let same_life = view.status.incarnation == status.incarnation;
-        let continues = same_life && status.loaded.is_some() && view.status.loaded == status.loaded;
+        let same_incarnation = view.status.incarnation == status.incarnation;
+        let continues = same_incarnation && status.loaded.is_some() && view.status.loaded == status.loaded;
         view.serving_since = match view.serving_since.filter(|_| continues) {
             None => status.loaded.as_ref().map(|_| now),
             since => since,
         };
         view.status = status.clone();
-        view.heard_at = now;
-        let concluded =
-            view.order.as_ref().is_some_and(|open| !same_life || open.is_concluded(status, requested_at));
-        if concluded {
+        view.status_received_at = now;
+        let finished = view
+            .order
+            .as_ref()
+            .is_some_and(|open| !same_incarnation || open.is_finished(status, requested_at));
+        if finished {
             view.order = None;
         }
     }
 
-    /// Another holder may have ordered anything in between: orders of an earlier lease are forgotten.
-    fn learn_lease(&mut self, token: Option<FencingToken>, now: Timestamp) {
+    /// Forgets all orders when the lease changes, because another holder may have issued orders in between.
+    fn update_lease(&mut self, token: Option<FencingToken>, now: Timestamp) {
         if token == self.token {
             return;
         }
@@ -217,7 +205,7 @@
             return Vec::new();
         }
         if code == RefusalCode::Fenced {
-            self.learn_lease(None, now);
+            self.update_lease(None, now);
             return vec![PlacementAction::ReleaseLease];
         }
         view.order = None;
@@ -227,10 +215,10 @@
     fn plan(&mut self, now: Timestamp) -> Vec<PlacementAction> {
         let Some(token) = self.token else { return Vec::new() };
         if self.engines.values().any(|view| view.status.fence > token) {
-            self.learn_lease(None, now);
+            self.update_lease(None, now);
             return vec![PlacementAction::ReleaseLease];
         }
-        let mut actions = self.repeat_orders(now);
+        let mut actions = self.resend_orders(now);
         actions.extend(self.raise_fences(token, now));
         actions.extend(self.load_adapters(token, now));
         actions.extend(self.load_models(token, now));
@@ -238,8 +226,8 @@
         actions
     }
 
-    /// The same order again, with the same identity, while its answer is not known.
-    fn repeat_orders(&mut self, now: Timestamp) -> Vec<PlacementAction> {
+    /// Sends orders without a known reply again, with the same identifier.
+    fn resend_orders(&mut self, now: Timestamp) -> Vec<PlacementAction> {
         let retry = self.settings.retry_interval;
         let mut actions = Vec::new();
         for (engine, view) in &mut self.engines {
@@ -252,7 +240,8 @@
         actions
     }
 
-    /// An order that changes nothing but the fence; to load what is loaded also ends a load that has not begun.
+    /// Issues orders that only raise the fence. Ordering an engine to load what it has loaded also cancels a
+    /// load that has not begun.
     fn raise_fences(&mut self, token: FencingToken, now: Timestamp) -> Vec<PlacementAction> {
         let unfenced = |view: &EngineView| view.status.fence < token && view.order.is_none();
         let engines: Vec<(EngineId, OrderCommand)> = self
@@ -290,10 +279,11 @@
         actions
     }
 
-    /// Engines that load, or may load by an order of this holder or an earlier one.
+    /// Number of engines that load, or may load by an order of this or an earlier lease holder.
     fn may_be_loading(&self, token: FencingToken, now: Timestamp) -> usize {
-        let recent =
-            |view: &EngineView| now < view.heard_at.max(self.held_since) + self.settings.load_timeout;
+        let recent = |view: &EngineView| {
+            now < view.status_received_at.max(self.held_since) + self.settings.load_timeout
+        };
         let may_load =
             |view: &EngineView| view.status.fence < token || view.status.loading || view.is_ordered_to_load();
         self.engines.values().filter(|view| recent(view) && may_load(view)).count()
@@ -337,8 +327,8 @@
 }
 
 impl OpenOrder {
-    /// Whether a status that was asked for at `requested_at` shows the order's effect, or that it had none.
-    fn is_concluded(&self, status: &EngineStatus, requested_at: Timestamp) -> bool {
+    /// Whether a status requested at `requested_at` shows the order's effect, or that it had none.
+    fn is_finished(&self, status: &EngineStatus, requested_at: Timestamp) -> bool {
         let seen = self.accepted_at.is_some_and(|accepted_at| requested_at > accepted_at);
         match &self.order.command {
             OrderCommand::LoadModel { .. } => seen && !status.loading,
--- a/crates/core/src/recent_rate.rs
+++ b/crates/core/src/recent_rate.rs
@@ -1,36 +1,36 @@
-//! An exponentially fading rate of events.
+//! An exponentially decaying rate of events.
 
 use std::time::Duration;
 
 use paddlemount_protocol::time::Timestamp;
 
-/// Units a second over about the last `fades`: what was added falls to a third in that time.
+/// A rate over about the last `time_constant`, in which past units decay to 1/e.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecentRate {
-    fades: Duration,
+    time_constant: Duration,
     sum: f64,
     at: Timestamp,
 }
 
 impl RecentRate {
-    /// Nothing was added yet.
-    pub const fn new(fades: Duration) -> Self {
-        Self { fades, sum: 0.0, at: Timestamp::ZERO }
+    /// Creates a rate of zero.
+    pub const fn new(time_constant: Duration) -> Self {
+        Self { time_constant, sum: 0.0, at: Timestamp::ZERO }
     }
 
     /// Adds `units` at `now`.
     pub fn add(&mut self, units: f64, now: Timestamp) {
-        self.sum = self.faded(now) + units;
+        self.sum = self.decayed(now) + units;
         self.at = now;
     }
 
-    /// Units a second.
+    /// Returns the units per second.
     pub fn per_second(&self, now: Timestamp) -> f64 {
-        self.faded(now) / self.fades.as_secs_f64()
+        self.decayed(now) / self.time_constant.as_secs_f64()
     }
 
-    fn faded(&self, now: Timestamp) -> f64 {
+    fn decayed(&self, now: Timestamp) -> f64 {
         let elapsed = now.saturating_since(self.at).as_secs_f64();
-        self.sum * (-elapsed / self.fades.as_secs_f64()).exp()
+        self.sum * (-elapsed / self.time_constant.as_secs_f64()).exp()
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,21 +1,22 @@
-//! Retry budget: retries are a bounded share of requests, so that they cannot amplify an outage.
+//! Retry budget: bounds retries to a share of requests, so that they cannot amplify an outage.
 //!
-//! Each request earns a fraction of a retry; each retry spends a whole one. What is unspent is kept up to a reserve,
-//! so that the streams of one crashed engine can all continue elsewhere at once. Over any interval
+//! Each request earns a fraction of a retry and each retry spends a whole one. Unspent retries accumulate up
+//! to a reserve, so that the streams of one crashed engine can all continue elsewhere at once. Over any
+//! interval
 //!
 //! `retries <= reserve + share * requests`
 //!
-//! whatever the back ends do. Every further try counts, also one after a refusal "not run" and one that continues a
-//! broken stream: each costs a back end work while it may be in trouble.
+//! regardless of the back ends. Every further attempt counts, including those after a "not run" refusal and
+//! those that continue a broken stream, because each adds load to a back end that may be in trouble.
 
 /// Settings of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySettings {
     /// Thousandths of a retry that each request earns.
     pub share_per_mille: u32,
-    /// Unspent whole retries that are kept at most; a new budget begins with them.
+    /// Maximum number of unspent retries. A new budget starts with all of them.
     pub reserve: u32,
-    /// Tries of one request at most, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub attempts_per_request: u32,
 }
 
@@ -25,18 +26,18 @@
     }
 }
 
-/// Whether a request may be tried again.
+/// Whether a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It may; the retry has been paid for.
+    /// The retry is allowed and has been deducted from the budget.
     Granted,
-    /// The node's budget is spent: the request must end now.
+    /// The node's budget is exhausted.
     BudgetSpent,
-    /// The request has used all of its tries.
+    /// The request has used all of its attempts.
     AttemptsSpent,
 }
 
-/// Thousandths of a retry in one retry.
+/// Cost of a retry in thousandths.
 const RETRY_COST: u64 = 1_000;
 
 /// The retry budget of one node.
@@ -51,13 +52,13 @@
 }
 
 impl RetryBudget {
-    /// A budget with a full reserve.
+    /// Creates a budget with a full reserve.
     pub fn new(settings: RetrySettings) -> Self {
         let balance = u64::from(settings.reserve) * RETRY_COST;
         Self { settings, balance, requests: 0, retries: 0, refused: 0 }
     }
 
-    /// A request arrived and gets its first try.
+    /// Counts a request's first attempt, which earns a fraction of a retry.
     pub fn request(&mut self) {
         self.requests += 1;
         let ceiling = u64::from(self.settings.reserve) * RETRY_COST;
@@ -65,7 +66,7 @@
         self.balance = earned.min(ceiling.max(RETRY_COST));
     }
 
-    /// A request that has been tried `attempts` times asks for one more try.
+    /// Requests a retry for a request that has had `attempts` attempts.
     pub fn retry(&mut self, attempts: u32) -> RetryDecision {
         if attempts >= self.settings.attempts_per_request {
             return RetryDecision::AttemptsSpent;
@@ -79,7 +80,7 @@
         RetryDecision::Granted
     }
 
-    /// Counts since the node started.
+    /// Returns the counts since the node started.
     pub const fn counts(&self) -> RetryCounts {
         RetryCounts {
             requests: self.requests,
@@ -90,15 +91,14 @@
     }
 }
 
-/// What a [`RetryBudget`] has seen.
+/// Counters of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
-    /// Requests that got their first try.
+    /// Requests with a first attempt.
     pub requests: u64,
-    /// Retries granted.
     pub retries: u64,
-    /// Retries refused because the budget was spent.
+    /// Retries refused because the budget was exhausted.
     pub refused: u64,
-    /// Retries that could be granted now.
+    /// Retries that the budget would grant now.
     pub available: u64,
 }
--- a/crates/core/src/service.rs
+++ b/crates/core/src/service.rs
@@ -1,7 +1,7 @@
-//! One call of a service beside the models.
+//! State machine of one call to a service other than the models.
 //!
-//! [`ServiceCall`] decides at which instance a call is tried and what its ending is. A call that must
-//! not be repeated is sent again only where it is certain that the try before did not run.
+//! [`ServiceCall`] decides which instance gets each attempt and how the call ends. A call that is not
+//! repeatable is retried only if the previous attempt certainly did not run.
 
 use std::time::Duration;
 
@@ -10,44 +10,38 @@
     refusal::{Refusal, RefusalCode},
 };
 
-/// Tries of one call at most.
+/// Maximum number of attempts per call.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceEvent {
-    /// The instance answered.
     Answered(serde_json::Value),
     /// The instance refused with a typed "not run", or nothing was sent to it.
     NotRun {
-        /// Its reason, where it gave one.
+        /// The instance's refusal, if it sent one.
         refusal: Option<Refusal>,
     },
-    /// The connection broke or nothing came in time: the try may have run.
+    /// The connection broke or timed out, so the attempt may have run.
     Unclear,
-    /// The caller's deadline passed during the try.
+    /// The caller's deadline passed during the attempt.
     DeadlinePassed,
 }
 
-/// What to do next.
+/// The next action to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceAction {
-    /// Send a try; its ending is answered by a [`ServiceEvent`].
-    Send {
-        /// The try.
-        attempt: AttemptId,
-        /// Where.
-        instance: ServiceInstanceId,
-    },
-    /// The call has run and this is its answer.
+    /// Send an attempt and report its end as a [`ServiceEvent`].
+    Send { attempt: AttemptId, instance: ServiceInstanceId },
+    /// Answer the caller with this body.
     Finish(serde_json::Value),
-    /// The call has no answer.
+    /// Refuse the call.
     Refuse(Refusal),
 }
 
-/// One call under way.
+/// The state of one call.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
     request: RequestId,
@@ -55,32 +49,32 @@
     instances: Vec<ServiceInstanceId>,
     attempts: u32,
     may_have_run: bool,
-    last: Option<Refusal>,
+    last_refusal: Option<Refusal>,
 }
 
 impl ServiceCall {
-    /// A call that may be tried at `instances`, in this order.
+    /// Creates a call with attempts at `instances`, in this order.
     pub fn new(request: RequestId, repeatable: bool, instances: Vec<ServiceInstanceId>) -> Self {
-        Self { request, repeatable, instances, attempts: 0, may_have_run: false, last: None }
+        Self { request, repeatable, instances, attempts: 0, may_have_run: false, last_refusal: None }
     }
 
-    /// The first action.
+    /// Returns the first action.
     pub fn begin(&mut self) -> ServiceAction {
-        self.send()
+        self.send_attempt()
     }
 
-    /// Takes in the ending of the last try.
+    /// Applies the end of the last attempt and returns the next action.
     pub fn handle(&mut self, event: ServiceEvent) -> ServiceAction {
         match event {
             ServiceEvent::Answered(body) => ServiceAction::Finish(body),
             ServiceEvent::NotRun { refusal } => {
-                self.last = refusal.or(self.last.take());
-                self.send()
+                self.last_refusal = refusal.or(self.last_refusal.take());
+                self.send_attempt()
             }
             ServiceEvent::Unclear => {
                 self.may_have_run = true;
                 if self.repeatable {
-                    return self.send();
+                    return self.send_attempt();
                 }
                 self.refuse(RefusalCode::BackendFailed, "the service gave no answer; the call may have run")
             }
@@ -91,9 +85,9 @@
         }
     }
 
-    fn send(&mut self) -> ServiceAction {
+    fn send_attempt(&mut self) -> ServiceAction {
         if self.attempts >= MAX_ATTEMPTS || self.instances.is_empty() {
-            return match self.last.take() {
+            return match self.last_refusal.take() {
                 Some(refusal) => self.refuse(refusal.code, &refusal.message),
                 None => self.refuse(RefusalCode::Unavailable, "no instance of the service can be reached"),
             };
