--- a/crates/core/src/routing/cached_prefixes.rs
+++ b/crates/core/src/routing/cached_prefixes.rs
@@ -96,15 +96,15 @@
         }
     }
 
-    /// Removes all prefixes that `origin` computed in another incarnation than `alive`.
-    pub(super) fn remove_origin(&mut self, origin: &EngineId, alive: Option<Incarnation>) {
-        let dead: Vec<u64> = self
+    /// Removes all prefixes that `origin` computed in another incarnation than `current`.
+    pub(super) fn remove_origin(&mut self, origin: &EngineId, current: Option<Incarnation>) {
+        let stale: Vec<u64> = self
             .transfers
             .iter()
-            .filter(|(_, cached)| cached.origin == *origin && Some(cached.origin_incarnation) != alive)
+            .filter(|(_, cached)| cached.origin == *origin && Some(cached.origin_incarnation) != current)
             .map(|(number, _)| *number)
             .collect();
-        for number in dead {
+        for number in stale {
             self.remove_number(number);
         }
     }
@@ -119,12 +119,12 @@
 
     /// Returns the longest stored prefix of a request's prompt that the request may use.
     ///
-    /// `alive` tells whether an engine is still in the given incarnation. State is never used in another
+    /// `current` tells whether an engine is still in the given incarnation. State is never used in another
     /// scope, for another model or other weights, or after its origin has restarted.
     pub(super) fn longest(
         &self,
         request: &RouteRequest<'_>,
-        alive: impl Fn(&EngineId, Incarnation) -> bool,
+        current: impl Fn(&EngineId, Incarnation) -> bool,
     ) -> Option<CachedPrefix<'_>> {
         if self.transfers.is_empty() {
             return None;
@@ -137,7 +137,7 @@
             let blocks = index + 1;
             let usable = fits(transfer, request.scope, request.model, request.weights)
                 && transfer.blocks.get(index) == Some(block)
-                && alive(&transfer.origin, transfer.origin_incarnation);
+                && current(&transfer.origin, transfer.origin_incarnation);
             if usable {
                 let bytes = transfer.bytes as f64 * blocks as f64 / transfer.blocks.len() as f64;
                 return Some(CachedPrefix { transfer, blocks, bytes });
--- a/crates/core/src/routing/choice.rs
+++ b/crates/core/src/routing/choice.rs
@@ -83,8 +83,8 @@
         let best_held_tokens =
             matches.iter().map(|held| expected_tokens(held, request.prompt_tokens)).fold(0.0, f64::max);
         let import = self.settings.mechanisms.import;
-        let alive = |engine: &_, incarnation| self.is_alive(engine, incarnation);
-        let cached_prefix = if import { self.cached_prefixes.longest(request, alive) } else { None };
+        let current = |engine: &_, incarnation| self.is_current(engine, incarnation);
+        let cached_prefix = if import { self.cached_prefixes.longest(request, current) } else { None };
         let copies = copies_of_shared(&matches, preferred.shared_blocks);
         let has_unread_feeds = self.engines.views().any(|view| view.feed.state() == FeedState::NotRead);
         ScoringContext {
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -294,7 +294,7 @@
         self.settings.distances.get(zone).copied().unwrap_or(self.settings.other_zone_ms)
     }
 
-    fn is_alive(&self, engine: &EngineId, incarnation: Incarnation) -> bool {
+    fn is_current(&self, engine: &EngineId, incarnation: Incarnation) -> bool {
         let view = self.engines.slot(engine).and_then(|slot| self.engines.get(slot));
         view.is_some_and(|view| view.status.incarnation == incarnation)
     }
--- a/crates/core/src/routing/preferred_engines.rs
+++ b/crates/core/src/routing/preferred_engines.rs
@@ -107,9 +107,9 @@
 fn narrow(list: &mut Vec<Member>, primary: usize, prefix: u64) -> Vec<Slot> {
     keep_lowest(list, primary.max(MAX_RANKED), prefix);
     sort_head(list, primary, prefix);
-    let mut rest = list.split_off(primary);
-    sort_head(&mut rest, MAX_RANKED, prefix);
-    rest.into_iter().take(MAX_RANKED).map(|(slot, _)| slot).collect()
+    let mut remainder = list.split_off(primary);
+    sort_head(&mut remainder, MAX_RANKED, prefix);
+    remainder.into_iter().take(MAX_RANKED).map(|(slot, _)| slot).collect()
 }
 
 /// Drops engines that rank behind the first `needed`, in one pass.
--- a/crates/core/src/routing/scoring.rs
+++ b/crates/core/src/routing/scoring.rs
@@ -112,8 +112,12 @@
         let after_import =
             f64::from(context.request.prompt_tokens) - f64::from(cached_prefix.blocks as u32 * BLOCK_TOKENS);
         let import_ms = cached_prefix.bytes / self.settings.import_bytes_per_second * 1e3;
-        let rest_ms = view.prefill_ms(after_import.max(0.0).min(missing));
-        if import_ms + rest_ms < prefill_ms { (rest_ms, import_ms) } else { (prefill_ms, 0.0) }
+        let remaining_prefill_ms = view.prefill_ms(after_import.max(0.0).min(missing));
+        if import_ms + remaining_prefill_ms < prefill_ms {
+            (remaining_prefill_ms, import_ms)
+        } else {
+            (prefill_ms, 0.0)
+        }
     }
 
     fn affinity_ms(
--- a/crates/core/tests/cache_index_properties.rs
+++ b/crates/core/tests/cache_index_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the cache_index in engines' caches under any order of events.
+//! Properties of the cache index under any order of events.
 
 mod routing_support;
 
@@ -121,7 +121,7 @@
         let event = RouterEvent::Snapshot { engine: &engine(number), snapshot: &snapshot };
         self.router.apply(event, at_ms(self.time));
         if !more {
-            assert!(!self.router.needs_resync().contains(&engine(number)), "a whole snapshot closes gaps");
+            assert!(!self.router.needs_resync().contains(&engine(number)), "a complete snapshot closes gaps");
         }
     }
 
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn memory_stays_bounded_and_a_new_incarnation_is_empty_under_any_events() {
+fn memory_is_bounded_and_a_new_incarnation_starts_empty() {
     bolero::check!().with_type::<Vec<Step>>().for_each(|steps| {
         let mut world = World::new();
         for step in steps {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn many_distinct_prompts_stay_within_the_limit_and_the_recent_ones_are_kept() {
+fn records_are_limited_and_recent_prompts_are_retained() {
     let settings =
         RouterSettings { cache_index_records: 10_000, ..RouterSettings::new(ZoneId::from("a"), 1) };
     let mut router = router_with(ENGINES, settings);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_late_event_of_an_earlier_incarnation_is_passed_over() {
+fn events_of_an_earlier_incarnation_are_ignored() {
     let mut router = router(ENGINES, 1);
     router.apply(RouterEvent::Status(&status(0, 5, at_ms(1))), at_ms(1));
     let request = prompt(&[(1, 12)]);
@@ -182,7 +182,7 @@
     };
     router.apply(RouterEvent::Feed { engine: &engine(0), batch: &batch }, at_ms(2));
     assert_eq!(expected_at(&router.preview(&request.route(), at_ms(3)), &engine(0)), 0);
-    // An answer of a later life empties what was believed of the present one.
+    // An answer of a later incarnation invalidates the records of the current one.
     run_at(&mut router, &request, &engine(0), "own", at_ms(4));
     let attempt = AttemptId::from("later");
     let other = prompt(&[(2, 12)]);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn new_weights_empty_the_belief_at_once() {
+fn new_weights_invalidate_the_index() {
     let mut router = router(1, 1);
     let request = prompt(&[(1, 12)]);
     run_at(&mut router, &request, &engine(0), "a", at_ms(1));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_gap_asks_for_a_snapshot_and_the_snapshot_corrects_the_belief() {
+fn a_gap_requests_a_snapshot_which_corrects_the_index() {
     let mut world = World::new();
     world.feed(0, 0, CacheChange::Stored { blocks: World::blocks(1) });
     assert!(world.router.needs_resync().is_empty());
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn lost_last_events_show_as_a_gap() {
+fn an_empty_batch_with_a_later_sequence_is_a_gap() {
     let mut router = router(1, 1);
     let batch = CacheEventBatch { incarnation: Incarnation(1), events: Vec::new(), last: EventSequence(4) };
     router.apply(RouterEvent::Feed { engine: &engine(0), batch: &batch }, at_ms(1));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn without_a_feed_old_belief_loses_confidence_by_the_learnt_eviction_age() {
+fn without_a_feed_confidence_falls_by_the_estimated_eviction_age() {
     let mut router = router(1, 1);
     let request = prompt(&[(1, 40)]);
     run_at(&mut router, &request, &engine(0), "a", at_ms(0));
@@ -243,7 +243,7 @@
         let other = prompt(&[(100 + number, 4)]);
         let start = at_ms(2_000 + u64::from(number) * 600);
         run_at(&mut router, &other, &engine(0), &format!("x{number}"), start);
-        // Half a second later the engine finds nothing of it.
+        // The engine has evicted the prompt half a second later.
         let later = start + std::time::Duration::from_millis(500);
         run_finding(&mut router, &other, &engine(0), &format!("y{number}"), later, 0);
     }
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_is_survived() {
+fn a_clock_step_backwards_keeps_records() {
     let mut router = router(2, 1);
     let request = prompt(&[(1, 12)]);
     run_at(&mut router, &request, &engine(0), "a", at_ms(900));
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Which decision records are kept, and in how much memory.
+//! Retention of decision records and its memory limits.
 
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn light_load_keeps_every_record() {
+fn light_load_retains_every_record() {
     let mut ring = ring();
     for number in 0..200 {
         let now = Timestamp::from_millis(number * 50);
@@ -77,24 +77,25 @@
 }
 
 #[test]
-fn heavy_load_is_sampled_near_the_asked_rate_and_the_same_each_time() {
+fn heavy_load_is_sampled_deterministically_near_the_configured_rate() {
     let run = || {
         let mut ring = ring();
         for number in 0..30_000 {
             let now = Timestamp::ZERO + Duration::from_micros(number * 1_000);
             ring.offer(record(number, now), now);
         }
-        let kept: Vec<RequestId> = ring.newest_first().iter().map(|record| record.request.clone()).collect();
-        (ring.counts(), kept)
+        let retained: Vec<RequestId> =
+            ring.newest_first().iter().map(|record| record.request.clone()).collect();
+        (ring.counts(), retained)
     };
-    let (counts, kept) = run();
+    let (counts, retained) = run();
     assert_eq!(counts.offered, 30_000);
     assert!((1_000..=2_500).contains(&counts.sampled), "{counts:?}");
-    assert_eq!((counts, kept), run());
+    assert_eq!((counts, retained), run());
 }
 
 #[test]
-fn refusals_retries_and_slow_requests_are_kept_under_any_load() {
+fn refused_retried_and_slow_requests_are_retained_under_any_load() {
     let mut ring = ring();
     let now = Timestamp::from_millis(1);
     for number in 0..10_000 {
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn memory_stays_within_its_bound_and_the_newest_stay() {
+fn memory_is_bounded_and_the_newest_records_are_retained() {
     let settings =
         DecisionSettings { sampled_bytes: 64 << 10, notable_bytes: 64 << 10, ..Default::default() };
     let mut ring = DecisionRing::new(settings.clone());
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_slow_reader_learns_how_many_records_it_lost() {
+fn a_slow_reader_learns_how_many_records_it_missed() {
     let settings = DecisionSettings { sampled_bytes: 64 << 10, ..Default::default() };
     let mut ring = DecisionRing::new(settings);
     for number in 0..100 {
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_record_keeps_the_best_candidates_and_counts_the_rest() {
+fn a_record_holds_the_best_candidates_and_counts_the_others() {
     let record = record(1, Timestamp::ZERO);
     assert_eq!(record.candidates.len(), MAX_CANDIDATES);
     assert_eq!(record.more_candidates as usize, 20 - MAX_CANDIDATES);
--- a/crates/core/tests/health_circuit.rs
+++ b/crates/core/tests/health_circuit.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn consecutive_failures_eject_and_a_success_between_them_does_not() {
+fn only_consecutive_failures_eject() {
     let mut health = pool_of(4);
     fail(&mut health, 0, 2, START);
     health.apply(&engine(0), HealthEvent::Succeeded, START);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_high_share_of_failures_ejects_without_a_run_of_them() {
+fn a_high_failure_ratio_ejects_without_consecutive_failures() {
     let mut health = pool_of(4);
     for _ in 0..5 {
         health.apply(&engine(0), HealthEvent::Succeeded, START);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_circuit_closes_by_itself_through_one_probe_and_slow_start() {
+fn the_circuit_closes_after_one_probe_and_slow_start() {
     let mut health = pool_of(4);
     fail(&mut health, 0, 3, START);
     let later = at(1_000);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn failed_probes_double_the_ejection_up_to_the_longest() {
+fn failed_probes_double_the_ejection_up_to_the_maximum() {
     let mut health = pool_of(4);
     fail(&mut health, 0, 3, START);
     let mut now = START;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_probe_that_is_lost_or_refused_does_not_keep_the_circuit_open() {
+fn a_lost_or_refused_probe_does_not_keep_the_circuit_open() {
     let mut health = pool_of(4);
     fail(&mut health, 0, 3, START);
     health.apply(&engine(0), HealthEvent::Dispatched, at(1_000));
@@ -106,27 +106,26 @@
 }
 
 #[test]
-fn a_new_life_starts_slowly_and_with_a_clean_record() {
+fn a_new_incarnation_starts_slowly_without_earlier_failures() {
     let mut health = pool_of(4);
     fail(&mut health, 0, 3, START);
     see(&mut health, 0, 2, at(100));
     assert_eq!(health.weight(&engine(0), at(100)), 0.1);
     see(&mut health, 0, 1, at(200));
-    assert!(health.weight(&engine(0), at(200)) > 0.1, "an older life is old news");
+    assert!(health.weight(&engine(0), at(200)) > 0.1, "events of an older incarnation are ignored");
 }
 
 #[test]
-fn engines_found_at_the_start_of_a_node_are_not_slowed() {
+fn engines_known_at_node_start_skip_slow_start() {
     let mut health = pool_of(4);
     assert_eq!(health.weight(&engine(0), START), 1.0);
     see(&mut health, 9, 1, at(60_000));
     assert_eq!(health.weight(&engine(9), at(60_000)), 0.1);
 }
 
-/// When 90 of 100 engines refused connections, the share of a pool that may be ejected was used up: requests met four engines
-/// that refused, 914 of them in five such crashes, and were given up though a tenth of the engines was well.
+/// With most of a pool unreachable, the ejected share must not keep unreachable engines in rotation.
 #[test]
-fn a_refused_connection_ejects_however_many_are_ejected_and_leaves_no_room_for_guesses() {
+fn a_refused_connection_ejects_beyond_the_ejected_share() {
     let mut health = pool_of(10);
     for number in 0..9 {
         health.apply(&engine(number), HealthEvent::Dispatched, START);
@@ -134,13 +133,16 @@
     }
     assert!((0..9).all(|number| !health.availability(&engine(number), 0.0, START).admits()));
     fail(&mut health, 9, 50, START);
-    assert!(health.availability(&engine(9), 0.0, START).admits(), "a guess ejects no more than its share");
+    assert!(
+        health.availability(&engine(9), 0.0, START).admits(),
+        "an outlier is not ejected beyond the share"
+    );
     let later = at(60_000);
     assert!((0..10).all(|number| health.availability(&engine(number), 0.0, later).admits()));
 }
 
 #[test]
-fn never_more_than_the_bounded_share_is_ejected_and_every_circuit_closes_again() {
+fn the_ejected_share_is_bounded_and_every_circuit_closes_again() {
     bolero::check!().with_type::<(u8, Vec<(u8, u8, u16)>)>().for_each(|(size, steps)| {
         let size = size % 12 + 1;
         let mut health = pool_of(size);
--- a/crates/core/tests/model_request.rs
+++ b/crates/core/tests/model_request.rs
@@ -1,8 +1,8 @@
-//! The state machine of one model request: what it does in each situation.
+//! Transitions of the model request state machine.
 
 mod model_request_support;
 
-use model_request_support::{LIFE, at, attempt, end, precondition, refused, start, terms, text, token};
+use model_request_support::{INCARNATION, at, attempt, end, precondition, refused, spec, start, text, token};
 use paddlemount_core::{
     request::{Continuation, ModelRequest, RequestAction as Action, RequestEvent as Event, RequestSettings},
     routing::AttemptEnding,
@@ -24,7 +24,7 @@
 
 fn resume(number: u32, engine: &str, next_index: u32) -> Action {
     let engine = EngineId::from(engine);
-    Action::Resume { attempt: attempt(number), engine, incarnation: LIFE, next_index }
+    Action::Resume { attempt: attempt(number), engine, incarnation: INCARNATION, next_index }
 }
 
 fn choose(excluded: &[&str], continued: bool) -> Action {
@@ -46,9 +46,9 @@
     }
 }
 
-/// A request whose first try was sent to engine `a`.
+/// A request whose first attempt was sent to engine `a`.
 fn sent(repeatable: bool) -> ModelRequest {
-    let mut request = ModelRequest::new(RequestSettings::default(), terms(repeatable));
+    let mut request = ModelRequest::new(RequestSettings::default(), spec(repeatable));
     let first = Action::Choose { excluded: Vec::new(), continuation: None, retry: false };
     assert_eq!(request.handle(Event::Arrived, at(0)), [first]);
     let dispatch =
@@ -57,17 +57,20 @@
     request
 }
 
-/// The same after two tokens.
+/// The same request after two tokens.
 fn answering(repeatable: bool) -> ModelRequest {
     let mut request = sent(repeatable);
-    assert!(matches!(request.handle(start(1, LIFE), at(1))[..], [Action::Started { cached_tokens: 3, .. }]));
+    assert!(matches!(
+        request.handle(start(1, INCARNATION), at(1))[..],
+        [Action::Started { cached_tokens: 3, .. }]
+    ));
     assert_eq!(request.handle(token(1, 0), at(2)), [emit(0)]);
     assert_eq!(request.handle(token(1, 1), at(3)), [emit(1)]);
     request
 }
 
 #[test]
-fn an_undisturbed_answer_is_finished_after_its_last_token() {
+fn a_complete_answer_finishes_after_its_last_token() {
     let mut request = answering(true);
     request.handle(token(1, 2), at(4));
     let actions = request.handle(end(1, 3), at(5));
@@ -83,7 +86,7 @@
 }
 
 #[test]
-fn a_cut_connection_is_resumed_at_the_next_token() {
+fn a_lost_connection_resumes_at_the_next_token() {
     let mut request = answering(true);
     let lost = Event::ConnectionLost { attempt: attempt(1), resumable: true };
     assert_eq!(request.handle(lost, at(4)), [resume(1, "a", 2)]);
@@ -102,18 +105,18 @@
 }
 
 #[test]
-fn a_repeatable_answer_continues_elsewhere_after_the_text_already_sent() {
+fn a_repeatable_answer_continues_at_another_engine_after_the_emitted_text() {
     let mut request = answering(true);
     request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(4));
     let actions = request.handle(Event::EngineChosen(precondition("b")), at(4));
     let already = vec![text(0), text(1)];
     assert_eq!(actions, [Action::Dispatch { attempt: attempt(2), precondition: precondition("b"), already }]);
-    assert!(matches!(request.handle(start(2, LIFE), at(5))[..], [Action::Started { .. }]));
+    assert!(matches!(request.handle(start(2, INCARNATION), at(5))[..], [Action::Started { .. }]));
     assert_eq!(request.handle(token(2, 2), at(6)), [emit(2)]);
 }
 
 #[test]
-fn an_answer_that_must_not_be_repeated_ends_as_unknown() {
+fn a_non_repeatable_answer_ends_as_unknown() {
     let mut request = answering(false);
     let actions = request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(4));
     let refusal = refusal_of(&actions);
@@ -122,14 +125,14 @@
 }
 
 #[test]
-fn a_try_that_was_sent_and_then_lost_may_have_run() {
+fn a_lost_attempt_may_have_run() {
     let mut request = sent(false);
     let actions = request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(1));
     assert_eq!(refusal_of(&actions).outcome, Outcome::Unknown);
 }
 
 #[test]
-fn a_typed_refusal_is_safe_to_send_elsewhere_and_ends_as_not_run() {
+fn a_typed_refusal_is_retried_and_ends_as_not_run() {
     let mut request = sent(false);
     let ended = Action::Ended { attempt: attempt(1), ending: AttemptEnding::Refused };
     assert_eq!(request.handle(refused(1, RefusalCode::Overloaded), at(1)), [ended, choose(&["a"], false)]);
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn an_outdated_belief_is_corrected_and_the_engine_asked_again() {
+fn a_failed_precondition_refreshes_the_status_and_allows_the_engine_again() {
     let mut request = sent(false);
     let actions = request.handle(refused(1, RefusalCode::PreconditionFailed), at(1));
     let ended = Action::Ended { attempt: attempt(1), ending: AttemptEnding::Refused };
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn frames_of_an_earlier_try_are_dropped() {
+fn frames_of_an_earlier_attempt_are_dropped() {
     let mut request = answering(true);
     request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(4));
     request.handle(Event::EngineChosen(precondition("b")), at(4));
@@ -172,28 +175,28 @@
 }
 
 #[test]
-fn an_answer_of_another_life_is_not_used() {
+fn an_answer_of_another_incarnation_is_abandoned() {
     let mut request = sent(true);
     let [cancel, ended] = cancelled(1, "a", AttemptEnding::Failed);
     assert_eq!(request.handle(start(1, Incarnation(8)), at(1)), [cancel, ended, choose(&["a"], false)]);
 }
 
 #[test]
-fn a_stalled_engine_is_asked_again_and_then_left() {
+fn a_stalled_engine_gets_one_resume_and_is_then_abandoned() {
     let mut request = answering(true);
-    let patience = RequestSettings::default().frame_timeout;
+    let timeout = RequestSettings::default().frame_timeout;
     let stalled = request.next_timer();
-    assert_eq!(stalled, at(3) + patience);
+    assert_eq!(stalled, at(3) + timeout);
     assert_eq!(request.handle(Event::Tick, stalled), [resume(1, "a", 2)]);
     let [cancel, ended] = cancelled(1, "a", AttemptEnding::Failed);
-    assert_eq!(request.handle(Event::Tick, stalled + patience), [cancel, ended, choose(&["a"], true)]);
+    assert_eq!(request.handle(Event::Tick, stalled + timeout), [cancel, ended, choose(&["a"], true)]);
 }
 
 #[test]
 fn prefill_may_take_longer_than_the_time_between_tokens() {
     let mut request = sent(true);
     let settings = RequestSettings::default();
-    request.handle(start(1, LIFE), at(1));
+    request.handle(start(1, INCARNATION), at(1));
     assert_eq!(request.handle(Event::Tick, at(1) + settings.frame_timeout), []);
     assert_eq!(request.next_timer(), at(1) + settings.first_byte_timeout);
     assert_eq!(request.handle(Event::Tick, at(1) + settings.first_byte_timeout), [resume(1, "a", 0)]);
@@ -208,7 +211,7 @@
 }
 
 #[test]
-fn the_deadline_ends_a_request_at_once_with_a_time_to_come_back() {
+fn the_deadline_ends_a_request_with_a_retry_time() {
     let mut request = answering(true);
     let actions = request.handle(Event::Tick, at(60_000));
     let refusal = refusal_of(&actions);
@@ -218,14 +221,14 @@
 }
 
 #[test]
-fn a_caller_that_leaves_cancels_the_try() {
+fn a_disconnected_caller_cancels_the_attempt() {
     let mut request = answering(true);
     assert_eq!(request.handle(Event::CallerLeft, at(4)), cancelled(1, "a", AttemptEnding::Cancelled));
     assert!(request.has_ended());
 }
 
 #[test]
-fn tries_are_bounded() {
+fn attempts_are_bounded() {
     let mut request = sent(true);
     for number in 1..RequestSettings::default().max_attempts {
         let actions = request.handle(Event::NotSent { attempt: attempt(number) }, at(1));
--- a/crates/core/tests/model_request_properties.rs
+++ b/crates/core/tests/model_request_properties.rs
@@ -1,11 +1,11 @@
-//! What holds for one model request in every sequence of events.
+//! Invariants of a model request under every sequence of events.
 
 mod model_request_support;
 
 use std::time::Duration;
 
 use model_request_support::{
-    LIFE, at, attempt, end, frame, precondition, refused, start, terms, text, token,
+    INCARNATION, at, attempt, end, frame, precondition, refused, spec, start, text, token,
 };
 use paddlemount_core::request::{
     ModelRequest, RequestAction as Action, RequestEvent as Event, RequestSettings,
@@ -16,20 +16,20 @@
     refusal::{Outcome, RefusalCode},
 };
 
-/// What an observer sees of one request, whatever happens to it.
+/// Checks the actions of a request against the events that it got.
 struct Observer {
     emitted: u32,
     endings: u32,
     engine_touched: bool,
     repeatable: bool,
     may_send: bool,
-    /// Whether the last try that was sent has not ended; later news of it contradict its ending.
-    try_is_open: bool,
+    /// Whether the last attempt has not ended; later events of it have no effect.
+    attempt_is_open: bool,
 }
 
 impl Observer {
     fn check(&mut self, action: &Action) {
-        assert_eq!(self.endings, 0, "nothing follows an ending: {action:?}");
+        assert_eq!(self.endings, 0, "nothing follows the end: {action:?}");
         match action {
             Action::Emit { index, text: got } => {
                 assert_eq!((*index, got), (self.emitted, &text(*index)));
@@ -47,36 +47,40 @@
             Action::Dispatch { already, .. } => {
                 assert!(
                     self.repeatable || self.may_send,
-                    "a second try of a request that must not be repeated"
+                    "a second attempt of a request that is not repeatable"
                 );
                 assert_eq!(*already, (0..self.emitted).map(text).collect::<Vec<_>>());
                 self.may_send = false;
-                self.try_is_open = true;
+                self.attempt_is_open = true;
             }
-            Action::Ended { .. } => self.try_is_open = false,
+            Action::Ended { .. } => self.attempt_is_open = false,
             _ => {}
         }
     }
 
-    /// Notes what an event means for the truth about the request.
-    fn learn(&mut self, event: &Event, tries: u32) {
-        if !self.try_is_open {
+    /// Updates the expected state of the request.
+    fn observe(&mut self, event: &Event, attempts: u32) {
+        if !self.attempt_is_open {
             return;
         }
         match event {
-            Event::Refused { attempt: of, .. } | Event::NotSent { attempt: of } if *of == attempt(tries) => {
+            Event::Refused { attempt: of, .. } | Event::NotSent { attempt: of }
+                if *of == attempt(attempts) =>
+            {
                 self.may_send = true;
             }
-            Event::Frame(frame) if frame.attempt == attempt(tries) => self.engine_touched = true,
-            Event::ConnectionLost { attempt: of, .. } if *of == attempt(tries) => self.engine_touched = true,
+            Event::Frame(frame) if frame.attempt == attempt(attempts) => self.engine_touched = true,
+            Event::ConnectionLost { attempt: of, .. } if *of == attempt(attempts) => {
+                self.engine_touched = true
+            }
             _ => {}
         }
     }
 }
 
-fn arbitrary_event(choice: (u8, u8, u8), tries: u32) -> Event {
+fn arbitrary_event(choice: (u8, u8, u8), attempts: u32) -> Event {
     let (kind, number, index) = choice;
-    let number = if number % 4 == 0 { 1 + u32::from(number / 4) % 4 } else { tries };
+    let number = if number % 4 == 0 { 1 + u32::from(number / 4) % 4 } else { attempts };
     let index = u32::from(index % 6);
     match kind % 12 {
         0 => Event::EngineChosen(precondition(if index % 2 == 0 { "a" } else { "b" })),
@@ -85,7 +89,7 @@
         3 => refused(number, RefusalCode::PreconditionFailed),
         4 => Event::NotSent { attempt: attempt(number) },
         5 => Event::ConnectionLost { attempt: attempt(number), resumable: index % 2 == 0 },
-        6 => start(number, if index == 5 { Incarnation(8) } else { LIFE }),
+        6 => start(number, if index == 5 { Incarnation(8) } else { INCARNATION }),
         7 | 8 => token(number, index),
         9 => end(number, index),
         10 => Event::Tick,
@@ -97,14 +101,14 @@
 fn every_sequence_of_events_keeps_the_promises() {
     bolero::check!().with_iterations(20_000).with_type::<(bool, Vec<((u8, u8, u8), u16)>)>().for_each(
         |(repeatable, steps)| {
-            let mut request = ModelRequest::new(RequestSettings::default(), terms(*repeatable));
+            let mut request = ModelRequest::new(RequestSettings::default(), spec(*repeatable));
             let mut observer = Observer {
                 emitted: 0,
                 endings: 0,
                 engine_touched: false,
                 repeatable: *repeatable,
                 may_send: true,
-                try_is_open: false,
+                attempt_is_open: false,
             };
             let mut now = at(0);
             for action in request.handle(Event::Arrived, now) {
@@ -113,7 +117,7 @@
             for (choice, wait) in steps {
                 now = now + Duration::from_millis(u64::from(*wait));
                 let event = arbitrary_event(*choice, request.attempts());
-                observer.learn(&event, request.attempts());
+                observer.observe(&event, request.attempts());
                 for action in request.handle(event, now) {
                     observer.check(&action);
                 }
--- a/crates/core/tests/model_request_support/mod.rs
+++ b/crates/core/tests/model_request_support/mod.rs
@@ -1,4 +1,4 @@
-//! Events of one model request, for its tests.
+//! Builders of model request events for tests.
 
 use paddlemount_core::request::{RequestEvent as Event, RequestSpec};
 use paddlemount_protocol::{
@@ -8,24 +8,24 @@
     time::Timestamp,
 };
 
-pub const LIFE: Incarnation = Incarnation(7);
+pub const INCARNATION: Incarnation = Incarnation(7);
 
 pub fn at(milliseconds: u64) -> Timestamp {
     Timestamp::from_millis(milliseconds)
 }
 
-pub fn terms(repeatable: bool) -> RequestSpec {
+pub fn spec(repeatable: bool) -> RequestSpec {
     RequestSpec { request: RequestId::from("r"), repeatable, max_tokens: 4, deadline: at(60_000) }
 }
 
 pub fn attempt(number: u32) -> AttemptId {
-    terms(true).attempt(number)
+    spec(true).attempt(number)
 }
 
 pub fn precondition(engine: &str) -> Precondition {
     Precondition {
         engine: EngineId::from(engine),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         model: "m".into(),
         weights: WeightsVersion(1),
         adapter: None,
@@ -56,7 +56,7 @@
 pub fn refused(number: u32, code: RefusalCode) -> Event {
     let refusal = EngineRefusal {
         code,
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         loaded: None,
         message: "no".into(),
         retry_after_ms: Some(250),
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Leases and the orders that their holder issues, against a model of engines with a fence.
+//! Placement leases and orders against a model of fenced engines.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -30,17 +30,17 @@
     serde_json::from_value(serde_json::json!({ "model": "m", "weights": 1 })).expect("a pool")
 }
 
-/// Engines that obey orders at once and load for some seconds.
+/// Engines that carry out orders at once and take [`LOAD_SECONDS`] per load.
 struct Engines {
     engines: BTreeMap<EngineId, Engine>,
-    most_loading: usize,
-    least_serving: usize,
+    max_loading: usize,
+    min_serving: usize,
 }
 
 struct Engine {
     status: EngineStatus,
     loads: Option<(WeightsVersion, Timestamp)>,
-    obeyed: Vec<String>,
+    accepted: Vec<String>,
 }
 
 impl Engines {
@@ -65,20 +65,20 @@
                 last_event: EventSequence(0),
                 fence: FencingToken(0),
             };
-            (status.engine.clone(), Engine { status, loads: None, obeyed: Vec::new() })
+            (status.engine.clone(), Engine { status, loads: None, accepted: Vec::new() })
         };
         let engines = (0..count).map(engine).collect();
-        Self { engines, most_loading: 0, least_serving: count }
+        Self { engines, max_loading: 0, min_serving: count }
     }
 
-    fn obey(&mut self, engine: &EngineId, order: &Order, now: Timestamp) -> Result<(), RefusalCode> {
+    fn handle_order(&mut self, engine: &EngineId, order: &Order, now: Timestamp) -> Result<(), RefusalCode> {
         let engine = self.engines.get_mut(engine).expect("an engine");
         if order.token < engine.status.fence {
             return Err(RefusalCode::Fenced);
         }
         engine.status.fence = order.token;
-        if !engine.obeyed.contains(&order.id) {
-            engine.obeyed.push(order.id.clone());
+        if !engine.accepted.contains(&order.id) {
+            engine.accepted.push(order.id.clone());
             if let OrderCommand::LoadModel { weights, .. } = order.command {
                 engine.load(weights, now);
             }
@@ -86,13 +86,13 @@
         Ok(())
     }
 
-    fn pass(&mut self, now: Timestamp) {
+    fn advance(&mut self, now: Timestamp) {
         for engine in self.engines.values_mut() {
             engine.finish(now);
         }
         let loading = self.engines.values().filter(|engine| engine.status.loading).count();
-        self.most_loading = self.most_loading.max(loading);
-        self.least_serving = self.least_serving.min(self.engines.len() - loading);
+        self.max_loading = self.max_loading.max(loading);
+        self.min_serving = self.min_serving.min(self.engines.len() - loading);
     }
 
     fn with_version(&self, weights: WeightsVersion) -> usize {
@@ -123,9 +123,9 @@
     }
 }
 
-/// One second of a placer: statuses, then orders; `deliver` says whether orders and replies arrive.
+/// Simulates one second: delivers statuses, then orders and replies if `deliver` is set.
 fn second(placer: &mut Placer, engines: &mut Engines, now: Timestamp, deliver: bool) -> Vec<PlacementAction> {
-    engines.pass(now);
+    engines.advance(now);
     let mut actions = Vec::new();
     let statuses: Vec<EngineStatus> = engines.engines.values().map(|engine| engine.status.clone()).collect();
     for status in &statuses {
@@ -141,7 +141,7 @@
             other.push(action);
             continue;
         }
-        let event = match engines.obey(engine, order, now) {
+        let event = match engines.handle_order(engine, order, now) {
             Ok(()) => PlacementEvent::Accepted { engine, order: &order.id },
             Err(code) => PlacementEvent::Refused { engine, order: &order.id, code },
         };
@@ -166,7 +166,7 @@
     for now in 1..300 {
         let actions = second(&mut placer, &mut engines, at(now), true);
         if now < LOAD_SECONDS + 30 {
-            assert!(engines.with_version(NEW) <= 1, "the first engine is on trial");
+            assert!(engines.with_version(NEW) <= 1, "only the canary has the new version");
         }
         if actions.iter().any(|action| matches!(action, PlacementAction::CompleteRollout { .. })) {
             complete = Some(now);
@@ -175,7 +175,7 @@
     }
     assert!(complete.is_some());
     assert_eq!((engines.with_version(NEW), engines.with_version(OLD)), (12, 0));
-    assert_eq!((engines.most_loading, engines.least_serving), (2, 10));
+    assert_eq!((engines.max_loading, engines.min_serving), (2, 10));
 }
 
 #[test]
@@ -186,25 +186,26 @@
         second(&mut placer, &mut engines, at(now), true);
     }
     assert_eq!(engines.with_version(NEW), 3);
-    assert!(engines.least_serving >= 2);
+    assert!(engines.min_serving >= 2);
 }
 
 #[test]
-fn a_paused_holder_is_harmless() {
+fn orders_of_a_paused_lease_holder_are_fenced() {
     let mut engines = Engines::new(6);
     let mut paused = placer_with(1, Pool { rollout: Some(NEW), ..pool() }, at(0));
     for now in 1..40 {
         second(&mut paused, &mut engines, at(now), true);
     }
-    let kept: Vec<_> = (40..45).flat_map(|now| second(&mut paused, &mut engines, at(now), false)).collect();
+    let undelivered: Vec<_> =
+        (40..45).flat_map(|now| second(&mut paused, &mut engines, at(now), false)).collect();
     let mut next = placer_with(2, Pool { rollout: Some(NEW), ..pool() }, at(50));
     for now in 50..55 {
         second(&mut next, &mut engines, at(now), true);
     }
-    assert!(!kept.is_empty());
-    for action in kept {
+    assert!(!undelivered.is_empty());
+    for action in undelivered {
         if let PlacementAction::Order { engine, order } = action {
-            assert_eq!(engines.obey(&engine, &order, at(55)), Err(RefusalCode::Fenced));
+            assert_eq!(engines.handle_order(&engine, &order, at(55)), Err(RefusalCode::Fenced));
         }
     }
     assert_eq!(second(&mut paused, &mut engines, at(56), true), [PlacementAction::ReleaseLease]);
@@ -212,11 +213,11 @@
         second(&mut next, &mut engines, at(now), true);
     }
     assert_eq!(engines.with_version(NEW), 6);
-    assert!(engines.most_loading <= 2);
+    assert!(engines.max_loading <= 2);
 }
 
 #[test]
-fn an_engine_that_is_not_fenced_counts_as_loading() {
+fn an_unfenced_engine_counts_as_loading() {
     let mut placer = placer_with(1, Pool { rollout: Some(NEW), ..pool() }, at(0));
     let mut engines = Engines::new(6);
     let is_load = |action: &PlacementAction| {
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn an_order_without_a_clear_answer_is_repeated_under_its_identity() {
+fn an_order_without_a_reply_is_resent_with_the_same_id() {
     let mut engines = Engines::new(1);
     let mut placer = placer_with(1, pool(), at(0));
     let order_of = |actions: Vec<PlacementAction>| match &actions[..] {
@@ -249,9 +250,9 @@
     let first = engines.engines.values_mut().next().expect("an engine");
     first.status.loaded.as_mut().expect("a model").weights = NEW;
     let statuses: Vec<EngineStatus> = engines.engines.values().map(|engine| engine.status.clone()).collect();
-    let share = version_counts(&PoolId::from("p"), &pool, &statuses);
-    assert_eq!((share.current, share.next), (3, 1));
-    let chosen = |number: u32| choose_version(&pool, share, &RequestId::from(number.to_string()));
+    let counts = version_counts(&PoolId::from("p"), &pool, &statuses);
+    assert_eq!((counts.current, counts.next), (3, 1));
+    let chosen = |number: u32| choose_version(&pool, counts, &RequestId::from(number.to_string()));
     let new = (0..1_000).filter(|number| chosen(*number) == NEW).count();
     assert!((200..300).contains(&new), "{new}");
     assert_eq!(chosen(1), chosen(1));
@@ -264,10 +265,10 @@
 }
 
 #[test]
-fn a_lease_is_renewed_and_its_life_counts_from_the_question() {
+fn a_lease_is_renewed_and_its_ttl_counts_from_the_request() {
     let mut holder = holder();
     assert!(matches!(holder.handle(LeaseEvent::Tick, at(0)), Some(LeaseRequest::Acquire(_))));
-    assert_eq!(holder.handle(LeaseEvent::Tick, at(1)), None, "one question at a time");
+    assert_eq!(holder.handle(LeaseEvent::Tick, at(1)), None, "one request at a time");
     let held = LeaseResult::Held { token: FencingToken(7), ttl_ms: 9_000 };
     holder.handle(LeaseEvent::Answered(held), at(2));
     assert_eq!(holder.token(at(8)), Some(FencingToken(7)));
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -1,9 +1,9 @@
-//! Retries stay within their share of requests, whatever fails.
+//! Retries are bounded by the budget during any outage.
 
 use paddlemount_core::retry::{RetryBudget, RetryDecision, RetrySettings};
 
 #[test]
-fn an_outage_gets_a_tenth_more_requests_at_most() {
+fn an_outage_adds_at_most_a_tenth_of_requests() {
     let settings = RetrySettings::default();
     let mut budget = RetryBudget::new(settings);
     let mut sent = 0_u64;
@@ -15,13 +15,13 @@
         }
         sent += u64::from(attempts);
     }
-    assert!(sent <= 11_000 + u64::from(settings.reserve), "{sent} tries of 10000 requests");
-    assert!(sent >= 10_990, "the budget is meant to be used: {sent} tries");
+    assert!(sent <= 11_000 + u64::from(settings.reserve), "{sent} attempts of 10000 requests");
+    assert!(sent >= 10_990, "the budget must be used: {sent} attempts");
     assert!(budget.counts().refused > 0);
 }
 
 #[test]
-fn one_request_gets_a_bounded_number_of_tries() {
+fn attempts_of_one_request_are_bounded() {
     let mut budget = RetryBudget::new(RetrySettings { attempts_per_request: 3, ..RetrySettings::default() });
     budget.request();
     assert_eq!(budget.retry(1), RetryDecision::Granted);
@@ -46,7 +46,7 @@
             attempts_per_request: 4,
         };
         let mut budget = RetryBudget::new(settings);
-        // The level of a bucket that leaks the share of each request: its maximum is what any interval exceeds the share by.
+        // A leaky bucket: its maximum level is the excess of retries over the share in any interval.
         let mut level = 0_u64;
         for is_request in steps {
             if *is_request {
--- a/crates/core/tests/routing_back_off.rs
+++ b/crates/core/tests/routing_back_off.rs
@@ -1,8 +1,5 @@
-//! What an engine says of itself when it refuses holds for every request of the node that it told.
-//!
-//! An engine that refused and asked for 3 s was asked again by the very next request: only the request that had been refused left
-//! it out. One that refused because it leaves was chosen until its next status was fetched, and by a node that cannot fetch any,
-//! for good. The time was handed on to the caller of that one request, and nothing else was done with it.
+//! A refusal's back-off time and draining state apply to all later requests of the node, not only to the
+//! refused one.
 
 mod routing_support;
 
@@ -16,10 +13,10 @@
 };
 use routing_support::{at_ms, chosen, engine, prompt, router, status};
 
-fn refusal(code: RefusalCode, life: u64, retry_after_ms: Option<u64>) -> EngineRefusal {
+fn refusal(code: RefusalCode, incarnation: u64, retry_after_ms: Option<u64>) -> EngineRefusal {
     EngineRefusal {
         code,
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         loaded: None,
         message: "not now".to_owned(),
         retry_after_ms,
@@ -30,7 +27,7 @@
     router.apply(RouterEvent::Refused { engine: &engine(number), refusal }, at_ms(at));
 }
 
-/// Engines that requests with different prompts are sent to.
+/// Returns the engines chosen for requests with different prompts.
 fn chosen_among(router: &mut Router, at: u64) -> BTreeSet<EngineId> {
     let prompts = (0..60).map(|number| prompt(&[(100 + number, 40)]));
     let decisions = prompts.map(|prompt| router.choose(&prompt.route(), at_ms(at)));
@@ -42,10 +39,10 @@
 }
 
 #[test]
-fn an_engine_that_asks_for_rest_gets_nothing_until_its_end() {
+fn an_engine_gets_no_requests_during_its_back_off() {
     let mut router = router(3, 1);
     refuse(&mut router, 1, &refusal(RefusalCode::Overloaded, 1, Some(3_000)), 0);
-    // A refusal that names no time, and one that names a shorter one, end nothing.
+    // A refusal without a time or with a shorter one does not end the back-off.
     refuse(&mut router, 1, &refusal(RefusalCode::Overloaded, 1, None), 500);
     refuse(&mut router, 1, &refusal(RefusalCode::Overloaded, 1, Some(200)), 600);
     for at in [0, 250, 1_000, 2_900] {
@@ -55,10 +52,10 @@
 }
 
 #[test]
-fn where_all_rest_none_is_chosen_and_the_least_rest_is_told() {
+fn if_all_engines_back_off_none_is_chosen_and_the_shortest_time_is_returned() {
     let mut router = router(2, 1);
     refuse(&mut router, 0, &refusal(RefusalCode::Overloaded, 1, Some(3_000)), 0);
-    assert_eq!(min_back_off(&router, 100), None, "the other one may be asked");
+    assert_eq!(min_back_off(&router, 100), None, "the other engine accepts requests");
     refuse(&mut router, 1, &refusal(RefusalCode::Unavailable, 1, Some(2_000)), 500);
     assert!(chosen_among(&mut router, 600).is_empty());
     assert_eq!(min_back_off(&router, 600), Some(Duration::from_millis(1_900)));
@@ -66,7 +63,7 @@
 }
 
 #[test]
-fn no_rest_is_endless() {
+fn back_off_times_are_capped() {
     let mut router = router(1, 1);
     refuse(&mut router, 0, &refusal(RefusalCode::Overloaded, 1, Some(u64::MAX)), 0);
     assert!(chosen_among(&mut router, 299_000).is_empty());
@@ -74,7 +71,7 @@
 }
 
 #[test]
-fn one_that_refuses_because_it_leaves_gets_nothing_whatever_an_older_status_says() {
+fn a_draining_refusal_outranks_an_older_status() {
     let mut router = router(2, 1);
     refuse(&mut router, 0, &refusal(RefusalCode::Draining, 1, None), 0);
     assert_eq!(chosen_among(&mut router, 10), BTreeSet::from([engine(1)]));
@@ -84,7 +81,7 @@
 }
 
 #[test]
-fn one_that_has_loaded_other_weights_and_says_so_takes_work_again() {
+fn a_newer_status_ends_the_draining_state() {
     let mut router = router(1, 1);
     refuse(&mut router, 0, &refusal(RefusalCode::Draining, 1, None), 0);
     assert!(chosen_among(&mut router, 10).is_empty());
@@ -93,7 +90,7 @@
 }
 
 #[test]
-fn a_new_life_ends_what_the_one_before_has_said_and_is_not_bound_by_its_late_refusals() {
+fn a_new_incarnation_ignores_refusals_of_the_previous_one() {
     let mut router = router(1, 1);
     refuse(&mut router, 0, &refusal(RefusalCode::Overloaded, 1, Some(60_000)), 0);
     refuse(&mut router, 0, &refusal(RefusalCode::Draining, 1, None), 0);
@@ -104,7 +101,7 @@
 }
 
 #[test]
-fn a_refusal_of_one_requests_terms_asks_for_no_rest() {
+fn a_precondition_refusal_starts_no_back_off() {
     let mut router = router(1, 1);
     refuse(&mut router, 0, &refusal(RefusalCode::PreconditionFailed, 1, Some(60_000)), 0);
     assert!(!chosen_among(&mut router, 10).is_empty());
--- a/crates/core/tests/routing_choice.rs
+++ b/crates/core/tests/routing_choice.rs
@@ -1,4 +1,4 @@
-//! Choices by cache_index, load, distance and mechanisms.
+//! Choice of engines by cached prefixes, load, distance and mechanisms.
 
 mod routing_support;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_long_wait_outweighs_a_held_prefix() {
+fn a_long_wait_outweighs_a_cached_prefix() {
     let mut router = router(6, 1);
     run_at(&mut router, &prompt(OPENING), &engine(4), "a", at_ms(10));
     let busy = LoadReport { measured_at: at_ms(20), queued_prefill_tokens: 60_000, ..LoadReport::default() };
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_pool_that_weighs_reuse_waits_longer_for_a_holder() {
+fn a_higher_reuse_weight_accepts_a_longer_wait() {
     let mut router = router(6, 1);
     let mut request = prompt(OPENING);
     run_at(&mut router, &request, &engine(4), "a", at_ms(10));
@@ -67,11 +67,11 @@
     let covered = LoadReport { measured_at: at_ms(12), queued_prefill_tokens: 100, ..LoadReport::default() };
     router.apply(RouterEvent::Load { engine: &engine(0), report: covered }, at_ms(13));
     let decision = router.preview(&other.route(), at_ms(13));
-    assert!(wait(&decision, 0) < Some(5.0), "the report tells all: {:?}", wait(&decision, 0));
+    assert!(wait(&decision, 0) < Some(5.0), "the report covers all requests: {:?}", wait(&decision, 0));
 }
 
 #[test]
-fn a_refused_request_leaves_no_belief_behind() {
+fn a_refused_request_leaves_no_index_records() {
     let mut router = router(3, 1);
     let request = prompt(OPENING);
     let attempt = AttemptId::from("a");
@@ -128,7 +128,7 @@
     assert!(engines.len() >= 6, "{engines:?}");
 }
 
-fn kept(origin: usize, blocks: &[paddlemount_protocol::prefix::BlockHash], of: &str) -> KvTransfer {
+fn stored(origin: usize, blocks: &[paddlemount_protocol::prefix::BlockHash], of: &str) -> KvTransfer {
     KvTransfer {
         origin: engine(origin),
         origin_incarnation: Incarnation(1),
@@ -141,38 +141,40 @@
 }
 
 #[test]
-fn kept_cache_is_imported_where_that_is_faster() {
+fn cached_prefixes_are_imported_where_that_is_faster() {
     let mut router = router(3, 1);
     let request = prompt(&[(1, 60), (2, 20)]);
-    router.apply(RouterEvent::PrefixStored { transfer: &kept(0, &request.blocks[..60], "tenant") }, at_ms(1));
+    router
+        .apply(RouterEvent::PrefixStored { transfer: &stored(0, &request.blocks[..60], "tenant") }, at_ms(1));
     let longer = prompt(&[(1, 50), (3, 30)]);
     let import = router.choose(&longer.route(), at_ms(2)).import.expect("49 MB are faster than prefill");
     assert_eq!(import.blocks, longer.blocks[..50]);
     assert_eq!(import.bytes, 50_000_000);
     let slow = RouterSettings { import_bytes_per_second: 1e6, ..RouterSettings::new(ZoneId::from("a"), 1) };
     let mut router = router_with(3, slow);
-    router.apply(RouterEvent::PrefixStored { transfer: &kept(0, &request.blocks[..60], "tenant") }, at_ms(1));
+    router
+        .apply(RouterEvent::PrefixStored { transfer: &stored(0, &request.blocks[..60], "tenant") }, at_ms(1));
     assert_eq!(router.choose(&request.route(), at_ms(2)).import, None);
 }
 
 #[test]
-fn kept_cache_is_never_used_after_its_origin_died_nor_across_scope_or_weights() {
+fn cached_prefixes_are_not_used_after_an_origin_restart_nor_across_scopes_or_weights() {
     let request = prompt(&[(1, 60), (2, 20)]);
-    let transfer = kept(0, &request.blocks, "tenant");
+    let transfer = stored(0, &request.blocks, "tenant");
     let fresh = || {
         let mut router = router(3, 1);
         router.apply(RouterEvent::PrefixStored { transfer: &transfer }, at_ms(1));
         router
     };
     assert!(fresh().choose(&request.route(), at_ms(2)).import.is_some());
-    let mut reborn = fresh();
-    reborn.apply(RouterEvent::Status(&status(0, 2, at_ms(2))), at_ms(2));
-    assert_eq!(reborn.choose(&request.route(), at_ms(3)).import, None);
+    let mut restarted = fresh();
+    restarted.apply(RouterEvent::Status(&status(0, 2, at_ms(2))), at_ms(2));
+    assert_eq!(restarted.choose(&request.route(), at_ms(3)).import, None);
     let mut removed = fresh();
     removed.apply(RouterEvent::Removed { engine: &engine(0) }, at_ms(2));
     assert_eq!(removed.choose(&request.route(), at_ms(3)).import, None);
     let mut other_scope = router(3, 1);
-    let foreign = kept(0, &request.blocks, "another tenant");
+    let foreign = stored(0, &request.blocks, "another tenant");
     other_scope.apply(RouterEvent::PrefixStored { transfer: &foreign }, at_ms(1));
     assert_eq!(other_scope.choose(&request.route(), at_ms(3)).import, None);
     let mut other_weights = router(3, 1);
@@ -202,5 +204,5 @@
     assert_eq!(hints[0].engine, engine(1));
     assert_eq!(hints[0].request.scope, request.scope);
     assert_eq!(hints[0].request.blocks[..], request.blocks[..hints[0].request.blocks.len()]);
-    assert_eq!(router.exports(at_ms(3_000)), Vec::new(), "not asked for twice");
+    assert_eq!(router.exports(at_ms(3_000)), Vec::new(), "not requested twice");
 }
--- a/crates/core/tests/routing_health.rs
+++ b/crates/core/tests/routing_health.rs
@@ -1,4 +1,4 @@
-//! Engines that fail are left out of choices, and return slowly.
+//! Failing engines are excluded from choices and return by slow start.
 
 mod routing_support;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_holder_that_fails_is_left_out_until_a_probe_succeeds() {
+fn a_failing_holder_is_excluded_until_a_probe_succeeds() {
     let mut router = router(6, 1);
     run_at(&mut router, &prompt(&[(1, 40)]), &engine(4), "a", at_ms(10));
     assert_eq!(chosen(&router.choose(&prompt(&[(1, 40)]).route(), at_ms(15))), engine(4));
@@ -34,20 +34,20 @@
         requests.by_ref().filter(|request| chosen(&router.preview(&request.route(), later)) == engine(4));
     let sent = sent.count();
     assert!((5..60).contains(&sent), "{sent} of 200 at the start of slow start");
-    let healed = at_ms(10_000);
-    run_at(&mut router, &prompt(&[(1, 40)]), &engine(4), "b", healed);
-    assert_eq!(chosen(&router.choose(&prompt(&[(1, 40)]).route(), healed)), engine(4));
+    let recovered = at_ms(10_000);
+    run_at(&mut router, &prompt(&[(1, 40)]), &engine(4), "b", recovered);
+    assert_eq!(chosen(&router.choose(&prompt(&[(1, 40)]).route(), recovered)), engine(4));
 }
 
 #[test]
-fn where_no_engine_is_healthy_one_is_tried_all_the_same() {
+fn without_healthy_engines_an_unhealthy_one_is_chosen() {
     let mut router = router(1, 1);
     fail_at(&mut router, &engine(0), 10);
     assert_eq!(chosen(&router.choose(&prompt(&[(1, 40)]).route(), at_ms(30))), engine(0));
 }
 
 #[test]
-fn a_new_life_clears_the_record() {
+fn a_new_incarnation_clears_earlier_failures() {
     let mut router = router(2, 1);
     fail_at(&mut router, &engine(1), 3);
     assert_eq!(router.health().weight(&engine(1), at_ms(30)), 0.0);
--- a/crates/core/tests/routing_preferred_engines.rs
+++ b/crates/core/tests/routing_preferred_engines.rs
@@ -1,4 +1,4 @@
-//! Nodes without messages or history agree on where a prefix belongs.
+//! Nodes agree on the preferred engines of a prefix without communication.
 
 mod routing_support;
 
@@ -8,8 +8,8 @@
 use paddlemount_protocol::identity::{EngineId, ZoneId};
 use routing_support::{at_ms, chosen, engine, prompt, router, router_with, run_at};
 
-/// The agreed order of engines for a prompt, up to where the penalty shows that the place proper ends.
-fn place(router: &Router, parts: &[(u32, usize)]) -> Vec<EngineId> {
+/// Returns the preferred engines of a prompt in rank order, without the overflow, which has a higher penalty.
+fn preferred(router: &Router, parts: &[(u32, usize)]) -> Vec<EngineId> {
     let decision = router.preview(&prompt(parts).route(), at_ms(5));
     let mut ranked: Vec<_> = decision
         .candidates
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn all_nodes_without_history_agree_whatever_their_seed_and_zone() {
+fn nodes_without_history_agree_regardless_of_seed_and_zone() {
     bolero::check!().with_type::<(u64, u64, u32, u8, u8)>().for_each(
         |(one_seed, other_seed, text, first, second)| {
             let parts = [(*text, usize::from(*first % 60) + 1), (7, usize::from(*second % 60))];
             let one = router(12, *one_seed);
             let other = router_with(12, RouterSettings::new(ZoneId::from("b"), *other_seed));
-            let agreed = place(&one, &parts);
-            assert_eq!(agreed, place(&other, &parts));
-            assert!(!agreed.is_empty());
+            let expected = preferred(&one, &parts);
+            assert_eq!(expected, preferred(&other, &parts));
+            assert!(!expected.is_empty());
         },
     );
 }
 
 #[test]
-fn nodes_that_saw_different_requests_of_the_same_traffic_agree() {
+fn nodes_with_different_samples_of_the_same_traffic_agree() {
     let warm = |offset: u32| {
         let mut router = router(12, offset.into());
         for number in 0..200_u32 {
@@ -58,18 +58,18 @@
     let (one, other) = (warm(1), warm(5_000));
     for contract in 0..10 {
         let parts = [(1, 24), (contract, 40), (9_999, 4)];
-        let (one, other) = (place(&one, &parts), place(&other, &parts));
+        let (one, other) = (preferred(&one, &parts), preferred(&other, &parts));
         assert_eq!(one[0], other[0], "contract {contract}");
         assert!(one.len() <= 4 && other.len() <= 4);
     }
 }
 
 #[test]
-fn openings_that_share_a_start_spread_over_several_engines_but_not_over_all() {
+fn prefixes_with_a_common_start_spread_over_several_engines_but_not_all() {
     let cold = router(12, 1);
     let mut used: BTreeMap<EngineId, u32> = BTreeMap::new();
     for contract in 0..60 {
-        let head = place(&cold, &[(1, 24), (100 + contract, 40)]);
+        let head = preferred(&cold, &[(1, 24), (100 + contract, 40)]);
         *used.entry(head[0].clone()).or_default() += 1;
     }
     assert!((2..=8).contains(&used.len()), "{used:?}");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_loss_of_one_engine_moves_only_what_it_had() {
+fn removing_an_engine_moves_only_its_own_prefixes() {
     let before = router(12, 1);
     let mut after = router(12, 1);
     let gone = engine(3);
@@ -85,7 +85,7 @@
     let mut moved = 0;
     for text in 0..200 {
         let parts = [(text, 50)];
-        let (old, new) = (place(&before, &parts), place(&after, &parts));
+        let (old, new) = (preferred(&before, &parts), preferred(&after, &parts));
         if old[0] == gone {
             continue;
         }
--- a/crates/core/tests/routing_support/mod.rs
+++ b/crates/core/tests/routing_support/mod.rs
@@ -1,4 +1,4 @@
-//! A small world of engines and requests for tests of routing.
+//! Engines and requests for routing tests.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A router that knows engines 0 to `engines`, all idle.
+/// Creates a router with `engines` idle engines.
 pub fn router(engines: usize, seed: u64) -> Router {
     router_with(engines, RouterSettings::new(ZoneId::from("a"), seed))
 }
@@ -59,7 +59,7 @@
     router
 }
 
-/// All that a [`RouteRequest`] borrows.
+/// Owns what a [`RouteRequest`] borrows.
 pub struct Prompt {
     pub request: RequestId,
     pub tenant: TenantId,
@@ -71,7 +71,7 @@
     pub excluded: Vec<EngineId>,
 }
 
-/// A prompt whose text is made of parts, each a letter repeated over a number of blocks.
+/// Creates a prompt of parts, each one value repeated over a number of blocks.
 pub fn prompt(parts: &[(u32, usize)]) -> Prompt {
     prompt_of_tenant("tenant", parts)
 }
@@ -121,12 +121,12 @@
     decision.chosen.as_ref().map(|chosen| chosen.engine.clone()).expect("an engine is chosen")
 }
 
-/// Sends a request to an engine and lets it run to its end; the engine finds the whole prompt cached.
+/// Runs a request at an engine that has the whole prompt cached.
 pub fn run_at(router: &mut Router, prompt: &Prompt, engine: &EngineId, id: &str, start: Timestamp) {
     run_finding(router, prompt, engine, id, start, prompt.blocks.len() as u32 * BLOCK_TOKENS);
 }
 
-/// Does the same; the engine finds so many tokens cached.
+/// Runs a request at an engine that has `cached_tokens` cached.
 pub fn run_finding(
     router: &mut Router,
     prompt: &Prompt,
