--- a/crates/core/src/decisions/record.rs
+++ b/crates/core/src/decisions/record.rs
@@ -129,7 +129,8 @@
     /// Why the engine was chosen; `None` if no choice was made.
     pub reason: Option<ChoiceReason>,
     /// Age in milliseconds of the oldest load report among the candidates.
-    pub belief_age_ms: u64,
+    #[serde(rename = "belief_age_ms")]
+    pub max_load_age_ms: u64,
     /// Limits that delayed or refused the request.
     pub limits: Vec<LimitHit>,
     pub attempts: Vec<AttemptRecord>,
@@ -157,7 +158,7 @@
             candidates: Vec::new(),
             more_candidates: 0,
             reason: None,
-            belief_age_ms: 0,
+            max_load_age_ms: 0,
             limits: Vec::new(),
             attempts: Vec::new(),
             prompt_tokens: 0,
@@ -177,7 +178,7 @@
         self.candidates = candidates.iter().take(MAX_CANDIDATES).cloned().collect();
         let more = candidates.len().saturating_sub(MAX_CANDIDATES);
         self.more_candidates = u32::try_from(more).unwrap_or(u32::MAX);
-        self.belief_age_ms = candidates.iter().map(|candidate| candidate.load_age_ms).max().unwrap_or(0);
+        self.max_load_age_ms = candidates.iter().map(|candidate| candidate.load_age_ms).max().unwrap_or(0);
     }
 
     /// Records a limit, up to [`MAX_RECORD_ITEMS`].
@@ -197,8 +198,8 @@
 
     /// Prompt tokens that were recomputed although a candidate was expected to have them cached.
     pub fn recomputed_tokens(&self) -> u32 {
-        let believed = self.candidates.iter().map(|candidate| candidate.expected_cached_tokens).max();
-        believed.unwrap_or(0).saturating_sub(self.cached_tokens)
+        let expected = self.candidates.iter().map(|candidate| candidate.expected_cached_tokens).max();
+        expected.unwrap_or(0).saturating_sub(self.cached_tokens)
     }
 
     /// Returns the engine of the last attempt.
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -18,7 +18,7 @@
         .take_while(move |depth| *depth <= blocks)
 }
 
-/// A count that halves every [`HALF_LIFE_SECONDS`].
+/// A count that halves every `HALF_LIFE_SECONDS`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayedCount {
     count: f64,
--- a/crates/core/src/request/events.rs
+++ b/crates/core/src/request/events.rs
@@ -47,7 +47,7 @@
     /// The caller has read all frames that backpressure had held up.
     BackpressureEnded,
     /// The caller disconnected.
-    CallerLeft,
+    CallerDisconnected,
 }
 
 /// What a continuation must have in common with the text that the caller already has.
--- a/crates/core/src/request/machine.rs
+++ b/crates/core/src/request/machine.rs
@@ -91,7 +91,7 @@
             self.count_late(&event);
             return actions;
         }
-        if event == RequestEvent::CallerLeft {
+        if event == RequestEvent::CallerDisconnected {
             self.cancel_attempt(AttemptEnding::Cancelled, &mut actions);
             self.phase = Phase::Ended;
         } else if now >= self.spec.deadline && !matches!(event, RequestEvent::Frame(_)) {
--- a/crates/core/src/routing/exports.rs
+++ b/crates/core/src/routing/exports.rs
@@ -67,7 +67,7 @@
             return;
         }
         if self.by_last_block.len() >= MAX_WATCHED {
-            self.drop_coldest(popularity, now);
+            self.drop_least_popular(popularity, now);
         }
         let watched = WatchedPrefix {
             scope: request.scope,
@@ -80,13 +80,13 @@
         self.by_last_block.insert(last, watched);
     }
 
-    fn drop_coldest(&mut self, popularity: &PrefixPopularity, now: Timestamp) {
-        let coldest = self
+    fn drop_least_popular(&mut self, popularity: &PrefixPopularity, now: Timestamp) {
+        let least_popular = self
             .by_last_block
             .keys()
             .min_by(|left, right| popularity.count(**left, now).total_cmp(&popularity.count(**right, now)))
             .copied();
-        if let Some(last) = coldest {
+        if let Some(last) = least_popular {
             self.by_last_block.remove(&last);
         }
     }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Choice of the engine that is_eligible a request.
+//! Choice of the engine that serves a request.
 //!
 //! Drivers feed [`RouterEvent`]s to a [`Router`] and call [`choose`](Router::choose). The returned
 //! [`Decision`] lists every scored candidate and the reason for the choice.
@@ -163,7 +163,7 @@
         if !self.settings.mechanisms.feeds {
             return;
         }
-        self.take_over_incarnation(engine, incarnation, now);
+        self.advance_incarnation(engine, incarnation, now);
         let Some((slot, view)) = self.engines.by_id_mut(engine) else { return };
         if view.status.incarnation == incarnation {
             apply(view, &mut self.cache_index, slot);
@@ -171,7 +171,7 @@
     }
 
     /// Drops what is known of an engine's cache when data of a later incarnation arrives.
-    fn take_over_incarnation(&mut self, engine: &EngineId, incarnation: Incarnation, now: Timestamp) {
+    fn advance_incarnation(&mut self, engine: &EngineId, incarnation: Incarnation, now: Timestamp) {
         let Some(slot) = self.engines.slot(engine) else { return };
         let Some(view) = self.engines.get(slot) else { return };
         if incarnation <= view.status.incarnation {
@@ -227,7 +227,7 @@
         let (slot, observation) = (attempt.slot, attempt.observation(cached_tokens));
         let (number, missing) = (attempt.number, attempt.prompt_tokens.saturating_sub(cached_tokens));
         let Some(engine) = self.engines.get(slot).map(|view| view.status.engine.clone()) else { return };
-        self.take_over_incarnation(&engine, incarnation, now);
+        self.advance_incarnation(&engine, incarnation, now);
         let Some(view) = self.engines.get_mut(slot) else { return };
         if view.status.incarnation != incarnation {
             return;
--- a/crates/core/src/routing/preferred_engines.rs
+++ b/crates/core/src/routing/preferred_engines.rs
@@ -70,10 +70,10 @@
         } else if warm {
             break;
         }
-        let deeper = halvings_for(share(depth, count, total));
-        let primary = primary_engines(members.len(), deeper, warm);
-        if deeper > halvings && primary < list.len() {
-            halvings = deeper;
+        let needed_halvings = halvings_for(share(depth, count, total));
+        let primary = primary_engines(members.len(), needed_halvings, warm);
+        if needed_halvings > halvings && primary < list.len() {
+            halvings = needed_halvings;
             narrowed_at = depth;
             overflow = narrow(&mut list, primary, short_hash(block));
         }
--- a/crates/core/src/routing/scoring.rs
+++ b/crates/core/src/routing/scoring.rs
@@ -97,9 +97,9 @@
             copy_ms,
             affinity_ms,
             affinity_rank: rank.map(|rank| rank as u32),
-            believed_blocks: matched.map_or(0, |matched| matched.depth),
+            matched_blocks: matched.map_or(0, |matched| matched.depth),
             confidence: matched.map_or(0.0, |matched| matched.confidence),
-            belief_age_ms: matched.map_or(0, |matched| matched.age_micros / 1_000),
+            match_age_ms: matched.map_or(0, |matched| matched.age_micros / 1_000),
             cost: wait_ms + prefill_ms + import_ms + distance_ms + copy_ms + affinity_ms,
             load_age_ms: view.load_age_micros(context.now) / 1_000,
         }
--- a/crates/core/src/routing/types.rs
+++ b/crates/core/src/routing/types.rs
@@ -219,11 +219,13 @@
     /// Rank among the prefix's preferred engines, from 0; `None` if unranked.
     pub affinity_rank: Option<u32>,
     /// Length of the prompt's prefix, in blocks, that the engine was known to hold.
-    pub believed_blocks: u32,
+    #[serde(rename = "believed_blocks")]
+    pub matched_blocks: u32,
     /// Probability that the engine still holds the last of these blocks.
     pub confidence: f64,
     /// Milliseconds since the engine last used them.
-    pub belief_age_ms: u64,
+    #[serde(rename = "belief_age_ms")]
+    pub match_age_ms: u64,
     /// Sum of all parts in milliseconds; the lowest cost is best.
     pub cost: f64,
     /// Milliseconds since the last load report.
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -38,9 +38,9 @@
         copy_ms: 0.0,
         affinity_ms: 0.0,
         affinity_rank: Some(0),
-        believed_blocks: 1,
+        matched_blocks: 1,
         confidence: 1.0,
-        belief_age_ms: 10,
+        match_age_ms: 10,
         cost: 3.5,
         load_age_ms: number,
     }
@@ -164,5 +164,5 @@
     assert_eq!(record.candidates.len(), MAX_CANDIDATES);
     assert_eq!(record.more_candidates as usize, 20 - MAX_CANDIDATES);
     assert_eq!(record.candidates[0].prefill_ms, 2.0);
-    assert_eq!(record.belief_age_ms, 19);
+    assert_eq!(record.max_load_age_ms, 19);
 }
--- a/crates/core/tests/model_request.rs
+++ b/crates/core/tests/model_request.rs
@@ -223,7 +223,7 @@
 #[test]
 fn a_disconnected_caller_cancels_the_attempt() {
     let mut request = answering(true);
-    assert_eq!(request.handle(Event::CallerLeft, at(4)), cancelled(1, "a", AttemptEnding::Cancelled));
+    assert_eq!(request.handle(Event::CallerDisconnected, at(4)), cancelled(1, "a", AttemptEnding::Cancelled));
     assert!(request.has_ended());
 }
 
--- a/crates/node/src/admin/explain.rs
+++ b/crates/node/src/admin/explain.rs
@@ -65,7 +65,7 @@
         state.settings.node,
         record.cached_tokens,
         record.prompt_tokens,
-        record.belief_age_ms
+        record.max_load_age_ms
     )
 }
 
--- a/crates/node/src/admin/prefixes.rs
+++ b/crates/node/src/admin/prefixes.rs
@@ -120,7 +120,7 @@
         };
         let decision = self.state.route(|router| router.preview(&question, now));
         let holds = |believed: u32| usize::try_from(believed).is_ok_and(|believed| believed >= blocks.len());
-        let holders = decision.candidates.iter().filter(|candidate| holds(candidate.believed_blocks));
+        let holders = decision.candidates.iter().filter(|candidate| holds(candidate.matched_blocks));
         let mut holders: Vec<String> = holders.map(|candidate| candidate.engine.to_string()).collect();
         holders.sort();
         self.own_row(Noun::Prefixes)
--- a/crates/node/src/admin/rows/requests.rs
+++ b/crates/node/src/admin/rows/requests.rs
@@ -105,7 +105,7 @@
         .with("affinity", milliseconds(candidate.affinity_ms))
         .with("rank", candidate.affinity_rank)
         .with("confidence", candidate.confidence)
-        .with("belief_age", Value::milliseconds(candidate.belief_age_ms))
+        .with("belief_age", Value::milliseconds(candidate.match_age_ms))
         .with("expected_cached_tokens", candidate.expected_cached_tokens)
         .with("load_age", Value::milliseconds(candidate.load_age_ms))
 }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -125,7 +125,7 @@
         let remaining = self.machine.next_timer().saturating_since(self.state.clock.now());
         tokio::select! {
             biased;
-            () = self.output.closed() => RequestEvent::CallerLeft,
+            () = self.output.closed() => RequestEvent::CallerDisconnected,
             event = self.connection.next_event() => event,
             () = tokio::time::sleep(remaining) => RequestEvent::Tick,
         }
@@ -351,12 +351,12 @@
     async fn emit(&mut self, part: Output) -> Option<RequestEvent> {
         let part = match self.output.try_send(part) {
             Ok(()) => return None,
-            Err(mpsc::error::TrySendError::Closed(_)) => return Some(RequestEvent::CallerLeft),
+            Err(mpsc::error::TrySendError::Closed(_)) => return Some(RequestEvent::CallerDisconnected),
             Err(mpsc::error::TrySendError::Full(part)) => part,
         };
         match self.output.send_timeout(part, self.state.settings.timeouts.caller_stall).await {
             Ok(()) => Some(RequestEvent::BackpressureEnded),
-            Err(_) => Some(RequestEvent::CallerLeft),
+            Err(_) => Some(RequestEvent::CallerDisconnected),
         }
     }
 }
