--- a/crates/core/src/belief/holders.rs
+++ b/crates/core/src/cache_index/holders.rs
@@ -1,37 +1,37 @@
-//! The engines that hold one prefix, in few bytes.
+//! Compact sets of the engines that hold a prefix.
 
 use paddlemount_protocol::time::Timestamp;
 
-use super::ResidenceId;
+use super::CacheEpochId;
 
-/// Engines remembered for one prefix at most; the one not used for longest makes room.
+/// Maximum number of engines recorded per prefix; a further one replaces the least recently used.
 pub(super) const MAX_HOLDERS: usize = 64;
 
-/// Times are counted in steps of 2^13 microseconds, 8.2 ms, and wrap after 407 days.
+/// Times are stored in units of 2^13 microseconds, or 8.2 ms, and wrap after 407 days.
 const TIME_SHIFT: u32 = 13;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Holder {
-    pub(super) residence: ResidenceId,
+    pub(super) epoch: CacheEpochId,
     used: u32,
 }
 
 impl Holder {
-    pub(super) const fn new(residence: ResidenceId, now: Timestamp) -> Self {
-        Self { residence, used: (now.0 >> TIME_SHIFT) as u32 }
+    pub(super) const fn new(epoch: CacheEpochId, now: Timestamp) -> Self {
+        Self { epoch, used: (now.0 >> TIME_SHIFT) as u32 }
     }
 
     pub(super) const fn age_micros(self, now: Timestamp) -> u64 {
         let steps = ((now.0 >> TIME_SHIFT) as u32).wrapping_sub(self.used);
-        // A step back of the clock shows as an enormous age; it counts as no age.
+        // A clock that steps back yields a huge difference, which counts as zero.
         if steps > u32::MAX / 2 { 0 } else { (steps as u64) << TIME_SHIFT }
     }
 }
 
-/// Several holders. Boxed, it takes one word in [`Holders`] where a plain `Vec` would take three.
+/// Several holders, boxed because that takes one word in [`Holders`] instead of three.
 pub(super) struct HolderList(Vec<Holder>);
 
-/// Most prefixes are held by one engine, which needs no allocation.
+/// The holders of one prefix. Most prefixes have a single one, which needs no allocation.
 pub(super) enum Holders {
     None,
     One(Holder),
@@ -47,14 +47,14 @@
         }
     }
 
-    /// Adds or renews a holder; answers how many records were added.
+    /// Adds or updates a holder. Returns the number of records added.
     pub(super) fn put(&mut self, holder: Holder) -> usize {
         match self {
             Self::None => {
                 *self = Self::One(holder);
                 1
             }
-            Self::One(present) if present.residence == holder.residence => {
+            Self::One(present) if present.epoch == holder.epoch => {
                 *present = holder;
                 0
             }
@@ -62,34 +62,34 @@
                 *self = Self::Many(Box::new(HolderList(vec![*present, holder])));
                 1
             }
-            Self::Many(holders) => put_among(&mut holders.0, holder),
+            Self::Many(holders) => put_in_list(&mut holders.0, holder),
         }
     }
 
-    /// Renews a holder if it is there.
+    /// Updates a holder if it is present.
     pub(super) fn renew(&mut self, holder: Holder) {
         let present = match self {
             Self::None => None,
             Self::One(present) => Some(present),
-            Self::Many(holders) => holders.0.iter_mut().find(|present| present.residence == holder.residence),
+            Self::Many(holders) => holders.0.iter_mut().find(|present| present.epoch == holder.epoch),
         };
-        if let Some(present) = present.filter(|present| present.residence == holder.residence) {
+        if let Some(present) = present.filter(|present| present.epoch == holder.epoch) {
             *present = holder;
         }
     }
 
-    pub(super) fn remove(&mut self, residence: ResidenceId) -> Option<Holder> {
+    pub(super) fn remove(&mut self, epoch: CacheEpochId) -> Option<Holder> {
         match self {
             Self::None => None,
             Self::One(holder) => {
-                let found = (holder.residence == residence).then_some(*holder);
+                let found = (holder.epoch == epoch).then_some(*holder);
                 if found.is_some() {
                     *self = Self::None;
                 }
                 found
             }
             Self::Many(holders) => {
-                let index = holders.0.iter().position(|holder| holder.residence == residence)?;
+                let index = holders.0.iter().position(|holder| holder.epoch == epoch)?;
                 Some(holders.0.swap_remove(index))
             }
         }
@@ -115,8 +115,8 @@
     }
 }
 
-fn put_among(holders: &mut Vec<Holder>, holder: Holder) -> usize {
-    if let Some(present) = holders.iter_mut().find(|present| present.residence == holder.residence) {
+fn put_in_list(holders: &mut Vec<Holder>, holder: Holder) -> usize {
+    if let Some(present) = holders.iter_mut().find(|present| present.epoch == holder.epoch) {
         *present = holder;
         return 0;
     }
--- a/crates/core/src/routing/kept.rs
+++ b/crates/core/src/routing/cached_prefixes.rs
@@ -1,4 +1,4 @@
-//! What the kept-cache store holds, and what is worth putting there.
+//! Prefixes that the cache store holds, for import by engines.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,13 @@
 
 use super::types::RouteRequest;
 
-/// Kept prefixes remembered at most; the ones learnt first make room.
-const MOST_TRANSFERS: usize = 4_096;
-/// Bytes of one block's state that are assumed until a transfer tells.
-const ASSUMED_BLOCK_BYTES: f64 = 2_097_152.0;
+/// At this number of transfers, the oldest one is dropped.
+const MAX_TRANSFERS: usize = 4_096;
+/// Bytes of one block's state, until the first transfer reports its size.
+const INITIAL_BLOCK_BYTES: f64 = 2_097_152.0;
 
-/// An index of kept prefixes by each block that they cover.
-pub(super) struct KeptIndex {
+/// Index of the cache store's prefixes by every block that they cover.
+pub(super) struct CachedPrefixes {
     transfers: BTreeMap<u64, KvTransfer>,
     by_last_block: BTreeMap<BlockHash, u64>,
     by_block: BTreeMap<BlockHash, u64>,
@@ -24,16 +24,16 @@
     block_bytes: f64,
 }
 
-/// Part of a kept prefix that a request can use.
+/// The part of a stored prefix that a request can use.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct KeptPart<'a> {
+pub(super) struct CachedPrefix<'a> {
     transfer: &'a KvTransfer,
     pub(super) blocks: usize,
     pub(super) bytes: f64,
 }
 
-impl KeptPart<'_> {
-    /// The transfer that an engine is to import.
+impl CachedPrefix<'_> {
+    /// Returns the transfer that an engine should import.
     pub(super) fn to_transfer(self) -> KvTransfer {
         let mut transfer = self.transfer.clone();
         transfer.blocks.truncate(self.blocks);
@@ -42,24 +42,24 @@
     }
 }
 
-impl Default for KeptIndex {
+impl Default for CachedPrefixes {
     fn default() -> Self {
         Self {
             transfers: BTreeMap::new(),
             by_last_block: BTreeMap::new(),
             by_block: BTreeMap::new(),
             next_number: 0,
-            block_bytes: ASSUMED_BLOCK_BYTES,
+            block_bytes: INITIAL_BLOCK_BYTES,
         }
     }
 }
 
-impl KeptIndex {
+impl CachedPrefixes {
     pub(super) fn insert(&mut self, transfer: &KvTransfer) {
         let Some(last) = transfer.blocks.last() else { return };
         self.remove(*last);
-        while self.transfers.len() >= MOST_TRANSFERS {
-            self.remove_first();
+        while self.transfers.len() >= MAX_TRANSFERS {
+            self.remove_oldest();
         }
         let number = self.next_number;
         self.next_number += 1;
@@ -71,14 +71,14 @@
         self.transfers.insert(number, transfer.clone());
     }
 
-    /// Forgets the kept prefix that ends with `last`.
+    /// Removes the stored prefix that ends with `last`.
     pub(super) fn remove(&mut self, last: BlockHash) {
         if let Some(number) = self.by_last_block.get(&last).copied() {
             self.remove_number(number);
         }
     }
 
-    fn remove_first(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some(number) = self.transfers.keys().next().copied() {
             self.remove_number(number);
         }
@@ -96,15 +96,15 @@
         }
     }
 
-    /// Forgets all that an engine computed in a life other than `alive`.
-    pub(super) fn remove_origin(&mut self, origin: &EngineId, alive: Option<Incarnation>) {
-        let dead: Vec<u64> = self
+    /// Removes all prefixes that `origin` computed in another incarnation than `current`.
+    pub(super) fn remove_origin(&mut self, origin: &EngineId, current: Option<Incarnation>) {
+        let stale: Vec<u64> = self
             .transfers
             .iter()
-            .filter(|(_, kept)| kept.origin == *origin && Some(kept.origin_incarnation) != alive)
+            .filter(|(_, cached)| cached.origin == *origin && Some(cached.origin_incarnation) != current)
             .map(|(number, _)| *number)
             .collect();
-        for number in dead {
+        for number in stale {
             self.remove_number(number);
         }
     }
@@ -117,15 +117,15 @@
         self.block_bytes
     }
 
-    /// The longest kept part of a request's prompt that it may use.
+    /// Returns the longest stored prefix of a request's prompt that the request may use.
     ///
-    /// `alive` tells whether an engine is known to be in the given life still. State is never used in
-    /// another scope, under another model or other weights, or when its origin has died.
+    /// `current` tells whether an engine is still in the given incarnation. State is never used in another
+    /// scope, for another model or other weights, or after its origin has restarted.
     pub(super) fn longest(
         &self,
         request: &RouteRequest<'_>,
-        alive: impl Fn(&EngineId, Incarnation) -> bool,
-    ) -> Option<KeptPart<'_>> {
+        current: impl Fn(&EngineId, Incarnation) -> bool,
+    ) -> Option<CachedPrefix<'_>> {
         if self.transfers.is_empty() {
             return None;
         }
@@ -137,10 +137,10 @@
             let blocks = index + 1;
             let usable = fits(transfer, request.scope, request.model, request.weights)
                 && transfer.blocks.get(index) == Some(block)
-                && alive(&transfer.origin, transfer.origin_incarnation);
+                && current(&transfer.origin, transfer.origin_incarnation);
             if usable {
                 let bytes = transfer.bytes as f64 * blocks as f64 / transfer.blocks.len() as f64;
-                return Some(KeptPart { transfer, blocks, bytes });
+                return Some(CachedPrefix { transfer, blocks, bytes });
             }
         }
         None
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Choice of the engine that serves a request.
 //!
-//! [`Router`] is the one entry point: drivers feed it [`RouterEvent`]s and ask it to
-//! [`choose`](Router::choose). A [`Decision`] names every candidate that was weighed and why.
+//! Drivers feed [`RouterEvent`]s to a [`Router`] and call [`choose`](Router::choose). The returned
+//! [`Decision`] lists every scored candidate and the reason for the choice.
 
 use paddlemount_protocol::{
     engine::{CacheEventBatch, CacheSnapshot, EngineStatus},
@@ -12,83 +12,83 @@
 use rand::{SeedableRng, rngs::SmallRng};
 
 pub use self::types::{
-    AttemptEnding, Candidate, ChoiceReason, DEFAULT_BELIEF_RECORDS, DEFAULT_HEAT_RECORDS, Decision,
-    ExportHint, Mechanisms, RouteRequest, RouterEvent, RouterSettings,
+    AttemptEnding, Candidate, ChoiceReason, DEFAULT_CACHE_INDEX_RECORDS, DEFAULT_POPULARITY_RECORDS,
+    Decision, ExportHint, Mechanisms, RouteRequest, RouterEvent, RouterSettings,
 };
 use self::{
-    attempts::{Attempt, Attempts, CacheFinding},
+    attempts::{Attempt, Attempts, CacheObservation},
+    cached_prefixes::CachedPrefixes,
     engines::{EngineTable, EngineView},
     exports::ExportWatch,
-    kept::KeptIndex,
 };
 use crate::{
-    belief::{
-        Belief, ShortHash,
-        feed::{FeedTarget, FeedTrust},
-        short,
+    cache_index::{
+        CacheIndex, ShortHash,
+        feed::{FeedState, FeedTarget},
+        short_hash,
     },
     health::Health,
-    heat::{DecayedCount, Heat},
+    popularity::{DecayedCount, PrefixPopularity},
 };
 
-mod anchors;
 mod attempts;
+mod back_off;
+mod cached_prefixes;
 mod choice;
 mod engines;
 mod exports;
-mod healthy;
-mod kept;
-mod rests;
+mod health_filter;
+mod preferred_engines;
 mod scoring;
 mod types;
 
-/// Milliseconds that an answer is assumed to take before one has ended.
+/// Assumed duration of an answer until the first one has ended.
 const INITIAL_ANSWER_MS: f64 = 1_000.0;
-/// Share of a new sample in the mean duration of answers.
+/// Weight of a new sample in the moving average of answer durations.
 const ANSWER_WEIGHT: f64 = 0.05;
 
-/// A node's view of all engines, and its choices among them.
+/// A node's view of all engines, from which it chooses.
 pub struct Router {
     settings: RouterSettings,
     engines: EngineTable,
-    belief: Belief,
-    heat: Heat,
-    /// Requests counted in all, decayed like the counts of prefixes.
+    cache_index: CacheIndex,
+    popularity: PrefixPopularity,
+    /// Decayed count of all requests.
     total: DecayedCount,
     attempts: Attempts,
-    kept: KeptIndex,
+    cached_prefixes: CachedPrefixes,
     export_watch: ExportWatch,
     nodes: u32,
     health: Health,
-    /// Mean milliseconds from an answer's start to its end.
+    /// Moving average of the time from an answer's start to its end.
     answer_ms: f64,
     random: SmallRng,
 }
 
-/// A summary of a router's memory.
+/// Memory use of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BeliefSize {
-    /// Pairs of prefix and engine that are held.
+pub struct CacheIndexSize {
+    /// (prefix, engine) pairs held.
     pub records: usize,
-    /// The most that are ever held.
+    /// Maximum number of pairs.
     pub limit: usize,
-    /// Bytes of the records.
+    /// Bytes used by the pairs.
     pub approximate_bytes: usize,
     /// Prefixes whose requests are counted.
-    pub heat_records: usize,
+    pub popularity_records: usize,
 }
 
 impl Router {
-    /// A router that knows no engine.
+    /// Creates a router that knows no engine.
     pub fn new(settings: RouterSettings) -> Self {
         Self {
-            belief: Belief::new(settings.belief_records),
-            heat: Heat::new(settings.heat_records),
+            cache_index: CacheIndex::new(settings.cache_index_records),
+            popularity: PrefixPopularity::new(settings.popularity_records),
             random: SmallRng::seed_from_u64(settings.seed),
             engines: EngineTable::default(),
             total: DecayedCount::default(),
             attempts: Attempts::default(),
-            kept: KeptIndex::default(),
+            cached_prefixes: CachedPrefixes::default(),
             export_watch: ExportWatch::default(),
             nodes: 1,
             health: Health::new(settings.health),
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Takes in what was learned at `now`.
+    /// Applies an event that occurred at `now`.
     pub fn apply(&mut self, event: RouterEvent<'_>, now: Timestamp) {
-        self.learn_health(&event, now);
+        self.observe_health(&event, now);
         match event {
             RouterEvent::Status(status) => self.apply_status(status, now),
             RouterEvent::Load { engine, report } => {
@@ -121,65 +121,65 @@
             RouterEvent::Draining { engine, draining } => {
                 self.engines.set_draining(engine, draining);
             }
-            RouterEvent::Kept { transfer } => self.kept.insert(transfer),
-            RouterEvent::KeptDropped { prefix } => self.kept.remove(prefix),
+            RouterEvent::PrefixStored { transfer } => self.cached_prefixes.insert(transfer),
+            RouterEvent::PrefixDropped { prefix } => self.cached_prefixes.remove(prefix),
             RouterEvent::Nodes { count } => self.nodes = count.max(1),
             RouterEvent::Removed { engine } => {
-                self.engines.remove(engine, &mut self.belief);
-                self.kept.remove_origin(engine, None);
+                self.engines.remove(engine, &mut self.cache_index);
+                self.cached_prefixes.remove_origin(engine, None);
             }
         }
     }
 
     fn apply_status(&mut self, status: &EngineStatus, now: Timestamp) {
-        let emptied = self.engines.apply_status(status, &mut self.belief, now);
-        if emptied.is_some() {
-            self.kept.remove_origin(&status.engine, Some(status.incarnation));
+        let cache_emptied = self.engines.apply_status(status, &mut self.cache_index, now);
+        if cache_emptied.is_some() {
+            self.cached_prefixes.remove_origin(&status.engine, Some(status.incarnation));
         }
     }
 
     fn apply_feed(&mut self, engine: &EngineId, batch: &CacheEventBatch, now: Timestamp) {
-        self.with_feed(engine, batch.incarnation, now, |view, belief, slot| {
-            let EngineView { feed, residence, eviction, .. } = view;
-            feed.apply_batch(batch, &mut FeedTarget { belief, slot, residence, eviction }, now);
+        self.with_feed(engine, batch.incarnation, now, |view, cache_index, slot| {
+            let EngineView { feed, epoch, eviction, .. } = view;
+            feed.apply_batch(batch, &mut FeedTarget { cache_index, slot, epoch, eviction }, now);
         });
     }
 
     fn apply_snapshot(&mut self, engine: &EngineId, page: &CacheSnapshot, now: Timestamp) {
-        self.with_feed(engine, page.incarnation, now, |view, belief, slot| {
-            let EngineView { feed, residence, eviction, .. } = view;
-            feed.apply_snapshot(page, &mut FeedTarget { belief, slot, residence, eviction }, now);
+        self.with_feed(engine, page.incarnation, now, |view, cache_index, slot| {
+            let EngineView { feed, epoch, eviction, .. } = view;
+            feed.apply_snapshot(page, &mut FeedTarget { cache_index, slot, epoch, eviction }, now);
         });
     }
 
-    /// Passes on what concerns the present life of an engine; a later life is taken over first.
+    /// Calls `apply` if the data belongs to the engine's current incarnation, after switching to a later one.
     fn with_feed(
         &mut self,
         engine: &EngineId,
         incarnation: Incarnation,
         now: Timestamp,
-        apply: impl FnOnce(&mut EngineView, &mut Belief, crate::belief::Slot),
+        apply: impl FnOnce(&mut EngineView, &mut CacheIndex, crate::cache_index::Slot),
     ) {
         if !self.settings.mechanisms.feeds {
             return;
         }
-        self.take_over_incarnation(engine, incarnation, now);
+        self.advance_incarnation(engine, incarnation, now);
         let Some((slot, view)) = self.engines.by_id_mut(engine) else { return };
         if view.status.incarnation == incarnation {
-            apply(view, &mut self.belief, slot);
+            apply(view, &mut self.cache_index, slot);
         }
     }
 
-    /// Empties the belief in an engine that turns out to live a later life than known.
-    fn take_over_incarnation(&mut self, engine: &EngineId, incarnation: Incarnation, now: Timestamp) {
+    /// Drops what is known of an engine's cache when data of a later incarnation arrives.
+    fn advance_incarnation(&mut self, engine: &EngineId, incarnation: Incarnation, now: Timestamp) {
         let Some(slot) = self.engines.slot(engine) else { return };
         let Some(view) = self.engines.get(slot) else { return };
         if incarnation <= view.status.incarnation {
             return;
         }
         let status = EngineStatus { incarnation, ..view.status.clone() };
-        self.engines.apply_status(&status, &mut self.belief, now);
-        self.kept.remove_origin(engine, Some(incarnation));
+        self.engines.apply_status(&status, &mut self.cache_index, now);
+        self.cached_prefixes.remove_origin(engine, Some(incarnation));
     }
 
     fn apply_dispatched(
@@ -190,25 +190,25 @@
         now: Timestamp,
     ) {
         if request.excluded.is_empty() {
-            self.heat.record(request.blocks, now);
+            self.popularity.record(request.blocks, now);
             self.total.add(1.0, now);
-            self.export_watch.record(request, &self.heat, now);
+            self.export_watch.record(request, &self.popularity, now);
         }
-        let blocks: Box<[ShortHash]> = request.blocks.iter().copied().map(short).collect();
+        let blocks: Box<[ShortHash]> = request.blocks.iter().copied().map(short_hash).collect();
         let Some((slot, view)) = self.engines.by_id_mut(engine) else { return };
-        let believed = self.belief.depth_at(view.residence, &blocks, now);
-        let held = believed.map_or(0, |(depth, _)| depth) * BLOCK_TOKENS;
+        let expected = self.cache_index.depth_at(view.epoch, &blocks, now);
+        let held = expected.map_or(0, |(depth, _)| depth) * BLOCK_TOKENS;
         let number = self.attempts.next_number();
         view.record_send(number, f64::from(request.prompt_tokens.saturating_sub(held)), now);
         if self.settings.mechanisms.answers {
-            self.belief.record(view.residence, blocks.iter().copied(), now);
+            self.cache_index.record(view.epoch, blocks.iter().copied(), now);
         }
         let attempt = Attempt {
             number,
             slot,
-            residence: view.residence,
+            epoch: view.epoch,
             blocks,
-            believed,
+            expected,
             prompt_tokens: request.prompt_tokens,
             started_at: None,
         };
@@ -224,19 +224,19 @@
     ) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.started_at = Some(now);
-        let (slot, finding) = (attempt.slot, attempt.finding(cached_tokens));
+        let (slot, observation) = (attempt.slot, attempt.observation(cached_tokens));
         let (number, missing) = (attempt.number, attempt.prompt_tokens.saturating_sub(cached_tokens));
         let Some(engine) = self.engines.get(slot).map(|view| view.status.engine.clone()) else { return };
-        self.take_over_incarnation(&engine, incarnation, now);
+        self.advance_incarnation(&engine, incarnation, now);
         let Some(view) = self.engines.get_mut(slot) else { return };
         if view.status.incarnation != incarnation {
             return;
         }
         view.correct_send(number, f64::from(missing));
-        match finding {
-            CacheFinding::NothingBelieved => {}
-            CacheFinding::Survived { age_micros } => view.eviction.survived(age_micros),
-            CacheFinding::Gone { age_micros } => view.eviction.gone_at(age_micros),
+        match observation {
+            CacheObservation::NothingExpected => {}
+            CacheObservation::Survived { age_micros } => view.eviction.survived(age_micros),
+            CacheObservation::Evicted { age_micros } => view.eviction.found_evicted(age_micros),
         }
     }
 
@@ -261,29 +261,29 @@
                 let answer_ms = now.saturating_since(started_at).as_secs_f64() * 1e3;
                 self.answer_ms += ANSWER_WEIGHT * (answer_ms - self.answer_ms);
             }
-            self.belief.refresh(attempt.residence, &attempt.blocks, now);
+            self.cache_index.refresh(attempt.epoch, &attempt.blocks, now);
             return;
         }
-        // It never ran, so the engine holds no more than it did before.
-        let kept = attempt.believed.map_or(0, |(depth, _)| depth as usize);
-        for block in &attempt.blocks[kept..] {
-            self.belief.forget(attempt.residence, *block, now);
+        // The attempt never ran, so the engine's cache is unchanged.
+        let cached_before = attempt.expected.map_or(0, |(depth, _)| depth as usize);
+        for block in &attempt.blocks[cached_before..] {
+            self.cache_index.forget(attempt.epoch, *block, now);
         }
     }
 
-    /// Engines whose feed has a gap that a snapshot would close.
+    /// Engines whose feed has a gap, which a snapshot would close.
     pub fn needs_resync(&self) -> Vec<EngineId> {
-        let gaps = self.engines.views().filter(|view| view.feed.trust() == FeedTrust::Gap);
+        let gaps = self.engines.views().filter(|view| view.feed.state() == FeedState::Gap);
         gaps.map(|view| view.status.engine.clone()).collect()
     }
 
-    /// How much the router remembers.
-    pub fn belief_size(&self) -> BeliefSize {
-        BeliefSize {
-            records: self.belief.records(),
-            limit: self.belief.limit(),
-            approximate_bytes: self.belief.approximate_bytes(),
-            heat_records: self.heat.records(),
+    /// Returns the size of the cache index and the request counters.
+    pub fn cache_index_size(&self) -> CacheIndexSize {
+        CacheIndexSize {
+            records: self.cache_index.records(),
+            limit: self.cache_index.limit(),
+            approximate_bytes: self.cache_index.approximate_bytes(),
+            popularity_records: self.popularity.records(),
         }
     }
 
@@ -294,7 +294,7 @@
         self.settings.distances.get(zone).copied().unwrap_or(self.settings.other_zone_ms)
     }
 
-    fn is_alive(&self, engine: &EngineId, incarnation: Incarnation) -> bool {
+    fn is_current(&self, engine: &EngineId, incarnation: Incarnation) -> bool {
         let view = self.engines.slot(engine).and_then(|slot| self.engines.get(slot));
         view.is_some_and(|view| view.status.incarnation == incarnation)
     }
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -1,11 +1,11 @@
-//! Which decision records are kept, and in how much memory.
+//! Retention of decision records and its memory limits.
 
 use std::time::Duration;
 
 use paddlemount_core::{
     decisions::{
-        AttemptRecord, AttemptResult, DecisionCursor, DecisionRecord, DecisionRing, DecisionSettings, Kept,
-        MAX_CANDIDATES, RequestEnding,
+        AttemptRecord, AttemptResult, DecisionCursor, DecisionRecord, DecisionRing, DecisionSettings,
+        MAX_CANDIDATES, RequestEnding, RetentionReason,
     },
     routing::{Candidate, ChoiceReason},
 };
@@ -22,8 +22,8 @@
     record.ending = RequestEnding::Completed;
     record.timings.first_token_ms = Some(100);
     let candidates: Vec<Candidate> = (0..20).map(candidate).collect();
-    record.weighed(&candidates, ChoiceReason::LowestCost);
-    record.attempted(attempt(0));
+    record.record_candidates(&candidates, ChoiceReason::LowestCost);
+    record.record_attempt(attempt(0));
     record
 }
 
@@ -38,9 +38,9 @@
         copy_ms: 0.0,
         affinity_ms: 0.0,
         affinity_rank: Some(0),
-        believed_blocks: 1,
+        matched_blocks: 1,
         confidence: 1.0,
-        belief_age_ms: 10,
+        match_age_ms: 10,
         cost: 3.5,
         load_age_ms: number,
     }
@@ -67,34 +67,35 @@
 }
 
 #[test]
-fn light_load_keeps_every_record() {
+fn light_load_retains_every_record() {
     let mut ring = ring();
     for number in 0..200 {
         let now = Timestamp::from_millis(number * 50);
-        assert_eq!(ring.offer(record(number, now), now), Some(Kept::Sampled));
+        assert_eq!(ring.offer(record(number, now), now), Some(RetentionReason::Sampled));
     }
     assert_eq!(ring.newest_first().len(), 200);
 }
 
 #[test]
-fn heavy_load_is_sampled_near_the_asked_rate_and_the_same_each_time() {
+fn heavy_load_is_sampled_deterministically_near_the_configured_rate() {
     let run = || {
         let mut ring = ring();
         for number in 0..30_000 {
             let now = Timestamp::ZERO + Duration::from_micros(number * 1_000);
             ring.offer(record(number, now), now);
         }
-        let kept: Vec<RequestId> = ring.newest_first().iter().map(|record| record.request.clone()).collect();
-        (ring.counts(), kept)
+        let retained: Vec<RequestId> =
+            ring.newest_first().iter().map(|record| record.request.clone()).collect();
+        (ring.counts(), retained)
     };
-    let (counts, kept) = run();
+    let (counts, retained) = run();
     assert_eq!(counts.offered, 30_000);
     assert!((1_000..=2_500).contains(&counts.sampled), "{counts:?}");
-    assert_eq!((counts, kept), run());
+    assert_eq!((counts, retained), run());
 }
 
 #[test]
-fn refusals_retries_and_slow_requests_are_kept_under_any_load() {
+fn refused_retried_and_slow_requests_are_retained_under_any_load() {
     let mut ring = ring();
     let now = Timestamp::from_millis(1);
     for number in 0..10_000 {
@@ -103,19 +104,19 @@
     let mut refused = record(90_001, now);
     refused.ending = RequestEnding::NotRun { code: RefusalCode::QuotaExceeded };
     let mut retried = record(90_002, now);
-    retried.attempted(attempt(1));
+    retried.record_attempt(attempt(1));
     let mut slow = record(90_003, now);
     slow.timings.first_token_ms = Some(780);
-    assert_eq!(ring.offer(refused, now), Some(Kept::Refused));
-    assert_eq!(ring.offer(retried, now), Some(Kept::Retried));
-    assert_eq!(ring.offer(slow, now), Some(Kept::Slow));
+    assert_eq!(ring.offer(refused, now), Some(RetentionReason::Refused));
+    assert_eq!(ring.offer(retried, now), Some(RetentionReason::Retried));
+    assert_eq!(ring.offer(slow, now), Some(RetentionReason::Slow));
     for number in 90_001..=90_003 {
         assert!(ring.find(&RequestId::from(format!("request-{number}"))).is_some());
     }
 }
 
 #[test]
-fn memory_stays_within_its_bound_and_the_newest_stay() {
+fn memory_is_bounded_and_the_newest_records_are_retained() {
     let settings =
         DecisionSettings { sampled_bytes: 64 << 10, notable_bytes: 64 << 10, ..Default::default() };
     let mut ring = DecisionRing::new(settings.clone());
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_slow_reader_learns_how_many_records_it_lost() {
+fn a_slow_reader_learns_how_many_records_it_missed() {
     let settings = DecisionSettings { sampled_bytes: 64 << 10, ..Default::default() };
     let mut ring = DecisionRing::new(settings);
     for number in 0..100 {
@@ -158,10 +159,10 @@
 }
 
 #[test]
-fn a_record_keeps_the_best_candidates_and_counts_the_rest() {
+fn a_record_holds_the_best_candidates_and_counts_the_others() {
     let record = record(1, Timestamp::ZERO);
     assert_eq!(record.candidates.len(), MAX_CANDIDATES);
     assert_eq!(record.more_candidates as usize, 20 - MAX_CANDIDATES);
     assert_eq!(record.candidates[0].prefill_ms, 2.0);
-    assert_eq!(record.belief_age_ms, 19);
+    assert_eq!(record.max_load_age_ms, 19);
 }
