--- a/crates/core/src/forwarding/answer_times.rs
+++ b/crates/core/src/forwarding/answer_times.rs
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTime {
     /// From the request's arrival to the first part of the answer.
-    pub first: Duration,
+    pub first_chunk: Duration,
     /// To its end.
-    pub whole: Duration,
+    pub total: Duration,
     /// Tokens that its request guessed it to have.
-    pub guessed_tokens: Option<u32>,
+    pub estimated_tokens: Option<u32>,
 }
 
 /// The times of some answers.
@@ -53,11 +53,11 @@
 
 impl From<AnswerTime> for Times {
     fn from(time: AnswerTime) -> Self {
-        let guessed = u64::from(time.guessed_tokens.unwrap_or(0));
-        let run = time.whole.saturating_sub(time.first);
+        let guessed = u64::from(time.estimated_tokens.unwrap_or(0));
+        let run = time.total.saturating_sub(time.first_chunk);
         Self {
-            longest: time.whole,
-            slowest_first: time.first,
+            longest: time.total,
+            slowest_first: time.first_chunk,
             run: if guessed > 0 { run } else { Duration::ZERO },
             guessed,
         }
@@ -100,7 +100,7 @@
 
 impl AnswerTimes {
     /// An answer has ended whole.
-    pub fn ended(&mut self, route: &str, time: AnswerTime, now: Timestamp) {
+    pub fn record(&mut self, route: &str, time: AnswerTime, now: Timestamp) {
         if !self.by_route.contains_key(route) {
             self.by_route.insert(route.to_owned(), Recent::default());
         }
--- a/crates/core/src/forwarding/caller_connection.rs
+++ b/crates/core/src/forwarding/caller_connection.rs
@@ -20,59 +20,64 @@
     /// Callers are served.
     Serving,
     /// Callers are served, and told to come on another connection next time.
-    Leaving,
+    Draining,
     /// No new connection is taken. What runs is served to its end; connections that rest are closed.
     Closing,
     /// The grace period is over: what still runs is cut off.
-    Over,
+    Ended,
 }
 
 /// What is seen on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ConnectionState {
     /// Whether a request is being served on it.
-    pub is_served: bool,
+    pub is_serving: bool,
     /// Whether a part of a head has come whose rest has not.
-    pub is_amid_head: bool,
+    pub has_partial_head: bool,
     /// Whether bytes lie unread in the socket.
     pub is_readable: bool,
     /// When the last byte came, or the last answer ended.
-    pub used_at: Timestamp,
+    pub last_activity: Timestamp,
     /// When the connection opened, or the last answer on it ended.
-    pub free_since: Timestamp,
+    pub idle_since: Timestamp,
 }
 
 /// What becomes of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ConnectionAction {
     /// It stays open, and is looked at again at this time; where none is given, once its request has ended.
-    Keep(Option<Timestamp>),
+    KeepOpen(Option<Timestamp>),
     /// It closes: nothing of a request is on it.
     Close,
     /// It is dropped with what is on it: the rest of a head that never came, or what still runs at the end.
-    Drop,
+    Abort,
 }
 
 /// Decides on a connection, where callers may count on one that rests for `idle_timeout`.
-pub fn judge(seen: Seen, stage: StopStage, idle_timeout: Duration, now: Timestamp) -> Verdict {
-    if stage == StopStage::Over {
-        return Verdict::Drop;
+pub fn next_action(
+    seen: ConnectionState,
+    stage: StopStage,
+    idle_timeout: Duration,
+    now: Timestamp,
+) -> ConnectionAction {
+    if stage == StopStage::Ended {
+        return ConnectionAction::Abort;
     }
-    if seen.is_served {
-        return Verdict::Keep(None);
+    if seen.is_serving {
+        return ConnectionAction::KeepOpen(None);
     }
     let backed_off_until = match stage {
-        StopStage::Serving | StopStage::Leaving => seen.free_since + idle_timeout + REST_SLACK,
-        StopStage::Closing | StopStage::Over => seen.used_at + QUIET,
+        StopStage::Serving | StopStage::Draining => seen.idle_since + idle_timeout + REST_SLACK,
+        StopStage::Closing | StopStage::Ended => seen.last_activity + QUIET,
     };
-    let look_again = Verdict::Keep(Some(backed_off_until.max(now + QUIET)));
+    let look_again = ConnectionAction::KeepOpen(Some(backed_off_until.max(now + QUIET)));
     if now < backed_off_until || seen.is_readable {
         return look_again;
     }
-    match (seen.is_amid_head, stage) {
-        (false, _) => Verdict::Close,
+    match (seen.has_partial_head, stage) {
+        (false, _) => ConnectionAction::Close,
         // A stop waits for the rest of a head; a head that never ends keeps a connection no longer than none at all.
         (true, StopStage::Closing) => look_again,
-        (true, _) => Verdict::Drop,
+        (true, _) => ConnectionAction::Abort,
     }
 }
--- a/crates/core/src/forwarding/change_log.rs
+++ b/crates/core/src/forwarding/change_log.rs
@@ -24,7 +24,7 @@
 
 /// What a fact of the store is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Subject {
+pub enum EntryKey {
     /// The operator's document.
     Document,
     /// The number of nodes, as a root has recorded it.
@@ -32,9 +32,9 @@
     /// Who leads.
     Leader,
     /// The named version of a model's weights.
-    Weights(ModelId),
+    TargetWeights(ModelId),
     /// A request that is held back, or is no longer.
-    Held(RequestFingerprint),
+    Quarantined(RequestFingerprint),
     /// A back end.
     Backend(BackendId),
 }
@@ -42,13 +42,13 @@
 /// The moment that a relayed proof counts from, on the reader's clock: when the reader's report was sent, less the age
 /// that the proof had at the other node when it answered. The answer was written later than the report was sent, so
 /// that the moment is never too late, however long either was under way.
-pub fn relayed_proof(report_sent_at: Timestamp, age: Duration) -> Timestamp {
+pub fn relayed_proof_time(report_sent_at: Timestamp, age: Duration) -> Timestamp {
     report_sent_at - age
 }
 
 /// Whether what was passed on for a reader that knew `reported` may be taken in where it now knows `known`. Where the
 /// store has told it something meanwhile, what was passed on may be older.
-pub fn is_still_asked_for(reported: Option<Revision>, known: Option<Revision>) -> bool {
+pub fn is_still_applicable(reported: Option<Revision>, known: Option<Revision>) -> bool {
     reported.is_some() && reported == known
 }
 
@@ -61,20 +61,20 @@
 /// The subjects that have changed, in the order of their revisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ChangeLog {
-    changes: VecDeque<(Revision, Subject)>,
+    changes: VecDeque<(Revision, EntryKey)>,
     /// The revision from which on all changes are remembered; none before all is known for the first time.
     complete_from: Option<Revision>,
 }
 
 impl ChangeLog {
     /// All is known up to `revision` for the first time; what changed before is not.
-    pub fn begin(&mut self, revision: Revision) {
+    pub fn reset(&mut self, revision: Revision) {
         self.changes.clear();
         self.complete_from = Some(revision);
     }
 
     /// A subject has changed, at `revision` at the latest. Revisions never fall.
-    pub fn note(&mut self, subject: Subject, revision: Revision) {
+    pub fn record(&mut self, subject: EntryKey, revision: Revision) {
         self.changes.push_back((revision, subject));
         if self.changes.len() > MOST_CHANGES
             && let Some((forgotten, _)) = self.changes.pop_front()
@@ -84,7 +84,7 @@
     }
 
     /// The subjects that have changed between `known` and `newest`; nothing where not all of them are remembered.
-    pub fn since(&self, known: Revision, newest: Revision) -> Option<BTreeSet<&Subject>> {
+    pub fn since(&self, known: Revision, newest: Revision) -> Option<BTreeSet<&EntryKey>> {
         if known == newest {
             return Some(BTreeSet::new());
         }
--- a/crates/core/src/forwarding/children.rs
+++ b/crates/core/src/forwarding/children.rs
@@ -121,7 +121,7 @@
     }
 
     /// A node has reported. Nothing is taken of a node that was not taken in, or whose place was taken.
-    pub fn reported(&mut self, report: &Report, now: Timestamp) -> bool {
+    pub fn record_report(&mut self, report: &Report, now: Timestamp) -> bool {
         let Some(child) = self.by_node.get_mut(&report.sender.node) else { return false };
         child.member = report.sender.clone();
         child.heard = report.heard.max(1);
@@ -145,7 +145,7 @@
     }
 
     /// The node itself and those below it that were heard lately.
-    pub fn heard(&self) -> u32 {
+    pub fn subtree_size(&self) -> u32 {
         self.by_node.values().fold(1, |sum, child| sum.saturating_add(child.heard))
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// The nodes that report here, with the requests a second that callers ask of them and those below them.
-    pub fn asked(&self, now: Timestamp) -> impl Iterator<Item = (&NodeId, f64)> {
+    pub fn offered_load(&self, now: Timestamp) -> impl Iterator<Item = (&NodeId, f64)> {
         self.fresh(now).map(|child| (&child.member.node, child.asked))
     }
 
--- a/crates/core/src/forwarding/choice.rs
+++ b/crates/core/src/forwarding/choice.rs
@@ -15,7 +15,7 @@
 //! | `shards` | which of several stores a prompt's parts belong to |
 //! | `sources` | whom to import a prefix from, and who gets a copy of a run |
 
-mod field;
+mod candidate_pool;
 mod prompts;
 mod shards;
 mod source_times;
@@ -30,15 +30,15 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-pub use field::Field;
+pub use candidate_pool::CandidatePool;
 pub use shards::shard_of;
 pub use source_times::SourceTimes;
 
 use super::{
     backends::BackendId,
-    load::{AS_SOON_AS_ANY, BackendLoad, Loads},
-    prefixes::{KeptPart, Prefixes, ScopeHash},
-    prompt::{CacheScope, PartId, Prompt},
+    load::{BackendLoad, Loads, MIN_SLOWNESS},
+    prefixes::{CachedSegment, PrefixIndex, ScopeHash},
+    prompt::{CacheScope, Prompt, SegmentId},
 };
 
 /// The cost of a back end in another zone, in requests, for services without prompts.
@@ -65,7 +65,7 @@
 
 /// A store of kept parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Store {
+pub struct CacheStore {
     /// The name under which its feed is known.
     pub id: BackendId,
     /// Its address.
@@ -82,14 +82,14 @@
     /// The node's own zone.
     pub zone: &'a ZoneId,
     /// A number drawn for the request; breaks ties.
-    pub draw: u64,
+    pub seed: u64,
     /// The store that this prompt's parts belong to, if there is one ([`shard_of`]).
-    pub store: Option<&'a Store>,
+    pub store: Option<&'a CacheStore>,
     /// How many back ends are weighed, drawn for the request, beside the homes of its parts; all where none is given.
     /// Where many nodes choose with the same late knowledge, each must weigh others, or all choose the same one.
-    pub considered: Option<usize>,
+    pub sample_size: Option<usize>,
     /// Whether the run's memory is to be copied to another back end as it grows.
-    pub copied: bool,
+    pub replicate: bool,
     /// When it is placed: what back ends have measured is worth less with time.
     pub now: Timestamp,
 }
@@ -106,21 +106,21 @@
     /// Whom to import the prefix from.
     pub import_from: Option<SocketAddr>,
     /// What that is, where it is believed to keep a part that the back end lacks.
-    pub moves_from: Option<SourceKind>,
+    pub import_source: Option<SourceKind>,
     /// Whom to hand the parts to that nobody kept yet.
-    pub save_to: Option<Store>,
+    pub save_to: Option<CacheStore>,
     /// The back end that gets a copy of the run's memory as it grows.
     pub copy_to: Option<CopyHolder>,
     /// Tokens that the back end is expected to read, imports weighed.
     pub expected_tokens: u64,
     /// Tokens of the prefix that it is believed to keep.
-    pub held_tokens: u32,
+    pub cached_tokens: u32,
     /// Tokens of the prefix that nobody is believed to keep.
-    pub cold_tokens: u32,
+    pub uncached_tokens: u32,
     /// The last shared part of the prompt.
-    pub subject: Option<PartId>,
+    pub last_shared_segment: Option<SegmentId>,
     /// Whether the back end is where such a part is read first.
-    pub at_home: bool,
+    pub is_preferred: bool,
     /// The cost by which it was chosen.
     pub cost: u64,
     /// The number of eligible candidates.
@@ -151,7 +151,7 @@
     /// Work under way.
     pub loads: Loads,
     /// Parts kept.
-    pub prefixes: Prefixes,
+    pub prefixes: PrefixIndex,
     /// How soon answers begin whose prefix comes from elsewhere.
     pub source_times: SourceTimes,
 }
@@ -169,73 +169,81 @@
     }
 
     /// A back end has read the shared parts of a prompt. Gives what is news for other nodes.
-    pub fn learned(
+    pub fn record_prefill(
         &mut self,
         backend: &BackendId,
         scope: &CacheScope,
         prompt: &Prompt,
         now: Timestamp,
     ) -> Vec<KeptNews> {
-        let news = |part: KeptPart| KeptNews {
+        let news = |part: CachedSegment| KeptNews {
             engine: backend.clone(),
             scope: part.scope.0,
-            part: part.part.0,
+            part: part.segment.0,
             tokens: part.tokens,
         };
-        self.prefixes.prompted(prompt.prompt_tokens, now);
-        self.prefixes.read(backend, scope.into(), prompt.shared(), now).into_iter().map(news).collect()
+        self.prefixes.record_prompt(prompt.prompt_tokens, now);
+        self.prefixes
+            .record_prefill(backend, scope.into(), prompt.shared(), now)
+            .into_iter()
+            .map(news)
+            .collect()
     }
 
     /// Another node has learned what a back end keeps.
-    pub fn heard(&mut self, news: &KeptNews, now: Timestamp) {
-        let kept = KeptPart { scope: ScopeHash(news.scope), part: PartId(news.part), tokens: news.tokens };
+    pub fn apply_gossip(&mut self, news: &KeptNews, now: Timestamp) {
+        let kept = CachedSegment {
+            scope: ScopeHash(news.scope),
+            segment: SegmentId(news.part),
+            tokens: news.tokens,
+        };
         self.prefixes.set(&news.engine, &kept, now);
     }
 
     /// A feed told what a back end keeps.
-    pub fn told(&mut self, backend: &BackendId, kept: &[KeptPart], now: Timestamp) {
+    pub fn apply_feed(&mut self, backend: &BackendId, kept: &[CachedSegment], now: Timestamp) {
         for part in kept {
             self.prefixes.set(backend, part, now);
         }
     }
 
     /// Chooses among the back ends of `field`.
-    pub fn choose(&self, placement: Placement<'_>, field: &dyn Field) -> Option<Choice> {
+    pub fn choose(&self, placement: Placement<'_>, field: &dyn CandidatePool) -> Option<Choice> {
         match placement.prompt {
             Some(prompt) => self.choose_for_prompt(placement, prompt, field),
             // Services without prompts have few back ends.
             None => {
-                let all = Placement { considered: None, ..placement };
-                self.choose_by_requests(placement, &field::weighed(field, all))
+                let all = Placement { sample_size: None, ..placement };
+                self.choose_by_requests(placement, &candidate_pool::weighed(field, all))
             }
         }
     }
 
     fn choose_by_requests(&self, placement: Placement<'_>, candidates: &[Candidate<'_>]) -> Option<Choice> {
-        let usual_ms = self.loads.usual_ms(candidates.iter().map(|candidate| candidate.id));
+        let usual_ms = self.loads.median_ms(candidates.iter().map(|candidate| candidate.id));
         let cost = |candidate: &Candidate<'_>| {
-            let requests = f64::from(self.loads.requests_of_all(candidate.id)) + 1.0;
+            let requests = f64::from(self.loads.total_requests(candidate.id)) + 1.0;
             let distance = if candidate.zone == placement.zone { 0.0 } else { OTHER_ZONE_REQUESTS };
             // One of which little or nothing new is known goes first: nothing else would make it known.
-            let slowness = self.loads.slowness(candidate.id, usual_ms, AS_SOON_AS_ANY, placement.now);
+            let slowness = self.loads.slowness(candidate.id, usual_ms, MIN_SLOWNESS, placement.now);
             ((requests * slowness + distance) * 1_000.0) as u64
         };
         let eligible = candidates.iter().filter(|candidate| candidate.eligible);
         let count = eligible.clone().count();
-        let best = eligible.min_by_key(|candidate| (cost(candidate), tie(candidate.id, placement.draw)))?;
+        let best = eligible.min_by_key(|candidate| (cost(candidate), tie(candidate.id, placement.seed)))?;
         Some(Choice {
             backend: best.id.clone(),
             address: best.address,
             scope: None,
             import_from: None,
-            moves_from: None,
+            import_source: None,
             save_to: None,
             copy_to: None,
             expected_tokens: 0,
-            held_tokens: 0,
-            cold_tokens: 0,
-            subject: None,
-            at_home: false,
+            cached_tokens: 0,
+            uncached_tokens: 0,
+            last_shared_segment: None,
+            is_preferred: false,
             cost: cost(best),
             eligible: count,
         })
--- a/crates/core/src/forwarding/choice/field.rs
+++ b/crates/core/src/forwarding/choice/candidate_pool.rs
@@ -17,7 +17,7 @@
 const STRIDES: [usize; 4] = [7_919, 104_729, 15_485_863, 1];
 
 /// The back ends of a pool.
-pub trait Field {
+pub trait CandidatePool {
     /// The number of back ends.
     fn len(&self) -> usize;
 
@@ -36,7 +36,7 @@
     fn find(&self, id: &BackendId) -> Option<Candidate<'_>>;
 }
 
-impl Field for Vec<Candidate<'_>> {
+impl CandidatePool for Vec<Candidate<'_>> {
     fn len(&self) -> usize {
         Self::len(self)
     }
@@ -55,16 +55,16 @@
 }
 
 /// The back ends that a request weighs: all, or as many fit ones as its placement says, drawn for the request.
-pub(super) fn weighed<'a>(field: &'a dyn Field, placement: Placement<'_>) -> Vec<Candidate<'a>> {
+pub(super) fn weighed<'a>(field: &'a dyn CandidatePool, placement: Placement<'_>) -> Vec<Candidate<'a>> {
     let number = field.len();
-    match placement.considered {
-        Some(considered) if considered < number => drawn(field, placement.draw, considered),
+    match placement.sample_size {
+        Some(considered) if considered < number => drawn(field, placement.seed, considered),
         _ => (0..number).filter_map(|index| field.candidate(index)).collect(),
     }
 }
 
 /// Draws fit back ends: steps through all from a drawn one on, by a stride that meets each once.
-fn drawn(field: &dyn Field, draw: u64, considered: usize) -> Vec<Candidate<'_>> {
+fn drawn(field: &dyn CandidatePool, draw: u64, considered: usize) -> Vec<Candidate<'_>> {
     let number = field.len();
     let first = (rank_for(draw, 0) % number as u64) as usize;
     let drawn_stride = (rank_for(draw, 1) % number as u64) as usize;
@@ -87,7 +87,11 @@
 
 /// The back end where a part is read first: the highest ranked for it among the fit ones with these weights. All nodes
 /// find the same one from the same list (rendezvous hashing).
-pub(super) fn home(field: &dyn Field, subject: u64, weights: WeightsVersion) -> Option<Candidate<'_>> {
+pub(super) fn home(
+    field: &dyn CandidatePool,
+    subject: u64,
+    weights: WeightsVersion,
+) -> Option<Candidate<'_>> {
     let mut first: Vec<(u64, usize)> = Vec::with_capacity(LOOKED_AT_FOR_A_HOME + 1);
     for index in 0..field.len() {
         let entry = (rank_for(field.rank(index), subject), index);
--- a/crates/core/src/forwarding/choice/prompts.rs
+++ b/crates/core/src/forwarding/choice/prompts.rs
@@ -4,13 +4,13 @@
 
 use super::{
     Candidate, Choice, Chooser, Placement,
-    field::{self, Field},
+    candidate_pool::{self, CandidatePool},
     sources::{Holder, IMPORT_MINIMUM_TOKENS},
     tie,
 };
 use crate::forwarding::{
     backends::BackendId,
-    load::AS_USUAL,
+    load::TYPICAL_SLOWNESS,
     prefixes::ScopeHash,
     prompt::{CacheScope, Prompt},
 };
@@ -57,11 +57,11 @@
         &self,
         placement: Placement<'_>,
         prompt: &Prompt,
-        field: &dyn Field,
+        field: &dyn CandidatePool,
     ) -> Option<Choice> {
-        let mut candidates = field::weighed(field, placement);
+        let mut candidates = candidate_pool::weighed(field, placement);
         candidates.retain(|candidate| candidate.eligible && candidate.weights.is_some());
-        let usual_ms = self.loads.usual_ms(candidates.iter().map(|candidate| candidate.id));
+        let usual_ms = self.loads.median_ms(candidates.iter().map(|candidate| candidate.id));
         let mut groups: Vec<Group<'_>> = Vec::new();
         for weights in candidates.iter().filter_map(|candidate| candidate.weights) {
             if groups.iter().all(|group| group.weights != weights) {
@@ -77,7 +77,7 @@
         for candidate in &candidates {
             let group = groups.iter().find(|group| Some(group.weights) == candidate.weights);
             let Some(group) = group else { continue };
-            let tie = tie(candidate.id, placement.draw);
+            let tie = tie(candidate.id, placement.seed);
             let mut choice = self.weigh(candidate, group, placement, prompt);
             choice.cost = self.whole_cost(candidate, choice.cost, placement, usual_ms);
             choice.eligible = candidates.len();
@@ -91,7 +91,7 @@
             let group = groups.iter().find(|group| Some(group.weights) == weights)?;
             choice.import_from = Self::source_in_reserve(&choice, placement, group);
         }
-        if placement.copied {
+        if placement.replicate {
             choice.copy_to = self.copy_holder(&choice, placement, &candidates);
         }
         Some(choice)
@@ -109,7 +109,7 @@
         let waiting = self.waiting_tokens(candidate.id) + self.queue_tokens(candidate);
         let distance = if candidate.zone == placement.zone { 0 } else { OTHER_ZONE_TOKENS };
         // Prompts reach every back end by what it keeps: one of which nothing new is known has no need to go first.
-        let slowness = self.loads.slowness(candidate.id, usual_ms, AS_USUAL, placement.now);
+        let slowness = self.loads.slowness(candidate.id, usual_ms, TYPICAL_SLOWNESS, placement.now);
         let work = (waiting + read) as f64 * slowness;
         let outdated = if candidate.outdated { OUTDATED_TOKENS } else { 0 };
         work as u64 + distance + outdated
@@ -128,7 +128,7 @@
 
     /// The wait for a slot at a back end whose slots are taken, in tokens.
     fn queue_tokens(&self, candidate: &Candidate<'_>) -> u64 {
-        let requests = self.loads.requests_of_all(candidate.id) + 1;
+        let requests = self.loads.total_requests(candidate.id) + 1;
         u64::from(requests.saturating_sub(candidate.slots.max(1))) * QUEUED_TOKENS
     }
 
@@ -137,22 +137,22 @@
         placement: Placement<'_>,
         prompt: &Prompt,
         weights: WeightsVersion,
-        field: &'a dyn Field,
+        field: &'a dyn CandidatePool,
     ) -> Group<'a> {
         let scope = CacheScope { model: prompt.model.clone(), weights, tenant: placement.isolated.cloned() };
         let hash = ScopeHash::from(&scope);
         let shared = prompt.shared();
-        let cold = self.prefixes.first_cold(hash, shared);
+        let cold = self.prefixes.first_uncached(hash, shared);
         let cold_tokens = cold.map_or(0, |cold| {
             shared.iter().skip_while(|part| part.id != cold.id).map(|part| part.tokens).sum()
         });
         // Where all back ends are weighed, a part is read at one place until it is known to be kept. Where few are
         // drawn, the home of a request's last shared part is weighed beside them, also when it is kept already.
-        let subject = match placement.considered {
+        let subject = match placement.sample_size {
             None => cold,
             Some(_) => shared.last(),
         };
-        let home = subject.and_then(|part| field::home(field, part.id.0, weights));
+        let home = subject.and_then(|part| candidate_pool::home(field, part.id.0, weights));
         let holders = self.holders(hash, weights, shared, field);
         Group { weights, scope, hash, home, cold_tokens, holders }
     }
@@ -168,7 +168,7 @@
         let shared = prompt.shared();
         let shared_tokens = prompt.shared_tokens();
         let own = u64::from(prompt.prompt_tokens.saturating_sub(shared_tokens));
-        let held = self.prefixes.kept(candidate.id, group.hash, shared);
+        let held = self.prefixes.cached_tokens(candidate.id, group.hash, shared);
         let source = (held + IMPORT_MINIMUM_TOKENS <= shared_tokens)
             .then(|| self.source(candidate, group, placement, prompt))
             .flatten()
@@ -177,7 +177,7 @@
         let read = u64::from(shared_tokens - held) - imported;
         let is_home = group.home.is_none() || group.is_home(candidate.id);
         let factor = if is_home { 1 } else { READ_TWICE };
-        let per_mille = match placement.considered {
+        let per_mille = match placement.sample_size {
             Some(_) if !group.is_home(candidate.id) => IMPORT_AWAY_PER_MILLE,
             _ => IMPORT_PER_MILLE,
         };
@@ -191,14 +191,14 @@
             import_from: source
                 .map(|source| source.address)
                 .or(store.filter(|_| held < shared_tokens).map(|store| store.address)),
-            moves_from: source.map(|source| source.kind),
+            import_source: source.map(|source| source.kind),
             save_to: store.filter(|_| group.cold_tokens > 0).cloned(),
             copy_to: None,
             expected_tokens: own + read + import_cost,
-            held_tokens: held,
-            cold_tokens: group.cold_tokens,
-            subject: shared.last().map(|part| part.id),
-            at_home: group.is_home(candidate.id),
+            cached_tokens: held,
+            uncached_tokens: group.cold_tokens,
+            last_shared_segment: shared.last().map(|part| part.id),
+            is_preferred: group.is_home(candidate.id),
             cost: own + read * factor + import_cost,
             eligible: 0,
         }
--- a/crates/core/src/forwarding/choice/shards.rs
+++ b/crates/core/src/forwarding/choice/shards.rs
@@ -6,11 +6,11 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::Store;
+use super::CacheStore;
 use crate::forwarding::prompt::Prompt;
 
 /// The store that keeps a prompt's shared parts; none where there is no store or nothing is shared.
-pub fn shard_of(prompt: &Prompt, stores: impl Iterator<Item = Store>) -> Option<Store> {
+pub fn shard_of(prompt: &Prompt, stores: impl Iterator<Item = CacheStore>) -> Option<CacheStore> {
     let subject = prompt.shared().last()?;
     stores.max_by_key(|store| xxh3_64_with_seed(store.id.as_str().as_bytes(), subject.id.0))
 }
--- a/crates/core/src/forwarding/choice/source_times.rs
+++ b/crates/core/src/forwarding/choice/source_times.rs
@@ -47,7 +47,7 @@
 
 impl SourceTimes {
     /// An answer whose prefix was to come from such a source began after `time`.
-    pub fn began(&mut self, source: SourceKind, time: Duration) {
+    pub fn record(&mut self, source: SourceKind, time: Duration) {
         let average = match source {
             SourceKind::Store => &mut self.stores,
             SourceKind::Engine => &mut self.engines,
--- a/crates/core/src/forwarding/choice/sources.rs
+++ b/crates/core/src/forwarding/choice/sources.rs
@@ -4,10 +4,12 @@
 
 use paddlemount_protocol::identity::WeightsVersion;
 
-use super::{Candidate, Choice, Chooser, CopyHolder, Field, Placement, SourceKind, prompts::Group, tie};
+use super::{
+    Candidate, CandidatePool, Choice, Chooser, CopyHolder, Placement, SourceKind, prompts::Group, tie,
+};
 use crate::forwarding::{
     prefixes::ScopeHash,
-    prompt::{Part, Prompt},
+    prompt::{Prompt, Segment},
 };
 
 /// Tokens of a part below which an import doesn't pay: engines keep parts by blocks of this size.
@@ -51,7 +53,7 @@
             .filter(|other| other.eligible && *other.id != choice.backend && other.weights == weights);
         let order = |other: &&Candidate<'_>| {
             let requests = self.load(other.id).requests;
-            (other.zone != placement.zone, requests, tie(other.id, placement.draw))
+            (other.zone != placement.zone, requests, tie(other.id, placement.seed))
         };
         others.min_by_key(order).map(|other| CopyHolder { backend: other.id.clone(), address: other.address })
     }
@@ -61,16 +63,16 @@
         &self,
         hash: ScopeHash,
         weights: WeightsVersion,
-        shared: &[Part],
-        field: &'a dyn Field,
+        shared: &[Segment],
+        field: &'a dyn CandidatePool,
     ) -> Vec<Holder<'a>> {
-        let keepers = self.prefixes.keepers(hash, shared, MOST_HOLDERS);
+        let keepers = self.prefixes.holders(hash, shared, MOST_HOLDERS);
         let mut holders: Vec<Holder<'a>> = keepers
             .into_iter()
             .filter_map(|id| field.find(id))
             .filter(|candidate| candidate.weights == Some(weights))
             .map(|candidate| Holder {
-                kept: self.prefixes.kept(candidate.id, hash, shared),
+                kept: self.prefixes.cached_tokens(candidate.id, hash, shared),
                 requests: self.load(candidate.id).requests,
                 candidate,
             })
@@ -87,20 +89,20 @@
         placement: Placement<'_>,
         group: &Group<'_>,
     ) -> Option<SocketAddr> {
-        if choice.held_tokens < IMPORT_MINIMUM_TOKENS {
+        if choice.cached_tokens < IMPORT_MINIMUM_TOKENS {
             return None;
         }
-        if let Some(store) = placement.store.filter(|_| placement.considered.is_some()) {
+        if let Some(store) = placement.store.filter(|_| placement.sample_size.is_some()) {
             return Some(store.address);
         }
         let keeps =
-            |other: &&Holder<'_>| *other.candidate.id != choice.backend && other.kept >= choice.held_tokens;
+            |other: &&Holder<'_>| *other.candidate.id != choice.backend && other.kept >= choice.cached_tokens;
         let other = group
             .holders
             .iter()
             .filter(keeps)
             .map(|holder| &holder.candidate)
-            .min_by_key(|other| (other.zone != placement.zone, tie(other.id, placement.draw)));
+            .min_by_key(|other| (other.zone != placement.zone, tie(other.id, placement.seed)));
         other.map(|other| other.address).or(placement.store.map(|store| store.address))
     }
 
@@ -126,10 +128,10 @@
             });
         let stored = placement.store.map(|store| Source {
             address: store.address,
-            kept: self.prefixes.kept(&store.id, group.hash, prompt.shared()),
+            kept: self.prefixes.cached_tokens(&store.id, group.hash, prompt.shared()),
             kind: SourceKind::Store,
         });
-        let store_first = placement.considered.is_some() && self.source_times.prefers_store(placement.draw);
+        let store_first = placement.sample_size.is_some() && self.source_times.prefers_store(placement.seed);
         match (best, stored) {
             (Some(best), Some(stored)) if stored.kept > best.kept => Some(stored),
             (Some(best), Some(stored)) if stored.kept == best.kept && store_first => Some(stored),
--- a/crates/core/src/forwarding/events.rs
+++ b/crates/core/src/forwarding/events.rs
@@ -19,7 +19,7 @@
 
 impl EventSplitter {
     /// A splitter of a stream that continues behind the event `last_id`.
-    pub fn after(last_id: Option<u64>) -> Self {
+    pub fn resuming_after(last_id: Option<u64>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether bytes of an unfinished event are held.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/crates/core/src/forwarding/readers.rs
+++ b/crates/core/src/forwarding/feed_selection.rs
@@ -32,7 +32,7 @@
 
 /// Whether engines drop parts so soon that their feeds are worth following: prompts of all nodes come to
 /// `tokens_per_second`, and engines have `room` tokens in all. `followed` tells what was so before.
-pub fn are_worth_following(tokens_per_second: f64, room: u64, followed: bool) -> bool {
+pub fn should_follow_feeds(tokens_per_second: f64, room: u64, followed: bool) -> bool {
     // Nothing was read lately: what engines keep has not changed, nor has the worth of hearing of it.
     if tokens_per_second < 1.0 {
         return followed;
@@ -42,7 +42,7 @@
 }
 
 /// The feeds that node `me` follows, among those of `engines`, where `nodes` have been counted.
-pub fn followed<'a>(
+pub fn followed_feeds<'a>(
     me: &NodeId,
     nodes: Option<u32>,
     engines: impl Iterator<Item = &'a EngineId>,
--- a/crates/core/src/forwarding/fleet.rs
+++ b/crates/core/src/forwarding/fleet.rs
@@ -62,7 +62,7 @@
     }
 
     /// This node itself.
-    pub const fn me(&self) -> &Member {
+    pub const fn local_member(&self) -> &Member {
         &self.me
     }
 
@@ -73,12 +73,12 @@
         self.counts.retain(|(at, _)| now.saturating_since(*at) < REMEMBERED);
         // A root that has just begun has heard few of the others: what it knew of them before is better.
         if is_root && self.counts_well(now) {
-            self.remember_count(self.children.heard(), now);
+            self.remember_count(self.children.subtree_size(), now);
         }
     }
 
     /// The node above has told what all others have under way, and how many nodes there are.
-    pub fn told(&mut self, work: Vec<EngineWork>, nodes: Option<u32>, now: Timestamp) {
+    pub fn record_update(&mut self, work: Vec<EngineWork>, nodes: Option<u32>, now: Timestamp) {
         self.above = Some(Above { work, at: now });
         if let Some(nodes) = nodes {
             self.remember_count(nodes, now);
@@ -89,20 +89,20 @@
     pub fn join_request(&self, now: Timestamp) -> JoinRequest {
         JoinRequest {
             sender: self.me.clone(),
-            heard: self.children.heard(),
+            heard: self.children.subtree_size(),
             room: self.children.room(now),
             avoids: self.uplink.avoided(),
         }
     }
 
     /// The number of nodes that may act, where it is known: the greatest of the last seconds.
-    pub fn count(&self, now: Timestamp) -> Option<u32> {
+    pub fn node_count(&self, now: Timestamp) -> Option<u32> {
         let recent = self.counts.iter().filter(|(at, _)| now.saturating_since(*at) < REMEMBERED);
         recent.map(|(_, count)| *count).max()
     }
 
     /// What all nodes have under way except `child` and those below it, where this node has `own`.
-    pub fn work_beside(&self, child: &NodeId, own: &[EngineWork], now: Timestamp) -> Vec<EngineWork> {
+    pub fn work_excluding(&self, child: &NodeId, own: &[EngineWork], now: Timestamp) -> Vec<EngineWork> {
         let mut all = self.work_of_all(own, now);
         for work in self.children.work_of(child, now) {
             if let Some(sum) = all.get_mut(&work.engine) {
@@ -114,7 +114,7 @@
     }
 
     /// What this node and those below it have under way.
-    pub fn work_below(&self, own: &[EngineWork], now: Timestamp) -> Vec<EngineWork> {
+    pub fn subtree_work(&self, own: &[EngineWork], now: Timestamp) -> Vec<EngineWork> {
         let mut sum = BTreeMap::new();
         add(&mut sum, own);
         self.children.work(now).for_each(|work| add(&mut sum, work));
@@ -128,7 +128,7 @@
 
     /// Whether this node is the root, had heard of others, and has heard none of them for a while: it may be cut off
     /// from them, though the store still hears it.
-    pub fn is_deserted(&self, now: Timestamp) -> bool {
+    pub fn is_partitioned(&self, now: Timestamp) -> bool {
         let long_enough = self.root_since.is_some_and(|since| now.saturating_since(since) >= DESERTED);
         let newest = self.children.last_report();
         long_enough && newest.is_some_and(|at| now.saturating_since(at) >= DESERTED)
--- a/crates/core/src/forwarding/news.rs
+++ b/crates/core/src/forwarding/gossip.rs
@@ -23,7 +23,7 @@
 
 /// News at one node.
 #[derive(Debug)]
-pub struct NewsLog {
+pub struct GossipLog {
     /// The identity of this log, drawn at the process's start.
     id: u64,
     logged: VecDeque<KeptNews>,
@@ -36,7 +36,7 @@
     on_the_way: Vec<KeptNews>,
 }
 
-impl NewsLog {
+impl GossipLog {
     /// An empty log.
     pub const fn new(id: u64) -> Self {
         Self {
@@ -56,7 +56,7 @@
     }
 
     /// The number of the last news logged.
-    pub const fn last(&self) -> u64 {
+    pub const fn last_sequence(&self) -> u64 {
         self.last
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Something was learned at this node or below it, to be told above.
-    pub fn learned(&mut self, news: KeptNews) {
+    pub fn enqueue(&mut self, news: KeptNews) {
         let queue =
             if self.stores.contains(&news.engine) { &mut self.of_stores } else { &mut self.of_engines };
         if queue.len() >= MOST_WAITING {
@@ -76,7 +76,7 @@
     }
 
     /// What the node above is told now; told again until it is [`taken`](Self::taken).
-    pub fn report(&mut self) -> Vec<KeptNews> {
+    pub fn next_batch(&mut self) -> Vec<KeptNews> {
         while self.on_the_way.len() < MOST_AT_ONCE {
             let Some(next) = self.of_stores.pop_front().or_else(|| self.of_engines.pop_front()) else {
                 break;
@@ -87,12 +87,12 @@
     }
 
     /// Whether something waits to be told above.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !(self.on_the_way.is_empty() && self.of_stores.is_empty() && self.of_engines.is_empty())
     }
 
     /// The node above has taken the last report.
-    pub fn taken(&mut self) {
+    pub fn acknowledge(&mut self) {
         self.on_the_way.clear();
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Numbers news for the nodes below.
-    pub fn log(&mut self, news: impl IntoIterator<Item = KeptNews>) {
+    pub fn append(&mut self, news: impl IntoIterator<Item = KeptNews>) {
         for one in news {
             self.last += 1;
             self.logged.push_back(one);
--- a/crates/core/src/forwarding/load.rs
+++ b/crates/core/src/forwarding/load.rs
@@ -25,9 +25,9 @@
 /// Bounds of the factor by which a slow back end's cost is raised or lowered.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 8.0);
 /// The factor of a back end that answers as soon as any is reckoned to.
-pub const AS_SOON_AS_ANY: f64 = SLOWNESS_BOUNDS.0;
+pub const MIN_SLOWNESS: f64 = SLOWNESS_BOUNDS.0;
 /// The factor of a back end that answers as soon as is usual.
-pub const AS_USUAL: f64 = 1.0;
+pub const TYPICAL_SLOWNESS: f64 = 1.0;
 
 /// The least time without a first byte after which a back end is suspect.
 const LEAST_PATIENCE: Duration = Duration::from_millis(700);
@@ -97,7 +97,7 @@
 
 impl Loads {
     /// A request was sent that has `tokens` to be read.
-    pub fn started(&mut self, backend: &BackendId, tokens: u64, now: Timestamp) {
+    pub fn record_start(&mut self, backend: &BackendId, tokens: u64, now: Timestamp) {
         self.unanswered.entry(backend.clone()).or_default().push(now);
         let load = self.by_backend.entry(backend.clone()).or_default();
         load.requests += 1;
@@ -106,7 +106,7 @@
     }
 
     /// The first event of the answer to a request sent at `sent_at` has arrived, or the request has ended before it.
-    pub fn read(&mut self, backend: &BackendId, tokens: u64, sent_at: Timestamp) {
+    pub fn record_first_event(&mut self, backend: &BackendId, tokens: u64, sent_at: Timestamp) {
         if let Some(unanswered) = self.unanswered.get_mut(backend)
             && let Some(index) = unanswered.iter().position(|at| *at == sent_at)
         {
@@ -118,14 +118,14 @@
     }
 
     /// The request has ended.
-    pub fn ended(&mut self, backend: &BackendId) {
+    pub fn record_end(&mut self, backend: &BackendId) {
         if let Some(load) = self.by_backend.get_mut(backend) {
             load.requests = load.requests.saturating_sub(1);
         }
     }
 
     /// An answer began at `now`, after `milliseconds`.
-    pub fn measured(&mut self, backend: &BackendId, milliseconds: f64, now: Timestamp) {
+    pub fn record_latency(&mut self, backend: &BackendId, milliseconds: f64, now: Timestamp) {
         let load = self.by_backend.entry(backend.clone()).or_default();
         let weight = load.weight_of(milliseconds, now);
         load.measurements += 1;
@@ -140,7 +140,7 @@
     }
 
     /// Other nodes have told what they have under way; nothing of what they told before holds on.
-    pub fn told(&mut self, work: Vec<EngineWork>) {
+    pub fn set_others(&mut self, work: Vec<EngineWork>) {
         self.others = work.into_iter().map(|work| (work.engine.clone(), work)).collect();
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Requests under way at a back end, of this node and, as far as they have told, of others.
-    pub fn requests_of_all(&self, backend: &BackendId) -> u32 {
+    pub fn total_requests(&self, backend: &BackendId) -> u32 {
         self.of(backend).requests + self.of_others(backend).map_or(0, |work| work.requests)
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// The median of the back ends' average times, in milliseconds; zero where too little is known.
-    pub fn usual_ms<'a>(&self, backends: impl Iterator<Item = &'a BackendId>) -> f64 {
+    pub fn median_ms<'a>(&self, backends: impl Iterator<Item = &'a BackendId>) -> f64 {
         let mut averages: Vec<f64> = backends
             .map(|backend| self.of(backend))
             .filter(|load| load.measurements >= FEWEST_MEASUREMENTS)
--- a/crates/core/src/forwarding/mod.rs
+++ b/crates/core/src/forwarding/mod.rs
@@ -25,8 +25,8 @@
 //! | [`fleet`] | the number of nodes, and what they have in flight |
 //! | [`even_share`] | a node's share of what all nodes share |
 //! | [`uplink`], [`children`] | to which parent a node reports, and which children it accepts |
-//! | [`news`] | updates about the caches of engines, exchanged between nodes |
-//! | [`readers`] | which cache feeds a node follows |
+//! | [`gossip`] | updates about the caches of engines, exchanged between nodes |
+//! | [`feed_selection`] | which cache feeds a node follows |
 //! | [`change_log`] | what changed in the store, for other nodes |
 //! | [`target_versions`] | when target versions of weights were announced |
 //! | [`rollout`] | which back end is updated to new weights next |
@@ -43,16 +43,16 @@
 pub mod document;
 pub mod even_share;
 pub mod events;
+pub mod feed_selection;
 pub mod fleet;
 pub mod freshness;
+pub mod gossip;
 pub mod load;
-pub mod news;
 pub mod planned_stop;
 pub mod pool;
 pub mod prefixes;
 pub mod prompt;
 pub mod ranks;
-pub mod readers;
 pub mod refusals;
 pub mod registry;
 pub mod replacement;
--- a/crates/core/src/forwarding/planned_stop.rs
+++ b/crates/core/src/forwarding/planned_stop.rs
@@ -13,31 +13,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStop {
     /// Until when callers are taken.
-    pub takes_until: Timestamp,
+    pub accepts_until: Timestamp,
     /// When the process ends at the latest.
     pub ends_at: Timestamp,
 }
 
 impl PlannedStop {
     /// A stop that was told at `told_at`, of a process that is killed after `grace`.
-    pub fn within(told_at: Timestamp, grace: Duration) -> Self {
-        Self::new(told_at, Self::leaving(grace), grace.saturating_sub(GRACE_MARGIN))
+    pub fn with_grace_period(told_at: Timestamp, grace: Duration) -> Self {
+        Self::new(told_at, Self::drain_period(grace), grace.saturating_sub(GRACE_MARGIN))
     }
 
     /// How long callers are still taken after a signal, where the process is killed after `grace`.
-    pub fn leaving(grace: Duration) -> Duration {
+    pub fn drain_period(grace: Duration) -> Duration {
         LONGEST_LEAVING.min(grace.saturating_sub(GRACE_MARGIN) * 2 / 5)
     }
 
     /// A stop that was told at `told_at`, takes callers for `leaving` and ends after `grace`.
     pub fn new(told_at: Timestamp, leaving: Duration, grace: Duration) -> Self {
-        Self { takes_until: told_at + leaving.min(grace), ends_at: told_at + grace }
+        Self { accepts_until: told_at + leaving.min(grace), ends_at: told_at + grace }
     }
 
     /// Whether a request may begin whose answer is expected to take `expected`, and whose caller waits for `waits`. What
     /// its caller waits for no longer than the process lives may begin in any case. While callers are taken the others
     /// may where the answer is expected to end in time, or nothing is known of it; after that none does.
-    pub fn may_begin(&self, expected: Option<Duration>, waits: Duration, now: Timestamp) -> bool {
+    pub fn may_start(&self, expected: Option<Duration>, waits: Duration, now: Timestamp) -> bool {
         let left = self.ends_at.saturating_since(now);
         if left.is_zero() {
             return false;
@@ -48,7 +48,7 @@
         // What comes later comes on connections whose callers have had no answer since the signal. They can be told to go
         // elsewhere at once, which costs them a round trip, while no guess of a length is certain: a stream that was
         // expected to end with a quarter of the time to spare ran for four seconds and was cut.
-        now < self.takes_until && expected.is_none_or(|expected| expected <= left)
+        now < self.accepts_until && expected.is_none_or(|expected| expected <= left)
     }
 
     /// How long callers may count on a connection that rests, in whole seconds: those that had an answer before the signal
--- a/crates/core/src/forwarding/prefixes.rs
+++ b/crates/core/src/forwarding/prefixes.rs
@@ -11,7 +11,7 @@
 
 use super::{
     backends::BackendId,
-    prompt::{CacheScope, Part, PartId},
+    prompt::{CacheScope, Segment, SegmentId},
 };
 
 /// Parts that are remembered at most; the older half is then forgotten.
@@ -43,11 +43,11 @@
 
 /// One entry of an engine's feed: how much of a part it keeps now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptPart {
+pub struct CachedSegment {
     /// The scope.
     pub scope: ScopeHash,
     /// The part.
-    pub part: PartId,
+    pub segment: SegmentId,
     /// Tokens of it that are kept now; none where it is gone.
     pub tokens: u32,
 }
@@ -60,8 +60,8 @@
 
 /// What back ends are believed to keep.
 #[derive(Debug, Default)]
-pub struct Prefixes {
-    keepers: HashMap<(ScopeHash, PartId), Keepers>,
+pub struct PrefixIndex {
+    keepers: HashMap<(ScopeHash, SegmentId), Keepers>,
     /// Tokens that engines have lately begun to keep; fades with [`FADES`].
     added: f64,
     added_at: Timestamp,
@@ -70,15 +70,15 @@
     prompted_at: Timestamp,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// A request of this node has had an engine read or keep a prompt of so many tokens.
-    pub fn prompted(&mut self, tokens: u32, now: Timestamp) {
+    pub fn record_prompt(&mut self, tokens: u32, now: Timestamp) {
         self.prompted = self.prompted_faded(now) + f64::from(tokens);
         self.prompted_at = now;
     }
 
     /// Tokens of prompts a second that this node's requests lately had.
-    pub fn prompted_per_second(&self, now: Timestamp) -> f64 {
+    pub fn prompt_tokens_per_second(&self, now: Timestamp) -> f64 {
         self.prompted_faded(now) / FADES.as_secs_f64()
     }
 
@@ -88,8 +88,8 @@
     }
 
     /// A back end keeps so much of a part now.
-    pub fn set(&mut self, backend: &BackendId, kept: &KeptPart, now: Timestamp) {
-        let key = (kept.scope, kept.part);
+    pub fn set(&mut self, backend: &BackendId, kept: &CachedSegment, now: Timestamp) {
+        let key = (kept.scope, kept.segment);
         if kept.tokens == 0 {
             self.drop_keeper(key, backend);
             return;
@@ -119,41 +119,41 @@
     }
 
     /// How long a part that nobody uses is kept, where all engines together have room for `room` tokens.
-    pub fn kept_for(&self, room: u64, now: Timestamp) -> Duration {
+    pub fn retention(&self, room: u64, now: Timestamp) -> Duration {
         let per_second = self.faded(now) / FADES.as_secs_f64();
         Duration::try_from_secs_f64(room as f64 / per_second.max(1.0)).unwrap_or(Duration::MAX)
     }
 
     /// A back end has read all of `parts`. Gives what is news for other nodes.
-    pub fn read(
+    pub fn record_prefill(
         &mut self,
         backend: &BackendId,
         scope: ScopeHash,
-        parts: &[Part],
+        parts: &[Segment],
         now: Timestamp,
-    ) -> Vec<KeptPart> {
-        let kept = parts.iter().map(|part| KeptPart { scope, part: part.id, tokens: part.tokens });
+    ) -> Vec<CachedSegment> {
+        let kept = parts.iter().map(|part| CachedSegment { scope, segment: part.id, tokens: part.tokens });
         kept.filter(|part| self.note_read(backend, part, now)).collect()
     }
 
     /// Notes that a back end keeps a part; whether other nodes should hear of it.
-    fn note_read(&mut self, backend: &BackendId, part: &KeptPart, now: Timestamp) -> bool {
-        let known = self.keeps(backend, part);
+    fn note_read(&mut self, backend: &BackendId, part: &CachedSegment, now: Timestamp) -> bool {
+        let known = self.is_cached(backend, part);
         self.set(backend, part, now);
         !known && part.tokens >= NEWS_MINIMUM_TOKENS
     }
 
     /// Whether a back end is believed to keep at least so much of a part.
-    pub fn keeps(&self, backend: &BackendId, part: &KeptPart) -> bool {
-        let keepers = self.keepers.get(&(part.scope, part.part));
+    pub fn is_cached(&self, backend: &BackendId, part: &CachedSegment) -> bool {
+        let keepers = self.keepers.get(&(part.scope, part.segment));
         keepers.is_some_and(|keepers| {
             keepers.by_backend.iter().any(|(keeper, tokens)| keeper == backend && *tokens >= part.tokens)
         })
     }
 
     /// Whether a back end is believed to keep anything of a part.
-    pub fn keeps_any(&self, backend: &BackendId, scope: ScopeHash, part: PartId) -> bool {
-        self.keeps(backend, &KeptPart { scope, part, tokens: 1 })
+    pub fn is_partly_cached(&self, backend: &BackendId, scope: ScopeHash, segment: SegmentId) -> bool {
+        self.is_cached(backend, &CachedSegment { scope, segment, tokens: 1 })
     }
 
     /// A back end keeps nothing any more.
@@ -165,7 +165,7 @@
     }
 
     /// Tokens that a back end keeps of `parts`, from the first on without a gap.
-    pub fn kept(&self, backend: &BackendId, scope: ScopeHash, parts: &[Part]) -> u32 {
+    pub fn cached_tokens(&self, backend: &BackendId, scope: ScopeHash, parts: &[Segment]) -> u32 {
         let mut sum = 0;
         for part in parts {
             let keepers = self.keepers.get(&(scope, part.id));
@@ -181,7 +181,7 @@
     }
 
     /// Back ends that keep some of `parts`, those of the last ones first: all of them, or about as many as `enough`.
-    pub fn keepers(&self, scope: ScopeHash, parts: &[Part], enough: usize) -> Vec<&BackendId> {
+    pub fn holders(&self, scope: ScopeHash, parts: &[Segment], enough: usize) -> Vec<&BackendId> {
         let mut found: Vec<&BackendId> = Vec::new();
         for part in parts.iter().rev() {
             let keepers = self.keepers.get(&(scope, part.id));
@@ -198,7 +198,7 @@
     }
 
     /// The first of `parts` that nobody keeps whole.
-    pub fn first_cold<'a>(&self, scope: ScopeHash, parts: &'a [Part]) -> Option<&'a Part> {
+    pub fn first_uncached<'a>(&self, scope: ScopeHash, parts: &'a [Segment]) -> Option<&'a Segment> {
         parts.iter().find(|part| {
             let keepers = self.keepers.get(&(scope, part.id));
             !keepers.is_some_and(|keepers| {
@@ -217,7 +217,7 @@
         self.keepers.is_empty()
     }
 
-    fn drop_keeper(&mut self, key: (ScopeHash, PartId), backend: &BackendId) {
+    fn drop_keeper(&mut self, key: (ScopeHash, SegmentId), backend: &BackendId) {
         let Some(keepers) = self.keepers.get_mut(&key) else { return };
         keepers.by_backend.retain(|(keeper, _)| keeper != backend);
         if keepers.by_backend.is_empty() {
--- a/crates/core/src/forwarding/prompt.rs
+++ b/crates/core/src/forwarding/prompt.rs
@@ -4,13 +4,13 @@
 
 /// The identity of a part of a prompt, as the caller names it. Equal parts in equal places have equal identities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PartId(pub u64);
+pub struct SegmentId(pub u64);
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct Segment {
     /// Its identity.
-    pub id: PartId,
+    pub id: SegmentId,
     /// Its length in tokens.
     pub tokens: u32,
 }
@@ -25,13 +25,13 @@
     /// Tokens that the answer is expected to have: what the caller guesses, else the most that it allows.
     pub output_tokens: u32,
     /// The parts in order; the last is the request's or its session's own.
-    pub parts: Vec<Part>,
+    pub segments: Vec<Segment>,
 }
 
 impl Prompt {
     /// The parts that other requests may share, in order.
-    pub fn shared(&self) -> &[Part] {
-        self.parts.split_last().map_or(&[], |(_, shared)| shared)
+    pub fn shared(&self) -> &[Segment] {
+        self.segments.split_last().map_or(&[], |(_, shared)| shared)
     }
 
     /// Tokens of the shared parts.
--- a/crates/core/src/forwarding/uplink.rs
+++ b/crates/core/src/forwarding/uplink.rs
@@ -25,9 +25,9 @@
 
 /// What a node does next about its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum NextStep {
     /// Nothing: it leads, or knows nobody to ask.
-    Rest,
+    Wait,
     /// It asks to be taken in.
     Join(Contact),
     /// It reports.
@@ -64,13 +64,13 @@
     }
 
     /// What to do next, where `root` leads as far as is known; `leads` tells that this node itself does.
-    pub fn turn(&mut self, root: Option<&Contact>, leads: bool, now: Timestamp) -> Turn {
+    pub fn next_step(&mut self, root: Option<&Contact>, leads: bool, now: Timestamp) -> NextStep {
         self.passed_over.retain(|_, at| now.saturating_since(*at) < PASSED_OVER);
         if leads {
             self.above.clear();
             self.is_joined = false;
             self.referred_to = None;
-            return Turn::Rest;
+            return NextStep::Wait;
         }
         if self.is_uprooted(root, now) {
             self.leave(now);
@@ -78,14 +78,14 @@
         if self.is_joined
             && let Some(parent) = self.above.last()
         {
-            return Turn::Report(parent.clone());
+            return NextStep::Report(parent.clone());
         }
         if let Some(to) = self.referred_to.clone().filter(|to| self.may_ask(to)) {
-            return Turn::Join(to);
+            return NextStep::Join(to);
         }
         self.referrals = 0;
         let candidate = self.above.iter().rev().chain(root).find(|contact| self.may_ask(contact));
-        candidate.map_or(Turn::Rest, |contact| Turn::Join(contact.clone()))
+        candidate.map_or(NextStep::Wait, |contact| NextStep::Join(contact.clone()))
     }
 
     /// `parent` has taken this node in.
@@ -119,7 +119,12 @@
 
     /// The node that is reported to has told the way from the root to itself, and how long ago it heard of the root.
     /// Whether the way is one: where it leads over this node, that one is left.
-    pub fn told(&mut self, path: Vec<Contact>, rooted_before: Option<Duration>, now: Timestamp) -> bool {
+    pub fn update_path(
+        &mut self,
+        path: Vec<Contact>,
+        rooted_before: Option<Duration>,
+        now: Timestamp,
+    ) -> bool {
         if path.iter().any(|contact| contact.node == self.me.node) {
             self.leave(now);
             return false;
@@ -140,7 +145,7 @@
     }
 
     /// Whether the node `node` stands above this one, or is this one.
-    pub fn stands_above(&self, node: &NodeId) -> bool {
+    pub fn is_self_or_ancestor(&self, node: &NodeId) -> bool {
         self.me.node == *node || (self.is_joined && self.above.iter().any(|contact| contact.node == *node))
     }
 
@@ -150,12 +155,12 @@
     }
 
     /// How many nodes stand above this one.
-    pub fn level(&self) -> usize {
+    pub fn depth(&self) -> usize {
         if self.is_joined { self.above.len() } else { 0 }
     }
 
     /// How long ago the root was heard of, over the nodes between.
-    pub fn rooted_age(&self, leads: bool, now: Timestamp) -> Option<Duration> {
+    pub fn root_age(&self, leads: bool, now: Timestamp) -> Option<Duration> {
         if leads {
             return Some(Duration::ZERO);
         }
--- a/crates/core/tests/forwarding_change_log.rs
+++ b/crates/core/tests/forwarding_change_log.rs
@@ -2,12 +2,12 @@
 
 use paddlemount_core::forwarding::{
     backends::BackendId,
-    change_log::{ChangeLog, Subject, is_newer},
+    change_log::{ChangeLog, EntryKey, is_newer},
 };
 use paddlemount_protocol::identity::Revision;
 
-fn backend(number: u64) -> Subject {
-    Subject::Backend(BackendId::from(format!("e{number}")))
+fn backend(number: u64) -> EntryKey {
+    EntryKey::Backend(BackendId::from(format!("e{number}")))
 }
 
 fn count(log: &ChangeLog, known: u64, newest: u64) -> Option<usize> {
@@ -17,10 +17,10 @@
 #[test]
 fn a_reader_is_told_each_subject_that_has_changed_since_once() {
     let mut log = ChangeLog::default();
-    log.begin(Revision(5));
-    log.note(backend(1), Revision(6));
-    log.note(Subject::Document, Revision(7));
-    log.note(backend(1), Revision(9));
+    log.reset(Revision(5));
+    log.record(backend(1), Revision(6));
+    log.record(EntryKey::Document, Revision(7));
+    log.record(backend(1), Revision(9));
     assert_eq!(count(&log, 9, 9), Some(0));
     assert_eq!(count(&log, 7, 9), Some(1));
     assert_eq!(count(&log, 6, 9), Some(2));
@@ -31,8 +31,8 @@
 fn a_reader_that_knows_less_than_the_log_or_more_than_the_teller_is_told_nothing() {
     let mut log = ChangeLog::default();
     assert_eq!(count(&log, 3, 4), None, "nothing is known yet");
-    log.begin(Revision(5));
-    log.note(backend(1), Revision(6));
+    log.reset(Revision(5));
+    log.record(backend(1), Revision(6));
     assert_eq!(count(&log, 4, 6), None, "what changed before the beginning is not remembered");
     assert_eq!(count(&log, 8, 6), None, "the reader knows more");
 }
@@ -40,21 +40,21 @@
 #[test]
 fn what_falls_out_of_the_log_is_told_to_nobody_as_if_it_were_all() {
     let mut log = ChangeLog::default();
-    log.begin(Revision(0));
+    log.reset(Revision(0));
     for revision in 1..=10_000 {
-        log.note(backend(revision), Revision(revision));
+        log.record(backend(revision), Revision(revision));
     }
     assert_eq!(count(&log, 0, 10_000), None);
     assert_eq!(count(&log, 10_000 - 4_096, 10_000), Some(4_096));
     assert_eq!(count(&log, 10_000 - 4_097, 10_000), None);
     // Several subjects of one revision fall out one by one: the reader that lacks any of them is told nothing.
     let mut log = ChangeLog::default();
-    log.begin(Revision(0));
+    log.reset(Revision(0));
     for number in 0..4_096 {
-        log.note(backend(number), Revision(1));
+        log.record(backend(number), Revision(1));
     }
     assert_eq!(count(&log, 0, 1), Some(4_096));
-    log.note(backend(5_000), Revision(2));
+    log.record(backend(5_000), Revision(2));
     assert_eq!(count(&log, 0, 2), None);
     assert_eq!(count(&log, 1, 2), Some(1));
 }
--- a/crates/core/tests/forwarding_choice.rs
+++ b/crates/core/tests/forwarding_choice.rs
@@ -4,9 +4,9 @@
 
 use paddlemount_core::forwarding::{
     backends::BackendId,
-    choice::{Candidate, Choice, Chooser, Placement, SourceKind, SourceTimes, Store},
-    prefixes::{KeptPart, ScopeHash},
-    prompt::{CacheScope, Part, PartId, Prompt},
+    choice::{CacheStore, Candidate, Choice, Chooser, Placement, SourceKind, SourceTimes},
+    prefixes::{CachedSegment, ScopeHash},
+    prompt::{CacheScope, Prompt, Segment, SegmentId},
 };
 use paddlemount_protocol::{
     fleet::EngineWork,
@@ -43,29 +43,29 @@
         self.ids.iter().enumerate().map(candidate).collect()
     }
 
-    fn placement<'a>(&'a self, prompt: &'a Prompt, draw: u64) -> Placement<'a> {
+    fn placement<'a>(&'a self, prompt: &'a Prompt, seed: u64) -> Placement<'a> {
         Placement {
             prompt: Some(prompt),
             isolated: None,
             zone: &self.zone,
-            draw,
+            seed,
             store: None,
-            considered: None,
-            copied: false,
+            sample_size: None,
+            replicate: false,
             now: Timestamp::ZERO,
         }
     }
 }
 
 fn prompt(shared: &[(u64, u32)], own: u32) -> Prompt {
-    let mut parts: Vec<Part> =
-        shared.iter().map(|(id, tokens)| Part { id: PartId(*id), tokens: *tokens }).collect();
-    parts.push(Part { id: PartId(999), tokens: own });
+    let mut segments: Vec<Segment> =
+        shared.iter().map(|(id, tokens)| Segment { id: SegmentId(*id), tokens: *tokens }).collect();
+    segments.push(Segment { id: SegmentId(999), tokens: own });
     Prompt {
         model: ModelId::from("m"),
-        prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
+        prompt_tokens: segments.iter().map(|part| part.tokens).sum(),
         output_tokens: 50,
-        parts,
+        segments,
     }
 }
 
@@ -73,8 +73,8 @@
     CacheScope { model: ModelId::from("m"), weights: WeightsVersion(weights), tenant: None }
 }
 
-fn choose(chooser: &Chooser, world: &World, prompt: &Prompt, draw: u64) -> Choice {
-    chooser.choose(world.placement(prompt, draw), &world.candidates()).expect("a back end")
+fn choose(chooser: &Chooser, world: &World, prompt: &Prompt, seed: u64) -> Choice {
+    chooser.choose(world.placement(prompt, seed), &world.candidates()).expect("a back end")
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let world = World::of(&[1; 8]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let chosen: Vec<BackendId> =
-        (0..20).map(|draw| choose(&Chooser::default(), &world, &prompt, draw).backend).collect();
+        (0..20).map(|seed| choose(&Chooser::default(), &world, &prompt, seed).backend).collect();
     assert!(chosen.windows(2).all(|pair| pair[0] == pair[1]), "{chosen:?}");
 }
 
@@ -91,9 +91,9 @@
     let world = World::of(&[1; 4]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let mut chooser = Chooser::default();
-    chooser.learned(&world.ids[2], &scope(1), &prompt, Timestamp::ZERO);
+    chooser.record_prefill(&world.ids[2], &scope(1), &prompt, Timestamp::ZERO);
     // The keeper is busy: the prefix moves instead of the request waiting.
-    chooser.loads.started(&world.ids[2], 50_000, Timestamp::ZERO);
+    chooser.loads.record_start(&world.ids[2], 50_000, Timestamp::ZERO);
     let choice = choose(&chooser, &world, &prompt, 1);
     assert_ne!(choice.backend, world.ids[2]);
     assert_eq!(choice.import_from, Some(address(2)));
@@ -105,8 +105,8 @@
     let world = World::of(&[1, 2]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let mut chooser = Chooser::default();
-    chooser.learned(&world.ids[0], &scope(1), &prompt, Timestamp::ZERO);
-    chooser.loads.started(&world.ids[0], 90_000, Timestamp::ZERO);
+    chooser.record_prefill(&world.ids[0], &scope(1), &prompt, Timestamp::ZERO);
+    chooser.loads.record_start(&world.ids[0], 90_000, Timestamp::ZERO);
     let choice = choose(&chooser, &world, &prompt, 1);
     assert_eq!(choice.backend, world.ids[1]);
     assert_eq!(choice.import_from, None);
@@ -118,11 +118,11 @@
     let world = World::of(&[1; 4]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let mut chooser = Chooser::default();
-    chooser.learned(&world.ids[2], &scope(1), &prompt, Timestamp::ZERO);
+    chooser.record_prefill(&world.ids[2], &scope(1), &prompt, Timestamp::ZERO);
     let tenant = TenantId::from("alpha");
     let placement = Placement { isolated: Some(&tenant), ..world.placement(&prompt, 1) };
     let choice = chooser.choose(placement, &world.candidates()).expect("a back end");
-    assert_eq!((choice.held_tokens, choice.import_from), (0, None));
+    assert_eq!((choice.cached_tokens, choice.import_from), (0, None));
     assert_eq!(choice.scope.expect("a scope").tenant, Some(tenant));
 }
 
@@ -131,13 +131,13 @@
     let world = World::of(&[1; 3]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let id = BackendId::from("store");
-    let store = Store { id: id.clone(), address: address(50) };
-    let placement = |draw| Placement { store: Some(&store), ..world.placement(&prompt, draw) };
+    let store = CacheStore { id: id.clone(), address: address(50) };
+    let placement = |seed| Placement { store: Some(&store), ..world.placement(&prompt, seed) };
     let mut chooser = Chooser::default();
     let first = chooser.choose(placement(1), &world.candidates()).expect("a back end");
     assert_eq!(first.save_to, Some(store.clone()));
-    let kept = KeptPart { scope: ScopeHash::from(&scope(1)), part: PartId(7), tokens: 4_000 };
-    chooser.told(&id, &[kept], Timestamp::ZERO);
+    let kept = CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(7), tokens: 4_000 };
+    chooser.apply_feed(&id, &[kept], Timestamp::ZERO);
     let second = chooser.choose(placement(2), &world.candidates()).expect("a back end");
     assert_eq!((second.import_from, second.save_to), (Some(address(50)), None));
 }
@@ -146,15 +146,15 @@
 fn the_store_comes_before_an_engine_that_keeps_as_much_only_where_nodes_are_many() {
     let world = World::of(&[1; 3]);
     let prompt = prompt(&[(7, 4_000)], 300);
-    let store = Store { id: BackendId::from("store"), address: address(50) };
+    let store = CacheStore { id: BackendId::from("store"), address: address(50) };
     let mut chooser = Chooser::default();
-    chooser.learned(&world.ids[0], &scope(1), &prompt, Timestamp::ZERO);
-    chooser.learned(&store.id, &scope(1), &prompt, Timestamp::ZERO);
-    chooser.loads.started(&world.ids[0], 90_000, Timestamp::ZERO);
+    chooser.record_prefill(&world.ids[0], &scope(1), &prompt, Timestamp::ZERO);
+    chooser.record_prefill(&store.id, &scope(1), &prompt, Timestamp::ZERO);
+    chooser.loads.record_start(&world.ids[0], 90_000, Timestamp::ZERO);
     let few = Placement { store: Some(&store), ..world.placement(&prompt, 1) };
     let source = |placement| chooser.choose(placement, &world.candidates()).expect("a choice").import_from;
     assert_eq!(source(few), Some(address(0)));
-    let many = Placement { considered: Some(3), draw: 1, ..few };
+    let many = Placement { sample_size: Some(3), seed: 1, ..few };
     assert_eq!(source(many), Some(store.address));
 }
 
@@ -163,11 +163,14 @@
     let world = World::of(&[1; 3]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let mut chooser = Chooser::default();
-    chooser.learned(&world.ids[1], &scope(1), &prompt, Timestamp::ZERO);
-    let part = |tokens| KeptPart { scope: ScopeHash::from(&scope(1)), part: PartId(7), tokens };
-    chooser.told(&world.ids[1], &[part(1_600)], Timestamp::ZERO);
-    assert_eq!(chooser.prefixes.kept(&world.ids[1], ScopeHash::from(&scope(1)), prompt.shared()), 1_600);
-    chooser.told(&world.ids[1], &[part(0)], Timestamp::ZERO);
+    chooser.record_prefill(&world.ids[1], &scope(1), &prompt, Timestamp::ZERO);
+    let part = |tokens| CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(7), tokens };
+    chooser.apply_feed(&world.ids[1], &[part(1_600)], Timestamp::ZERO);
+    assert_eq!(
+        chooser.prefixes.cached_tokens(&world.ids[1], ScopeHash::from(&scope(1)), prompt.shared()),
+        1_600
+    );
+    chooser.apply_feed(&world.ids[1], &[part(0)], Timestamp::ZERO);
     assert!(chooser.prefixes.is_empty());
 }
 
@@ -179,20 +182,20 @@
         prompt: None,
         isolated: None,
         zone: &world.zone,
-        draw: 3,
+        seed: 3,
         store: None,
-        considered: None,
-        copied: false,
+        sample_size: None,
+        replicate: false,
         now: Timestamp::ZERO,
     };
-    chooser.loads.started(&world.ids[0], 0, Timestamp::ZERO);
-    chooser.loads.started(&world.ids[1], 0, Timestamp::ZERO);
+    chooser.loads.record_start(&world.ids[0], 0, Timestamp::ZERO);
+    chooser.loads.record_start(&world.ids[1], 0, Timestamp::ZERO);
     let choice = chooser.choose(placement, &world.candidates()).expect("a back end");
     assert_eq!(choice.backend, world.ids[2]);
     for _ in 0..10 {
-        chooser.loads.measured(&world.ids[0], 50.0, Timestamp::ZERO);
-        chooser.loads.measured(&world.ids[1], 50.0, Timestamp::ZERO);
-        chooser.loads.measured(&world.ids[2], 900.0, Timestamp::ZERO);
+        chooser.loads.record_latency(&world.ids[0], 50.0, Timestamp::ZERO);
+        chooser.loads.record_latency(&world.ids[1], 50.0, Timestamp::ZERO);
+        chooser.loads.record_latency(&world.ids[2], 900.0, Timestamp::ZERO);
     }
     let choice = chooser.choose(placement, &world.candidates()).expect("a back end");
     assert_ne!(choice.backend, world.ids[2]);
@@ -204,12 +207,12 @@
     let backend = BackendId::from("engine-0");
     let mut chooser = Chooser::default();
     for _ in 0..5 {
-        chooser.loads.measured(&backend, 100.0, Timestamp::ZERO);
+        chooser.loads.record_latency(&backend, 100.0, Timestamp::ZERO);
     }
-    chooser.loads.started(&backend, 500, at(1_000));
+    chooser.loads.record_start(&backend, 500, at(1_000));
     assert!(!chooser.loads.is_suspect(&backend, at(1_699)));
     assert!(chooser.loads.is_suspect(&backend, at(1_700)));
-    chooser.loads.read(&backend, 500, at(1_000));
+    chooser.loads.record_first_event(&backend, 500, at(1_000));
     assert!(!chooser.loads.is_suspect(&backend, at(1_700)));
 }
 
@@ -218,13 +221,14 @@
     let at = Timestamp::from_millis;
     let mut chooser = Chooser::default();
     let backend = BackendId::from("engine-0");
-    assert!(chooser.prefixes.kept_for(100_000, at(0)).as_secs() > 1_000);
+    assert!(chooser.prefixes.retention(100_000, at(0)).as_secs() > 1_000);
     for number in 0..100 {
-        let part = KeptPart { scope: ScopeHash::from(&scope(1)), part: PartId(number), tokens: 1_000 };
-        chooser.told(&backend, &[part], at(number * 100));
+        let part =
+            CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(number), tokens: 1_000 };
+        chooser.apply_feed(&backend, &[part], at(number * 100));
     }
     // Ten thousand tokens a second into room for a hundred thousand.
-    let kept = chooser.prefixes.kept_for(100_000, at(10_000)).as_secs();
+    let kept = chooser.prefixes.retention(100_000, at(10_000)).as_secs();
     assert!((8..14).contains(&kept), "{kept}");
 }
 
@@ -237,7 +241,7 @@
     candidates[0].outdated = true;
     let chosen = chooser.choose(world.placement(&prompt, 1), &candidates).expect("a choice");
     assert_eq!(chosen.backend, world.ids[1]);
-    chooser.loads.started(&world.ids[1], 20_000, Timestamp::from_millis(1));
+    chooser.loads.record_start(&world.ids[1], 20_000, Timestamp::from_millis(1));
     let chosen = chooser.choose(world.placement(&prompt, 1), &candidates).expect("a choice");
     assert_eq!(chosen.backend, world.ids[0]);
 }
@@ -249,9 +253,9 @@
     let prompt = prompt(&[], 400);
     let work = EngineWork { engine: world.ids[0].clone(), requests: 8, unread_tokens: 0 };
     let light = EngineWork { engine: world.ids[1].clone(), requests: 2, unread_tokens: 2_500 };
-    chooser.loads.told(vec![work, light]);
-    for draw in 0..20 {
-        let chosen = chooser.choose(world.placement(&prompt, draw), &world.candidates()).expect("a choice");
+    chooser.loads.set_others(vec![work, light]);
+    for seed in 0..20 {
+        let chosen = chooser.choose(world.placement(&prompt, seed), &world.candidates()).expect("a choice");
         assert_eq!(chosen.backend, world.ids[1]);
     }
 }
@@ -261,18 +265,18 @@
     let world = World::of(&[1; 60]);
     let chooser = Chooser::default();
     let prompt = prompt(&[(7, 3_000)], 500);
-    let few = |draw| Placement { considered: Some(4), ..world.placement(&prompt, draw) };
+    let few = |seed| Placement { sample_size: Some(4), ..world.placement(&prompt, seed) };
     let homes: BTreeSet<_> = (0..30)
-        .map(|draw| chooser.choose(few(draw), &world.candidates()).expect("a choice"))
-        .map(|choice| (choice.backend, choice.at_home))
+        .map(|seed| chooser.choose(few(seed), &world.candidates()).expect("a choice"))
+        .map(|choice| (choice.backend, choice.is_preferred))
         .collect();
     assert_eq!(homes.len(), 1, "nobody keeps the part: all read it at its home");
     assert!(homes.iter().all(|(_, at_home)| *at_home));
     let mut busy = Chooser::default();
     let home = homes.first().expect("a home").0.clone();
-    busy.loads.told(vec![EngineWork { engine: home.clone(), requests: 40, unread_tokens: 200_000 }]);
+    busy.loads.set_others(vec![EngineWork { engine: home.clone(), requests: 40, unread_tokens: 200_000 }]);
     let away: BTreeSet<_> =
-        (0..30).map(|draw| busy.choose(few(draw), &world.candidates()).expect("a choice").backend).collect();
+        (0..30).map(|seed| busy.choose(few(seed), &world.candidates()).expect("a choice").backend).collect();
     assert!(!away.contains(&home));
     assert!(away.len() > 10, "different requests weigh different back ends: {}", away.len());
 }
@@ -283,18 +287,18 @@
     let mut chooser = Chooser::default();
     let prompt = prompt(&[(7, 3_000)], 500);
     let scope = CacheScope { model: prompt.model.clone(), weights: WeightsVersion(1), tenant: None };
-    chooser.learned(&world.ids[0], &scope, &prompt, Timestamp::from_millis(1));
+    chooser.record_prefill(&world.ids[0], &scope, &prompt, Timestamp::from_millis(1));
     let id = BackendId::from("store");
-    let store = Store { id: id.clone(), address: address(90) };
+    let store = CacheStore { id: id.clone(), address: address(90) };
     let placement = Placement { store: Some(&store), ..world.placement(&prompt, 1) };
     let alone = chooser.choose(placement, &world.candidates()).expect("a choice");
-    assert_eq!((&alone.backend, alone.held_tokens), (&world.ids[0], 3_000));
+    assert_eq!((&alone.backend, alone.cached_tokens), (&world.ids[0], 3_000));
     assert_eq!(alone.import_from, Some(store.address), "what is believed may be wrong");
-    chooser.learned(&world.ids[1], &scope, &prompt, Timestamp::from_millis(2));
+    chooser.record_prefill(&world.ids[1], &scope, &prompt, Timestamp::from_millis(2));
     let with_other = chooser.choose(placement, &world.candidates()).expect("a choice");
     let other = if with_other.backend == world.ids[0] { address(1) } else { address(0) };
     assert_eq!(with_other.import_from, Some(other));
-    let many_nodes = Placement { considered: Some(6), ..placement };
+    let many_nodes = Placement { sample_size: Some(6), ..placement };
     let from_store = chooser.choose(many_nodes, &world.candidates()).expect("a choice");
     assert_eq!(from_store.import_from, Some(store.address), "what many nodes know of engines is old");
 }
@@ -304,7 +308,7 @@
     let at = Timestamp::from_millis;
     let backend = BackendId::from("engine-0");
     let mut chooser = Chooser::default();
-    chooser.loads.measured(&backend, 3_000.0, at(0));
+    chooser.loads.record_latency(&backend, 3_000.0, at(0));
     assert_eq!(chooser.loads.slowest(at(2_000)).as_millis(), 3_000);
     assert!(chooser.loads.slowest(at(6_000)).as_millis() < 1_200);
     assert!(chooser.loads.slowest(at(20_000)).as_millis() < 100);
@@ -324,7 +328,7 @@
         let asked = prompt(&[], 1);
         let placement = Placement { prompt: None, now, ..world.placement(&asked, now.as_millis()) };
         let choice = chooser.choose(placement, &world.candidates()).expect("a back end");
-        chooser.loads.measured(&choice.backend, 2.0, now);
+        chooser.loads.record_latency(&choice.backend, 2.0, now);
         let index = world.ids.iter().position(|id| *id == choice.backend).expect("one of them");
         got[index] += 1;
     }
@@ -343,7 +347,7 @@
         let mut chooser = Chooser::default();
         for id in &world.ids {
             let milliseconds = if *id == world.ids[0] { slow_ms } else { 2.0 };
-            (0..5).for_each(|_| chooser.loads.measured(id, milliseconds, Timestamp::ZERO));
+            (0..5).for_each(|_| chooser.loads.record_latency(id, milliseconds, Timestamp::ZERO));
         }
         let got = one_after_the_other(&mut chooser, &world, Timestamp::ZERO, pause, 300);
         assert!(
@@ -363,9 +367,9 @@
     let world = World::of(&[1; 2]);
     let mut chooser = Chooser::default();
     for (id, milliseconds) in world.ids.iter().zip([50.0, 2.0]) {
-        (0..5).for_each(|_| chooser.loads.measured(id, milliseconds, Timestamp::ZERO));
+        (0..5).for_each(|_| chooser.loads.record_latency(id, milliseconds, Timestamp::ZERO));
     }
-    chooser.loads.started(&world.ids[0], 0, Timestamp::ZERO);
+    chooser.loads.record_start(&world.ids[0], 0, Timestamp::ZERO);
     let got = one_after_the_other(&mut chooser, &world, Timestamp::ZERO, Duration::from_millis(100), 600);
     assert_eq!(got[0], 0, "{got:?}");
 }
@@ -377,7 +381,7 @@
     for pause_ms in [10, 100, 5_000] {
         let world = World::of(&[1; 2]);
         let mut chooser = Chooser::default();
-        (0..10).for_each(|_| chooser.loads.measured(&world.ids[1], 2.0, Timestamp::ZERO));
+        (0..10).for_each(|_| chooser.loads.record_latency(&world.ids[1], 2.0, Timestamp::ZERO));
         let got =
             one_after_the_other(&mut chooser, &world, Timestamp::ZERO, Duration::from_millis(pause_ms), 60);
         assert!(got[0] >= 10, "every {pause_ms} ms one: {got:?}");
@@ -397,7 +401,7 @@
         let choice = chooser.choose(placement, &world.candidates()).expect("a back end");
         let is_slow = choice.backend == world.ids[0];
         slow += usize::from(is_slow);
-        chooser.loads.measured(&choice.backend, if is_slow { 50.0 } else { 2.0 }, now);
+        chooser.loads.record_latency(&choice.backend, if is_slow { 50.0 } else { 2.0 }, now);
     }
     // Five to be known as slow, then one in ten seconds.
     assert!(slow <= 15, "{slow} of 600 went to the slow one");
@@ -406,21 +410,21 @@
 #[test]
 fn engines_are_asked_instead_of_stores_while_answers_from_stores_begin_much_later() {
     let ms = std::time::Duration::from_millis;
-    let preferring = |times: &SourceTimes| (0..600).filter(|draw| times.prefers_store(*draw)).count();
+    let preferring = |times: &SourceTimes| (0..600).filter(|seed| times.prefers_store(*seed)).count();
     let mut times = SourceTimes::default();
     assert_eq!(preferring(&times), 500, "one in six looks how engines do");
     for _ in 0..10 {
-        times.began(SourceKind::Store, ms(180));
-        times.began(SourceKind::Engine, ms(150));
+        times.record(SourceKind::Store, ms(180));
+        times.record(SourceKind::Engine, ms(150));
     }
     assert_eq!(preferring(&times), 500, "a small difference does not matter");
     for _ in 0..10 {
-        times.began(SourceKind::Store, ms(1_500));
-        times.began(SourceKind::Engine, ms(600));
+        times.record(SourceKind::Store, ms(1_500));
+        times.record(SourceKind::Engine, ms(600));
     }
     assert_eq!(preferring(&times), 100, "one in six looks whether stores have become faster");
     for _ in 0..30 {
-        times.began(SourceKind::Store, ms(200));
+        times.record(SourceKind::Store, ms(200));
     }
     assert_eq!(preferring(&times), 500);
 }
--- a/crates/core/tests/forwarding_decisions.rs
+++ b/crates/core/tests/forwarding_decisions.rs
@@ -249,13 +249,13 @@
         emitted.extend_from_slice(&splitter.push(rest));
         assert_eq!(emitted, stream[..stream.len() - 8]);
         assert_eq!(splitter.last_id(), Some(3));
-        assert!(splitter.holds_part());
+        assert!(splitter.has_partial_event());
     });
 }
 
 #[test]
 fn a_resumed_stream_gives_no_event_twice() {
-    let mut splitter = EventSplitter::after(Some(2));
+    let mut splitter = EventSplitter::resuming_after(Some(2));
     let emitted = splitter.push(b"id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
     assert_eq!(&emitted[..], b"id: 3\ndata: c\n\n");
 }
--- a/crates/core/tests/forwarding_fleet.rs
+++ b/crates/core/tests/forwarding_fleet.rs
@@ -6,9 +6,9 @@
     budget::node_reserve,
     children::Admission,
     even_share::even_share,
+    feed_selection::{followed_feeds, should_follow_feeds},
     fleet::Fleet,
-    news::NewsLog,
-    readers::{are_worth_following, followed},
+    gossip::GossipLog,
 };
 use paddlemount_protocol::{
     fleet::{EngineWork, InForce, JoinRequest, KeptNews, Member, Report},
@@ -47,7 +47,7 @@
 
 fn informed(node: &str, zone: &str) -> Fleet {
     let mut fleet = fleet_of(node, zone);
-    fleet.told(Vec::new(), Some(4), at(0));
+    fleet.record_update(Vec::new(), Some(4), at(0));
     fleet
 }
 
@@ -73,29 +73,29 @@
         in_force: InForce::default(),
         rising: String::new(),
     };
-    assert!(fleet.children.reported(&report, now));
+    assert!(fleet.children.record_report(&report, now));
 }
 
 #[test]
 fn a_root_counts_only_after_it_has_heard_reports_for_a_while_and_remembers_the_greatest_count() {
     let mut root = fleet_of("a1", "a");
     root.tick(true, at(0));
-    assert_eq!(root.count(at(0)), None);
+    assert_eq!(root.node_count(at(0)), None);
     report(&mut root, member("b1", "b"), 1, Vec::new(), at(1_900));
     root.tick(true, at(2_000));
-    assert_eq!(root.count(at(2_000)), Some(3));
+    assert_eq!(root.node_count(at(2_000)), Some(3));
     root.tick(true, at(10_000));
-    assert_eq!(root.children.heard(), 1, "nodes that say nothing are gone");
-    assert_eq!(root.count(at(10_000)), Some(3), "but may still act on the count");
+    assert_eq!(root.children.subtree_size(), 1, "nodes that say nothing are gone");
+    assert_eq!(root.node_count(at(10_000)), Some(3), "but may still act on the count");
     root.tick(true, at(30_000));
-    assert_eq!(root.count(at(30_000)), Some(1));
+    assert_eq!(root.node_count(at(30_000)), Some(1));
 }
 
 #[test]
 fn a_node_that_loses_everyone_does_not_take_itself_for_the_only_one() {
     let mut fleet = informed("b2", "b");
     fleet.tick(false, at(20_000));
-    assert_eq!(fleet.count(at(20_000)), None);
+    assert_eq!(fleet.node_count(at(20_000)), None);
 }
 
 #[test]
@@ -105,20 +105,20 @@
     report(&mut root, member("a2", "a"), 0, vec![work("e1", 2)], at(0));
     report(&mut root, member("b1", "b"), 1, vec![work("e1", 5), work("e2", 3)], at(0));
     let own = [work("e1", 10)];
-    let told = root.work_beside(&NodeId::from("b1"), &own, at(1));
+    let told = root.work_excluding(&NodeId::from("b1"), &own, at(1));
     assert_eq!(told, vec![work("e1", 12)]);
     let mut between = informed("b1", "b");
-    between.told(told, Some(4), at(1));
+    between.record_update(told, Some(4), at(1));
     report(&mut between, member("b2", "b"), 0, vec![work("e2", 3)], at(1));
-    let told = between.work_beside(&NodeId::from("b2"), &[work("e1", 5)], at(2));
+    let told = between.work_excluding(&NodeId::from("b2"), &[work("e1", 5)], at(2));
     assert_eq!(told, vec![work("e1", 17)]);
-    assert_eq!(between.work_below(&[work("e1", 5)], at(2)), vec![work("e1", 5), work("e2", 3)]);
+    assert_eq!(between.subtree_work(&[work("e1", 5)], at(2)), vec![work("e1", 5), work("e2", 3)]);
 }
 
 #[test]
 fn what_was_told_from_above_is_not_used_for_long() {
     let mut fleet = informed("b2", "b");
-    fleet.told(vec![work("e1", 9)], None, at(0));
+    fleet.record_update(vec![work("e1", 9)], None, at(0));
     assert_eq!(fleet.work_of_others(at(100)), vec![work("e1", 9)]);
     assert!(fleet.work_of_others(at(5_000)).is_empty());
 }
@@ -130,7 +130,7 @@
         let (nodes, engines) = (nodes(count), engines(4 * count));
         let mut readers = BTreeMap::new();
         for member in &nodes {
-            for engine in followed(&member.node, Some(count as u32), engines.iter()) {
+            for engine in followed_feeds(&member.node, Some(count as u32), engines.iter()) {
                 *readers.entry(engine.clone()).or_insert(0) += 1;
             }
         }
@@ -146,21 +146,21 @@
 #[test]
 fn feeds_of_engines_that_keep_parts_for_minutes_are_left_alone() {
     // Twelve engines that are filled anew in 16 s, and ten thousand in six minutes.
-    assert!(are_worth_following(80_000.0, 12 * 110_556, false));
-    assert!(!are_worth_following(2_500_000.0, 9_675 * 88_547, false));
+    assert!(should_follow_feeds(80_000.0, 12 * 110_556, false));
+    assert!(!should_follow_feeds(2_500_000.0, 9_675 * 88_547, false));
     // In between nothing goes to and fro.
-    assert!(are_worth_following(5_000_000.0, 9_675 * 88_547, true));
-    assert!(!are_worth_following(5_000_000.0, 9_675 * 88_547, false));
+    assert!(should_follow_feeds(5_000_000.0, 9_675 * 88_547, true));
+    assert!(!should_follow_feeds(5_000_000.0, 9_675 * 88_547, false));
     // A node that has just started does not know yet: one of a first start has missed nothing.
-    assert!(are_worth_following(0.0, 1_000_000, true));
-    assert!(!are_worth_following(0.0, 1_000_000, false));
+    assert!(should_follow_feeds(0.0, 1_000_000, true));
+    assert!(!should_follow_feeds(0.0, 1_000_000, false));
 }
 
 #[test]
 fn each_of_few_nodes_follows_all_feeds_of_few_engines() {
     let (members, engines) = (nodes(8), engines(13));
     for member in &members {
-        assert_eq!(followed(&member.node, Some(8), engines.iter()).len(), 13);
+        assert_eq!(followed_feeds(&member.node, Some(8), engines.iter()).len(), 13);
     }
 }
 
@@ -168,19 +168,19 @@
 fn a_node_follows_few_feeds_of_many_engines_however_few_nodes_are_counted() {
     let engines = engines(90);
     for known in [None, Some(1), Some(3), Some(10)] {
-        let count = followed(&NodeId::from("n0"), known, engines.iter()).len();
+        let count = followed_feeds(&NodeId::from("n0"), known, engines.iter()).len();
         assert!((10..=24).contains(&count), "{count} feeds with {known:?} nodes counted");
     }
     let ten_thousand: Vec<EngineId> =
         (0..10_000).map(|number| EngineId::from(format!("e{number}"))).collect();
-    assert!(followed(&NodeId::from("n0"), Some(64), ten_thousand.iter()).len() <= 24);
+    assert!(followed_feeds(&NodeId::from("n0"), Some(64), ten_thousand.iter()).len() <= 24);
 }
 
 #[test]
 fn nodes_that_know_nobody_follow_different_feeds() {
     let engines = engines(90);
-    let first = followed(&NodeId::from("n0"), None, engines.iter());
-    let second = followed(&NodeId::from("n1"), None, engines.iter());
+    let first = followed_feeds(&NodeId::from("n0"), None, engines.iter());
+    let second = followed_feeds(&NodeId::from("n1"), None, engines.iter());
     assert_ne!(first, second);
 }
 
@@ -188,13 +188,13 @@
 fn a_root_that_has_just_begun_keeps_the_count_that_it_knew() {
     let mut root = informed("a2", "a");
     root.tick(true, at(100));
-    assert_eq!(root.count(at(100)), Some(4), "nobody has reported yet");
+    assert_eq!(root.node_count(at(100)), Some(4), "nobody has reported yet");
     report(&mut root, member("b1", "b"), 0, Vec::new(), at(1_900));
     root.tick(true, at(2_100));
-    assert_eq!(root.count(at(2_100)), Some(4), "those that are gone may still act on it");
+    assert_eq!(root.node_count(at(2_100)), Some(4), "those that are gone may still act on it");
     report(&mut root, member("b1", "b"), 0, Vec::new(), at(12_500));
     root.tick(true, at(12_500));
-    assert_eq!(root.count(at(12_500)), Some(2), "by now all that are left have reported");
+    assert_eq!(root.node_count(at(12_500)), Some(2), "by now all that are left have reported");
 }
 
 fn news(part: u64) -> KeptNews {
@@ -203,11 +203,11 @@
 
 #[test]
 fn news_comes_once_and_in_order_and_a_reader_of_another_log_begins_with_what_comes_next() {
-    let mut log = NewsLog::new(7);
-    log.log([news(1), news(2)]);
+    let mut log = GossipLog::new(7);
+    log.append([news(1), news(2)]);
     let (first, cursor) = log.since(7, 0, 1);
     assert_eq!((first.len(), cursor), (2, 2));
-    log.log([news(3)]);
+    log.append([news(3)]);
     assert_eq!(log.since(7, cursor, 1), (vec![news(3)], 3));
     assert_eq!(log.since(7, 3, 1), (Vec::new(), 3));
     assert_eq!(log.since(8, 0, 1), (Vec::new(), 3));
@@ -216,37 +216,37 @@
 
 #[test]
 fn what_the_node_above_has_not_taken_is_told_again() {
-    let mut log = NewsLog::new(7);
-    log.learned(news(1));
-    assert_eq!(log.report(), vec![news(1)]);
-    log.learned(news(2));
-    assert_eq!(log.report(), vec![news(1), news(2)], "the first report was not answered");
-    log.taken();
-    assert_eq!(log.report(), Vec::new());
+    let mut log = GossipLog::new(7);
+    log.enqueue(news(1));
+    assert_eq!(log.next_batch(), vec![news(1)]);
+    log.enqueue(news(2));
+    assert_eq!(log.next_batch(), vec![news(1), news(2)], "the first report was not answered");
+    log.acknowledge();
+    assert_eq!(log.next_batch(), Vec::new());
     for part in 0..5_000 {
-        log.learned(news(part));
+        log.enqueue(news(part));
     }
     assert!(log.drain().len() <= 1_024);
 }
 
 #[test]
 fn news_of_stores_goes_before_news_of_engines_that_came_earlier() {
-    let mut log = NewsLog::new(7);
+    let mut log = GossipLog::new(7);
     let store = EngineId::from("store");
     log.set_stores([store.clone()].into());
     let of_store = KeptNews { engine: store, ..news(9) };
     for part in 0..1_000 {
-        log.learned(news(part));
+        log.enqueue(news(part));
     }
-    log.learned(of_store.clone());
-    assert_eq!(log.report()[0], of_store);
-    assert_eq!(log.report().len(), 384);
+    log.enqueue(of_store.clone());
+    assert_eq!(log.next_batch()[0], of_store);
+    assert_eq!(log.next_batch().len(), 384);
 }
 
 #[test]
 fn the_more_nodes_report_the_less_each_is_told_at_once() {
-    let mut log = NewsLog::new(7);
-    log.log((0..2_000).map(news));
+    let mut log = GossipLog::new(7);
+    log.append((0..2_000).map(news));
     let told = |readers| log.since(7, 0, readers).0.len();
     assert_eq!((told(1), told(26), told(100), told(1_000)), (384, 315, 81, 64));
 }
@@ -265,12 +265,12 @@
 fn a_root_that_hears_nobody_any_more_knows_that_it_may_be_cut_off() {
     let mut root = fleet_of("a1", "a");
     root.tick(true, at(0));
-    assert!(!root.is_deserted(at(9_000)), "it may be the only node");
+    assert!(!root.is_partitioned(at(9_000)), "it may be the only node");
     report(&mut root, member("b1", "b"), 0, Vec::new(), at(9_000));
-    assert!(!root.is_deserted(at(11_000)));
-    assert!(root.is_deserted(at(11_600)));
+    assert!(!root.is_partitioned(at(11_000)));
+    assert!(root.is_partitioned(at(11_600)));
     root.tick(false, at(11_700));
-    assert!(!root.is_deserted(at(12_000)));
+    assert!(!root.is_partitioned(at(12_000)));
 }
 
 #[test]
--- a/crates/core/tests/forwarding_pool.rs
+++ b/crates/core/tests/forwarding_pool.rs
@@ -6,7 +6,7 @@
     backends::{BackendEntry, BackendId, BackendState, Backends},
     choice::{Candidate, Choice, Chooser, Placement},
     pool::Pool,
-    prompt::{Part, PartId, Prompt},
+    prompt::{Prompt, Segment, SegmentId},
     ranks::{rank, rank_for},
 };
 use paddlemount_protocol::{
@@ -111,17 +111,19 @@
     let all = candidates(&ids, &zone);
     let chooser = Chooser::default();
     for subject in 0..200 {
-        let parts =
-            vec![Part { id: PartId(subject), tokens: 4_000 }, Part { id: PartId(9_999), tokens: 300 }];
-        let prompt = Prompt { model: model(), prompt_tokens: 4_300, output_tokens: 10, parts };
+        let segments = vec![
+            Segment { id: SegmentId(subject), tokens: 4_000 },
+            Segment { id: SegmentId(9_999), tokens: 300 },
+        ];
+        let prompt = Prompt { model: model(), prompt_tokens: 4_300, output_tokens: 10, segments };
         let placement = Placement {
             prompt: Some(&prompt),
             isolated: None,
             zone: &zone,
-            draw: subject * 7,
+            seed: subject * 7,
             store: None,
-            considered: Some(6),
-            copied: false,
+            sample_size: Some(6),
+            replicate: false,
             now: Timestamp::ZERO,
         };
         let choice: Choice = chooser.choose(placement, &all).expect("a choice");
@@ -130,7 +132,7 @@
             all.iter().filter(|candidate| candidate.eligible && candidate.weights == Some(weights));
         let preferred = eligible.max_by_key(|candidate| rank_for(rank(candidate.id), subject));
         assert!(choice.eligible <= 8, "six are drawn, and a preferred engine for each version: {choice:?}");
-        assert!(choice.at_home, "no engine has the segment cached, so the preferred one computes it");
+        assert!(choice.is_preferred, "no engine has the segment cached, so the preferred one computes it");
         assert_eq!(Some(&choice.backend), preferred.map(|engine| engine.id));
     }
 }
@@ -142,16 +144,16 @@
     let mut all = candidates(&ids, &zone);
     all.iter_mut().for_each(|candidate| candidate.eligible = false);
     all[500].eligible = true;
-    let prompt = Prompt { model: model(), prompt_tokens: 300, output_tokens: 10, parts: Vec::new() };
-    for draw in 0..50 {
+    let prompt = Prompt { model: model(), prompt_tokens: 300, output_tokens: 10, segments: Vec::new() };
+    for seed in 0..50 {
         let placement = Placement {
             prompt: Some(&prompt),
             isolated: None,
             zone: &zone,
-            draw,
+            seed,
             store: None,
-            considered: Some(6),
-            copied: false,
+            sample_size: Some(6),
+            replicate: false,
             now: Timestamp::ZERO,
         };
         let choice = Chooser::default().choose(placement, &all).expect("a choice");
--- a/crates/core/tests/forwarding_shards.rs
+++ b/crates/core/tests/forwarding_shards.rs
@@ -3,13 +3,13 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use paddlemount_core::forwarding::{
-    choice::{Store, shard_of},
-    prompt::{Part, PartId, Prompt},
+    choice::{CacheStore, shard_of},
+    prompt::{Prompt, Segment, SegmentId},
 };
 use paddlemount_protocol::identity::{EngineId, ModelId};
 
-fn stores(count: u16) -> Vec<Store> {
-    let store = |number: u16| Store {
+fn stores(count: u16) -> Vec<CacheStore> {
+    let store = |number: u16| CacheStore {
         id: EngineId::from(format!("kept-{number}").as_str()),
         address: SocketAddr::from(([10, 0, 0, 1], 7_000 + number)),
     };
@@ -17,12 +17,12 @@
 }
 
 fn prompt(subject: u64, own: u64) -> Prompt {
-    let part = |id, tokens| Part { id: PartId(id), tokens };
+    let part = |id, tokens| Segment { id: SegmentId(id), tokens };
     Prompt {
         model: ModelId::from("m"),
         prompt_tokens: 7_000,
         output_tokens: 10,
-        parts: vec![part(1, 2_000), part(subject, 4_000), part(own, 1_000)],
+        segments: vec![part(1, 2_000), part(subject, 4_000), part(own, 1_000)],
     }
 }
 
@@ -53,7 +53,7 @@
 fn a_store_that_goes_moves_only_what_belonged_to_it() {
     let known = stores(6);
     let lost = known[2].clone();
-    let left: Vec<Store> = known.iter().filter(|store| **store != lost).cloned().collect();
+    let left: Vec<CacheStore> = known.iter().filter(|store| **store != lost).cloned().collect();
     for subject in 10..500 {
         let before = shard_of(&prompt(subject, 0), known.iter().cloned()).expect("a store");
         let after = shard_of(&prompt(subject, 0), left.iter().cloned()).expect("a store");
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_prompt_that_shares_nothing_belongs_to_no_store() {
-    let alone = Prompt { parts: vec![Part { id: PartId(5), tokens: 900 }], ..prompt(0, 0) };
+    let alone = Prompt { segments: vec![Segment { id: SegmentId(5), tokens: 900 }], ..prompt(0, 0) };
     assert_eq!(shard_of(&alone, stores(6).into_iter()), None);
     assert_eq!(shard_of(&prompt(1, 2), std::iter::empty()), None);
 }
--- a/crates/core/tests/forwarding_tree.rs
+++ b/crates/core/tests/forwarding_tree.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use paddlemount_core::forwarding::{children::fan_in, uplink::Turn};
+use paddlemount_core::forwarding::{children::fan_in, uplink::NextStep};
 use paddlemount_protocol::{fleet::Contact, identity::NodeId, time::Timestamp};
 use tree_support::{Nodes, STRONG, address, fleet, name};
 
@@ -20,7 +20,7 @@
     assert!(nodes.deepest() <= 8 && nodes.percent_below(4) <= 8, "{:?}", nodes.depths());
     assert!(nodes.crossings() <= 40, "{} links cross zones", nodes.crossings());
     let root = &nodes.fleets[&name(0)];
-    assert_eq!(root.count(nodes.now), Some(985));
+    assert_eq!(root.node_count(nodes.now), Some(985));
 }
 
 #[test]
@@ -114,11 +114,15 @@
     let mut fleet = fleet(3, 5);
     let now = Timestamp::from_millis(100_000);
     fleet.uplink.joined(contact(4), now);
-    assert!(!fleet.uplink.told(vec![contact(3), contact(4)], Some(Duration::ZERO), now));
+    assert!(!fleet.uplink.update_path(vec![contact(3), contact(4)], Some(Duration::ZERO), now));
     assert_eq!(fleet.uplink.parent(), None);
-    assert_eq!(fleet.uplink.turn(Some(&contact(4)), false, now), Turn::Rest, "it is passed over for a while");
+    assert_eq!(
+        fleet.uplink.next_step(Some(&contact(4)), false, now),
+        NextStep::Wait,
+        "it is passed over for a while"
+    );
     let later = now + Duration::from_secs(4);
-    assert_eq!(fleet.uplink.turn(Some(&contact(4)), false, later), Turn::Join(contact(4)));
+    assert_eq!(fleet.uplink.next_step(Some(&contact(4)), false, later), NextStep::Join(contact(4)));
 }
 
 #[test]
--- a/crates/core/tests/tree_support/mod.rs
+++ b/crates/core/tests/tree_support/mod.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use paddlemount_core::forwarding::{children::Admission, fleet::Fleet, uplink::Turn};
+use paddlemount_core::forwarding::{children::Admission, fleet::Fleet, uplink::NextStep};
 use paddlemount_protocol::{
     fleet::{Contact, InForce, JoinAnswer, JoinRequest, Member, Report},
     identity::{NodeId, ZoneId},
@@ -94,13 +94,13 @@
         let root = self.root.as_ref().map(|root| self.contact(root));
         let Some(fleet) = self.fleets.get_mut(node) else { return false };
         fleet.tick(leads, now);
-        match fleet.uplink.turn(root.as_ref(), leads, now) {
-            Turn::Rest => false,
-            Turn::Join(to) => {
+        match fleet.uplink.next_step(root.as_ref(), leads, now) {
+            NextStep::Wait => false,
+            NextStep::Join(to) => {
                 self.join(node, &to);
                 true
             }
-            Turn::Report(to) => {
+            NextStep::Report(to) => {
                 self.report(node, &to);
                 false
             }
@@ -124,7 +124,7 @@
         let (now, leads) = (self.now, self.root.as_ref() == Some(parent));
         let fleet = self.fleet_mut(parent);
         let has_place = leads || fleet.uplink.parent().is_some();
-        if !has_place || fleet.uplink.stands_above(&request.sender.node) {
+        if !has_place || fleet.uplink.is_self_or_ancestor(&request.sender.node) {
             return JoinAnswer::Refused;
         }
         match fleet.children.admit(request, now) {
@@ -141,9 +141,9 @@
         };
         let leads = self.root.as_ref() == Some(&to.node);
         let above = &self.fleets[&to.node].uplink;
-        let (path, rooted) = (above.path(), above.rooted_age(leads, now));
+        let (path, rooted) = (above.path(), above.root_age(leads, now));
         let uplink = &mut self.fleet_mut(node).uplink;
-        if uplink.told(path, rooted, now)
+        if uplink.update_path(path, rooted, now)
             && let Some(to) = refer
         {
             uplink.referred(to);
@@ -153,14 +153,14 @@
     /// The report of `node` arrives at `parent`, which takes it in once more where it does not know it.
     fn take_report(&mut self, node: &NodeId, parent: &NodeId) -> Receipt {
         let now = self.now;
-        if !self.reaches(node, parent) || self.fleets[parent].uplink.stands_above(node) {
+        if !self.reaches(node, parent) || self.fleets[parent].uplink.is_self_or_ancestor(node) {
             return Receipt::NotTaken;
         }
         let report = report_of(&self.fleets[node], now);
         let above = self.fleets[parent].uplink.parent().cloned();
         let children = &mut self.fleet_mut(parent).children;
         let refer = children.take_referral(node, above.as_ref());
-        let known = children.reported(&report, now);
+        let known = children.record_report(&report, now);
         if refer.is_some() || known {
             return Receipt::Taken { refer };
         }
@@ -181,7 +181,7 @@
     }
 
     pub fn start_again(&mut self, node: &NodeId) {
-        let me = self.fleets[node].me().clone();
+        let me = self.fleets[node].local_member().clone();
         let takes = if me.capacity > 1 { STRONG } else { SMALL };
         self.fleets.insert(node.clone(), Fleet::new(me, takes));
         self.running.insert(node.clone());
@@ -219,7 +219,7 @@
         let mut depths = BTreeMap::new();
         for node in &self.running {
             let depth = self.way_up(node).map_or(99, |way| way.len() - 1);
-            *depths.entry((100 - self.fleets[node].me().capacity, depth)).or_default() += 1;
+            *depths.entry((100 - self.fleets[node].local_member().capacity, depth)).or_default() += 1;
         }
         depths
     }
@@ -236,7 +236,7 @@
 
     /// Links between zones.
     pub fn crossings(&self) -> usize {
-        let zone = |node: &NodeId| self.fleets[node].me().zone.clone();
+        let zone = |node: &NodeId| self.fleets[node].local_member().zone.clone();
         let crosses = |node: &&NodeId| {
             let parent = self.fleets[*node].uplink.parent();
             parent.is_some_and(|parent| zone(&parent.node) != zone(node))
@@ -266,10 +266,10 @@
         leaving: Vec::new(),
         limits: Vec::new(),
         asked: 0.0,
-        sender: fleet.me().clone(),
+        sender: fleet.local_member().clone(),
         room: fleet.children.room(now),
         work: Vec::new(),
-        heard: fleet.children.heard(),
+        heard: fleet.children.subtree_size(),
         spending: Vec::new(),
         runs: RunReport::default(),
         news: Vec::new(),
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -124,7 +124,7 @@
 impl Work {
     fn begin(node: &Rc<Node>, choice: &Choice) -> Self {
         let began = node.now();
-        node.beliefs.borrow_mut().chooser.loads.started(&choice.backend, choice.expected_tokens, began);
+        node.beliefs.borrow_mut().chooser.loads.record_start(&choice.backend, choice.expected_tokens, began);
         node.health(&choice.backend, HealthEvent::Dispatched, false);
         Self {
             node: Rc::clone(node),
@@ -140,8 +140,8 @@
             let now = self.node.now();
             let milliseconds = now.saturating_since(self.began).as_secs_f64() * 1_000.0;
             let mut beliefs = self.node.beliefs.borrow_mut();
-            beliefs.chooser.loads.read(&self.backend, tokens, self.began);
-            beliefs.chooser.loads.measured(&self.backend, milliseconds, now);
+            beliefs.chooser.loads.record_first_event(&self.backend, tokens, self.began);
+            beliefs.chooser.loads.record_latency(&self.backend, milliseconds, now);
         }
     }
 }
@@ -150,9 +150,9 @@
     fn drop(&mut self) {
         let mut beliefs = self.node.beliefs.borrow_mut();
         if let Some(tokens) = self.unread_tokens.take() {
-            beliefs.chooser.loads.read(&self.backend, tokens, self.began);
+            beliefs.chooser.loads.record_first_event(&self.backend, tokens, self.began);
         }
-        beliefs.chooser.loads.ended(&self.backend);
+        beliefs.chooser.loads.record_end(&self.backend);
     }
 }
 
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/beliefs.rs
@@ -7,7 +7,7 @@
         backends::{BackendId, BackendState, Backends},
         budget::{WindowBudget, WindowBudgetSettings, node_reserve},
         change_log::ChangeLog,
-        choice::{Chooser, Store},
+        choice::{CacheStore, Chooser},
         freshness::Freshness,
         refusals::Refusals,
         rollout::{Rollout, RolloutSettings},
@@ -178,7 +178,7 @@
         let Some(engine) = traits.and_then(|service| service.engine.as_ref()) else { return false };
         let engines = self.backends.usable(service).count() as u64;
         engine.copies
-            && self.chooser.prefixes.kept_for(engine.cache_tokens * engines, now) >= KEPT_LONG_ENOUGH
+            && self.chooser.prefixes.retention(engine.cache_tokens * engines, now) >= KEPT_LONG_ENOUGH
     }
 
     /// Tokens that the caches of all engines have room for.
@@ -199,11 +199,11 @@
     }
 
     /// The stores of kept parts that the configuration has, each under the name by which its feed is known.
-    pub fn stores(&self) -> impl Iterator<Item = Store> + '_ {
+    pub fn stores(&self) -> impl Iterator<Item = CacheStore> + '_ {
         let services = self.table.iter().flat_map(|table| table.services());
         services.filter_map(|(name, service)| {
             let kept = service.cache_store.as_ref()?;
-            Some(Store { id: BackendId::from(name.as_str()), address: kept.address })
+            Some(CacheStore { id: BackendId::from(name.as_str()), address: kept.address })
         })
     }
 
--- a/crates/forward/src/caller_close.rs
+++ b/crates/forward/src/caller_close.rs
@@ -1,6 +1,8 @@
 //! When a caller's connection closes: the decision of `core`, made again whenever its input may have changed.
 
-use paddlemount_core::forwarding::caller_connection::{Seen, StopStage, Verdict, judge};
+use paddlemount_core::forwarding::caller_connection::{
+    ConnectionAction, ConnectionState, StopStage, next_action,
+};
 use paddlemount_protocol::time::Timestamp;
 use tokio::sync::watch;
 
@@ -21,9 +23,9 @@
         loop {
             let present = *stage.borrow_and_update();
             let look_again = match self.judge(present) {
-                Verdict::Close => return Closes::Gently,
-                Verdict::Drop => return Closes::AtOnce,
-                Verdict::Keep(look_again) => look_again,
+                ConnectionAction::Close => return Closes::Gently,
+                ConnectionAction::Abort => return Closes::AtOnce,
+                ConnectionAction::KeepOpen(look_again) => look_again,
             };
             tokio::select! {
                 Ok(()) = stage.changed() => {}
@@ -34,13 +36,16 @@
     }
 
     /// Decides on the connection. The system is asked for unread bytes only where nothing else keeps it open.
-    fn judge(&self, stage: StopStage) -> Verdict {
+    fn judge(&self, stage: StopStage) -> ConnectionAction {
         let (seen, idle_timeout, now) = (self.seen(), self.host().idle_timeout(), self.now());
-        match judge(seen, stage, idle_timeout, now) {
-            Verdict::Keep(look_again) => Verdict::Keep(look_again),
-            Verdict::Close | Verdict::Drop => {
-                judge(Seen { is_readable: self.is_readable(), ..seen }, stage, idle_timeout, now)
-            }
+        match next_action(seen, stage, idle_timeout, now) {
+            ConnectionAction::KeepOpen(look_again) => ConnectionAction::KeepOpen(look_again),
+            ConnectionAction::Close | ConnectionAction::Abort => next_action(
+                ConnectionState { is_readable: self.is_readable(), ..seen },
+                stage,
+                idle_timeout,
+                now,
+            ),
         }
     }
 
--- a/crates/forward/src/caller_stream.rs
+++ b/crates/forward/src/caller_stream.rs
@@ -13,7 +13,7 @@
 
 use bytes::BufMut;
 use paddlemount_clock::SteadyClock;
-use paddlemount_core::forwarding::caller_connection::Seen;
+use paddlemount_core::forwarding::caller_connection::ConnectionState;
 use paddlemount_protocol::time::Timestamp;
 use tokio::{
     io::{AsyncRead, AsyncWrite, ReadBuf},
@@ -102,14 +102,14 @@
     }
 
     /// What this process has seen on it; what lies unread in the socket is not looked at.
-    pub fn seen(&self) -> Seen {
-        let is_served = self.served.get() > 0;
-        Seen {
-            is_served,
-            is_amid_head: !is_served && self.unparsed.get() > 0,
+    pub fn seen(&self) -> ConnectionState {
+        let is_serving = self.served.get() > 0;
+        ConnectionState {
+            is_serving,
+            has_partial_head: !is_serving && self.unparsed.get() > 0,
             is_readable: false,
-            used_at: self.used_at.get(),
-            free_since: self.free_since.get(),
+            last_activity: self.used_at.get(),
+            idle_since: self.free_since.get(),
         }
     }
 
--- a/crates/forward/src/callers.rs
+++ b/crates/forward/src/callers.rs
@@ -104,7 +104,7 @@
         self.serve_requests(&socket).await;
         tokio::select! {
             () = socket.close_gently() => {}
-            _ = self.stage.wait_for(|stage| *stage == StopStage::Over) => {}
+            _ = self.stage.wait_for(|stage| *stage == StopStage::Ended) => {}
         }
     }
 
@@ -132,7 +132,7 @@
         connection.as_mut().graceful_shutdown();
         tokio::select! {
             _ = connection => {}
-            _ = self.stage.wait_for(|stage| *stage == StopStage::Over) => {}
+            _ = self.stage.wait_for(|stage| *stage == StopStage::Ended) => {}
         }
     }
 
@@ -172,7 +172,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let served = socket.begin();
-    let leaving = PlannedStop::leaving(node.settings().bounds.grace());
+    let leaving = PlannedStop::drain_period(node.settings().bounds.grace());
     let kept_alive_for = PlannedStop::keep_alive_seconds(leaving);
     let mut answer = exchange::serve(node, request).await;
     if *stage.borrow() != StopStage::Serving {
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -254,7 +254,7 @@
             backend: holder.backend.clone(),
             address: holder.address,
             import_from: None,
-            moves_from: None,
+            import_source: None,
             save_to: None,
             copy_to: None,
             ..choice.clone()
@@ -318,10 +318,10 @@
         self.note_source(choice, now);
         if let (Some(prompt), Some(scope)) = (&self.head.prompt, &choice.scope) {
             let mut news =
-                self.node.beliefs.borrow_mut().chooser.learned(&choice.backend, scope, prompt, now);
+                self.node.beliefs.borrow_mut().chooser.record_prefill(&choice.backend, scope, prompt, now);
             if let Some(store) = &choice.save_to {
                 let mut beliefs = self.node.beliefs.borrow_mut();
-                news.extend(beliefs.chooser.learned(&store.id, scope, prompt, now));
+                news.extend(beliefs.chooser.record_prefill(&store.id, scope, prompt, now));
             }
             self.node.publish(news);
         }
@@ -329,9 +329,9 @@
 
     /// Compares sources of prefixes by how soon answers begin.
     fn note_source(&self, choice: &Choice, now: Timestamp) {
-        let (Some(kind), Some(sent_at)) = (choice.moves_from, self.sent_at) else { return };
+        let (Some(kind), Some(sent_at)) = (choice.import_source, self.sent_at) else { return };
         let mut beliefs = self.node.beliefs.borrow_mut();
-        beliefs.chooser.source_times.began(kind, now.saturating_since(sent_at));
+        beliefs.chooser.source_times.record(kind, now.saturating_since(sent_at));
     }
 
     /// A further part of a stream is here.
@@ -375,10 +375,10 @@
         }
         if self.account.is_served() {
             let now = self.node.now();
-            let whole = now.saturating_since(self.arrived);
-            let first = self.account.first_at.map_or(whole, |at| at.saturating_since(self.arrived));
-            let time = AnswerTime { first, whole, guessed_tokens: self.account.guessed_tokens };
-            self.node.answer_times.borrow_mut().ended(&self.route.name, time, now);
+            let total = now.saturating_since(self.arrived);
+            let first_chunk = self.account.first_at.map_or(total, |at| at.saturating_since(self.arrived));
+            let time = AnswerTime { first_chunk, total, estimated_tokens: self.account.guessed_tokens };
+            self.node.answer_times.borrow_mut().record(&self.route.name, time, now);
         }
         self.account.tell(&self.node, self.arrived, self.spent);
     }
--- a/crates/forward/src/kept.rs
+++ b/crates/forward/src/kept.rs
@@ -10,7 +10,7 @@
 
 use paddlemount_core::forwarding::{
     backends::{BackendId, BackendState},
-    readers::{are_worth_following, followed},
+    feed_selection::{followed_feeds, should_follow_feeds},
 };
 use paddlemount_protocol::fleet::KeptNews;
 
@@ -84,8 +84,8 @@
         if all == self.all && nodes == self.nodes {
             return;
         }
-        let me = peers.borrow().fleet.me().node.clone();
-        let followed = followed(&me, nodes, all.keys());
+        let me = peers.borrow().fleet.local_member().node.clone();
+        let followed = followed_feeds(&me, nodes, all.keys());
         self.wanted = followed.into_iter().filter_map(|id| Some((id.clone(), *all.get(id)?))).collect();
         self.nodes = nodes;
         self.all = all;
@@ -99,8 +99,8 @@
     let nodes = node.nodes().known().unwrap_or(1);
     let now = node.now();
     let beliefs = node.beliefs.borrow();
-    let own = beliefs.chooser.prefixes.prompted_per_second(now);
-    are_worth_following(own * f64::from(nodes), beliefs.cache_room(), before)
+    let own = beliefs.chooser.prefixes.prompt_tokens_per_second(now);
+    should_follow_feeds(own * f64::from(nodes), beliefs.cache_room(), before)
 }
 
 /// The engines, where theirs are wanted, and the stores that have a feed.
@@ -194,18 +194,17 @@
         let now = self.node.now();
         let mut beliefs = self.node.beliefs.borrow_mut();
         let prefixes = &beliefs.chooser.prefixes;
-        let gone = page
-            .kept
-            .iter()
-            .filter(|part| part.tokens == 0 && prefixes.keeps_any(&self.backend, part.scope, part.part));
+        let gone = page.kept.iter().filter(|part| {
+            part.tokens == 0 && prefixes.is_partly_cached(&self.backend, part.scope, part.segment)
+        });
         let news = gone.map(|part| KeptNews {
             engine: self.backend.clone(),
             scope: part.scope.0,
-            part: part.part.0,
+            part: part.segment.0,
             tokens: 0,
         });
         let news = news.collect();
-        beliefs.chooser.told(&self.backend, &page.kept, now);
+        beliefs.chooser.apply_feed(&self.backend, &page.kept, now);
         drop(beliefs);
         self.node.publish(news);
     }
--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -105,7 +105,7 @@
     /// Whether this node leads and the others, which it had heard, hear it no longer.
     fn is_deserted(&self, now: Timestamp) -> bool {
         let peers = self.node.peers.as_ref();
-        self.node.token().is_some() && peers.is_some_and(|peers| peers.borrow().fleet.is_deserted(now))
+        self.node.token().is_some() && peers.is_some_and(|peers| peers.borrow().fleet.is_partitioned(now))
     }
 
     /// Gives the lease up to nodes that the others can reach.
@@ -142,7 +142,7 @@
     /// The token of an earlier process of this node, where that one leads by the store's latest word. It has ended, so
     /// that nobody has to wait until its lease runs out.
     fn own_token(&self) -> Option<FencingToken> {
-        let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.me().address);
+        let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.local_member().address);
         let node = self.node.settings().node.clone();
         self.node.beliefs.borrow().leader.as_ref().and_then(|leader| leader.token_of(&node, peers))
     }
@@ -186,7 +186,7 @@
         let granted = ask_store(&self.node, &StoreCall::Grant { ttl: self.ttl }, PATIENCE).await?;
         let StoreAnswer::Lease { lease, ttl } = granted else { return Err(StoreError::Unexpected) };
         let holder = self.node.settings().node.clone();
-        let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.me().address);
+        let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.local_member().address);
         // Another node may have begun to lead since this one's turn to ask came: that one is never replaced.
         let replaces = self.own_token();
         let call = StoreCall::Lead { replaces, holder: holder.clone(), peers, lease };
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/learning.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, rc::Rc};
 
 use paddlemount_core::forwarding::{
-    change_log::Subject, document::Document, replacement::EntrySource, rollout::LearnedFrom,
+    change_log::EntryKey, document::Document, replacement::EntrySource, rollout::LearnedFrom,
     table::RouteTable, target_versions::TargetVersionProof,
 };
 use paddlemount_protocol::{
@@ -125,7 +125,7 @@
         let restored = known.is_some_and(|known| known.era() < revision.era()) || self.is_restored_lately();
         for subject in self.missing_among(&facts) {
             // Nobody released what only the copy lacks: it is written again.
-            if restored && matches!(subject, Subject::Held(_)) {
+            if restored && matches!(subject, EntryKey::Quarantined(_)) {
                 continue;
             }
             self.lose(&subject, revision, telling);
@@ -142,7 +142,7 @@
         {
             let mut beliefs = self.beliefs.borrow_mut();
             if first {
-                beliefs.changes.begin(revision);
+                beliefs.changes.reset(revision);
             }
             beliefs.revision = Some(revision);
             beliefs.leader_looked_for = true;
@@ -155,30 +155,32 @@
         self.leader_known.notify_one();
     }
 
-    fn note_change(&self, subject: Option<Subject>, revision: Revision) {
+    fn note_change(&self, subject: Option<EntryKey>, revision: Revision) {
         if let Some(subject) = subject.filter(|_| self.peers.is_some()) {
-            self.beliefs.borrow_mut().changes.note(subject, revision);
+            self.beliefs.borrow_mut().changes.record(subject, revision);
         }
     }
 
     /// What is known of and not told by `facts`, which tell all that the store holds.
-    fn missing_among(&self, facts: &[Fact]) -> Vec<Subject> {
-        let present: BTreeSet<Subject> = facts.iter().filter_map(Fact::subject).collect();
+    fn missing_among(&self, facts: &[Fact]) -> Vec<EntryKey> {
+        let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::subject).collect();
         let beliefs = self.beliefs.borrow();
-        let backends = beliefs.backends.iter().map(|backend| Subject::Backend(backend.entry.id.clone()));
-        let held = beliefs.quarantine.stored_holds().map(|fingerprint| Subject::Held(*fingerprint));
-        let leader = beliefs.leader.iter().map(|_| Subject::Leader);
+        let backends = beliefs.backends.iter().map(|backend| EntryKey::Backend(backend.entry.id.clone()));
+        let held = beliefs.quarantine.stored_holds().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
+        let leader = beliefs.leader.iter().map(|_| EntryKey::Leader);
         backends.chain(held).chain(leader).filter(|subject| !present.contains(subject)).collect()
     }
 
     /// The store holds nothing of this any more.
-    fn lose(&self, subject: &Subject, revision: Revision, telling: &Telling) {
+    fn lose(&self, subject: &EntryKey, revision: Revision, telling: &Telling) {
         match subject {
-            Subject::Backend(id) => self.lose_backend(id, revision),
-            Subject::Held(fingerprint) => self.learn_one(Fact::Released(*fingerprint), revision, telling),
-            Subject::Leader => self.learn_one(Fact::NoLeader, revision, telling),
+            EntryKey::Backend(id) => self.lose_backend(id, revision),
+            EntryKey::Quarantined(fingerprint) => {
+                self.learn_one(Fact::Released(*fingerprint), revision, telling)
+            }
+            EntryKey::Leader => self.learn_one(Fact::NoLeader, revision, telling),
             // These stay once they are there.
-            Subject::Document | Subject::FleetSize | Subject::Weights(_) => {}
+            EntryKey::Document | EntryKey::FleetSize | EntryKey::TargetWeights(_) => {}
         }
     }
 
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -107,7 +107,7 @@
         let mut members = vec![Member::new(settings.node.clone(), asked)];
         if let Some(peers) = &self.peers {
             let peers = peers.borrow();
-            let below = peers.fleet.children.asked(now);
+            let below = peers.fleet.children.offered_load(now);
             members.extend(below.map(|(node, asked)| Member::new(node.clone(), asked)));
         }
         let root_share = beliefs.quotas.root_share();
@@ -119,10 +119,9 @@
     pub(crate) fn demand_per_second(&self) -> f64 {
         let now = self.now();
         let own = self.beliefs.borrow().asked.per_second(now);
-        let below = self
-            .peers
-            .as_ref()
-            .map_or(0.0, |peers| peers.borrow().fleet.children.asked(now).map(|(_, asked)| asked).sum());
+        let below = self.peers.as_ref().map_or(0.0, |peers| {
+            peers.borrow().fleet.children.offered_load(now).map(|(_, asked)| asked).sum()
+        });
         own + below
     }
 
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -178,7 +178,7 @@
         let Some(stop) = self.planned_stop.get() else { return true };
         let now = self.now();
         let expected = self.answer_times.borrow().expected(&route.name, guessed_tokens, now);
-        stop.may_begin(expected, waits_until.saturating_since(now), now)
+        stop.may_start(expected, waits_until.saturating_since(now), now)
     }
 
     /// Gives back what was granted of a quota to a request that has not run.
@@ -239,7 +239,7 @@
 
     /// The number of nodes as counted lately, where this node has heard of it.
     pub fn counted(&self) -> Option<u32> {
-        self.peers.as_ref()?.borrow().fleet.count(self.now())
+        self.peers.as_ref()?.borrow().fleet.node_count(self.now())
     }
 
     /// The number of nodes, by all that is known of it.
@@ -253,13 +253,13 @@
         let Some(peers) = &self.peers else { return };
         let mut peers = peers.borrow_mut();
         for one in news {
-            peers.news.learned(one);
+            peers.news.enqueue(one);
         }
     }
 
     /// How many nodes stand above this one; not a number where it reports to nobody and does not lead.
     fn level(&self) -> f64 {
-        let joined = self.peers.as_ref().map(|peers| peers.borrow().fleet.uplink.level());
+        let joined = self.peers.as_ref().map(|peers| peers.borrow().fleet.uplink.depth());
         match joined {
             Some(level) if level > 0 || self.token().is_some() => level as f64,
             _ => f64::NAN,
@@ -275,7 +275,7 @@
     fn root_age(&self) -> f64 {
         let leads = self.token().is_some();
         let age =
-            self.peers.as_ref().and_then(|peers| peers.borrow().fleet.uplink.rooted_age(leads, self.now()));
+            self.peers.as_ref().and_then(|peers| peers.borrow().fleet.uplink.root_age(leads, self.now()));
         age.map_or(f64::NAN, |age| age.as_secs_f64())
     }
 
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -37,7 +37,7 @@
         // One that wants nothing from this node gets no order either; it is looked at again when its rest is over.
         let awake =
             |backend: &&Backend| backends.announcements.backed_off_until(&backend.entry, now).is_none();
-        beliefs.rollout.begin(backends.iter().filter(awake), |id| chooser.loads.requests_of_all(id), now)
+        beliefs.rollout.begin(backends.iter().filter(awake), |id| chooser.loads.total_requests(id), now)
     };
     let Some(token) = node.token().filter(|_| !targets.is_empty()) else {
         release(node, &targets);
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{HeaderValue, Request, StatusCode, header};
-use paddlemount_core::{forwarding::uplink::Turn, quarantine::MAX_REPORTED_EVENTS};
+use paddlemount_core::{forwarding::uplink::NextStep, quarantine::MAX_REPORTED_EVENTS};
 use paddlemount_protocol::{
     fleet::{Contact, Digest, EXCHANGE_PATH, InForce, JOIN_PATH, JoinAnswer, Report},
     identity::Revision,
@@ -57,24 +57,24 @@
             node.journal.tell(&Event::NodesCounted { nodes: counted, before });
         }
         let root = node.beliefs.borrow().leader.as_ref().and_then(crate::beliefs::Leader::contact);
-        let turn = peers.borrow_mut().fleet.uplink.turn(root.as_ref(), leads, now);
+        let turn = peers.borrow_mut().fleet.uplink.next_step(root.as_ref(), leads, now);
         match turn {
-            Turn::Rest => {
+            NextStep::Wait => {
                 link = None;
                 rest(&node, leads, now);
             }
-            Turn::Join(_) if !spread_out => {
+            NextStep::Join(_) if !spread_out => {
                 spread_out = true;
                 let recorded = node.nodes().known().unwrap_or(0);
                 tokio::time::sleep(JOIN_TIME.mul_f64(f64::from(recorded) * rand::random::<f64>())).await;
             }
-            Turn::Join(contact) => {
+            NextStep::Join(contact) => {
                 link = None;
                 join(&node, contact).await;
             }
-            Turn::Report(parent) => {
+            NextStep::Report(parent) => {
                 if link.as_ref().is_none_or(|link| link.parent != parent) {
-                    let level = peers.borrow().fleet.uplink.level();
+                    let level = peers.borrow().fleet.uplink.depth();
                     node.journal.tell(&Event::ParentChanged { parent: parent.node.as_str(), level });
                     link = Some(Link::to(parent, &node));
                 }
@@ -93,11 +93,11 @@
         // What was learned anywhere becomes news for all.
         let mut peers = peers.borrow_mut();
         let learned = peers.news.drain();
-        peers.news.log(learned);
+        peers.news.append(learned);
         let work = peers.fleet.work_of_others(now);
-        node.beliefs.borrow_mut().chooser.loads.told(work);
+        node.beliefs.borrow_mut().chooser.loads.set_others(work);
     } else {
-        node.beliefs.borrow_mut().chooser.loads.told(Vec::new());
+        node.beliefs.borrow_mut().chooser.loads.set_others(Vec::new());
     }
     node.conclude_quarantine();
     record_size(node, leads);
@@ -175,7 +175,7 @@
         let Some((sent_at, was_busy)) = self.sent.get() else { return true };
         let tells = node.peers.as_ref().is_some_and(|peers| {
             let peers = peers.borrow();
-            peers.news.has_news() || !peers.fleet.children.is_empty()
+            peers.news.has_pending() || !peers.fleet.children.is_empty()
         });
         let tells = tells || node.beliefs.borrow().backends.announcements.has_pending_gossip(now);
         let lacks = node.beliefs.borrow().revision.is_none() || node.history_lost.get();
@@ -199,7 +199,7 @@
         self.take(node, digest, revision, sent_at);
         self.runs_told.set(runs_upto);
         if let Some(peers) = node.peers.as_ref().filter(|_| told_news) {
-            peers.borrow_mut().news.taken();
+            peers.borrow_mut().news.acknowledge();
         }
         if lacks || node.history_lost.get() {
             snapshot::take(node, &self.calls).await;
@@ -217,15 +217,15 @@
         let runs = beliefs.quarantine.report(self.runs_told.get(), MAX_REPORTED_EVENTS, now);
         let report = Report {
             runs: runs.report,
-            sender: peers.fleet.me().clone(),
+            sender: peers.fleet.local_member().clone(),
             room: peers.fleet.children.room(now),
-            work: peers.fleet.work_below(&beliefs.chooser.loads.own_work(), now),
-            heard: peers.fleet.children.heard(),
+            work: peers.fleet.subtree_work(&beliefs.chooser.loads.own_work(), now),
+            heard: peers.fleet.children.subtree_size(),
             spending: beliefs.quotas.report(now),
             leaving: beliefs.backends.announcements.pending_draining_gossip(now),
             limits: beliefs.backends.announcements.pending_limit_gossip(now),
             asked,
-            news: if log == NO_LOG { Vec::new() } else { peers.news.report() },
+            news: if log == NO_LOG { Vec::new() } else { peers.news.next_batch() },
             log,
             cursor,
             revision: beliefs.revision,
@@ -245,7 +245,7 @@
             let now = node.now();
             let under_way = now.saturating_since(sent_at);
             let rooted_before = digest.rooted_ms.map(|age| Duration::from_millis(age) + under_way);
-            if !uplink.told(digest.path.clone(), rooted_before, now) {
+            if !uplink.update_path(digest.path.clone(), rooted_before, now) {
                 let problem = "it stands below this node".to_owned();
                 node.journal.tell(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
             } else if let Some(to) = digest.refer.clone() {
--- a/crates/forward/src/peers/intake.rs
+++ b/crates/forward/src/peers/intake.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use paddlemount_core::forwarding::change_log::{is_still_asked_for, relayed_proof};
+use paddlemount_core::forwarding::change_log::{is_still_applicable, relayed_proof_time};
 use paddlemount_protocol::{
     fleet::{Digest, RegistryState, StoreRelay},
     identity::Revision,
@@ -23,9 +23,9 @@
         {
             let mut beliefs = self.beliefs.borrow_mut();
             for news in &digest.news {
-                beliefs.chooser.heard(news, now);
+                beliefs.chooser.apply_gossip(news, now);
             }
-            beliefs.chooser.loads.told(digest.work.clone());
+            beliefs.chooser.loads.set_others(digest.work.clone());
             match &digest.quotas {
                 Some(quotas) => beliefs.quotas.report_answered(quotas, sent_at, now),
                 None => beliefs.quotas.report_failed(),
@@ -34,8 +34,8 @@
         }
         {
             let mut peers = peers.borrow_mut();
-            peers.news.log(digest.news);
-            peers.fleet.told(digest.work, digest.nodes, sent_at);
+            peers.news.append(digest.news);
+            peers.fleet.record_update(digest.work, digest.nodes, sent_at);
         }
         self.merge_draining_gossip(&digest.leaving);
         self.apply_limit_grants(&digest.limits, sent_at);
@@ -52,7 +52,7 @@
         let age = Duration::from_millis(relay.age_ms);
         // A node that is cut off from the store itself tells nothing that this one may act on.
         let is_old = age >= self.settings().bounds.relayed_within();
-        if is_old || !is_still_asked_for(revision, self.beliefs.borrow().revision) {
+        if is_old || !is_still_applicable(revision, self.beliefs.borrow().revision) {
             return;
         }
         let facts = match relay.changes.as_str() {
@@ -63,7 +63,7 @@
             },
         };
         self.follow_registry(relay.registry);
-        self.learn_relayed(facts, relay.upto, relayed_proof(sent_at, age), &relay.named);
+        self.learn_relayed(facts, relay.upto, relayed_proof_time(sent_at, age), &relay.named);
         self.history_lost.set(false);
         if let Some(peers) = &self.peers {
             peers.borrow_mut().relayed_at = Some(sent_at);
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -18,7 +18,7 @@
 pub mod server;
 pub mod snapshot;
 
-use paddlemount_core::forwarding::{fleet::Fleet, news::NewsLog};
+use paddlemount_core::forwarding::{fleet::Fleet, gossip::GossipLog};
 use paddlemount_protocol::{fleet::Member, time::Timestamp};
 
 use crate::node::Node;
@@ -29,7 +29,7 @@
     /// The others.
     pub fleet: Fleet,
     /// News of what engines keep.
-    pub news: NewsLog,
+    pub news: GossipLog,
     /// When the last report was sent whose answer told what the store has told.
     pub relayed_at: Option<Timestamp>,
     /// The last snapshot that was made for other nodes.
@@ -39,7 +39,7 @@
 impl Peers {
     /// A node that knows nobody yet and takes in `fan_in` others; `log` is a number drawn for this process.
     pub fn new(me: Member, fan_in: usize, log: u64) -> Self {
-        Self { fleet: Fleet::new(me, fan_in), news: NewsLog::new(log), relayed_at: None, snapshot: None }
+        Self { fleet: Fleet::new(me, fan_in), news: GossipLog::new(log), relayed_at: None, snapshot: None }
     }
 }
 
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -85,7 +85,7 @@
     let Some(peers) = &node.peers else { return JoinAnswer::Refused };
     let mut peers = peers.borrow_mut();
     let knows = leads || peers.fleet.uplink.parent().is_some() || node.beliefs.borrow().revision.is_some();
-    if !knows || node.is_stopping() || peers.fleet.uplink.stands_above(&request.sender.node) {
+    if !knows || node.is_stopping() || peers.fleet.uplink.is_self_or_ancestor(&request.sender.node) {
         return JoinAnswer::Refused;
     }
     match peers.fleet.children.admit(request, now) {
@@ -99,7 +99,7 @@
 fn take_report(node: &Node, report: Report) -> Option<Digest> {
     let now = node.now();
     let peers = node.peers.as_ref()?;
-    if peers.borrow().fleet.uplink.stands_above(&report.sender.node) {
+    if peers.borrow().fleet.uplink.is_self_or_ancestor(&report.sender.node) {
         return None;
     }
     let mut refer = {
@@ -107,7 +107,7 @@
         let parent = peers.fleet.uplink.parent().cloned();
         peers.fleet.children.take_referral(&report.sender.node, parent.as_ref())
     };
-    if refer.is_none() && !peers.borrow_mut().fleet.children.reported(&report, now) {
+    if refer.is_none() && !peers.borrow_mut().fleet.children.record_report(&report, now) {
         let request = JoinRequest {
             sender: report.sender.clone(),
             heard: report.heard,
@@ -116,7 +116,7 @@
         };
         match take_in(node, &request) {
             JoinAnswer::Accepted => {
-                peers.borrow_mut().fleet.children.reported(&report, now);
+                peers.borrow_mut().fleet.children.record_report(&report, now);
             }
             JoinAnswer::Referred { to } => refer = Some(to),
             JoinAnswer::Refused => return None,
@@ -141,8 +141,8 @@
     let rising = node.rising_for(report.in_force);
     let mut beliefs = node.beliefs.borrow_mut();
     for news in &report.news {
-        beliefs.chooser.heard(news, now);
-        peers.news.learned(news.clone());
+        beliefs.chooser.apply_gossip(news, now);
+        peers.news.enqueue(news.clone());
     }
     let child = report.sender.node;
     let passed_over = beliefs.quotas.receive_report(child.clone(), report.heard, report.spending, now);
@@ -156,14 +156,14 @@
     let knows_more = beliefs.revision.is_some() && beliefs.revision > report.revision;
     Digest {
         path: peers.fleet.uplink.path(),
-        rooted_ms: peers.fleet.uplink.rooted_age(leads, now).map(|age| age.as_millis() as u64),
+        rooted_ms: peers.fleet.uplink.root_age(leads, now).map(|age| age.as_millis() as u64),
         refer,
         leaving: beliefs.backends.announcements.pending_draining_gossip(now),
         limits: beliefs.backends.announcements.limit_grants_for(&child, now),
         log: peers.news.id(),
         cursor,
-        nodes: peers.fleet.count(now),
-        work: peers.fleet.work_beside(&child, &own, now),
+        nodes: peers.fleet.node_count(now),
+        work: peers.fleet.work_excluding(&child, &own, now),
         quotas: Some(beliefs.quotas.digest(now)),
         quarantine: beliefs.quarantine.digest(now),
         loading: beliefs.backends.loading(now),
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Request, Response, StatusCode};
-use paddlemount_core::forwarding::change_log::{is_newer, relayed_proof};
+use paddlemount_core::forwarding::change_log::{is_newer, relayed_proof_time};
 use paddlemount_protocol::{
     fleet::{NamedLately, RegistryState, SNAPSHOT_PATH},
     identity::Revision,
@@ -128,7 +128,7 @@
     let Some(facts) = node.read_all_facts(content.facts.get().as_bytes()) else { return };
     let (items, revision) = (facts.len(), content.revision);
     node.follow_registry(content.registry);
-    let proved_at = relayed_proof(sent_at, Duration::from_millis(age));
+    let proved_at = relayed_proof_time(sent_at, Duration::from_millis(age));
     node.learn_snapshot(facts, revision, proved_at, &content.named);
     node.metrics.count(Counter::SnapshotsTaken);
     node.journal.tell(&Event::SnapshotTaken { items, revision: revision.0, age_ms: age });
--- a/crates/forward/src/placing.rs
+++ b/crates/forward/src/placing.rs
@@ -4,7 +4,7 @@
     forwarding::{
         announcements::limits::Opening,
         backends::{Backend, BackendId, BackendState},
-        choice::{Candidate, Choice, Field, Placement, shard_of},
+        choice::{Candidate, CandidatePool, Choice, Placement, shard_of},
         even_share::even_share,
         pool::Pool,
         prompt::Prompt,
@@ -83,10 +83,10 @@
             prompt: ask.prompt,
             isolated: ask.isolated,
             zone,
-            draw: ask.draw,
+            seed: ask.draw,
             store: store.as_ref(),
-            considered: considered(pool.len(), nodes),
-            copied: ask.copied && self.can_copy(ask.service, now),
+            sample_size: considered(pool.len(), nodes),
+            replicate: ask.copied && self.can_copy(ask.service, now),
             now,
         };
         let strict = self.view(pool, ask, nodes, now);
@@ -231,7 +231,7 @@
     }
 }
 
-impl Field for View<'_> {
+impl CandidatePool for View<'_> {
     fn len(&self) -> usize {
         self.pool.len()
     }
--- a/crates/forward/src/ports/mod.rs
+++ b/crates/forward/src/ports/mod.rs
@@ -11,9 +11,9 @@
 use http::{HeaderMap, Request, Response, StatusCode};
 use paddlemount_core::forwarding::{
     backends::{BackendEntry, BackendId},
-    change_log::Subject,
+    change_log::EntryKey,
     document::Document,
-    prefixes::KeptPart,
+    prefixes::CachedSegment,
     rollout::{EngineReport, LoadMode},
 };
 use paddlemount_protocol::{
@@ -193,19 +193,19 @@
 
 impl Fact {
     /// What it is about; nothing where it tells of no state.
-    pub fn subject(&self) -> Option<Subject> {
+    pub fn subject(&self) -> Option<EntryKey> {
         Some(match self {
-            Self::Document(_) => Subject::Document,
-            Self::Backend(entry) => Subject::Backend(entry.id.clone()),
-            Self::BackendGone(id) => Subject::Backend(id.clone()),
-            Self::WeightsNamed { model, .. } => Subject::Weights(model.clone()),
-            Self::Leader { .. } | Self::NoLeader => Subject::Leader,
-            Self::FleetSize(_) => Subject::FleetSize,
-            Self::Held(request) => Subject::Held(request.fingerprint),
-            Self::Released(fingerprint) => Subject::Held(*fingerprint),
+            Self::Document(_) => EntryKey::Document,
+            Self::Backend(entry) => EntryKey::Backend(entry.id.clone()),
+            Self::BackendGone(id) => EntryKey::Backend(id.clone()),
+            Self::WeightsNamed { model, .. } => EntryKey::TargetWeights(model.clone()),
+            Self::Leader { .. } | Self::NoLeader => EntryKey::Leader,
+            Self::FleetSize(_) => EntryKey::FleetSize,
+            Self::Held(request) => EntryKey::Quarantined(request.fingerprint),
+            Self::Released(fingerprint) => EntryKey::Quarantined(*fingerprint),
             // Nodes tell each other what follows from it.
             Self::NamingRecord(_) => return None,
-            Self::Unreadable { backend, .. } => Subject::Backend(backend.clone()?),
+            Self::Unreadable { backend, .. } => EntryKey::Backend(backend.clone()?),
         })
     }
 }
@@ -261,7 +261,7 @@
     /// Entries were lost before these.
     pub gap: bool,
     /// What is kept now, in order.
-    pub kept: Vec<KeptPart>,
+    pub kept: Vec<CachedSegment>,
 }
 
 /// An answer of a feed of kept parts.
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -144,11 +144,11 @@
 /// Readiness goes first; callers are taken until they have been sent elsewhere; what runs gets the grace period.
 async fn stop(node: &Rc<Node>, stage: &watch::Sender<StopStage>, callers: &Callers) {
     let began = node.now();
-    let planned = PlannedStop::within(began, node.settings().bounds.grace());
+    let planned = PlannedStop::with_grace_period(began, node.settings().bounds.grace());
     node.planned_stop.set(Some(planned));
     node.journal.tell(&Event::Stopping { running: node.running.get() });
-    stage.send_replace(StopStage::Leaving);
-    node.clock.sleep_until(planned.takes_until).await;
+    stage.send_replace(StopStage::Draining);
+    node.clock.sleep_until(planned.accepts_until).await;
     stage.send_replace(StopStage::Closing);
     node.journal.tell(&Event::CallersClosing { open: callers.open(), running: node.running.get() });
     while !callers.are_gone() && node.now() < planned.ends_at {
@@ -158,7 +158,7 @@
     node.journal.tell(&Event::Stopped { running: node.running.get(), after_ms });
     // Requests that are cut tell their own lines while lines are still written.
     node.grace_is_over.set(true);
-    stage.send_replace(StopStage::Over);
+    stage.send_replace(StopStage::Ended);
     tokio::time::sleep(LAST_LINES).await;
 }
 
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -101,7 +101,7 @@
     }
 
     fn new(exchange: Exchange, choice: Choice, begun: Begun, last_event: Option<u64>) -> Self {
-        let splitter = EventSplitter::after(last_event);
+        let splitter = EventSplitter::resuming_after(last_event);
         let heard_at = exchange.node.now();
         Self {
             exchange,
@@ -240,7 +240,7 @@
     /// The body has ended. Nothing is given where its end cannot be a stream's.
     fn end(&mut self) -> Option<Option<Result<Bytes, RelayError>>> {
         let begun = self.begun.take()?;
-        if self.splitter.holds_part() && !begun.framed {
+        if self.splitter.has_partial_event() && !begun.framed {
             return None;
         }
         self.done = true;
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::forwarding::{
     backends::{Backend, BackendEntry, BackendState},
-    change_log::Subject,
+    change_log::EntryKey,
 };
 use paddlemount_protocol::identity::ModelId;
 
@@ -12,7 +12,7 @@
 
 impl Beliefs {
     /// The present state of some subjects.
-    pub(crate) fn facts_about(&self, subjects: &BTreeSet<&Subject>) -> Vec<Fact> {
+    pub(crate) fn facts_about(&self, subjects: &BTreeSet<&EntryKey>) -> Vec<Fact> {
         subjects.iter().filter_map(|subject| self.fact_about(subject)).collect()
     }
 
@@ -26,17 +26,17 @@
         single.chain(leader).chain(weights).chain(held).chain(backends).collect()
     }
 
-    fn fact_about(&self, subject: &Subject) -> Option<Fact> {
+    fn fact_about(&self, subject: &EntryKey) -> Option<Fact> {
         match subject {
-            Subject::Document => self.document_fact(),
-            Subject::FleetSize => self.fleet_size.map(Fact::FleetSize),
-            Subject::Leader => Some(self.leader_fact()),
-            Subject::Weights(model) => self.weights_fact(model),
-            Subject::Held(fingerprint) => Some(match self.held.get(fingerprint) {
+            EntryKey::Document => self.document_fact(),
+            EntryKey::FleetSize => self.fleet_size.map(Fact::FleetSize),
+            EntryKey::Leader => Some(self.leader_fact()),
+            EntryKey::TargetWeights(model) => self.weights_fact(model),
+            EntryKey::Quarantined(fingerprint) => Some(match self.held.get(fingerprint) {
                 Some(request) => Fact::Held(Box::new(request.clone())),
                 None => Fact::Released(*fingerprint),
             }),
-            Subject::Backend(id) => {
+            EntryKey::Backend(id) => {
                 let present = self.backends.get(id).and_then(entry_fact);
                 Some(present.unwrap_or_else(|| Fact::BackendGone(id.clone())))
             }
--- a/crates/node/src/active.rs
+++ b/crates/node/src/active.rs
@@ -84,7 +84,7 @@
 
     /// Refuses new requests from now on.
     pub fn start_draining(&self) {
-        self.stage.send_replace(StopStage::Leaving);
+        self.stage.send_replace(StopStage::Draining);
     }
 
     /// Tells how far a planned stop has come.
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -169,7 +169,7 @@
     async fn come(&self) -> io::Result<Come> {
         let mut readable = pin!(self.socket.readable());
         let mut closes = pin!(self.socket.until_judged(self.stage.clone()));
-        let mut asks_system = self.socket.seen().is_amid_head;
+        let mut asks_system = self.socket.seen().has_partial_head;
         poll_fn(|context| {
             if let Poll::Ready(result) = readable.as_mut().poll(context) {
                 return Poll::Ready(result.map(|()| Come::Readable));
--- a/specs/src/relay.rs
+++ b/specs/src/relay.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use paddlemount_core::forwarding::{
-    change_log::{ChangeLog, Subject, is_still_asked_for, relayed_proof},
+    change_log::{ChangeLog, EntryKey, is_still_applicable, relayed_proof_time},
     freshness::Freshness,
 };
 use paddlemount_protocol::{identity::Revision, time::Timestamp};
@@ -136,7 +136,7 @@
 
     fn remember(&mut self, who: &str, after: Revision, upto: Revision) {
         if who == "root" && upto > after {
-            self.log.note(Subject::Document, upto);
+            self.log.record(EntryKey::Document, upto);
         }
     }
 
@@ -188,7 +188,7 @@
         let mut next = state.clone();
         next.digests.remove(&digest);
         let asked_for = match digest.report.known {
-            Some(known) => is_still_asked_for(Some(known), Some(state.leaf.revision)),
+            Some(known) => is_still_applicable(Some(known), Some(state.leaf.revision)),
             // A snapshot is taken in where nothing newer is known.
             None => digest.upto > state.leaf.revision,
         };
@@ -200,7 +200,7 @@
                     digest.report.sent_at
                 }
             };
-            let proved = relayed_proof(at(counted_from), Duration::from_secs(digest.age_seconds));
+            let proved = relayed_proof_time(at(counted_from), Duration::from_secs(digest.age_seconds));
             next.leaf.revision = digest.upto;
             next.leaf.freshness.prove(proved);
         }
@@ -213,7 +213,7 @@
 
     fn initial(&self) -> RelayState {
         let mut log = ChangeLog::default();
-        log.begin(FIRST);
+        log.reset(FIRST);
         let mut node = Node { revision: FIRST, ..Node::default() };
         node.freshness.prove(at(0));
         RelayState {
