--- a/crates/core/src/forwarding/caller_connection.rs
+++ b/crates/core/src/forwarding/caller_connection.rs
@@ -10,9 +10,9 @@
 
 /// How long a connection must have been without a byte before a planned stop closes it. A caller that has just had an
 /// answer, or has just connected, sends its next request within a few round trips.
-const QUIET: Duration = Duration::from_millis(200);
+const CLOSE_QUIET_PERIOD: Duration = Duration::from_millis(200);
 /// How much longer than callers are told a connection that rests stays open.
-const REST_SLACK: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
 /// How far a planned stop has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,7 +55,7 @@
 
 /// Decides on a connection, where callers may count on one that rests for `idle_timeout`.
 pub fn next_action(
-    seen: ConnectionState,
+    state: ConnectionState,
     stage: StopStage,
     idle_timeout: Duration,
     now: Timestamp,
@@ -63,21 +63,21 @@
     if stage == StopStage::Ended {
         return ConnectionAction::Abort;
     }
-    if seen.is_serving {
+    if state.is_serving {
         return ConnectionAction::KeepOpen(None);
     }
-    let backed_off_until = match stage {
-        StopStage::Serving | StopStage::Draining => seen.idle_since + idle_timeout + REST_SLACK,
-        StopStage::Closing | StopStage::Ended => seen.last_activity + QUIET,
+    let idle_until = match stage {
+        StopStage::Serving | StopStage::Draining => state.idle_since + idle_timeout + IDLE_TIMEOUT_MARGIN,
+        StopStage::Closing | StopStage::Ended => state.last_activity + CLOSE_QUIET_PERIOD,
     };
-    let look_again = ConnectionAction::KeepOpen(Some(backed_off_until.max(now + QUIET)));
-    if now < backed_off_until || seen.is_readable {
-        return look_again;
+    let recheck = ConnectionAction::KeepOpen(Some(idle_until.max(now + CLOSE_QUIET_PERIOD)));
+    if now < idle_until || state.is_readable {
+        return recheck;
     }
-    match (seen.has_partial_head, stage) {
+    match (state.has_partial_head, stage) {
         (false, _) => ConnectionAction::Close,
         // A stop waits for the rest of a head; a head that never ends keeps a connection no longer than none at all.
-        (true, StopStage::Closing) => look_again,
+        (true, StopStage::Closing) => recheck,
         (true, _) => ConnectionAction::Abort,
     }
 }
--- a/crates/core/src/forwarding/change_log.rs
+++ b/crates/core/src/forwarding/change_log.rs
@@ -20,7 +20,7 @@
 
 /// Changes that are remembered. Where the back ends of a large pool are replaced some two hundred a second change, so that
 /// these reach back 20 s: a node that has been told nothing for so long takes a snapshot. Each takes some 40 bytes.
-const MOST_CHANGES: usize = 4_096;
+const MAX_CHANGES: usize = 4_096;
 
 /// What a fact of the store is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -74,12 +74,12 @@
     }
 
     /// A subject has changed, at `revision` at the latest. Revisions never fall.
-    pub fn record(&mut self, subject: EntryKey, revision: Revision) {
-        self.changes.push_back((revision, subject));
-        if self.changes.len() > MOST_CHANGES
-            && let Some((forgotten, _)) = self.changes.pop_front()
+    pub fn record(&mut self, key: EntryKey, revision: Revision) {
+        self.changes.push_back((revision, key));
+        if self.changes.len() > MAX_CHANGES
+            && let Some((dropped, _)) = self.changes.pop_front()
         {
-            self.complete_from = self.complete_from.max(Some(forgotten));
+            self.complete_from = self.complete_from.max(Some(dropped));
         }
     }
 
@@ -92,7 +92,7 @@
         if !reaches || known > newest {
             return None;
         }
-        let lacking = self.changes.iter().rev().take_while(|(revision, _)| *revision > known);
-        Some(lacking.map(|(_, subject)| subject).collect())
+        let newer = self.changes.iter().rev().take_while(|(revision, _)| *revision > known);
+        Some(newer.map(|(_, key)| key).collect())
     }
 }
--- a/crates/core/src/forwarding/choice.rs
+++ b/crates/core/src/forwarding/choice.rs
@@ -176,56 +176,56 @@
         prompt: &Prompt,
         now: Timestamp,
     ) -> Vec<KeptNews> {
-        let news = |part: CachedSegment| KeptNews {
+        let update = |cached: CachedSegment| KeptNews {
             engine: backend.clone(),
-            scope: part.scope.0,
-            part: part.segment.0,
-            tokens: part.tokens,
+            scope: cached.scope.0,
+            part: cached.segment.0,
+            tokens: cached.tokens,
         };
         self.prefixes.record_prompt(prompt.prompt_tokens, now);
         self.prefixes
             .record_prefill(backend, scope.into(), prompt.shared(), now)
             .into_iter()
-            .map(news)
+            .map(update)
             .collect()
     }
 
     /// Another node has learned what a back end keeps.
-    pub fn apply_gossip(&mut self, news: &KeptNews, now: Timestamp) {
-        let kept = CachedSegment {
-            scope: ScopeHash(news.scope),
-            segment: SegmentId(news.part),
-            tokens: news.tokens,
+    pub fn apply_gossip(&mut self, update: &KeptNews, now: Timestamp) {
+        let cached = CachedSegment {
+            scope: ScopeHash(update.scope),
+            segment: SegmentId(update.part),
+            tokens: update.tokens,
         };
-        self.prefixes.set(&news.engine, &kept, now);
+        self.prefixes.set(&update.engine, &cached, now);
     }
 
     /// A feed told what a back end keeps.
-    pub fn apply_feed(&mut self, backend: &BackendId, kept: &[CachedSegment], now: Timestamp) {
-        for part in kept {
-            self.prefixes.set(backend, part, now);
+    pub fn apply_feed(&mut self, backend: &BackendId, segments: &[CachedSegment], now: Timestamp) {
+        for segment in segments {
+            self.prefixes.set(backend, segment, now);
         }
     }
 
     /// Chooses among the back ends of `field`.
-    pub fn choose(&self, placement: Placement<'_>, field: &dyn CandidatePool) -> Option<Choice> {
+    pub fn choose(&self, placement: Placement<'_>, pool: &dyn CandidatePool) -> Option<Choice> {
         match placement.prompt {
-            Some(prompt) => self.choose_for_prompt(placement, prompt, field),
+            Some(prompt) => self.choose_for_prompt(placement, prompt, pool),
             // Services without prompts have few back ends.
             None => {
-                let all = Placement { sample_size: None, ..placement };
-                self.choose_by_requests(placement, &candidate_pool::weighed(field, all))
+                let unsampled = Placement { sample_size: None, ..placement };
+                self.choose_by_requests(placement, &candidate_pool::sample(pool, unsampled))
             }
         }
     }
 
     fn choose_by_requests(&self, placement: Placement<'_>, candidates: &[Candidate<'_>]) -> Option<Choice> {
-        let usual_ms = self.loads.median_ms(candidates.iter().map(|candidate| candidate.id));
+        let median_ms = self.loads.median_ms(candidates.iter().map(|candidate| candidate.id));
         let cost = |candidate: &Candidate<'_>| {
             let requests = f64::from(self.loads.total_requests(candidate.id)) + 1.0;
             let distance = if candidate.zone == placement.zone { 0.0 } else { OTHER_ZONE_REQUESTS };
             // One of which little or nothing new is known goes first: nothing else would make it known.
-            let slowness = self.loads.slowness(candidate.id, usual_ms, MIN_SLOWNESS, placement.now);
+            let slowness = self.loads.slowness(candidate.id, median_ms, MIN_SLOWNESS, placement.now);
             ((requests * slowness + distance) * 1_000.0) as u64
         };
         let eligible = candidates.iter().filter(|candidate| candidate.eligible);
--- a/crates/core/src/forwarding/choice/candidate_pool.rs
+++ b/crates/core/src/forwarding/choice/candidate_pool.rs
@@ -11,7 +11,7 @@
 };
 
 /// The highest ranked back ends that are looked at for the home of a part: the others may be unfit.
-const LOOKED_AT_FOR_A_HOME: usize = 16;
+const MAX_PREFERRED_CANDIDATES: usize = 16;
 /// Strides by which back ends are drawn where the stride drawn for a request shares a divisor with their number, so that it
 /// would not meet each of them: three primes, and one that always does.
 const STRIDES: [usize; 4] = [7_919, 104_729, 15_485_863, 1];
@@ -55,26 +55,26 @@
 }
 
 /// The back ends that a request weighs: all, or as many fit ones as its placement says, drawn for the request.
-pub(super) fn weighed<'a>(field: &'a dyn CandidatePool, placement: Placement<'_>) -> Vec<Candidate<'a>> {
-    let number = field.len();
+pub(super) fn sample<'a>(pool: &'a dyn CandidatePool, placement: Placement<'_>) -> Vec<Candidate<'a>> {
+    let count = pool.len();
     match placement.sample_size {
-        Some(considered) if considered < number => drawn(field, placement.seed, considered),
-        _ => (0..number).filter_map(|index| field.candidate(index)).collect(),
+        Some(sample_size) if sample_size < count => draw_sample(pool, placement.seed, sample_size),
+        _ => (0..count).filter_map(|index| pool.candidate(index)).collect(),
     }
 }
 
 /// Draws fit back ends: steps through all from a drawn one on, by a stride that meets each once.
-fn drawn(field: &dyn CandidatePool, draw: u64, considered: usize) -> Vec<Candidate<'_>> {
-    let number = field.len();
-    let first = (rank_for(draw, 0) % number as u64) as usize;
-    let drawn_stride = (rank_for(draw, 1) % number as u64) as usize;
-    let strides = std::iter::once(drawn_stride.max(1)).chain(STRIDES);
-    let stride = strides.map(|stride| stride % number).find(|stride| coprime(*stride, number)).unwrap_or(1);
-    let order = (0..number).map(|step| (first + step * stride) % number);
+fn draw_sample(pool: &dyn CandidatePool, seed: u64, sample_size: usize) -> Vec<Candidate<'_>> {
+    let count = pool.len();
+    let start = (rank_for(seed, 0) % count as u64) as usize;
+    let seeded_stride = (rank_for(seed, 1) % count as u64) as usize;
+    let strides = std::iter::once(seeded_stride.max(1)).chain(STRIDES);
+    let stride = strides.map(|stride| stride % count).find(|stride| coprime(*stride, count)).unwrap_or(1);
+    let order = (0..count).map(|step| (start + step * stride) % count);
     order
-        .filter_map(|index| field.candidate(index))
+        .filter_map(|index| pool.candidate(index))
         .filter(|candidate| candidate.eligible)
-        .take(considered)
+        .take(sample_size)
         .collect()
 }
 
@@ -87,23 +87,22 @@
 
 /// The back end where a part is read first: the highest ranked for it among the fit ones with these weights. All nodes
 /// find the same one from the same list (rendezvous hashing).
-pub(super) fn home(
-    field: &dyn CandidatePool,
-    subject: u64,
+pub(super) fn preferred(
+    pool: &dyn CandidatePool,
+    key: u64,
     weights: WeightsVersion,
 ) -> Option<Candidate<'_>> {
-    let mut first: Vec<(u64, usize)> = Vec::with_capacity(LOOKED_AT_FOR_A_HOME + 1);
-    for index in 0..field.len() {
-        let entry = (rank_for(field.rank(index), subject), index);
-        if first.len() == LOOKED_AT_FOR_A_HOME && first.last().is_some_and(|last| *last >= entry) {
+    let mut top: Vec<(u64, usize)> = Vec::with_capacity(MAX_PREFERRED_CANDIDATES + 1);
+    for index in 0..pool.len() {
+        let entry = (rank_for(pool.rank(index), key), index);
+        if top.len() == MAX_PREFERRED_CANDIDATES && top.last().is_some_and(|last| *last >= entry) {
             continue;
         }
-        let place = first.partition_point(|known| *known > entry);
-        first.insert(place, entry);
-        first.truncate(LOOKED_AT_FOR_A_HOME);
+        let place = top.partition_point(|known| *known > entry);
+        top.insert(place, entry);
+        top.truncate(MAX_PREFERRED_CANDIDATES);
     }
-    first
-        .into_iter()
-        .filter_map(|(_, index)| field.candidate(index))
+    top.into_iter()
+        .filter_map(|(_, index)| pool.candidate(index))
         .find(|candidate| candidate.eligible && candidate.weights == Some(weights))
 }
--- a/crates/core/src/forwarding/choice/shards.rs
+++ b/crates/core/src/forwarding/choice/shards.rs
@@ -11,6 +11,6 @@
 
 /// The store that keeps a prompt's shared parts; none where there is no store or nothing is shared.
 pub fn shard_of(prompt: &Prompt, stores: impl Iterator<Item = CacheStore>) -> Option<CacheStore> {
-    let subject = prompt.shared().last()?;
-    stores.max_by_key(|store| xxh3_64_with_seed(store.id.as_str().as_bytes(), subject.id.0))
+    let last = prompt.shared().last()?;
+    stores.max_by_key(|store| xxh3_64_with_seed(store.id.as_str().as_bytes(), last.id.0))
 }
--- a/crates/core/src/forwarding/choice/source_times.rs
+++ b/crates/core/src/forwarding/choice/source_times.rs
@@ -11,13 +11,13 @@
 /// The weight of a new measurement in a moving average: a node of many imports a few prefixes a second.
 const AVERAGE_WEIGHT: f64 = 0.15;
 /// Measurements of each kind below which nothing is concluded.
-const FEWEST_MEASUREMENTS: u32 = 4;
+const MIN_MEASUREMENTS: u32 = 4;
 /// How much later answers from stores must begin for engines to be asked instead.
-const MUCH_LATER: f64 = 1.4;
+const SLOWER_FACTOR: f64 = 1.4;
 /// The same as a time, below which the difference does not matter.
-const LATER_MS: f64 = 60.0;
+const SLOWER_MARGIN_MS: f64 = 60.0;
 /// One request in so many asks the other kind of source, so that it goes on being measured.
-const EXPLORED: u64 = 6;
+const EXPLORATION_INTERVAL: u64 = 6;
 
 /// A moving average of times to the first event.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
     }
 
     fn known(&self) -> Option<f64> {
-        (self.measurements >= FEWEST_MEASUREMENTS).then_some(self.milliseconds)
+        (self.measurements >= MIN_MEASUREMENTS).then_some(self.milliseconds)
     }
 }
 
@@ -56,15 +56,17 @@
     }
 
     /// Whether a request with this `draw` asks a store rather than an engine that keeps as much.
-    pub fn prefers_store(&self, draw: u64) -> bool {
-        let explores = draw.is_multiple_of(EXPLORED);
+    pub fn prefers_store(&self, seed: u64) -> bool {
+        let explores = seed.is_multiple_of(EXPLORATION_INTERVAL);
         explores != self.stores_are_faster()
     }
 
     /// Nothing known is taken for stores.
     fn stores_are_faster(&self) -> bool {
         match (self.stores.known(), self.engines.known()) {
-            (Some(stores), Some(engines)) => stores <= (engines * MUCH_LATER).max(engines + LATER_MS),
+            (Some(stores), Some(engines)) => {
+                stores <= (engines * SLOWER_FACTOR).max(engines + SLOWER_MARGIN_MS)
+            }
             _ => true,
         }
     }
--- a/crates/core/src/forwarding/choice/sources.rs
+++ b/crates/core/src/forwarding/choice/sources.rs
@@ -5,7 +5,7 @@
 use paddlemount_protocol::identity::WeightsVersion;
 
 use super::{
-    Candidate, CandidatePool, Choice, Chooser, CopyHolder, Placement, SourceKind, prompts::Group, tie,
+    Candidate, CandidatePool, Choice, Chooser, CopyHolder, Placement, SourceKind, prompts::WeightsGroup, tie,
 };
 use crate::forwarding::{
     prefixes::ScopeHash,
@@ -13,17 +13,17 @@
 };
 
 /// Tokens of a part below which an import doesn't pay: engines keep parts by blocks of this size.
-pub(super) const IMPORT_MINIMUM_TOKENS: u32 = 16;
+pub(super) const MIN_IMPORT_TOKENS: u32 = 16;
 
 /// Back ends that are looked at as sources of a prefix: the first parts of many prompts are kept nearly everywhere.
-const MOST_HOLDERS: usize = 64;
+const MAX_HOLDERS: usize = 64;
 
 /// A back end that keeps some of a prefix.
 pub(super) struct Holder<'a> {
     /// The back end.
     pub(super) candidate: Candidate<'a>,
     /// Tokens of the prefix that it keeps.
-    pub(super) kept: u32,
+    pub(super) cached_tokens: u32,
     /// Requests of this node under way there.
     pub(super) requests: u32,
 }
@@ -34,7 +34,7 @@
     /// Where it listens.
     pub(super) address: SocketAddr,
     /// Tokens of the prefix that it keeps.
-    pub(super) kept: u32,
+    pub(super) cached_tokens: u32,
     /// What it is.
     pub(super) kind: SourceKind,
 }
@@ -64,15 +64,15 @@
         hash: ScopeHash,
         weights: WeightsVersion,
         shared: &[Segment],
-        field: &'a dyn CandidatePool,
+        pool: &'a dyn CandidatePool,
     ) -> Vec<Holder<'a>> {
-        let keepers = self.prefixes.holders(hash, shared, MOST_HOLDERS);
-        let mut holders: Vec<Holder<'a>> = keepers
+        let ids = self.prefixes.holders(hash, shared, MAX_HOLDERS);
+        let mut holders: Vec<Holder<'a>> = ids
             .into_iter()
-            .filter_map(|id| field.find(id))
+            .filter_map(|id| pool.find(id))
             .filter(|candidate| candidate.weights == Some(weights))
             .map(|candidate| Holder {
-                kept: self.prefixes.cached_tokens(candidate.id, hash, shared),
+                cached_tokens: self.prefixes.cached_tokens(candidate.id, hash, shared),
                 requests: self.load(candidate.id).requests,
                 candidate,
             })
@@ -84,23 +84,24 @@
     /// Whom to name where the back end is believed to keep the whole prefix itself: that may be wrong, and where it is
     /// right nothing is moved. Where nodes are many, what a node believes of engines is old, and the store drops parts
     /// much later than engines do; few nodes know the engines, whose links are more than the store's.
-    pub(super) fn source_in_reserve(
+    pub(super) fn fallback_source(
         choice: &Choice,
         placement: Placement<'_>,
-        group: &Group<'_>,
+        group: &WeightsGroup<'_>,
     ) -> Option<SocketAddr> {
-        if choice.cached_tokens < IMPORT_MINIMUM_TOKENS {
+        if choice.cached_tokens < MIN_IMPORT_TOKENS {
             return None;
         }
         if let Some(store) = placement.store.filter(|_| placement.sample_size.is_some()) {
             return Some(store.address);
         }
-        let keeps =
-            |other: &&Holder<'_>| *other.candidate.id != choice.backend && other.kept >= choice.cached_tokens;
+        let has_prefix = |other: &&Holder<'_>| {
+            *other.candidate.id != choice.backend && other.cached_tokens >= choice.cached_tokens
+        };
         let other = group
             .holders
             .iter()
-            .filter(keeps)
+            .filter(has_prefix)
             .map(|holder| &holder.candidate)
             .min_by_key(|other| (other.zone != placement.zone, tie(other.id, placement.seed)));
         other.map(|other| other.address).or(placement.store.map(|store| store.address))
@@ -111,7 +112,7 @@
     pub(super) fn source(
         &self,
         candidate: &Candidate<'_>,
-        group: &Group<'_>,
+        group: &WeightsGroup<'_>,
         placement: Placement<'_>,
         prompt: &Prompt,
     ) -> Option<Source> {
@@ -119,23 +120,30 @@
         let best = others
             .max_by_key(|other| {
                 let same_zone = other.candidate.zone == candidate.zone;
-                (other.kept, other.candidate.eligible, same_zone, Reverse(other.requests))
+                (other.cached_tokens, other.candidate.eligible, same_zone, Reverse(other.requests))
             })
             .map(|other| Source {
                 address: other.candidate.address,
-                kept: other.kept,
+                cached_tokens: other.cached_tokens,
                 kind: SourceKind::Engine,
             });
-        let stored = placement.store.map(|store| Source {
+        let from_store = placement.store.map(|store| Source {
             address: store.address,
-            kept: self.prefixes.cached_tokens(&store.id, group.hash, prompt.shared()),
+            cached_tokens: self.prefixes.cached_tokens(&store.id, group.hash, prompt.shared()),
             kind: SourceKind::Store,
         });
-        let store_first = placement.sample_size.is_some() && self.source_times.prefers_store(placement.seed);
-        match (best, stored) {
-            (Some(best), Some(stored)) if stored.kept > best.kept => Some(stored),
-            (Some(best), Some(stored)) if stored.kept == best.kept && store_first => Some(stored),
-            (None, stored) => stored,
+        let prefers_store =
+            placement.sample_size.is_some() && self.source_times.prefers_store(placement.seed);
+        match (best, from_store) {
+            (Some(best), Some(from_store)) if from_store.cached_tokens > best.cached_tokens => {
+                Some(from_store)
+            }
+            (Some(best), Some(from_store))
+                if from_store.cached_tokens == best.cached_tokens && prefers_store =>
+            {
+                Some(from_store)
+            }
+            (None, from_store) => from_store,
             (best, _) => best,
         }
     }
--- a/crates/core/src/forwarding/events.rs
+++ b/crates/core/src/forwarding/events.rs
@@ -32,19 +32,19 @@
     /// given out are left out: a resumed stream may repeat them.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.pending.extend_from_slice(data);
-        let mut whole = BytesMut::new();
+        let mut complete = BytesMut::new();
         while let Some(end) = self.find_end() {
             let event = self.pending.split_to(end);
             self.searched = 0;
             if self.is_new(&event) {
-                if whole.is_empty() {
-                    whole = event;
+                if complete.is_empty() {
+                    complete = event;
                 } else {
-                    whole.unsplit(event);
+                    complete.unsplit(event);
                 }
             }
         }
-        whole.freeze()
+        complete.freeze()
     }
 
     /// The rest behind the last whole event, at the proper end of the stream.
--- a/crates/core/src/forwarding/feed_selection.rs
+++ b/crates/core/src/forwarding/feed_selection.rs
@@ -14,49 +14,50 @@
 use super::ranks::{rank, rank_for};
 
 /// Nodes up to which each follows all feeds; engines serve a dozen readers.
-const MOST_READERS: u32 = 10;
+const MAX_READERS: u32 = 10;
 /// Readers of a feed on average where there are more.
-const READERS_OF_MANY: u32 = 3;
+const AVERAGE_READERS: u32 = 3;
 /// Feeds that a node follows at most. A count of nodes that is too small, as after a change of the root, would
 /// otherwise have each node follow many feeds of a large pool.
-const MOST_FEEDS: usize = 24;
+const MAX_FEEDS: usize = 24;
 /// The same while the nodes have not been counted: nobody knows yet how many share the feeds.
-const MOST_FEEDS_UNCOUNTED: usize = 16;
+const MAX_FEEDS_UNCOUNTED: usize = 16;
 
 /// How long engines must keep a part that nobody uses for their feeds to be left alone. A part is used again within some
 /// seconds or hardly at all: by then nothing that counts has been displaced, so that the feeds have nothing to tell. Of ten
 /// thousand engines before a light load, 24 feeds a node were 23,000 connections and as many calls a second.
-const KEPT_LONG: Duration = Duration::from_secs(120);
+const FOLLOW_BELOW_RETENTION: Duration = Duration::from_secs(120);
 /// Feeds that are followed are followed on until it is so long.
-const KEPT_LONGER: Duration = Duration::from_secs(240);
+const UNFOLLOW_ABOVE_RETENTION: Duration = Duration::from_secs(240);
 
 /// Whether engines drop parts so soon that their feeds are worth following: prompts of all nodes come to
 /// `tokens_per_second`, and engines have `room` tokens in all. `followed` tells what was so before.
-pub fn should_follow_feeds(tokens_per_second: f64, room: u64, followed: bool) -> bool {
+pub fn should_follow_feeds(tokens_per_second: f64, capacity_tokens: u64, is_following: bool) -> bool {
     // Nothing was read lately: what engines keep has not changed, nor has the worth of hearing of it.
     if tokens_per_second < 1.0 {
-        return followed;
+        return is_following;
     }
-    let kept = Duration::try_from_secs_f64(room as f64 / tokens_per_second).unwrap_or(Duration::MAX);
-    kept < if followed { KEPT_LONGER } else { KEPT_LONG }
+    let retention =
+        Duration::try_from_secs_f64(capacity_tokens as f64 / tokens_per_second).unwrap_or(Duration::MAX);
+    retention < if is_following { UNFOLLOW_ABOVE_RETENTION } else { FOLLOW_BELOW_RETENTION }
 }
 
 /// The feeds that node `me` follows, among those of `engines`, where `nodes` have been counted.
 pub fn followed_feeds<'a>(
-    me: &NodeId,
+    node: &NodeId,
     nodes: Option<u32>,
     engines: impl Iterator<Item = &'a EngineId>,
 ) -> Vec<&'a EngineId> {
-    let (drawn_above, most) = match nodes {
-        None => (0, MOST_FEEDS_UNCOUNTED),
-        Some(few) if few <= MOST_READERS => (0, MOST_FEEDS),
-        Some(many) => (u64::MAX - u64::MAX / u64::from(many) * u64::from(READERS_OF_MANY), MOST_FEEDS),
+    let (min_rank, max) = match nodes {
+        None => (0, MAX_FEEDS_UNCOUNTED),
+        Some(few) if few <= MAX_READERS => (0, MAX_FEEDS),
+        Some(many) => (u64::MAX - u64::MAX / u64::from(many) * u64::from(AVERAGE_READERS), MAX_FEEDS),
     };
-    let own = xxh3_64(me.as_str().as_bytes());
-    let mut drawn: Vec<(Reverse<u64>, &EngineId)> = engines
-        .map(|engine| (Reverse(rank_for(own, rank(engine))), engine))
-        .filter(|(draw, _)| draw.0 >= drawn_above)
+    let node_hash = xxh3_64(node.as_str().as_bytes());
+    let mut selected: Vec<(Reverse<u64>, &EngineId)> = engines
+        .map(|engine| (Reverse(rank_for(node_hash, rank(engine))), engine))
+        .filter(|(rank_of, _)| rank_of.0 >= min_rank)
         .collect();
-    drawn.sort_unstable();
-    drawn.into_iter().take(most).map(|(_, engine)| engine).collect()
+    selected.sort_unstable();
+    selected.into_iter().take(max).map(|(_, engine)| engine).collect()
 }
--- a/crates/core/src/forwarding/load.rs
+++ b/crates/core/src/forwarding/load.rs
@@ -10,18 +10,18 @@
 /// The weight of a new measurement in a moving average.
 const AVERAGE_WEIGHT: f64 = 0.2;
 /// What is left of the greatest time with each further answer.
-const SLOWEST_FADES: f64 = 0.93;
+const SLOWEST_DECAY_PER_ANSWER: f64 = 0.93;
 /// How long the greatest time stands where no further answer comes.
-const SLOWEST_STANDS: Duration = Duration::from_secs(2);
+const SLOWEST_HOLD: Duration = Duration::from_secs(2);
 /// The time in which it fades to a third after that: a node of hundreds meets each back end only now and then.
-const SLOWEST_FADES_IN: Duration = Duration::from_secs(4);
+const SLOWEST_DECAY: Duration = Duration::from_secs(4);
 /// The time in which an average that nothing newer is measured for falls to a third. A back end that was slow for a moment is asked
 /// again however few requests there are: twice as slow as others after 11 s, eight times after 24 s. One that stays slow gets one request in such a time.
-const AVERAGE_FADES_IN: Duration = Duration::from_secs(10);
+const AVERAGE_DECAY: Duration = Duration::from_secs(10);
 /// The time in which the rate of requests to a back end fades to a third.
-const SENT_FADES: Duration = Duration::from_secs(1);
+const SENT_DECAY: Duration = Duration::from_secs(1);
 /// Measurements below which an average says nothing.
-const FEWEST_MEASUREMENTS: u32 = 5;
+const MIN_MEASUREMENTS: u32 = 5;
 /// Bounds of the factor by which a slow back end's cost is raised or lowered.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 8.0);
 /// The factor of a back end that answers as soon as any is reckoned to.
@@ -30,7 +30,7 @@
 pub const TYPICAL_SLOWNESS: f64 = 1.0;
 
 /// The least time without a first byte after which a back end is suspect.
-const LEAST_PATIENCE: Duration = Duration::from_millis(700);
+const MIN_SUSPECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// What one node has under way at one back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -52,13 +52,13 @@
 impl BackendLoad {
     /// The time in which an answer of this back end has lately begun, the slow ones included.
     pub fn slowest(&self, now: Timestamp) -> Duration {
-        Duration::try_from_secs_f64(self.faded_slowest_ms(now) / 1_000.0).unwrap_or_default()
+        Duration::try_from_secs_f64(self.decayed_slowest_ms(now) / 1_000.0).unwrap_or_default()
     }
 
     /// What is left of the average, from 0 to 1, where nothing was measured since `measured_at`.
-    fn average_left(&self, now: Timestamp) -> f64 {
+    fn average_remaining(&self, now: Timestamp) -> f64 {
         let elapsed = now.saturating_since(self.measured_at).as_secs_f64();
-        (-elapsed / AVERAGE_FADES_IN.as_secs_f64()).exp()
+        (-elapsed / AVERAGE_DECAY.as_secs_f64()).exp()
     }
 
     /// The weight of a measurement at `now` in the average. One that is faster says the more, the older the average is: a back end
@@ -70,8 +70,8 @@
         if milliseconds >= self.average_ms {
             return AVERAGE_WEIGHT;
         }
-        let is_old = now.saturating_since(self.measured_at) >= AVERAGE_FADES_IN;
-        if is_old { 1.0 } else { AVERAGE_WEIGHT.max(1.0 - self.average_left(now)) }
+        let is_old = now.saturating_since(self.measured_at) >= AVERAGE_DECAY;
+        if is_old { 1.0 } else { AVERAGE_WEIGHT.max(1.0 - self.average_remaining(now)) }
     }
 
     /// Requests a second that this node has lately sent there.
@@ -79,9 +79,9 @@
         self.sent.map_or(0.0, |sent| sent.per_second(now))
     }
 
-    fn faded_slowest_ms(&self, now: Timestamp) -> f64 {
-        let elapsed = now.saturating_since(self.measured_at).saturating_sub(SLOWEST_STANDS).as_secs_f64();
-        self.slowest_ms * (-elapsed / SLOWEST_FADES_IN.as_secs_f64()).exp()
+    fn decayed_slowest_ms(&self, now: Timestamp) -> f64 {
+        let elapsed = now.saturating_since(self.measured_at).saturating_sub(SLOWEST_HOLD).as_secs_f64();
+        self.slowest_ms * (-elapsed / SLOWEST_DECAY.as_secs_f64()).exp()
     }
 }
 
@@ -102,7 +102,7 @@
         let load = self.by_backend.entry(backend.clone()).or_default();
         load.requests += 1;
         load.unread_tokens += tokens;
-        load.sent.get_or_insert(RecentRate::new(SENT_FADES)).add(1.0, now);
+        load.sent.get_or_insert(RecentRate::new(SENT_DECAY)).add(1.0, now);
     }
 
     /// The first event of the answer to a request sent at `sent_at` has arrived, or the request has ended before it.
@@ -130,7 +130,7 @@
         let weight = load.weight_of(milliseconds, now);
         load.measurements += 1;
         load.average_ms += (milliseconds - load.average_ms) * weight;
-        load.slowest_ms = milliseconds.max(load.faded_slowest_ms(now) * SLOWEST_FADES);
+        load.slowest_ms = milliseconds.max(load.decayed_slowest_ms(now) * SLOWEST_DECAY_PER_ANSWER);
         load.measured_at = now;
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Whether requests were sent there that no first byte has come for.
-    fn awaits(&self, backend: &BackendId) -> bool {
+    fn has_unanswered(&self, backend: &BackendId) -> bool {
         self.unanswered.get(backend).is_some_and(|unanswered| !unanswered.is_empty())
     }
 
@@ -176,8 +176,8 @@
         let Some(oldest) = self.unanswered.get(backend).and_then(|unanswered| unanswered.iter().min()) else {
             return false;
         };
-        let patience = LEAST_PATIENCE.max(self.of(backend).slowest(now) * 3);
-        now.saturating_since(*oldest) >= patience
+        let timeout = MIN_SUSPECT_TIMEOUT.max(self.of(backend).slowest(now) * 3);
+        now.saturating_since(*oldest) >= timeout
     }
 
     /// A back end is gone.
@@ -195,7 +195,7 @@
     pub fn median_ms<'a>(&self, backends: impl Iterator<Item = &'a BackendId>) -> f64 {
         let mut averages: Vec<f64> = backends
             .map(|backend| self.of(backend))
-            .filter(|load| load.measurements >= FEWEST_MEASUREMENTS)
+            .filter(|load| load.measurements >= MIN_MEASUREMENTS)
             .map(|load| load.average_ms)
             .collect();
         averages.sort_by(f64::total_cmp);
@@ -204,15 +204,15 @@
 
     /// How much slower than usual a back end answers, as far as that is still known at `now`; `unknown` where it isn't, and what
     /// a greater factor fades to.
-    pub fn slowness(&self, backend: &BackendId, usual_ms: f64, unknown: f64, now: Timestamp) -> f64 {
+    pub fn slowness(&self, backend: &BackendId, median_ms: f64, fallback: f64, now: Timestamp) -> f64 {
         let load = self.of(backend);
-        if usual_ms <= 0.0 || load.measurements < FEWEST_MEASUREMENTS {
-            return unknown;
+        if median_ms <= 0.0 || load.measurements < MIN_MEASUREMENTS {
+            return fallback;
         }
-        let (least, most) = SLOWNESS_BOUNDS;
-        let measured = (load.average_ms / usual_ms).clamp(least, most);
+        let (min, max) = SLOWNESS_BOUNDS;
+        let measured = (load.average_ms / median_ms).clamp(min, max);
         // One that leaves requests unanswered is not unknown: it may be slower still.
-        let left = if self.awaits(backend) { 1.0 } else { load.average_left(now) };
-        measured.min(unknown).max(measured * left)
+        let remaining = if self.has_unanswered(backend) { 1.0 } else { load.average_remaining(now) };
+        measured.min(fallback).max(measured * remaining)
     }
 }
--- a/crates/core/src/forwarding/planned_stop.rs
+++ b/crates/core/src/forwarding/planned_stop.rs
@@ -5,9 +5,9 @@
 use paddlemount_protocol::time::Timestamp;
 
 /// The longest time in which callers are still taken after a signal to stop.
-const LONGEST_LEAVING: Duration = Duration::from_millis(2_600);
+const MAX_DRAIN_PERIOD: Duration = Duration::from_millis(2_600);
 /// How much sooner than it is killed the process ends by itself.
-const GRACE_MARGIN: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// The times of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,40 +20,40 @@
 
 impl PlannedStop {
     /// A stop that was told at `told_at`, of a process that is killed after `grace`.
-    pub fn with_grace_period(told_at: Timestamp, grace: Duration) -> Self {
-        Self::new(told_at, Self::drain_period(grace), grace.saturating_sub(GRACE_MARGIN))
+    pub fn with_grace_period(signaled_at: Timestamp, grace: Duration) -> Self {
+        Self::new(signaled_at, Self::drain_period(grace), grace.saturating_sub(EXIT_MARGIN))
     }
 
     /// How long callers are still taken after a signal, where the process is killed after `grace`.
     pub fn drain_period(grace: Duration) -> Duration {
-        LONGEST_LEAVING.min(grace.saturating_sub(GRACE_MARGIN) * 2 / 5)
+        MAX_DRAIN_PERIOD.min(grace.saturating_sub(EXIT_MARGIN) * 2 / 5)
     }
 
     /// A stop that was told at `told_at`, takes callers for `leaving` and ends after `grace`.
-    pub fn new(told_at: Timestamp, leaving: Duration, grace: Duration) -> Self {
-        Self { accepts_until: told_at + leaving.min(grace), ends_at: told_at + grace }
+    pub fn new(signaled_at: Timestamp, drain_period: Duration, grace: Duration) -> Self {
+        Self { accepts_until: signaled_at + drain_period.min(grace), ends_at: signaled_at + grace }
     }
 
     /// Whether a request may begin whose answer is expected to take `expected`, and whose caller waits for `waits`. What
     /// its caller waits for no longer than the process lives may begin in any case. While callers are taken the others
     /// may where the answer is expected to end in time, or nothing is known of it; after that none does.
-    pub fn may_start(&self, expected: Option<Duration>, waits: Duration, now: Timestamp) -> bool {
-        let left = self.ends_at.saturating_since(now);
-        if left.is_zero() {
+    pub fn may_start(&self, expected: Option<Duration>, caller_timeout: Duration, now: Timestamp) -> bool {
+        let remaining = self.ends_at.saturating_since(now);
+        if remaining.is_zero() {
             return false;
         }
-        if waits <= left {
+        if caller_timeout <= remaining {
             return true;
         }
         // What comes later comes on connections whose callers have had no answer since the signal. They can be told to go
         // elsewhere at once, which costs them a round trip, while no guess of a length is certain: a stream that was
         // expected to end with a quarter of the time to spare ran for four seconds and was cut.
-        now < self.accepts_until && expected.is_none_or(|expected| expected <= left)
+        now < self.accepts_until && expected.is_none_or(|expected| expected <= remaining)
     }
 
     /// How long callers may count on a connection that rests, in whole seconds: those that had an answer before the signal
     /// do not use it any more when resting connections close. Nothing where that would be less than a second.
-    pub fn keep_alive_seconds(leaving: Duration) -> Option<u64> {
-        Some(leaving.as_secs()).filter(|seconds| *seconds > 0)
+    pub fn keep_alive_seconds(drain_period: Duration) -> Option<u64> {
+        Some(drain_period.as_secs()).filter(|seconds| *seconds > 0)
     }
 }
--- a/crates/core/src/forwarding/uplink.rs
+++ b/crates/core/src/forwarding/uplink.rs
@@ -14,14 +14,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long a node that did not answer, or refused, is not asked.
-const PASSED_OVER: Duration = Duration::from_secs(3);
+const AVOID_PERIOD: Duration = Duration::from_secs(3);
 /// How often a node is referred on before it begins anew: the tree of a thousand nodes has four levels.
-const MOST_REFERRALS: u32 = 12;
+const MAX_REFERRALS: u32 = 12;
 /// How long the nodes above may have heard nothing of a root before a node leaves them: a lease of 3 s runs out, another
 /// node leads, and the first of the nodes above has found its place below that one, with all that report to it.
-const UPROOTED: Duration = Duration::from_secs(6);
+const ROOT_CONTACT_TIMEOUT: Duration = Duration::from_secs(6);
 /// The longest time by which nodes spread out when they leave: all below a node that is cut off may leave it.
-const UPROOTED_SPREAD_MS: u64 = 3_000;
+const ROOT_CONTACT_JITTER_MS: u64 = 3_000;
 
 /// What a node does next about its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,79 +37,79 @@
 /// A node's place in the tree.
 #[derive(Clone, Debug)]
 pub struct Uplink {
-    me: Contact,
+    local: Contact,
     /// The way from the root to the node that is reported to, which comes last.
-    above: Vec<Contact>,
+    ancestors: Vec<Contact>,
     /// Whether the last of `above` has taken this node in.
     is_joined: bool,
     referred_to: Option<Contact>,
     referrals: u32,
-    passed_over: BTreeMap<NodeId, Timestamp>,
+    avoided: BTreeMap<NodeId, Timestamp>,
     /// When the root was last heard, over the nodes between; a new place counts as if it had been.
-    rooted_at: Option<Timestamp>,
+    root_seen_at: Option<Timestamp>,
 }
 
 impl Uplink {
     /// A node that has no place yet.
-    pub const fn new(me: Contact) -> Self {
+    pub const fn new(local: Contact) -> Self {
         Self {
-            me,
-            above: Vec::new(),
+            local,
+            ancestors: Vec::new(),
             is_joined: false,
             referred_to: None,
             referrals: 0,
-            passed_over: BTreeMap::new(),
-            rooted_at: None,
+            avoided: BTreeMap::new(),
+            root_seen_at: None,
         }
     }
 
     /// What to do next, where `root` leads as far as is known; `leads` tells that this node itself does.
     pub fn next_step(&mut self, root: Option<&Contact>, leads: bool, now: Timestamp) -> NextStep {
-        self.passed_over.retain(|_, at| now.saturating_since(*at) < PASSED_OVER);
+        self.avoided.retain(|_, at| now.saturating_since(*at) < AVOID_PERIOD);
         if leads {
-            self.above.clear();
+            self.ancestors.clear();
             self.is_joined = false;
             self.referred_to = None;
             return NextStep::Wait;
         }
-        if self.is_uprooted(root, now) {
-            self.leave(now);
+        if self.has_lost_root(root, now) {
+            self.leave_parent(now);
         }
         if self.is_joined
-            && let Some(parent) = self.above.last()
+            && let Some(parent) = self.ancestors.last()
         {
             return NextStep::Report(parent.clone());
         }
-        if let Some(to) = self.referred_to.clone().filter(|to| self.may_ask(to)) {
+        if let Some(to) = self.referred_to.clone().filter(|to| self.can_ask(to)) {
             return NextStep::Join(to);
         }
         self.referrals = 0;
-        let candidate = self.above.iter().rev().chain(root).find(|contact| self.may_ask(contact));
+        let candidate = self.ancestors.iter().rev().chain(root).find(|contact| self.can_ask(contact));
         candidate.map_or(NextStep::Wait, |contact| NextStep::Join(contact.clone()))
     }
 
     /// `parent` has taken this node in.
     pub fn joined(&mut self, parent: Contact, now: Timestamp) {
-        self.cut_above(&parent.node);
-        self.above.push(parent);
+        self.truncate_ancestors(&parent.node);
+        self.ancestors.push(parent);
         self.is_joined = true;
         self.referred_to = None;
         self.referrals = 0;
-        self.rooted_at = Some(now);
+        self.root_seen_at = Some(now);
     }
 
     /// This node was told to ask `to` instead.
     pub fn referred(&mut self, to: Contact) {
         self.is_joined = false;
         self.referrals += 1;
-        self.referred_to = (self.referrals <= MOST_REFERRALS).then_some(to);
+        self.referred_to = (self.referrals <= MAX_REFERRALS).then_some(to);
     }
 
     /// A node did not answer, or refused this node: it is left, and for a while not asked.
     pub fn failed(&mut self, node: &NodeId, now: Timestamp) {
-        self.passed_over.insert(node.clone(), now);
-        if self.above.last().is_some_and(|parent| parent.node == *node) {
-            self.above.pop();
+        self.avoided.insert(node.clone(), now);
+        if self.ancestors.last().is_some_and(|parent| parent.node == *node) {
+            self.ancestors.pop();
             self.is_joined = false;
         }
         if self.referred_to.as_ref().is_some_and(|to| to.node == *node) {
@@ -119,44 +119,40 @@
 
     /// The node that is reported to has told the way from the root to itself, and how long ago it heard of the root.
     /// Whether the way is one: where it leads over this node, that one is left.
-    pub fn update_path(
-        &mut self,
-        path: Vec<Contact>,
-        rooted_before: Option<Duration>,
-        now: Timestamp,
-    ) -> bool {
-        if path.iter().any(|contact| contact.node == self.me.node) {
-            self.leave(now);
+    pub fn update_path(&mut self, path: Vec<Contact>, root_age: Option<Duration>, now: Timestamp) -> bool {
+        if path.iter().any(|contact| contact.node == self.local.node) {
+            self.leave_parent(now);
             return false;
         }
-        if let Some(age) = rooted_before {
-            self.rooted_at = self.rooted_at.max(Some(now - age));
+        if let Some(age) = root_age {
+            self.root_seen_at = self.root_seen_at.max(Some(now - age));
         }
-        if path.last() == self.above.last() {
-            self.above = path;
+        if path.last() == self.ancestors.last() {
+            self.ancestors = path;
         }
         true
     }
 
     /// The way from the root to this node, which comes last: the nodes below are told.
     pub fn path(&self) -> Vec<Contact> {
-        let above = self.above.iter().filter(|_| self.is_joined);
-        above.chain([&self.me]).cloned().collect()
+        let ancestors = self.ancestors.iter().filter(|_| self.is_joined);
+        ancestors.chain([&self.local]).cloned().collect()
     }
 
     /// Whether the node `node` stands above this one, or is this one.
     pub fn is_self_or_ancestor(&self, node: &NodeId) -> bool {
-        self.me.node == *node || (self.is_joined && self.above.iter().any(|contact| contact.node == *node))
+        self.local.node == *node
+            || (self.is_joined && self.ancestors.iter().any(|contact| contact.node == *node))
     }
 
     /// The node that is reported to.
     pub fn parent(&self) -> Option<&Contact> {
-        self.above.last().filter(|_| self.is_joined)
+        self.ancestors.last().filter(|_| self.is_joined)
     }
 
     /// How many nodes stand above this one.
     pub fn depth(&self) -> usize {
-        if self.is_joined { self.above.len() } else { 0 }
+        if self.is_joined { self.ancestors.len() } else { 0 }
     }
 
     /// How long ago the root was heard of, over the nodes between.
@@ -164,44 +160,43 @@
         if leads {
             return Some(Duration::ZERO);
         }
-        self.rooted_at.map(|at| now.saturating_since(at))
+        self.root_seen_at.map(|at| now.saturating_since(at))
     }
 
     /// Nodes that are not asked for the moment.
     pub fn avoided(&self) -> Vec<NodeId> {
-        self.passed_over.keys().cloned().collect()
+        self.avoided.keys().cloned().collect()
     }
 
     /// Whether the nodes above have been without the root for long, though another node leads.
-    fn is_uprooted(&self, root: Option<&Contact>, now: Timestamp) -> bool {
-        let Some(root) = root.filter(|root| self.is_joined && !self.passed_over.contains_key(&root.node))
-        else {
+    fn has_lost_root(&self, root: Option<&Contact>, now: Timestamp) -> bool {
+        let Some(root) = root.filter(|root| self.is_joined && !self.avoided.contains_key(&root.node)) else {
             return false;
         };
-        let spread = xxh3_64(self.me.node.as_str().as_bytes()) % UPROOTED_SPREAD_MS;
-        let patience = UPROOTED + Duration::from_millis(spread);
-        let lost = self.rooted_at.is_none_or(|at| now.saturating_since(at) >= patience);
-        lost && self.above.last().is_none_or(|parent| parent.node != root.node)
+        let jitter = xxh3_64(self.local.node.as_str().as_bytes()) % ROOT_CONTACT_JITTER_MS;
+        let timeout = ROOT_CONTACT_TIMEOUT + Duration::from_millis(jitter);
+        let is_expired = self.root_seen_at.is_none_or(|at| now.saturating_since(at) >= timeout);
+        is_expired && self.ancestors.last().is_none_or(|parent| parent.node != root.node)
     }
 
     /// Leaves the node that is reported to, and all above it: they do not lead to the root.
-    fn leave(&mut self, now: Timestamp) {
-        if let Some(parent) = self.above.last() {
-            self.passed_over.insert(parent.node.clone(), now);
+    fn leave_parent(&mut self, now: Timestamp) {
+        if let Some(parent) = self.ancestors.last() {
+            self.avoided.insert(parent.node.clone(), now);
         }
-        self.above.clear();
+        self.ancestors.clear();
         self.is_joined = false;
-        self.rooted_at = None;
+        self.root_seen_at = None;
     }
 
-    fn may_ask(&self, contact: &Contact) -> bool {
-        contact.node != self.me.node && !self.passed_over.contains_key(&contact.node)
+    fn can_ask(&self, contact: &Contact) -> bool {
+        contact.node != self.local.node && !self.avoided.contains_key(&contact.node)
     }
 
     /// Keeps what stands above a node that takes this one in, as far as it is known.
-    fn cut_above(&mut self, parent: &NodeId) {
-        if let Some(place) = self.above.iter().position(|contact| contact.node == *parent) {
-            self.above.truncate(place);
+    fn truncate_ancestors(&mut self, parent: &NodeId) {
+        if let Some(position) = self.ancestors.iter().position(|contact| contact.node == *parent) {
+            self.ancestors.truncate(position);
         }
     }
 }
