--- a/crates/core/src/forwarding/answer_times.rs
+++ b/crates/core/src/forwarding/answer_times.rs
@@ -1,43 +1,41 @@
-//! How long whole answers have lately taken, and how long one may take that is to begin.
+//! How long recent answers took, and how long the answer to a new request is expected to take.
 //!
-//! The answers of a route differ by a factor of a hundred in length. What a request guesses of its own tells more of it than
-//! the longest answer of its route: the streams that a planned stop cut were guessed two to four times as long as most, while
-//! requests that it refused for a long one before them were short.
+//! Answers of one route differ by orders of magnitude in length, so a request's own estimate predicts its
+//! duration better than the longest answer of its route.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use paddlemount_protocol::time::Timestamp;
 
-/// The time of which the longest answer is kept apart.
+/// The interval over which times are aggregated.
 const SLICE: Duration = Duration::from_secs(10);
-/// Slices that count, the present one included: answers are remembered for 50 to 60 s.
+/// The number of slices that count, including the current one: answers are remembered for 50 to 60 s.
 const SLICE_COUNT: usize = 6;
 
-/// How much longer than by its guess an answer is reckoned with: guesses are right in the median, and an answer that is cut
-/// costs its caller far more than a round trip to another node.
+/// The factor applied to an estimate, in thousandths. Estimates are right in the median, and an answer that
+/// is cut off costs its caller far more than a round trip to another node.
 const ESTIMATE_MARGIN_PER_MILLE: u64 = 2_500;
-/// Thousandths in a whole.
+/// The number of thousandths in one.
 const PER_MILLE: u64 = 1_000;
 
 /// How long an answer took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTime {
-    /// From the request's arrival to the first part of the answer.
+    /// From the request's arrival to the first chunk of the answer.
     pub first_chunk: Duration,
-    /// To its end.
+    /// From the request's arrival to the end of the answer.
     pub total: Duration,
-    /// Tokens that its request guessed it to have.
+    /// The answer's length as estimated by its request.
     pub estimated_tokens: Option<u32>,
 }
 
-/// The times of some answers.
+/// Aggregated times of some answers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Times {
-    /// The longest of them.
     longest: Duration,
-    /// The longest time to a first part.
     slowest_first_chunk: Duration,
-    /// The time from the first part to the end of all answers whose length was guessed, and the tokens that were guessed.
+    /// The sums, over all answers with an estimated length, of the time from the first chunk to the end, and
+    /// of the estimated tokens.
     streaming: Duration,
     estimated: u64,
 }
@@ -67,13 +65,13 @@
 /// The times of one route's answers, by slices of time.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecentTimes {
-    /// The number of the newest slice, counted from the clock's zero.
+    /// The number of the newest slice since the epoch.
     newest: u64,
     by_slice: [Times; SLICE_COUNT],
 }
 
 impl RecentTimes {
-    /// Empties the slices that have grown too old by `now`.
+    /// Clears the slices that have expired by `now`.
     fn advance(&mut self, now: Timestamp) {
         let present = slice_of(now);
         let passed = present.saturating_sub(self.newest);
@@ -99,7 +97,7 @@
 }
 
 impl AnswerTimes {
-    /// An answer has ended whole.
+    /// Records an answer that has ended completely.
     pub fn record(&mut self, route: &str, time: AnswerTime, now: Timestamp) {
         if !self.by_route.contains_key(route) {
             self.by_route.insert(route.to_owned(), RecentTimes::default());
@@ -109,13 +107,13 @@
         recent.by_slice[index(slice_of(now))].add(&time.into());
     }
 
-    /// The longest answer of the last minute; nothing where none has ended.
+    /// The longest answer of the last minute; `None` if none has ended.
     pub fn longest(&self, route: &str, now: Timestamp) -> Option<Duration> {
         Some(self.recent(route, now)?.longest)
     }
 
-    /// How long an answer is reckoned to take that is guessed to have so many tokens, by what recent guesses were worth; as
-    /// long as the longest where nothing is guessed. Nothing where none has ended.
+    /// The expected duration of an answer with this estimated length, derived from the rate of recent
+    /// answers; the longest recent duration without an estimate. `None` if no answer has ended recently.
     pub fn expected(&self, route: &str, estimated_tokens: Option<u32>, now: Timestamp) -> Option<Duration> {
         let recent = self.recent(route, now)?;
         let Some(estimated) = estimated_tokens.filter(|_| recent.estimated > 0) else {
@@ -126,7 +124,7 @@
         Some(recent.slowest_first_chunk + streaming)
     }
 
-    /// The times of the last minute.
+    /// The aggregated times of the last minute.
     fn recent(&self, route: &str, now: Timestamp) -> Option<Times> {
         let mut recent = *self.by_route.get(route)?;
         recent.advance(now);
@@ -135,7 +133,7 @@
         (!all.longest.is_zero()).then_some(all)
     }
 
-    /// Forgets routes without a recent answer.
+    /// Removes routes without a recent answer.
     pub fn sweep(&mut self, now: Timestamp) {
         let by_route = std::mem::take(&mut self.by_route);
         self.by_route = by_route
--- a/crates/core/src/forwarding/caller_connection.rs
+++ b/crates/core/src/forwarding/caller_connection.rs
@@ -1,59 +1,59 @@
-//! When a caller's connection closes.
+//! Decides when a caller's connection closes.
 //!
-//! One decision for each way in which a connection may end: its rest, a head that never comes whole, a planned stop, and the
-//! end of the process. It is made from what is seen on the connection, never from a timer alone: what has arrived is
-//! answered before its connection closes.
+//! A connection may end when it is idle, when a request head is never completed, in a planned stop, and at
+//! the end of the process. The decision depends on the state of the connection, never on a timer alone: a
+//! request that has arrived is answered before its connection closes.
 
 use std::time::Duration;
 
 use paddlemount_protocol::time::Timestamp;
 
-/// How long a connection must have been without a byte before a planned stop closes it. A caller that has just had an
-/// answer, or has just connected, sends its next request within a few round trips.
+/// How long a connection must have been without activity before a planned stop closes it. A caller that has
+/// just received an answer, or has just connected, sends its next request within a few round trips.
 const CLOSE_QUIET_PERIOD: Duration = Duration::from_millis(200);
-/// How much longer than callers are told a connection that rests stays open.
+/// How much longer than the advertised idle timeout an idle connection stays open.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
-/// How far a planned stop has come.
+/// The stage of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopStage {
-    /// Callers are served.
+    /// Requests are served.
     Serving,
-    /// Callers are served, and told to come on another connection next time.
+    /// Requests are served, and callers are asked to use another connection next time.
     Draining,
-    /// No new connection is taken. What runs is served to its end; connections that rest are closed.
+    /// No new connection is accepted. Running requests complete; idle connections are closed.
     Closing,
-    /// The grace period is over: what still runs is cut off.
+    /// The grace period is over: requests that still run are cut off.
     Ended,
 }
 
-/// What is seen on a connection.
+/// The observed state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// Whether a request is being served on it.
+    /// Whether a request is being served.
     pub is_serving: bool,
-    /// Whether a part of a head has come whose rest has not.
+    /// Whether a request head has been received in part.
     pub has_partial_head: bool,
-    /// Whether bytes lie unread in the socket.
+    /// Whether the socket has unread bytes.
     pub is_readable: bool,
-    /// When the last byte came, or the last answer ended.
+    /// When the last byte arrived, or the last answer ended.
     pub last_activity: Timestamp,
     /// When the connection opened, or the last answer on it ended.
     pub idle_since: Timestamp,
 }
 
-/// What becomes of a connection.
+/// What to do with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// It stays open, and is looked at again at this time; where none is given, once its request has ended.
+    /// Keep it open, and check it again at this time; without a time, once its request has ended.
     KeepOpen(Option<Timestamp>),
-    /// It closes: nothing of a request is on it.
+    /// Close it gracefully: it carries no part of a request.
     Close,
-    /// It is dropped with what is on it: the rest of a head that never came, or what still runs at the end.
+    /// Drop it together with an incomplete request head, or with a request that still runs at the end.
     Abort,
 }
 
-/// Decides on a connection, where callers may count on one that rests for `idle_timeout`.
+/// Decides what to do with a connection, where `idle_timeout` is the idle timeout advertised to callers.
 pub fn next_action(
     state: ConnectionState,
     stage: StopStage,
@@ -76,7 +76,8 @@
     }
     match (state.has_partial_head, stage) {
         (false, _) => ConnectionAction::Close,
-        // A stop waits for the rest of a head; a head that never ends keeps a connection no longer than none at all.
+        // A planned stop waits for the rest of a request head. Otherwise an incomplete head keeps a
+        // connection open no longer than an idle one.
         (true, StopStage::Closing) => recheck,
         (true, _) => ConnectionAction::Abort,
     }
--- a/crates/core/src/forwarding/change_log.rs
+++ b/crates/core/src/forwarding/change_log.rs
@@ -1,9 +1,9 @@
-//! What has lately changed in the metadata store, remembered for the nodes below.
+//! Recent changes of the metadata store, recorded for the child nodes.
 //!
-//! Each node knows all of the store up to a revision. It remembers which subjects have changed at which revision, not how:
-//! a node below that knows all up to some revision is told the present state of the subjects that have changed since. So
-//! many changes of one subject cost as much as one, and a listing of the whole store is told as what it changed. Where the
-//! log does not reach back far enough, a snapshot of all is asked for.
+//! Each node knows the complete store up to a revision. The log records which entries changed at which
+//! revision, not their contents: a child that knows an earlier revision receives the current state of the
+//! entries that have changed since, so that several changes of one entry cost as much as one. A child that is
+//! behind the start of the log requests a snapshot.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -18,62 +18,60 @@
 
 use super::backends::BackendId;
 
-/// Changes that are remembered. Where the back ends of a large pool are replaced some two hundred a second change, so that
-/// these reach back 20 s: a node that has been told nothing for so long takes a snapshot. Each takes some 40 bytes.
+/// The maximum number of changes in the log. Replacing the back ends of a large pool causes about two hundred
+/// changes a second, so the log covers 20 s of it.
 const MAX_CHANGES: usize = 4_096;
 
-/// What a fact of the store is about.
+/// The key of an entry in the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EntryKey {
     /// The operator's document.
     Document,
-    /// The number of nodes, as a root has recorded it.
+    /// The number of nodes, as recorded by a root.
     FleetSize,
-    /// Who leads.
     Leader,
-    /// The named version of a model's weights.
+    /// The target version of a model's weights.
     TargetWeights(ModelId),
-    /// A request that is held back, or is no longer.
+    /// A request that is quarantined, or was.
     Quarantined(RequestFingerprint),
-    /// A back end.
     Backend(BackendId),
 }
 
-/// The moment that a relayed proof counts from, on the reader's clock: when the reader's report was sent, less the age
-/// that the proof had at the other node when it answered. The answer was written later than the report was sent, so
-/// that the moment is never too late, however long either was under way.
+/// The time from which a relayed proof counts, on the receiver's clock: the time at which the receiver sent
+/// its report, minus the age of the proof at the sender when it answered. The answer is written after the
+/// report is sent, so the result is never too late, whatever the latency in either direction.
 pub fn relayed_proof_time(report_sent_at: Timestamp, age: Duration) -> Timestamp {
     report_sent_at - age
 }
 
-/// Whether what was passed on for a reader that knew `reported` may be taken in where it now knows `known`. Where the
-/// store has told it something meanwhile, what was passed on may be older.
+/// Whether an update relayed for a receiver that had reported revision `reported` may still be applied now
+/// that it knows `known`. If the store itself has sent something meanwhile, the relayed update may be older.
 pub fn is_still_applicable(reported: Option<Revision>, known: Option<Revision>) -> bool {
     reported.is_some() && reported == known
 }
 
-/// Whether a snapshot of revision `offered` is taken in where `known` is known. An older one takes back what is known, also
-/// where the store has forgotten what followed that: a node that was cut off from the store once gave such a one.
+/// Whether a snapshot of revision `offered` may be applied where `known` is known. An older one, such as that
+/// of a node that is cut off from the store, would revert known entries.
 pub fn is_newer(offered: Revision, known: Option<Revision>) -> bool {
     known.is_none_or(|known| known < offered)
 }
 
-/// The subjects that have changed, in the order of their revisions.
+/// The entries that have changed, ordered by revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ChangeLog {
     changes: VecDeque<(Revision, EntryKey)>,
-    /// The revision from which on all changes are remembered; none before all is known for the first time.
+    /// The revision from which on the log is complete; `None` before the first complete listing.
     complete_from: Option<Revision>,
 }
 
 impl ChangeLog {
-    /// All is known up to `revision` for the first time; what changed before is not.
+    /// Starts an empty log at `revision`, the first one that is known completely.
     pub fn reset(&mut self, revision: Revision) {
         self.changes.clear();
         self.complete_from = Some(revision);
     }
 
-    /// A subject has changed, at `revision` at the latest. Revisions never fall.
+    /// Records that an entry changed at `revision` at the latest. Revisions never decrease.
     pub fn record(&mut self, key: EntryKey, revision: Revision) {
         self.changes.push_back((revision, key));
         if self.changes.len() > MAX_CHANGES
@@ -83,7 +81,8 @@
         }
     }
 
-    /// The subjects that have changed between `known` and `newest`; nothing where not all of them are remembered.
+    /// The entries that have changed after `known` up to `newest`; `None` if the log is not complete for that
+    /// range.
     pub fn since(&self, known: Revision, newest: Revision) -> Option<BTreeSet<&EntryKey>> {
         if known == newest {
             return Some(BTreeSet::new());
--- a/crates/core/src/forwarding/children.rs
+++ b/crates/core/src/forwarding/children.rs
@@ -1,9 +1,10 @@
-//! The nodes that report to one node, and whom it takes in.
+//! The nodes that report to this one, and the decision which nodes to accept.
 //!
-//! What a node spends on those below it is bounded by its own machine, whatever the size of the fleet: it takes in a fixed
-//! number ([`fan_in`]) and refers others to a node below it that has room. Strong machines are moved up and small ones
-//! down, so that the tree is shallow: fifty machines that carry twenty others each stand before a thousand in four levels.
-//! A zone is entered once where it has room: what crosses zones is paid for.
+//! A node accepts a bounded number of children ([`fan_in`]), whatever the size of the fleet, and refers
+//! others to a child that has room. Strong machines move up and weak ones down, which keeps the tree shallow:
+//! with fifty machines that accept twenty children each, a tree of a thousand nodes has four levels. Nodes of
+//! another zone are gathered below one child of that zone where it has room, since traffic between zones
+//! costs money.
 
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -13,40 +14,40 @@
     time::Timestamp,
 };
 
-/// How long a node that says nothing still counts: it may act on a count of nodes that it has subtree_size.
+/// How long an unresponsive child still counts: it may act on a node count that it has received.
 const CHILD_TTL: Duration = Duration::from_secs(8);
-/// How long what a node has told is used, and its place is kept for it. Reports come five times a second.
+/// How long a report is used, and how long the place of its sender is reserved. Reports come five times a
+/// second.
 const REPORT_TTL: Duration = Duration::from_millis(1_500);
-/// Nodes that one node takes in for each whole processor that it has. A report and its answer take some 0.3 ms of one, five
-/// times a second: a tenth of what a small machine has.
+/// Children per processor. A report and its answer take about 0.3 ms of processor time, five times a second.
 const CHILDREN_PER_PROCESSOR: f64 = 50.0;
-/// Nodes that one node takes in for each Mbit/s of its link: an answer of some 6 KB, five times a second, for each.
+/// Children per Mbit/s of the link. An answer has about 6 KB, five times a second.
 const CHILDREN_PER_MBPS: f64 = 0.6;
-/// Bounds of the number of nodes that one node takes in. More than the least would do no more than fill it: the levels of
-/// the tree grow with the logarithm of its size.
+/// Bounds of the number of children. The depth of the tree grows with the logarithm of its size, so more than
+/// twenty would hardly make it shallower.
 const FAN_IN_BOUNDS: (f64, f64) = (3.0, 20.0);
 
-/// How many nodes a machine takes in that has this share of a processor, and a link of so many Mbit/s.
+/// The number of children that a machine with this share of a processor and this link accepts.
 pub fn fan_in(processor_share: f64, link_mbps: f64) -> usize {
     let supported = (processor_share * CHILDREN_PER_PROCESSOR).min(link_mbps * CHILDREN_PER_MBPS);
     supported.clamp(FAN_IN_BOUNDS.0, FAN_IN_BOUNDS.1) as usize
 }
 
-/// What a node that reports has told.
+/// The last report of a child.
 #[derive(Clone, Debug)]
 struct Child {
     member: Member,
-    /// It and the nodes below it.
+    /// The child and its descendants.
     subtree_size: u32,
-    /// How many more nodes it and those below it can take in, less those that were referred to it since it said so: where
-    /// more come at once than there was room, below 0.
+    /// How many more nodes the child and its descendants can accept, minus the nodes referred to it since its
+    /// report; negative if more were referred than it had room for.
     room: i64,
-    /// What it and those below it have under way, by engine.
+    /// Requests in flight at the child and its descendants, by engine.
     work: Vec<EngineWork>,
-    /// Requests a second that callers ask of it and those below it.
+    /// Requests a second that callers send to the child and its descendants.
     offered_load: f64,
     reported_at: Timestamp,
-    /// The stronger node that has taken its place: it is to report there.
+    /// The stronger node that has taken the child's place, to which the child is referred.
     referred_to: Option<Contact>,
 }
 
@@ -56,12 +57,12 @@
     }
 }
 
-/// What becomes of a node that asks to be taken in.
+/// The answer to a join request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It reports here.
+    /// The node reports here.
     Accepted,
-    /// It is to ask another node.
+    /// The node has to ask another one.
     Referred(Contact),
 }
 
@@ -74,17 +75,17 @@
 }
 
 impl Children {
-    /// Nobody reports yet to `me`, which takes in `fan_in` nodes.
+    /// The children of `local`, which accepts `fan_in` of them; none at first.
     pub const fn new(local: Member, fan_in: usize) -> Self {
         Self { local, fan_in, by_node: BTreeMap::new() }
     }
 
-    /// Forgets nodes that have been silent for too long.
+    /// Removes children that have been unresponsive for too long.
     pub fn expire(&mut self, now: Timestamp) {
         self.by_node.retain(|_, child| now.saturating_since(child.reported_at) < CHILD_TTL);
     }
 
-    /// Takes a node in, or refers it.
+    /// Accepts a node, or refers it to another one.
     pub fn admit(&mut self, request: &JoinRequest, now: Timestamp) -> Admission {
         let joiner = &request.sender;
         let stays = |child: &Child| child.referred_to.is_none() && child.is_fresh(now);
@@ -105,7 +106,7 @@
             self.redirect(&weakest, joiner.contact());
             return self.accept(request, now);
         }
-        // Where none is known to have room the one that was referred the fewest takes it in further down.
+        // If no child is known to have room, the least loaded by referrals accepts the node further down.
         let is_reachable = |child: &Child| !request.avoids.contains(&child.member.node);
         let in_zone = |child: &Child| child.member.zone == joiner.zone;
         let next = self
@@ -115,12 +116,12 @@
             .or_else(|| self.best_child(now, is_reachable));
         match next {
             Some(next) => self.refer(next),
-            // One too many here is better than a node without any.
+            // Exceeding the fan-in by one is better than leaving a node without a parent.
             None => self.accept(request, now),
         }
     }
 
-    /// A node has reported. Nothing is taken of a node that was not taken in, or whose place was taken.
+    /// Records a report. Returns false for a sender that is not a child, or no longer.
     pub fn record_report(&mut self, report: &Report, now: Timestamp) -> bool {
         let Some(child) = self.by_node.get_mut(&report.sender.node) else { return false };
         child.member = report.sender.clone();
@@ -133,9 +134,9 @@
         true
     }
 
-    /// Where a node that reports here is to report from now on, if not here; it is forgotten with that. One that is stronger
-    /// than this node goes one step up, to `parent`: it takes the place of a weaker one there, until all that stand above
-    /// a node are at least as strong.
+    /// Where a child has to report from now on, if not here; the child is then removed. A child that is
+    /// stronger than this node moves up to `parent` and may displace a weaker child there, until all
+    /// ancestors of a node are at least as strong as it.
     pub fn take_referral(&mut self, node: &NodeId, parent: Option<&Contact>) -> Option<Contact> {
         let child = self.by_node.get(node)?;
         let is_promoted = child.member.capacity > self.local.capacity;
@@ -144,45 +145,45 @@
         Some(to)
     }
 
-    /// The node itself and those below it that were subtree_size lately.
+    /// The number of nodes in this subtree, including this node.
     pub fn subtree_size(&self) -> u32 {
         self.by_node.values().fold(1, |sum, child| sum.saturating_add(child.subtree_size))
     }
 
-    /// How many more nodes this one and those below it can take in.
+    /// How many more nodes this subtree can accept.
     pub fn room(&self, now: Timestamp) -> u32 {
         let own = self.fan_in.saturating_sub(self.staying_count(now)) as u32;
         let child_rooms = self.fresh(now).map(|child| u32::try_from(child.room).unwrap_or(0));
         child_rooms.fold(own, u32::saturating_add)
     }
 
-    /// The number of nodes that report here.
+    /// The number of children.
     pub fn len(&self) -> usize {
         self.by_node.len()
     }
 
-    /// Whether no node reports here.
+    /// Whether there are no children.
     pub fn is_empty(&self) -> bool {
         self.by_node.is_empty()
     }
 
-    /// When a node last reported.
+    /// The time of the latest report of any child.
     pub fn last_report(&self) -> Option<Timestamp> {
         self.by_node.values().map(|child| child.reported_at).max()
     }
 
-    /// What the nodes that report here have under way, one list for each, as far as it is recent.
+    /// The requests in flight at each child's subtree, from reports that have not expired.
     pub fn work(&self, now: Timestamp) -> impl Iterator<Item = &[EngineWork]> {
         self.fresh(now).map(|child| child.work.as_slice())
     }
 
-    /// What one of them has under way, as far as it is recent; ordered by engine.
+    /// The requests in flight at one child's subtree, ordered by engine; empty if its report has expired.
     pub fn work_of(&self, node: &NodeId, now: Timestamp) -> &[EngineWork] {
         let child = self.by_node.get(node).filter(|child| child.is_fresh(now));
         child.map_or(&[], |child| child.work.as_slice())
     }
 
-    /// The nodes that report here, with the requests a second that callers ask of them and those below them.
+    /// The children, each with the requests a second that callers send to its subtree.
     pub fn offered_load(&self, now: Timestamp) -> impl Iterator<Item = (&NodeId, f64)> {
         self.fresh(now).map(|child| (&child.member.node, child.offered_load))
     }
@@ -191,7 +192,7 @@
         self.by_node.values().filter(move |child| child.is_fresh(now))
     }
 
-    /// The nodes that report here and stay.
+    /// The number of children that are not referred elsewhere.
     fn staying_count(&self, now: Timestamp) -> usize {
         self.fresh(now).filter(|child| child.referred_to.is_none()).count()
     }
@@ -214,15 +215,15 @@
         Admission::Accepted
     }
 
-    /// The strongest node among those that fit, and the one with the most room where several are as strong: small machines
-    /// stand between only where no strong one has room.
+    /// The strongest matching child, and among equally strong ones the one with the most room: weak machines
+    /// become inner nodes only if no strong one has room.
     fn best_child(&self, now: Timestamp, matches: impl Fn(&Child) -> bool) -> Option<Contact> {
         let fresh = self.fresh(now).filter(|child| child.referred_to.is_none() && matches(child));
         let best = fresh.max_by_key(|child| (child.member.capacity, child.room, Reverse(&child.member.node)));
         best.map(|child| child.member.contact())
     }
 
-    /// The weakest node that reports here, where it is weaker than one of `capacity`.
+    /// The weakest child, if it is weaker than `capacity`.
     fn weakest_child(&self, capacity: u32, now: Timestamp) -> Option<NodeId> {
         let staying = self.fresh(now).filter(|child| child.referred_to.is_none());
         let weakest =
--- a/crates/core/src/forwarding/choice.rs
+++ b/crates/core/src/forwarding/choice.rs
@@ -1,19 +1,20 @@
 //! Chooses the back end of a request.
 //!
-//! For prompts the measure is work in tokens: what a back end has yet to read, plus what it would have to read for
-//! this request. A part that another back end keeps is imported at a small part of that work, so load is balanced
-//! first and affinity only breaks near ties. A part that nobody keeps is read once: all nodes send requests for it to
-//! the same back end (rendezvous hashing), without a word between them, until the feeds tell that it is kept.
+//! For prompts, the cost of a back end is work in tokens: the tokens it still has to prefill, plus those of
+//! this request. Importing a segment that another back end has cached costs a small fraction of prefilling
+//! it, so load is balanced first and affinity only breaks near ties. A segment that nobody has cached is
+//! prefilled once: all nodes send requests for it to the same back end by rendezvous hashing, without
+//! coordination, until feeds report it as cached.
 //!
-//! For other services the measure is the number of requests at the back end, weighed by how long it takes.
+//! For other services, the cost is the number of requests at the back end, weighted by its latency.
 //!
 //! | module | job |
 //! |---|---|
-//! | `field` | the back ends among which is chosen, and which of them are weighed |
-//! | `prompts` | weighs the back ends of a prompt |
-//! | `source_times` | whether stores or engines are the faster sources at the moment |
-//! | `shards` | which of several stores a prompt's parts belong to |
-//! | `sources` | whom to import a prefix from, and who gets a copy of a run |
+//! | `candidate_pool` | the back ends of a pool, and the sample that a choice evaluates |
+//! | `prompts` | the cost of each back end for a prompt |
+//! | `source_times` | whether cache stores or engines are currently the faster sources |
+//! | `shards` | which of several cache stores a prompt's segments belong to |
+//! | `sources` | the source to import a prefix from, and the back end that receives a copy of a run |
 
 mod candidate_pool;
 mod prompts;
@@ -44,82 +45,75 @@
 /// The cost of a back end in another zone, in requests, for services without prompts.
 const OTHER_ZONE_REQUESTS: f64 = 1.5;
 
-/// A back end that may get the request.
+/// A back end that may be chosen for the request.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// Its identity.
     pub id: &'a BackendId,
-    /// Its address.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: &'a ZoneId,
-    /// The version of the asked model's weights, where the request has a prompt.
+    /// Its version of the requested model's weights, if the request has a prompt.
     pub weights: Option<WeightsVersion>,
-    /// Requests that it works on at once; further ones wait.
+    /// The number of requests that it processes concurrently; further ones are queued.
     pub slots: u32,
-    /// Whether it may be chosen; others only keep parts.
+    /// Whether it may be chosen; others are only import sources.
     pub eligible: bool,
-    /// Whether its weights are older than the version that requests rather begin on.
+    /// Whether its weights are older than the version preferred for new requests.
     pub outdated: bool,
 }
 
-/// A store of kept parts.
+/// A cache store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheStore {
     /// The name under which its feed is known.
     pub id: BackendId,
-    /// Its address.
     pub address: SocketAddr,
 }
 
-/// What is to be placed.
+/// A request for which a back end is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement<'a> {
-    /// Its prompt, if it has one.
     pub prompt: Option<&'a Prompt>,
-    /// The tenant whose cached parts are kept apart, if it is one.
+    /// The tenant, if its cached segments are isolated from those of others.
     pub isolated: Option<&'a TenantId>,
-    /// The node's own zone.
+    /// This node's own zone.
     pub zone: &'a ZoneId,
-    /// A number drawn for the request; breaks ties.
+    /// A random number drawn for the request; selects the sample and breaks ties.
     pub seed: u64,
-    /// The store that this prompt's parts belong to, if there is one ([`shard_of`]).
+    /// The cache store that this prompt's segments belong to ([`shard_of`]).
     pub store: Option<&'a CacheStore>,
-    /// How many back ends are weighed, drawn for the request, beside the homes of its parts; all where none is given.
-    /// Where many nodes choose with the same late knowledge, each must weigh others, or all choose the same one.
+    /// How many back ends are sampled, in addition to the preferred one; `None` evaluates all. Where many
+    /// nodes choose with the same outdated information, different samples prevent them from choosing the same
+    /// back end.
     pub sample_size: Option<usize>,
-    /// Whether the run's memory is to be copied to another back end as it grows.
+    /// Whether the run's memory is copied to another back end as it grows.
     pub replicate: bool,
     /// When it is placed: what back ends have measured is worth less with time.
     pub now: Timestamp,
 }
 
-/// The chosen back end.
+/// The chosen back end, and what is expected of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The back end.
     pub backend: BackendId,
-    /// Its address.
     pub address: SocketAddr,
-    /// The scope of cached parts, where the request has a prompt.
+    /// The scope of its cached segments, if the request has a prompt.
     pub scope: Option<CacheScope>,
-    /// Whom to import the prefix from.
+    /// The address to import the prefix from.
     pub import_from: Option<SocketAddr>,
-    /// What that is, where it is believed to keep a part that the back end lacks.
+    /// The kind of that source, if it is believed to have segments cached that the back end lacks.
     pub import_source: Option<SourceKind>,
-    /// Whom to hand the parts to that nobody kept yet.
+    /// The cache store that receives the segments that nobody has cached.
     pub save_to: Option<CacheStore>,
-    /// The back end that gets a copy of the run's memory as it grows.
+    /// The back end that receives a copy of the run's memory as it grows.
     pub copy_to: Option<CopyHolder>,
-    /// Tokens that the back end is expected to read, imports weighed.
+    /// Tokens that the back end is expected to prefill, including the cost of imports.
     pub expected_tokens: u64,
-    /// Tokens of the prefix that it is believed to keep.
+    /// Tokens of the prefix that the back end is believed to have cached.
     pub cached_tokens: u32,
-    /// Tokens of the prefix that nobody is believed to keep.
+    /// Tokens of the prefix that nobody is believed to have cached.
     pub uncached_tokens: u32,
-    /// The last shared part of the prompt.
     pub last_shared_segment: Option<SegmentId>,
-    /// Whether the back end is where such a part is read first.
+    /// Whether this is the preferred engine of the request's prefix.
     pub is_preferred: bool,
     /// The cost by which it was chosen.
     pub cost: u64,
@@ -127,48 +121,44 @@
     pub eligible: usize,
 }
 
-/// What kind of process a prefix is imported from.
+/// The kind of process that a prefix is imported from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceKind {
-    /// A store of kept parts.
     Store,
-    /// Another engine.
     Engine,
 }
 
 /// A back end that holds a copy of a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CopyHolder {
-    /// The back end.
     pub backend: BackendId,
-    /// Its address.
     pub address: SocketAddr,
 }
 
-/// Chooses back ends, and remembers what that needs.
+/// Chooses back ends, and holds the state that this needs.
 #[derive(Debug, Default)]
 pub struct Chooser {
-    /// Work under way.
+    /// Requests in flight.
     pub loads: Loads,
-    /// Parts kept.
     pub prefixes: PrefixIndex,
-    /// How soon answers begin whose prefix comes from elsewhere.
+    /// Times to the first event of answers with an imported prefix.
     pub source_times: SourceTimes,
 }
 
 impl Chooser {
-    /// A back end is gone with all that it kept.
+    /// Removes a back end and everything it had cached.
     pub fn forget(&mut self, backend: &BackendId) {
         self.loads.forget(backend);
         self.prefixes.forget(backend);
     }
 
-    /// What is under way at a back end.
+    /// This node's load at a back end.
     pub fn load(&self, backend: &BackendId) -> BackendLoad {
         self.loads.of(backend)
     }
 
-    /// A back end has read the shared parts of a prompt. Gives what is news for other nodes.
+    /// Records that a back end has prefilled the shared segments of a prompt. Returns the updates to gossip
+    /// to other nodes.
     pub fn record_prefill(
         &mut self,
         backend: &BackendId,
@@ -190,7 +180,7 @@
             .collect()
     }
 
-    /// Another node has learned what a back end keeps.
+    /// Applies an update about cached segments from another node.
     pub fn apply_gossip(&mut self, update: &KeptNews, now: Timestamp) {
         let cached = CachedSegment {
             scope: ScopeHash(update.scope),
@@ -200,14 +190,14 @@
         self.prefixes.set(&update.engine, &cached, now);
     }
 
-    /// A feed told what a back end keeps.
+    /// Applies entries of a back end's feed.
     pub fn apply_feed(&mut self, backend: &BackendId, segments: &[CachedSegment], now: Timestamp) {
         for segment in segments {
             self.prefixes.set(backend, segment, now);
         }
     }
 
-    /// Chooses among the back ends of `field`.
+    /// Chooses among the back ends of `pool`.
     pub fn choose(&self, placement: Placement<'_>, pool: &dyn CandidatePool) -> Option<Choice> {
         match placement.prompt {
             Some(prompt) => self.choose_for_prompt(placement, prompt, pool),
@@ -224,7 +214,7 @@
         let cost = |candidate: &Candidate<'_>| {
             let requests = f64::from(self.loads.total_requests(candidate.id)) + 1.0;
             let distance = if candidate.zone == placement.zone { 0.0 } else { OTHER_ZONE_REQUESTS };
-            // One of which little or nothing new is known goes first: nothing else would make it known.
+            // A back end without recent measurements is preferred: only requests can measure it.
             let slowness = self.loads.slowness(candidate.id, median_ms, MIN_SLOWNESS, placement.now);
             ((requests * slowness + distance) * 1_000.0) as u64
         };
--- a/crates/core/src/forwarding/choice/candidate_pool.rs
+++ b/crates/core/src/forwarding/choice/candidate_pool.rs
@@ -1,6 +1,7 @@
-//! The back ends among which a choice is made, looked at one by one as the choice needs them.
+//! The back ends among which a choice is made.
 //!
-//! A pool may have thousands of back ends of which a request weighs a few: only these are described.
+//! A pool may have thousands of back ends of which a request evaluates a few, so candidates are described
+//! only on demand.
 
 use paddlemount_protocol::identity::WeightsVersion;
 
@@ -10,29 +11,30 @@
     ranks::{rank, rank_for},
 };
 
-/// The highest ranked back ends that are looked at for the home of a part: the others may be unfit.
+/// The number of top-ranked back ends considered as the preferred one of a segment, since the first may be
+/// ineligible.
 const MAX_PREFERRED_CANDIDATES: usize = 16;
-/// Strides by which back ends are drawn where the stride drawn for a request shares a divisor with their number, so that it
-/// would not meet each of them: three primes, and one that always does.
+/// Strides tried if the seeded stride is not coprime to the pool size, and so would not visit every back end:
+/// three primes, and one that always works.
 const STRIDES: [usize; 4] = [7_919, 104_729, 15_485_863, 1];
 
-/// The back ends of a pool.
+/// The back ends of a pool, described on demand.
 pub trait CandidatePool {
     /// The number of back ends.
     fn len(&self) -> usize;
 
-    /// Whether there is none.
+    /// Whether the pool is empty.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The rank of one of them, by its number.
+    /// The rank of the back end at `index`.
     fn rank(&self, index: usize) -> u64;
 
-    /// One of them, described.
+    /// The back end at `index`.
     fn candidate(&self, index: usize) -> Option<Candidate<'_>>;
 
-    /// The one with this identity, described, if it is among them.
+    /// The back end with this identity, if it belongs to the pool.
     fn find(&self, id: &BackendId) -> Option<Candidate<'_>>;
 }
 
@@ -54,7 +56,7 @@
     }
 }
 
-/// The back ends that a request weighs: all, or as many fit ones as its placement says, drawn for the request.
+/// The back ends that a request evaluates: all of them, or a sample of eligible ones of the requested size.
 pub(super) fn sample<'a>(pool: &'a dyn CandidatePool, placement: Placement<'_>) -> Vec<Candidate<'a>> {
     let count = pool.len();
     match placement.sample_size {
@@ -63,7 +65,7 @@
     }
 }
 
-/// Draws fit back ends: steps through all from a drawn one on, by a stride that meets each once.
+/// Draws a sample of eligible back ends, by a stride that visits each back end once.
 fn draw_sample(pool: &dyn CandidatePool, seed: u64, sample_size: usize) -> Vec<Candidate<'_>> {
     let count = pool.len();
     let start = (rank_for(seed, 0) % count as u64) as usize;
@@ -85,8 +87,8 @@
     left == 1
 }
 
-/// The back end where a part is read first: the highest ranked for it among the fit ones with these weights. All nodes
-/// find the same one from the same list (rendezvous hashing).
+/// The preferred back end for a segment: the highest ranked eligible one with these weights. All nodes
+/// compute the same one from the same list (rendezvous hashing).
 pub(super) fn preferred(
     pool: &dyn CandidatePool,
     key: u64,
--- a/crates/core/src/forwarding/choice/prompts.rs
+++ b/crates/core/src/forwarding/choice/prompts.rs
@@ -1,4 +1,4 @@
-//! Weighs the back ends of a prompt, by work in tokens.
+//! The cost of each back end for a prompt, as work in tokens.
 
 use paddlemount_protocol::identity::WeightsVersion;
 
@@ -15,33 +15,34 @@
     prompt::{CacheScope, Prompt},
 };
 
-/// The cost of importing a token, in thousandths of the cost of reading it.
+/// The cost of importing a token, in thousandths of the cost of prefilling it.
 const IMPORT_PER_MILLE: u64 = 80;
-/// The same where few back ends are weighed: with many engines what counts is that each part lies at few of them, as
-/// copies displace parts that will be asked for again.
+/// The same for back ends other than the preferred one, if only a sample is evaluated: with many engines,
+/// additional copies of a segment evict others that are still in use.
 const IMPORT_NOT_PREFERRED_PER_MILLE: u64 = 350;
-/// The fixed cost of an import, in tokens read.
+/// The fixed cost of an import, in prefilled tokens.
 const IMPORT_FIXED_TOKENS: u64 = 60;
-/// The cost of reading a part elsewhere than at its home, in multiples of reading it there: it may be read twice.
+/// The factor on the cost of prefilling an uncached segment elsewhere than at the preferred engine, since it
+/// may then be prefilled twice.
 const DUPLICATE_PREFILL_FACTOR: u64 = 4;
-/// The cost of a request that is being answered, in tokens read.
+/// The cost of a request that is being answered, in prefilled tokens.
 const RUNNING_REQUEST_TOKENS: u64 = 40;
-/// The cost of each request that would have to wait for a slot, in tokens read.
+/// The cost of each request that has to wait for a slot, in prefilled tokens.
 const QUEUED_REQUEST_TOKENS: u64 = 2_000;
 /// The cost of a back end whose weights are older than the preferred version, in tokens.
 const OUTDATED_TOKENS: u64 = 6_000;
-/// The cost of a back end in another zone, in tokens read.
+/// The cost of a back end in another zone, in prefilled tokens.
 const OTHER_ZONE_TOKENS: u64 = 120;
 
-/// What all candidates with the same weights have in common.
+/// The properties shared by all candidates with the same weights.
 pub(super) struct WeightsGroup<'a> {
     pub(super) weights: WeightsVersion,
     pub(super) scope: CacheScope,
     pub(super) hash: ScopeHash,
-    /// Where the part in question is read first.
+    /// The back end that prefills the decisive segment first.
     pub(super) preferred: Option<Candidate<'a>>,
     pub(super) uncached_tokens: u32,
-    /// Who keeps some of the prefix under these weights.
+    /// Back ends with some of the prefix cached under these weights.
     pub(super) holders: Vec<Holder<'a>>,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl Chooser {
-    /// Chooses for a request with a prompt.
+    /// Chooses a back end for a request with a prompt.
     pub(super) fn choose_for_prompt(
         &self,
         placement: Placement<'_>,
@@ -97,8 +98,8 @@
         Some(choice)
     }
 
-    /// The cost of a request at a back end where it reads `read` tokens: with what it waits for, the way, and what speaks
-    /// against the back end.
+    /// The total cost of a request that prefills `prefill` tokens at a back end: includes queued work,
+    /// latency, distance and outdated weights.
     fn total_cost(
         &self,
         candidate: &Candidate<'_>,
@@ -108,25 +109,27 @@
     ) -> u64 {
         let pending = self.pending_tokens(candidate.id) + self.queue_tokens(candidate);
         let distance = if candidate.zone == placement.zone { 0 } else { OTHER_ZONE_TOKENS };
-        // Prompts reach every back end by what it keeps: one of which nothing new is known has no need to go first.
+        // Unlike other requests, prompts reach every back end by its cached segments, so that one without
+        // recent measurements needs no preference.
         let slowness = self.loads.slowness(candidate.id, median_ms, TYPICAL_SLOWNESS, placement.now);
         let work = (pending + prefill) as f64 * slowness;
         let outdated = if candidate.outdated { OUTDATED_TOKENS } else { 0 };
         work as u64 + distance + outdated
     }
 
-    /// The work under way at a back end, in tokens, as far as it is known.
+    /// The known work in flight at a back end, in tokens.
     fn pending_tokens(&self, id: &BackendId) -> u64 {
         let local = self.load(id);
         let local_tokens = local.unread_tokens + u64::from(local.requests) * RUNNING_REQUEST_TOKENS;
-        // What others tell is some hundred milliseconds old: about half of what was to be read has been.
+        // The loads reported by other nodes are some hundred milliseconds old: about half of the tokens have
+        // been prefilled since.
         let others = self.loads.of_others(id);
         let other_tokens = others
             .map_or(0, |work| work.unread_tokens / 2 + u64::from(work.requests) * RUNNING_REQUEST_TOKENS);
         local_tokens + other_tokens
     }
 
-    /// The wait for a slot at a back end whose slots are taken, in tokens.
+    /// The cost of waiting for a slot, in tokens.
     fn queue_tokens(&self, candidate: &Candidate<'_>) -> u64 {
         let requests = self.loads.total_requests(candidate.id) + 1;
         u64::from(requests.saturating_sub(candidate.slots.max(1))) * QUEUED_REQUEST_TOKENS
@@ -146,8 +149,9 @@
         let uncached_tokens = uncached.map_or(0, |uncached| {
             shared.iter().skip_while(|segment| segment.id != uncached.id).map(|segment| segment.tokens).sum()
         });
-        // Where all back ends are weighed, a part is read at one place until it is known to be kept. Where few are
-        // drawn, the home of a request's last shared part is weighed beside them, also when it is kept already.
+        // If all back ends are evaluated, an uncached segment is prefilled at one place until it is known to
+        // be cached. If they are sampled, the preferred engine of the last shared segment is always evaluated
+        // too.
         let affinity = match placement.sample_size {
             None => uncached,
             Some(_) => shared.last(),
@@ -157,7 +161,7 @@
         WeightsGroup { weights, scope, hash, preferred, uncached_tokens, holders }
     }
 
-    /// What the request would cost at `candidate` itself, and where its prefix would come from.
+    /// The cost of the request at `candidate` alone, and the source of its prefix.
     fn evaluate(
         &self,
         candidate: &Candidate<'_>,
@@ -187,7 +191,8 @@
             backend: candidate.id.clone(),
             address: candidate.address,
             scope: Some(group.scope.clone()),
-            // Feeds are late: the store may keep what is not known to be kept yet, and a miss costs next to nothing.
+            // Feeds lag: the store may hold segments not yet reported as cached, and a miss costs next to
+            // nothing.
             import_from: source
                 .map(|source| source.address)
                 .or(store.filter(|_| cached < shared_tokens).map(|store| store.address)),
--- a/crates/core/src/forwarding/choice/shards.rs
+++ b/crates/core/src/forwarding/choice/shards.rs
@@ -1,15 +1,15 @@
-//! Which of several stores of kept parts a prompt's parts belong to.
+//! Assigns prompts to cache stores.
 //!
-//! All nodes find the same store for the same prompt without a word between them (rendezvous hashing), so that a part
-//! lies at one of them and their room adds up. The last shared part decides: what comes before it is shared by many
-//! prompts, and so lies at most stores.
+//! All nodes assign a prompt to the same store by rendezvous hashing, without coordination, so that each
+//! segment is stored once and the capacities add up. The last shared segment decides: earlier ones are shared
+//! by many prompts and therefore end up in most stores.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::CacheStore;
 use crate::forwarding::prompt::Prompt;
 
-/// The store that keeps a prompt's shared parts; none where there is no store or nothing is shared.
+/// The cache store for a prompt's shared segments; `None` if there is no store or no shared segment.
 pub fn shard_of(prompt: &Prompt, stores: impl Iterator<Item = CacheStore>) -> Option<CacheStore> {
     let last = prompt.shared().last()?;
     stores.max_by_key(|store| xxh3_64_with_seed(store.id.as_str().as_bytes(), last.id.0))
--- a/crates/core/src/forwarding/choice/source_times.rs
+++ b/crates/core/src/forwarding/choice/source_times.rs
@@ -1,22 +1,22 @@
-//! Whether imports from stores or from engines have lately let answers begin sooner.
+//! Compares how soon answers begin after imports from cache stores and from engines.
 //!
-//! Stores keep parts for longer and are surely told of, but all engines of a deployment share the links of a few stores.
-//! When these are full, answers that wait for a store begin later than those that wait for another engine. Which it is
-//! depends on the deployment and the moment, so each node compares what it has seen.
+//! Stores hold segments longer and their feeds are more reliable, but all engines of a deployment share the
+//! links of a few stores. When these links are saturated, engines are the faster sources, so each node
+//! compares its own measurements.
 
 use std::time::Duration;
 
 use super::SourceKind;
 
-/// The weight of a new measurement in a moving average: a node of many imports a few prefixes a second.
+/// The weight of a new measurement in a moving average.
 const AVERAGE_WEIGHT: f64 = 0.15;
-/// Measurements of each kind below which nothing is concluded.
+/// The number of measurements of each kind below which no conclusion is drawn.
 const MIN_MEASUREMENTS: u32 = 4;
-/// How much later answers from stores must begin for engines to be asked instead.
+/// The factor by which answers from stores must begin later for engines to be preferred.
 const SLOWER_FACTOR: f64 = 1.4;
-/// The same as a time, below which the difference does not matter.
+/// The same as a difference, below which the factor does not matter.
 const SLOWER_MARGIN_MS: f64 = 60.0;
-/// One request in so many asks the other kind of source, so that it goes on being measured.
+/// One request in this many uses the other kind of source, so that both keep being measured.
 const EXPLORATION_INTERVAL: u64 = 6;
 
 /// A moving average of times to the first event.
@@ -38,7 +38,7 @@
     }
 }
 
-/// Times to the first event of answers whose prefix came from elsewhere.
+/// Times to the first event of answers with an imported prefix.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceTimes {
     stores: Average,
@@ -46,7 +46,7 @@
 }
 
 impl SourceTimes {
-    /// An answer whose prefix was to come from such a source began after `time`.
+    /// Records that an answer whose prefix came from this kind of source began after `time`.
     pub fn record(&mut self, source: SourceKind, time: Duration) {
         let average = match source {
             SourceKind::Store => &mut self.stores,
@@ -55,13 +55,14 @@
         average.add(time.as_secs_f64() * 1_000.0);
     }
 
-    /// Whether a request with this `draw` asks a store rather than an engine that keeps as much.
+    /// Whether a request with this `seed` prefers a store over an engine that has as much of the prefix
+    /// cached.
     pub fn prefers_store(&self, seed: u64) -> bool {
         let explores = seed.is_multiple_of(EXPLORATION_INTERVAL);
         explores != self.stores_are_faster()
     }
 
-    /// Nothing known is taken for stores.
+    /// Without enough measurements, stores are preferred.
     fn stores_are_faster(&self) -> bool {
         match (self.stores.known(), self.engines.known()) {
             (Some(stores), Some(engines)) => {
--- a/crates/core/src/forwarding/choice/sources.rs
+++ b/crates/core/src/forwarding/choice/sources.rs
@@ -1,4 +1,4 @@
-//! Whom to import a prefix from, and who gets a copy of a run.
+//! The source to import a prefix from, and the back end that receives a copy of a run.
 
 use std::{cmp::Reverse, net::SocketAddr};
 
@@ -12,35 +12,33 @@
     prompt::{Prompt, Segment},
 };
 
-/// Tokens of a part below which an import doesn't pay: engines keep parts by blocks of this size.
+/// The minimum number of tokens to import: engines cache segments in blocks of this size.
 pub(super) const MIN_IMPORT_TOKENS: u32 = 16;
 
-/// Back ends that are looked at as sources of a prefix: the first parts of many prompts are kept nearly everywhere.
+/// The maximum number of back ends considered as sources: the first segments of many prompts are cached
+/// nearly everywhere.
 const MAX_HOLDERS: usize = 64;
 
-/// A back end that keeps some of a prefix.
+/// A back end with some of a prefix cached.
 pub(super) struct Holder<'a> {
-    /// The back end.
     pub(super) candidate: Candidate<'a>,
-    /// Tokens of the prefix that it keeps.
+    /// Tokens of the prefix that it has cached.
     pub(super) cached_tokens: u32,
-    /// Requests of this node under way there.
+    /// This node's requests in flight there.
     pub(super) requests: u32,
 }
 
-/// Whom a prefix may be imported from.
+/// A source that a prefix may be imported from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Source {
-    /// Where it listens.
     pub(super) address: SocketAddr,
-    /// Tokens of the prefix that it keeps.
+    /// Tokens of the prefix that it has cached.
     pub(super) cached_tokens: u32,
-    /// What it is.
     pub(super) kind: SourceKind,
 }
 
 impl Chooser {
-    /// Who gets a copy: the back end with the least under way among those with the same weights.
+    /// The back end that receives a copy: the one with the fewest requests among those with the same weights.
     pub(super) fn copy_holder(
         &self,
         choice: &Choice,
@@ -58,7 +56,7 @@
         others.min_by_key(order).map(|other| CopyHolder { backend: other.id.clone(), address: other.address })
     }
 
-    /// Who keeps some of a prefix under these weights, in the order of their identities.
+    /// The back ends with some of a prefix cached under these weights, ordered by identity.
     pub(super) fn holders<'a>(
         &self,
         hash: ScopeHash,
@@ -81,9 +79,9 @@
         holders
     }
 
-    /// Whom to name where the back end is believed to keep the whole prefix itself: that may be wrong, and where it is
-    /// right nothing is moved. Where nodes are many, what a node believes of engines is old, and the store drops parts
-    /// much later than engines do; few nodes know the engines, whose links are more than the store's.
+    /// The source to import from if the back end is believed to have the complete prefix cached: should it be
+    /// cached after all, nothing is transferred. With many nodes, this node's information on engines is
+    /// outdated, while the store evicts segments much later than engines do, so the store is used.
     pub(super) fn fallback_source(
         choice: &Choice,
         placement: Placement<'_>,
@@ -107,8 +105,8 @@
         other.map(|other| other.address).or(placement.store.map(|store| store.address))
     }
 
-    /// Who keeps most of the prefix under the same weights: another back end or the store. Where nodes are many the store
-    /// comes first, as in [`Self::source_in_reserve`], unless answers that wait for stores begin later.
+    /// The back end or store with most of the prefix cached under the same weights. With many nodes, the
+    /// store wins ties, as in [`Self::fallback_source`], unless answers from stores begin later.
     pub(super) fn source(
         &self,
         candidate: &Candidate<'_>,
--- a/crates/core/src/forwarding/events.rs
+++ b/crates/core/src/forwarding/events.rs
@@ -1,35 +1,35 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! A back end may break off in the middle of an event. Only whole events are passed on, so that a resumed stream
-//! continues behind the last whole one and no event is joined from two runs.
+//! A back end may fail in the middle of an event. Only complete events are forwarded, so that a resumed
+//! stream continues after the last complete one, and no event is joined from two runs.
 
 use bytes::{Bytes, BytesMut};
 
 /// The field that holds an event's identity.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Collects bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
-    /// Bytes of `pending` in which no event's end was found.
+    /// The number of bytes of `pending` already searched for the end of an event.
     searched: usize,
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A splitter of a stream that continues behind the event `last_id`.
+    /// A splitter for a stream that resumes after the event `last_id`.
     pub fn resuming_after(last_id: Option<u64>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
-    /// The identity of the last whole event that was given out.
+    /// The identity of the last complete event returned.
     pub const fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Takes bytes in and gives out all events that are now whole. Events whose identity is not above the last one
-    /// given out are left out: a resumed stream may repeat them.
+    /// Appends bytes and returns all events that are now complete. Events whose identity is not above the
+    /// last returned one are dropped: a resumed stream may repeat them.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.pending.extend_from_slice(data);
         let mut complete = BytesMut::new();
@@ -47,18 +47,18 @@
         complete.freeze()
     }
 
-    /// The rest behind the last whole event, at the proper end of the stream.
+    /// The remaining bytes after the last complete event, at the regular end of the stream.
     pub fn finish(&mut self) -> Bytes {
         self.searched = 0;
         self.pending.split().freeze()
     }
 
-    /// Whether bytes of an unfinished event are held.
+    /// Whether bytes of an incomplete event are buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// The end of the first event: behind the blank line that ends it.
+    /// The end of the first event, after its terminating blank line.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.pending[..];
         let mut index = self.searched.saturating_sub(2);
@@ -87,7 +87,7 @@
     }
 }
 
-/// The identity of an event, where it has a whole number for one.
+/// The identity of an event, if it is an integer.
 pub fn event_id(event: &[u8]) -> Option<u64> {
     let line = event.split(|byte| *byte == b'\n').find(|line| line.starts_with(ID_FIELD))?;
     let text = std::str::from_utf8(&line[ID_FIELD.len()..]).ok()?;
--- a/crates/core/src/forwarding/feed_selection.rs
+++ b/crates/core/src/forwarding/feed_selection.rs
@@ -1,10 +1,10 @@
-//! Which feeds of kept parts a node follows.
+//! Which cache feeds a node follows.
 //!
-//! Engines serve a limited number of readers, and a feed costs a small node time that its requests need. So each node
-//! follows a bounded number of feeds, whatever it believes of the others. Of few nodes each follows all. Of many, each
-//! draws the feeds that it follows by its own name and the engine's, as many as make [`READERS_OF_MANY`] of each feed on
-//! average: for that it needs to know how many nodes there are, not which. One feed in twenty then has no reader (what a
-//! Poisson distribution leaves out); what such an engine drops is learned by the request that misses it.
+//! Engines serve a limited number of readers, and following a feed costs a small node time that its requests
+//! need. So each node follows a bounded number of feeds. Few nodes follow all feeds each. Of many nodes, each
+//! selects feeds by a hash of its own name and the engine's, so that a feed has [`AVERAGE_READERS`] readers
+//! on average; this needs only the number of nodes, not their names. About one feed in twenty then has no
+//! reader, and what its engine evicts is learned from the request that misses it.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -13,27 +13,27 @@
 
 use super::ranks::{rank, rank_for};
 
-/// Nodes up to which each follows all feeds; engines serve a dozen readers.
+/// The number of nodes up to which each follows all feeds; engines serve a dozen readers.
 const MAX_READERS: u32 = 10;
-/// Readers of a feed on average where there are more.
+/// The average number of readers of a feed with more nodes.
 const AVERAGE_READERS: u32 = 3;
-/// Feeds that a node follows at most. A count of nodes that is too small, as after a change of the root, would
-/// otherwise have each node follow many feeds of a large pool.
+/// The maximum number of feeds that a node follows, which also bounds them if the count of nodes is too
+/// small, as after a change of the root.
 const MAX_FEEDS: usize = 24;
-/// The same while the nodes have not been counted: nobody knows yet how many share the feeds.
+/// The same while the number of nodes is unknown.
 const MAX_FEEDS_UNCOUNTED: usize = 16;
 
-/// How long engines must keep a part that nobody uses for their feeds to be left alone. A part is used again within some
-/// seconds or hardly at all: by then nothing that counts has been displaced, so that the feeds have nothing to tell. Of ten
-/// thousand engines before a light load, 24 feeds a node were 23,000 connections and as many calls a second.
+/// Feeds are followed if unused segments stay cached for less than this time. Segments are reused within
+/// seconds or hardly at all, so that evictions after longer times are not worth the cost of the feeds.
 const FOLLOW_BELOW_RETENTION: Duration = Duration::from_secs(120);
-/// Feeds that are followed are followed on until it is so long.
+/// Feeds that are followed already are followed until segments stay cached for this time.
 const UNFOLLOW_ABOVE_RETENTION: Duration = Duration::from_secs(240);
 
-/// Whether engines drop parts so soon that their feeds are worth following: prompts of all nodes come to
-/// `tokens_per_second`, and engines have `room` tokens in all. `followed` tells what was so before.
+/// Whether engines evict segments so soon that their feeds are worth following, where all nodes' prompts come
+/// to `tokens_per_second` and all engines have room for `capacity_tokens`. `is_following` is the previous
+/// result.
 pub fn should_follow_feeds(tokens_per_second: f64, capacity_tokens: u64, is_following: bool) -> bool {
-    // Nothing was read lately: what engines keep has not changed, nor has the worth of hearing of it.
+    // Without recent prompts the caches have not changed.
     if tokens_per_second < 1.0 {
         return is_following;
     }
@@ -42,7 +42,7 @@
     retention < if is_following { UNFOLLOW_ABOVE_RETENTION } else { FOLLOW_BELOW_RETENTION }
 }
 
-/// The feeds that node `me` follows, among those of `engines`, where `nodes` have been counted.
+/// The feeds among those of `engines` that `node` follows, where `nodes` is the number of nodes, if known.
 pub fn followed_feeds<'a>(
     node: &NodeId,
     nodes: Option<u32>,
--- a/crates/core/src/forwarding/fleet.rs
+++ b/crates/core/src/forwarding/fleet.rs
@@ -1,8 +1,8 @@
-//! What one forwarding node knows of the others: how many they are, and what they have under way.
+//! What one forwarding node knows of the others: how many they are, and their requests in flight.
 //!
-//! The holder of the lease on orders is the root of a tree ([`super::uplink`], [`super::children`]). Reports add up on the
-//! way to the root, and what comes back is the sum of all others. All of it may be late or missing: it makes choices
-//! better, and nothing depends on it for correctness.
+//! The leader is the root of a tree ([`super::uplink`], [`super::children`]). Reports are summed up on their
+//! way to the root, and each node receives the sum of all others in return. This information may be late or
+//! missing: it improves choices, and nothing depends on it for correctness.
 
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -14,21 +14,21 @@
 
 use super::{children::Children, uplink::Uplink};
 
-/// How long a root that had heard others waits for reports before it takes itself for cut off.
+/// How long a root that had children waits for reports before it considers itself partitioned.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long what came from above is used.
+/// How long an update of the parent is used.
 const UPDATE_TTL: Duration = Duration::from_millis(1_500);
-/// How long a root must have heard reports before its count of the nodes is good.
+/// How long a node must have been the root before its count of the nodes is valid.
 const COUNT_DELAY: Duration = Duration::from_secs(2);
-/// How long a count is remembered: nodes that restart count twice meanwhile.
+/// How long a count is remembered. Nodes that restart are counted twice in this time.
 const COUNT_TTL: Duration = Duration::from_secs(12);
-/// Requests at an engine below which others need not hear of them.
+/// The number of requests at an engine from which on its work is advertised to other nodes.
 const MIN_ADVERTISED_REQUESTS: u32 = 2;
-/// Engines of whose work others hear, the busiest first. One that is not told seems idle: where a pool has more engines
-/// with work, all nodes would choose those that just miss the list.
+/// The maximum number of engines whose work is advertised, the busiest first. An engine that is left out
+/// appears idle, so this must exceed the number of busy engines in a pool.
 const MAX_ADVERTISED_ENGINES: usize = 128;
 
-/// What was told from above.
+/// The last update of the parent.
 #[derive(Clone, Debug)]
 struct ParentUpdate {
     work: Vec<EngineWork>,
@@ -39,9 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     local: Member,
-    /// The nodes that report to this one.
     pub children: Children,
-    /// Whom this one reports to.
     pub uplink: Uplink,
     parent_update: Option<ParentUpdate>,
     counts: Vec<(Timestamp, u32)>,
@@ -49,7 +47,7 @@
 }
 
 impl Fleet {
-    /// A node that knows nobody else, and takes in `fan_in` others.
+    /// A node that knows no others and accepts `fan_in` children.
     pub fn new(local: Member, fan_in: usize) -> Self {
         Self {
             children: Children::new(local.clone(), fan_in),
@@ -61,23 +59,23 @@
         }
     }
 
-    /// This node itself.
+    /// This node's own entry.
     pub const fn local_member(&self) -> &Member {
         &self.local
     }
 
-    /// Notes whether this node is the root, and forgets nodes that have been silent for too long.
+    /// Updates the role of this node, and removes expired children and counts.
     pub fn tick(&mut self, is_root: bool, now: Timestamp) {
         self.root_since = is_root.then(|| self.root_since.unwrap_or(now));
         self.children.expire(now);
         self.counts.retain(|(counted_at, _)| now.saturating_since(*counted_at) < COUNT_TTL);
-        // A root that has just begun has heard few of the others: what it knew of them before is better.
+        // A new root has few reports yet: the count that it received before is better.
         if is_root && self.can_count(now) {
             self.record_count(self.children.subtree_size(), now);
         }
     }
 
-    /// The node above has told what all others have under way, and how many nodes there are.
+    /// Records an update of the parent: the requests in flight at all other nodes, and the number of nodes.
     pub fn record_update(&mut self, work: Vec<EngineWork>, nodes: Option<u32>, now: Timestamp) {
         self.parent_update = Some(ParentUpdate { work, received_at: now });
         if let Some(nodes) = nodes {
@@ -85,7 +83,7 @@
         }
     }
 
-    /// How this node asks another one to take it in.
+    /// The request by which this node asks another one to accept it as a child.
     pub fn join_request(&self, now: Timestamp) -> JoinRequest {
         JoinRequest {
             sender: self.local.clone(),
@@ -95,14 +93,14 @@
         }
     }
 
-    /// The number of nodes that may act, where it is known: the greatest of the last seconds.
+    /// The number of nodes, if known: the maximum of the recent counts.
     pub fn node_count(&self, now: Timestamp) -> Option<u32> {
         let recent =
             self.counts.iter().filter(|(counted_at, _)| now.saturating_since(*counted_at) < COUNT_TTL);
         recent.map(|(_, count)| *count).max()
     }
 
-    /// What all nodes have under way except `child` and those below it, where this node has `own`.
+    /// The requests in flight at all nodes except the subtree of `child`, where this node has `local_work`.
     pub fn work_excluding(
         &self,
         child: &NodeId,
@@ -119,7 +117,7 @@
         busiest(all.into_values())
     }
 
-    /// What this node and those below it have under way.
+    /// The requests in flight at this node's subtree.
     pub fn subtree_work(&self, local_work: &[EngineWork], now: Timestamp) -> Vec<EngineWork> {
         let mut sum = BTreeMap::new();
         add(&mut sum, local_work);
@@ -127,13 +125,13 @@
         sum.into_values().collect()
     }
 
-    /// What all other nodes have under way.
+    /// The requests in flight at all other nodes.
     pub fn work_of_others(&self, now: Timestamp) -> Vec<EngineWork> {
         busiest(self.total_work(&[], now).into_values())
     }
 
-    /// Whether this node is the root, had heard of others, and has heard none of them for a while: it may be cut off
-    /// from them, though the store still hears it.
+    /// Whether this node is the root, has had reports, and has received none for some time: it may be cut off
+    /// from the other nodes although it reaches the store.
     pub fn is_partitioned(&self, now: Timestamp) -> bool {
         let is_established =
             self.root_since.is_some_and(|since| now.saturating_since(since) >= REPORT_TIMEOUT);
@@ -168,7 +166,7 @@
     }
 }
 
-/// The busiest engines, as others hear of them.
+/// The busiest engines, as advertised to other nodes.
 fn busiest(work: impl Iterator<Item = EngineWork>) -> Vec<EngineWork> {
     let mut advertised: Vec<EngineWork> =
         work.filter(|work| work.requests >= MIN_ADVERTISED_REQUESTS).collect();
--- a/crates/core/src/forwarding/gossip.rs
+++ b/crates/core/src/forwarding/gossip.rs
@@ -1,38 +1,38 @@
-//! News of what engines and stores keep, on its way between nodes.
+//! Gossip between nodes about the segments that engines and cache stores hold.
 //!
-//! A node remembers what it has learned until the node above has taken it, and numbers what came from above for the
-//! nodes below. Both are bounded: what falls out is only learned later, by a slower answer. News of stores goes first:
-//! a part that is known to lie there is neither read again nor handed over again by anyone, for as long as the store
-//! keeps it, while what an engine keeps changes within seconds.
+//! Each node queues its updates until the parent has acknowledged them, and numbers the updates of all nodes
+//! for its children. Both buffers are bounded: a dropped update only costs a slower answer. Updates about
+//! stores are sent first: while a segment is known to be stored, no node prefills or stores it again, whereas
+//! the caches of engines change within seconds.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use paddlemount_protocol::{fleet::KeptNews, identity::EngineId};
 
-/// News that is numbered and remembered.
+/// The maximum number of updates in the log.
 const MAX_LOGGED: usize = 4_096;
-/// News of engines that waits for the node above, and of stores as much again.
+/// The maximum number of queued updates about engines, and as many about stores.
 const MAX_QUEUED: usize = 1_024;
-/// News in one message.
+/// The maximum number of updates in one message.
 const MAX_BATCH: usize = 384;
-/// News that a node sends to all that report to it together, in one round of their reports: some 60 bytes each, five
-/// rounds a second, on links that carry 1 MB a second.
+/// The maximum number of updates sent to all children together in one round of reports. With about 60 bytes
+/// each and five rounds a second, this bounds the traffic of a small link.
 const MAX_PER_ROUND: usize = 8_192;
-/// News in one message, however many nodes report.
+/// The number of updates allowed in one message even with many children.
 const MIN_BATCH: usize = 64;
 
-/// News at one node.
+/// The updates queued for the parent, and the log for the children.
 #[derive(Debug)]
 pub struct GossipLog {
-    /// The identity of this log, drawn at the process's start.
+    /// The identity of this log, drawn when the process starts.
     id: u64,
     log: VecDeque<KeptNews>,
-    /// The number of the last one logged.
+    /// The sequence number of the newest update in the log.
     last_sequence: u64,
     stores: BTreeSet<EngineId>,
     from_stores: VecDeque<KeptNews>,
     from_engines: VecDeque<KeptNews>,
-    /// Told to the node above, which has not answered yet.
+    /// Sent to the parent, not yet acknowledged.
     in_flight: Vec<KeptNews>,
 }
 
@@ -50,22 +50,22 @@
         }
     }
 
-    /// Its identity.
+    /// The identity of this log.
     pub const fn id(&self) -> u64 {
         self.id
     }
 
-    /// The number of the last news logged.
+    /// The sequence number of the newest update in the log.
     pub const fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// Sets the stores, whose news goes first.
+    /// Sets the stores, whose updates are sent first.
     pub fn set_stores(&mut self, stores: BTreeSet<EngineId>) {
         self.stores = stores;
     }
 
-    /// Something was learned at this node or below it, to be told above.
+    /// Queues an update of this subtree for the parent.
     pub fn enqueue(&mut self, update: KeptNews) {
         let queue =
             if self.stores.contains(&update.engine) { &mut self.from_stores } else { &mut self.from_engines };
@@ -75,7 +75,8 @@
         queue.push_back(update);
     }
 
-    /// What the node above is told now; told again until it is [`taken`](Self::taken).
+    /// The updates to send to the parent now; they are sent again until [`acknowledge`](Self::acknowledge) is
+    /// called.
     pub fn next_batch(&mut self) -> Vec<KeptNews> {
         while self.in_flight.len() < MAX_BATCH {
             let Some(next) = self.from_stores.pop_front().or_else(|| self.from_engines.pop_front()) else {
@@ -86,17 +87,17 @@
         self.in_flight.clone()
     }
 
-    /// Whether something waits to be told above.
+    /// Whether updates are queued or unacknowledged.
     pub fn has_pending(&self) -> bool {
         !(self.in_flight.is_empty() && self.from_stores.is_empty() && self.from_engines.is_empty())
     }
 
-    /// The node above has taken the last report.
+    /// Discards the last batch, which the parent has received.
     pub fn acknowledge(&mut self) {
         self.in_flight.clear();
     }
 
-    /// Takes all that waits, where this node is the root.
+    /// Takes all queued updates, if this node is the root.
     pub fn drain(&mut self) -> Vec<KeptNews> {
         self.in_flight
             .drain(..)
@@ -105,7 +106,7 @@
             .collect()
     }
 
-    /// Numbers news for the nodes below.
+    /// Appends updates to the log for the children.
     pub fn append(&mut self, updates: impl IntoIterator<Item = KeptNews>) {
         for update in updates {
             self.last_sequence += 1;
@@ -116,8 +117,9 @@
         }
     }
 
-    /// The news behind `cursor` of the log `id`, and the number of the last of them, for one of `readers`. A reader of another log begins
-    /// with what comes next: it has heard the same news elsewhere, and all readers come at once where a root changes.
+    /// The updates after `cursor` of the log `id`, and the sequence number of the last of them, for one of
+    /// `readers`. A reader of another log starts at the end of this one: it has received the same updates
+    /// elsewhere, and all readers arrive at once when the root changes.
     pub fn since(&self, id: u64, cursor: u64, readers: usize) -> (Vec<KeptNews>, u64) {
         let first = self.last_sequence - self.log.len() as u64;
         let after = if id == self.id { cursor.clamp(first, self.last_sequence) } else { self.last_sequence };
--- a/crates/core/src/forwarding/load.rs
+++ b/crates/core/src/forwarding/load.rs
@@ -1,4 +1,4 @@
-//! What one node has under way at back ends, and how fast they have answered it.
+//! This node's requests in flight at back ends, and the latencies of their answers.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,39 +9,41 @@
 
 /// The weight of a new measurement in a moving average.
 const AVERAGE_WEIGHT: f64 = 0.2;
-/// What is left of the greatest time with each further answer.
+/// The factor by which the slowest recent time decays with each further answer.
 const SLOWEST_DECAY_PER_ANSWER: f64 = 0.93;
-/// How long the greatest time stands where no further answer comes.
+/// How long the slowest recent time is held without a further answer.
 const SLOWEST_HOLD: Duration = Duration::from_secs(2);
-/// The time in which it fades to a third after that: a node of hundreds meets each back end only now and then.
+/// The time constant of its decay after that: one of many nodes sends requests to a back end only now and
+/// then.
 const SLOWEST_DECAY: Duration = Duration::from_secs(4);
-/// The time in which an average that nothing newer is measured for falls to a third. A back end that was slow for a moment is asked
-/// again however few requests there are: twice as slow as others after 11 s, eight times after 24 s. One that stays slow gets one request in such a time.
+/// The time constant by which an average decays without newer measurements, so that a back end that was slow
+/// for a moment is tried again however few requests there are.
 const AVERAGE_DECAY: Duration = Duration::from_secs(10);
-/// The time in which the rate of requests to a back end fades to a third.
+/// The time constant of the rate of requests to a back end.
 const SENT_DECAY: Duration = Duration::from_secs(1);
-/// Measurements below which an average says nothing.
+/// The number of measurements below which an average is ignored.
 const MIN_MEASUREMENTS: u32 = 5;
-/// Bounds of the factor by which a slow back end's cost is raised or lowered.
+/// Bounds of the factor by which latency scales a back end's cost.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 8.0);
-/// The factor of a back end that answers as soon as any is reckoned to.
+/// The slowness of a back end that is as fast as any is assumed to be.
 pub const MIN_SLOWNESS: f64 = SLOWNESS_BOUNDS.0;
-/// The factor of a back end that answers as soon as is usual.
+/// The slowness of a back end with the median latency.
 pub const TYPICAL_SLOWNESS: f64 = 1.0;
 
-/// The least time without a first byte after which a back end is suspect.
+/// The minimum time without a first byte after which a back end is suspect.
 const MIN_SUSPECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What one node has under way at one back end.
+/// This node's load at one back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BackendLoad {
-    /// Requests not yet ended.
+    /// Requests in flight.
     pub requests: u32,
-    /// Tokens that requests without a first event have to read.
+    /// Tokens to prefill, of requests without a first event.
     pub unread_tokens: u64,
     /// The moving average of the time to the first byte of an answer, in milliseconds.
     average_ms: f64,
-    /// The greatest recent time to the first byte of an answer, in milliseconds; fades with each answer and with time.
+    /// The slowest recent time to the first byte of an answer, in milliseconds; decays with each answer and
+    /// with time.
     slowest_ms: f64,
     /// When the last answer began.
     measured_at: Timestamp,
@@ -50,19 +52,20 @@
 }
 
 impl BackendLoad {
-    /// The time in which an answer of this back end has lately begun, the slow ones included.
+    /// The slowest recent time to the first byte of an answer, as decayed by `now`.
     pub fn slowest(&self, now: Timestamp) -> Duration {
         Duration::try_from_secs_f64(self.decayed_slowest_ms(now) / 1_000.0).unwrap_or_default()
     }
 
-    /// What is left of the average, from 0 to 1, where nothing was measured since `measured_at`.
+    /// The remaining share of the average, from 0 to 1, without measurements since `measured_at`.
     fn average_remaining(&self, now: Timestamp) -> f64 {
         let elapsed = now.saturating_since(self.measured_at).as_secs_f64();
         (-elapsed / AVERAGE_DECAY.as_secs_f64()).exp()
     }
 
-    /// The weight of a measurement at `now` in the average. One that is faster says the more, the older the average is: a back end
-    /// that was slow is asked seldom, and would else be known as slow for several such times more.
+    /// The weight of a measurement at `now` in the average. The older the average, the more weight a faster
+    /// measurement has: a slow back end gets few requests, and would otherwise be considered slow for too
+    /// long.
     fn weight_of(&self, milliseconds: f64, now: Timestamp) -> f64 {
         if self.measurements == 0 {
             return 1.0;
@@ -74,7 +77,7 @@
         if is_old { 1.0 } else { AVERAGE_WEIGHT.max(1.0 - self.average_remaining(now)) }
     }
 
-    /// Requests a second that this node has lately sent there.
+    /// The recent rate of this node's requests to the back end.
     pub fn sent_per_second(&self, now: Timestamp) -> f64 {
         self.sent.map_or(0.0, |sent| sent.per_second(now))
     }
@@ -85,18 +88,18 @@
     }
 }
 
-/// What one node has under way at all back ends.
+/// The loads of all back ends.
 #[derive(Debug, Default)]
 pub struct Loads {
     by_backend: BTreeMap<BackendId, BackendLoad>,
-    /// When requests were sent that no first byte has come for, by back end.
+    /// The send times of requests without a first byte, by back end.
     unanswered: BTreeMap<BackendId, Vec<Timestamp>>,
-    /// What other nodes have under way, as they have told lately.
+    /// The requests in flight at other nodes, as last reported.
     others: BTreeMap<BackendId, EngineWork>,
 }
 
 impl Loads {
-    /// A request was sent that has `tokens` to be read.
+    /// Records a request that was sent with `tokens` to prefill.
     pub fn record_start(&mut self, backend: &BackendId, tokens: u64, now: Timestamp) {
         self.unanswered.entry(backend.clone()).or_default().push(now);
         let load = self.by_backend.entry(backend.clone()).or_default();
@@ -105,7 +108,8 @@
         load.sent.get_or_insert(RecentRate::new(SENT_DECAY)).add(1.0, now);
     }
 
-    /// The first event of the answer to a request sent at `sent_at` has arrived, or the request has ended before it.
+    /// Records that the answer to a request sent at `sent_at` has begun, or that the request ended without
+    /// it.
     pub fn record_first_event(&mut self, backend: &BackendId, tokens: u64, sent_at: Timestamp) {
         if let Some(unanswered) = self.unanswered.get_mut(backend)
             && let Some(index) = unanswered.iter().position(|at| *at == sent_at)
@@ -117,14 +121,14 @@
         }
     }
 
-    /// The request has ended.
+    /// Records the end of a request.
     pub fn record_end(&mut self, backend: &BackendId) {
         if let Some(load) = self.by_backend.get_mut(backend) {
             load.requests = load.requests.saturating_sub(1);
         }
     }
 
-    /// An answer began at `now`, after `milliseconds`.
+    /// Records that an answer began at `now`, after `milliseconds`.
     pub fn record_latency(&mut self, backend: &BackendId, milliseconds: f64, now: Timestamp) {
         let load = self.by_backend.entry(backend.clone()).or_default();
         let weight = load.weight_of(milliseconds, now);
@@ -134,27 +138,27 @@
         load.measured_at = now;
     }
 
-    /// What is under way at a back end.
+    /// This node's load at a back end.
     pub fn of(&self, backend: &BackendId) -> BackendLoad {
         self.by_backend.get(backend).copied().unwrap_or_default()
     }
 
-    /// Other nodes have told what they have under way; nothing of what they told before holds on.
+    /// Replaces the reported requests in flight at other nodes.
     pub fn set_others(&mut self, work: Vec<EngineWork>) {
         self.others = work.into_iter().map(|work| (work.engine.clone(), work)).collect();
     }
 
-    /// What other nodes have under way at a back end, as far as they have told.
+    /// The requests in flight of other nodes at a back end, as last reported.
     pub fn of_others(&self, backend: &BackendId) -> Option<&EngineWork> {
         self.others.get(backend)
     }
 
-    /// Requests under way at a back end, of this node and, as far as they have told, of others.
+    /// The requests in flight at a back end, of this node and, as last reported, of others.
     pub fn total_requests(&self, backend: &BackendId) -> u32 {
         self.of(backend).requests + self.of_others(backend).map_or(0, |work| work.requests)
     }
 
-    /// What this node has under way, to be told.
+    /// This node's requests in flight, to be reported to other nodes.
     pub fn own_work(&self) -> Vec<EngineWork> {
         let busy = self.by_backend.iter().filter(|(_, load)| load.requests > 0);
         let work = |(backend, load): (&BackendId, &BackendLoad)| EngineWork {
@@ -165,13 +169,13 @@
         busy.map(work).collect()
     }
 
-    /// Whether requests were sent there that no first byte has come for.
+    /// Whether any request to the back end has no first byte yet.
     fn has_unanswered(&self, backend: &BackendId) -> bool {
         self.unanswered.get(backend).is_some_and(|unanswered| !unanswered.is_empty())
     }
 
-    /// Whether a request has waited at a back end for much longer than answers there have lately taken: nothing more
-    /// is sent there as long as others are left.
+    /// Whether a request has waited much longer than answers of this back end recently took. Such a back end
+    /// gets no further requests while others are left.
     pub fn is_suspect(&self, backend: &BackendId, now: Timestamp) -> bool {
         let Some(oldest) = self.unanswered.get(backend).and_then(|unanswered| unanswered.iter().min()) else {
             return false;
@@ -180,18 +184,18 @@
         now.saturating_since(*oldest) >= timeout
     }
 
-    /// A back end is gone.
+    /// Removes a back end.
     pub fn forget(&mut self, backend: &BackendId) {
         self.by_backend.remove(backend);
         self.unanswered.remove(backend);
     }
 
-    /// The time in which answers have lately begun at the slowest of all back ends.
+    /// The slowest recent time to a first byte among all back ends.
     pub fn slowest(&self, now: Timestamp) -> Duration {
         self.by_backend.values().map(|load| load.slowest(now)).max().unwrap_or_default()
     }
 
-    /// The median of the back ends' average times, in milliseconds; zero where too little is known.
+    /// The median of the back ends' average latencies, in milliseconds; zero without measurements.
     pub fn median_ms<'a>(&self, backends: impl Iterator<Item = &'a BackendId>) -> f64 {
         let mut averages: Vec<f64> = backends
             .map(|backend| self.of(backend))
@@ -202,8 +206,8 @@
         averages.get(averages.len() / 2).copied().unwrap_or(0.0)
     }
 
-    /// How much slower than usual a back end answers, as far as that is still known at `now`; `unknown` where it isn't, and what
-    /// a greater factor fades to.
+    /// The latency of a back end relative to the median, as known at `now`; `fallback` without measurements.
+    /// A factor above `fallback` decays towards it.
     pub fn slowness(&self, backend: &BackendId, median_ms: f64, fallback: f64, now: Timestamp) -> f64 {
         let load = self.of(backend);
         if median_ms <= 0.0 || load.measurements < MIN_MEASUREMENTS {
@@ -211,7 +215,7 @@
         }
         let (min, max) = SLOWNESS_BOUNDS;
         let measured = (load.average_ms / median_ms).clamp(min, max);
-        // One that leaves requests unanswered is not unknown: it may be slower still.
+        // While requests are unanswered the factor does not decay: the back end may be slower still.
         let remaining = if self.has_unanswered(backend) { 1.0 } else { load.average_remaining(now) };
         measured.min(fallback).max(measured * remaining)
     }
--- a/crates/core/src/forwarding/planned_stop.rs
+++ b/crates/core/src/forwarding/planned_stop.rs
@@ -1,42 +1,43 @@
-//! What a node that was told to stop still begins.
+//! The deadlines of a planned stop, and which requests may still start.
 
 use std::time::Duration;
 
 use paddlemount_protocol::time::Timestamp;
 
-/// The longest time in which callers are still taken after a signal to stop.
+/// The maximum time for which callers are still served normally after a signal to stop.
 const MAX_DRAIN_PERIOD: Duration = Duration::from_millis(2_600);
-/// How much sooner than it is killed the process ends by itself.
+/// How long before it would be killed the process exits by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// The times of a planned stop.
+/// The deadlines of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStop {
-    /// Until when callers are taken.
+    /// Until when new callers are accepted.
     pub accepts_until: Timestamp,
-    /// When the process ends at the latest.
+    /// The latest time at which the process exits.
     pub ends_at: Timestamp,
 }
 
 impl PlannedStop {
-    /// A stop that was told at `told_at`, of a process that is killed after `grace`.
+    /// A stop that was signaled at `signaled_at`, of a process that is killed after `grace`.
     pub fn with_grace_period(signaled_at: Timestamp, grace: Duration) -> Self {
         Self::new(signaled_at, Self::drain_period(grace), grace.saturating_sub(EXIT_MARGIN))
     }
 
-    /// How long callers are still taken after a signal, where the process is killed after `grace`.
+    /// How long callers are still accepted after a signal, if the process is killed after `grace`.
     pub fn drain_period(grace: Duration) -> Duration {
         MAX_DRAIN_PERIOD.min(grace.saturating_sub(EXIT_MARGIN) * 2 / 5)
     }
 
-    /// A stop that was told at `told_at`, takes callers for `leaving` and ends after `grace`.
+    /// A stop that was signaled at `signaled_at`, accepts callers for `drain_period` and ends after `grace`.
     pub fn new(signaled_at: Timestamp, drain_period: Duration, grace: Duration) -> Self {
         Self { accepts_until: signaled_at + drain_period.min(grace), ends_at: signaled_at + grace }
     }
 
-    /// Whether a request may begin whose answer is expected to take `expected`, and whose caller waits for `waits`. What
-    /// its caller waits for no longer than the process lives may begin in any case. While callers are taken the others
-    /// may where the answer is expected to end in time, or nothing is known of it; after that none does.
+    /// Whether a request may start that is expected to take `expected`, and whose caller waits for
+    /// `caller_timeout`. A request may always start if its caller gives up before the process exits. Others
+    /// may start only while callers are accepted, if the answer is expected to end in time or its duration is
+    /// unknown.
     pub fn may_start(&self, expected: Option<Duration>, caller_timeout: Duration, now: Timestamp) -> bool {
         let remaining = self.ends_at.saturating_since(now);
         if remaining.is_zero() {
@@ -45,14 +46,14 @@
         if caller_timeout <= remaining {
             return true;
         }
-        // What comes later comes on connections whose callers have had no answer since the signal. They can be told to go
-        // elsewhere at once, which costs them a round trip, while no guess of a length is certain: a stream that was
-        // expected to end with a quarter of the time to spare ran for four seconds and was cut.
+        // Requests that come later are on connections without an answer since the signal. Their callers can
+        // be redirected at the cost of a round trip, whereas an answer that exceeds its estimate would be cut
+        // off.
         now < self.accepts_until && expected.is_none_or(|expected| expected <= remaining)
     }
 
-    /// How long callers may count on a connection that rests, in whole seconds: those that had an answer before the signal
-    /// do not use it any more when resting connections close. Nothing where that would be less than a second.
+    /// The idle timeout advertised to callers, in whole seconds, so that they stop using a connection before
+    /// idle ones are closed. `None` if that would be less than a second.
     pub fn keep_alive_seconds(drain_period: Duration) -> Option<u64> {
         Some(drain_period.as_secs()).filter(|seconds| *seconds > 0)
     }
--- a/crates/core/src/forwarding/prefixes.rs
+++ b/crates/core/src/forwarding/prefixes.rs
@@ -1,8 +1,8 @@
-//! Which back end is believed to keep which parts of prompts.
+//! Which back ends are believed to have which segments of prompts cached.
 //!
-//! Engines tell of what they keep in feeds that are late and lose entries; what a node's own requests have made an
-//! engine read is last_reported at once. A belief that is wrong costs time, never correctness: engines find parts only under
-//! the scope that the node names.
+//! Engines report their caches in feeds that lag and lose entries; segments prefilled by this node's own
+//! requests are recorded at once. A wrong entry costs time, never correctness: engines find segments only
+//! under the scope that the request names.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -14,22 +14,22 @@
     prompt::{CacheScope, Segment, SegmentId},
 };
 
-/// Parts that are remembered at most; the older half is then forgotten.
+/// The maximum number of segments in the index; beyond it, the older half is evicted.
 const MAX_SEGMENTS: usize = 8_192;
-/// Engines keep parts by blocks; a part is whole where less than a block of it is missing.
+/// The block size of engine caches. A segment is complete if less than a block of it is missing.
 const BLOCK_TOKENS: u32 = 16;
 
-/// Tokens of a part below which other nodes need not hear of it: it is read again in no time.
+/// The size of a segment below which it is not gossiped, as prefilling it again is cheap.
 const MIN_GOSSIP_TOKENS: u32 = 256;
-/// The time in which what was counted fades to a third.
+/// The time constant by which token counts decay.
 const DECAY: Duration = Duration::from_secs(4);
 
-/// A scope in short.
+/// The hash of a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ScopeHash(pub u64);
 
 impl ScopeHash {
-    /// The hash of a scope's text, as feeds tell it.
+    /// The hash of a scope's text, as used in feeds.
     pub fn of_text(text: &str) -> Self {
         Self(xxh3_64(text.as_bytes()))
     }
@@ -41,14 +41,12 @@
     }
 }
 
-/// One entry of an engine's feed: how much of a part it keeps now.
+/// One entry of an engine's feed: how much of a segment it has cached now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedSegment {
-    /// The scope.
     pub scope: ScopeHash,
-    /// The part.
     pub segment: SegmentId,
-    /// Tokens of it that are kept now; none where it is gone.
+    /// The number of its tokens that are cached now; zero if it was evicted.
     pub tokens: u32,
 }
 
@@ -58,26 +56,26 @@
     used_at: Timestamp,
 }
 
-/// What back ends are believed to keep.
+/// The segments that back ends are believed to have cached.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     holders: HashMap<(ScopeHash, SegmentId), Holders>,
-    /// Tokens that engines have lately begun to keep; fades with [`FADES`].
+    /// Tokens that engines have recently cached; decays with [`DECAY`].
     added: f64,
     added_at: Timestamp,
-    /// Tokens of prompts that this node's own requests have lately had; fades likewise.
+    /// Prompt tokens of this node's own recent requests; decays likewise.
     prompted: f64,
     prompted_at: Timestamp,
 }
 
 impl PrefixIndex {
-    /// A request of this node has had an engine read or keep a prompt of so many tokens.
+    /// Records a prompt of this node's own requests.
     pub fn record_prompt(&mut self, tokens: u32, now: Timestamp) {
         self.prompted = self.decayed_prompted(now) + f64::from(tokens);
         self.prompted_at = now;
     }
 
-    /// Tokens of prompts a second that this node's requests lately had.
+    /// The recent rate of this node's prompt tokens.
     pub fn prompt_tokens_per_second(&self, now: Timestamp) -> f64 {
         self.decayed_prompted(now) / DECAY.as_secs_f64()
     }
@@ -87,7 +85,7 @@
         self.prompted * (-elapsed / DECAY.as_secs_f64()).exp()
     }
 
-    /// A back end keeps so much of a part now.
+    /// Sets how much of a segment a back end has cached.
     pub fn set(&mut self, backend: &BackendId, cached: &CachedSegment, now: Timestamp) {
         let key = (cached.scope, cached.segment);
         if cached.tokens == 0 {
@@ -118,13 +116,13 @@
         self.added * (-elapsed / DECAY.as_secs_f64()).exp()
     }
 
-    /// How long a part that nobody uses is kept, where all engines together have room for `room` tokens.
+    /// How long an unused segment stays cached if all engines together have room for `capacity_tokens`.
     pub fn retention(&self, capacity_tokens: u64, now: Timestamp) -> Duration {
         let per_second = self.decayed_added(now) / DECAY.as_secs_f64();
         Duration::try_from_secs_f64(capacity_tokens as f64 / per_second.max(1.0)).unwrap_or(Duration::MAX)
     }
 
-    /// A back end has read all of `parts`. Gives what is news for other nodes.
+    /// Records that a back end has prefilled all `segments`. Returns the updates for other nodes.
     pub fn record_prefill(
         &mut self,
         backend: &BackendId,
@@ -137,17 +135,17 @@
             segment: segment.id,
             tokens: segment.tokens,
         });
-        cached.filter(|segment| self.note_read(backend, segment, now)).collect()
+        cached.filter(|segment| self.record_segment(backend, segment, now)).collect()
     }
 
-    /// Notes that a back end keeps a part; whether other nodes should hear of it.
-    fn note_read(&mut self, backend: &BackendId, segment: &CachedSegment, now: Timestamp) -> bool {
+    /// Records that a back end has a segment cached. Returns whether to gossip it.
+    fn record_segment(&mut self, backend: &BackendId, segment: &CachedSegment, now: Timestamp) -> bool {
         let known = self.is_cached(backend, segment);
         self.set(backend, segment, now);
         !known && segment.tokens >= MIN_GOSSIP_TOKENS
     }
 
-    /// Whether a back end is believed to keep at least so much of a part.
+    /// Whether a back end is believed to have at least this much of a segment cached.
     pub fn is_cached(&self, backend: &BackendId, segment: &CachedSegment) -> bool {
         let holders = self.holders.get(&(segment.scope, segment.segment));
         holders.is_some_and(|holders| {
@@ -155,12 +153,12 @@
         })
     }
 
-    /// Whether a back end is believed to keep anything of a part.
+    /// Whether a back end is believed to have any of a segment cached.
     pub fn is_partly_cached(&self, backend: &BackendId, scope: ScopeHash, segment: SegmentId) -> bool {
         self.is_cached(backend, &CachedSegment { scope, segment, tokens: 1 })
     }
 
-    /// A back end keeps nothing any more.
+    /// Removes a back end.
     pub fn forget(&mut self, backend: &BackendId) {
         for holders in self.holders.values_mut() {
             holders.by_backend.retain(|(holder, _)| holder != backend);
@@ -168,7 +166,7 @@
         self.holders.retain(|_, holders| !holders.by_backend.is_empty());
     }
 
-    /// Tokens that a back end keeps of `parts`, from the first on without a gap.
+    /// The tokens of `segments` that a back end has cached, without a gap from the first one on.
     pub fn cached_tokens(&self, backend: &BackendId, scope: ScopeHash, segments: &[Segment]) -> u32 {
         let mut sum = 0;
         for segment in segments {
@@ -184,7 +182,7 @@
         sum
     }
 
-    /// Back ends that keep some of `parts`, those of the last ones first: all of them, or about as many as `enough`.
+    /// Back ends with some of `segments` cached, those of the last segments first; at most `limit`.
     pub fn holders(&self, scope: ScopeHash, segments: &[Segment], limit: usize) -> Vec<&BackendId> {
         let mut found: Vec<&BackendId> = Vec::new();
         for segment in segments.iter().rev() {
@@ -201,7 +199,7 @@
         found
     }
 
-    /// The first of `parts` that nobody keeps whole.
+    /// The first of `segments` that nobody has cached completely.
     pub fn first_uncached<'a>(&self, scope: ScopeHash, segments: &'a [Segment]) -> Option<&'a Segment> {
         segments.iter().find(|segment| {
             let holders = self.holders.get(&(scope, segment.id));
@@ -211,12 +209,12 @@
         })
     }
 
-    /// The number of parts known.
+    /// The number of segments in the index.
     pub fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
--- a/crates/core/src/forwarding/uplink.rs
+++ b/crates/core/src/forwarding/uplink.rs
@@ -1,36 +1,35 @@
-//! Whom a node reports to.
+//! A node's place in the tree of nodes.
 //!
-//! The nodes form a tree. Each node finds its place by itself: it asks the root, or an ancestor that it was told of, to be
-//! taken in, and goes where it is referred to ([`super::fleet::Fleet::admit`]). It knows the way from the root to the node
-//! that it reports to, so that it can go one step up where that one is gone: when a node that stands between ends, only
-//! those that reported to it look for another place, and they ask the node above it, not the root.
+//! Each node finds its place by itself: it asks the root or a known ancestor to accept it, and follows
+//! referrals ([`super::children::Children::admit`]). It knows the path from the root to its parent, so that
+//! only the children of a node that fails look for another place, and they ask the next ancestor rather than
+//! the root.
 //!
-//! A tree that closes on itself is noticed by the first node that finds itself on the way to the node it reports to. Until
-//! then nothing is told that is not so: ages of proofs only grow on their way round.
+//! A node detects a cycle when it finds itself on the path to its parent. Until then the ages of relayed
+//! proofs only grow along the cycle, so that no outdated proof is accepted.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use paddlemount_protocol::{fleet::Contact, identity::NodeId, time::Timestamp};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a node that did not answer, or refused, is not asked.
+/// How long a node that did not answer, or refused, is not asked again.
 const AVOID_PERIOD: Duration = Duration::from_secs(3);
-/// How often a node is referred on before it begins anew: the tree of a thousand nodes has four levels.
+/// The maximum number of successive referrals before a node starts over; far above the depth of a large tree.
 const MAX_REFERRALS: u32 = 12;
-/// How long the nodes above may have heard nothing of a root before a node leaves them: a lease of 3 s runs out, another
-/// node leads, and the first of the nodes above has found its place below that one, with all that report to it.
+/// How long a node stays with ancestors without contact to the root. It covers the expiry of a lease, the
+/// election of another leader, and the time in which the highest ancestor finds its place below the new one.
 const ROOT_CONTACT_TIMEOUT: Duration = Duration::from_secs(6);
-/// The longest time by which nodes spread out when they leave: all below a node that is cut off may leave it.
+/// The maximum jitter by which nodes spread out when they leave: all descendants of a partitioned node may
+/// leave at once.
 const ROOT_CONTACT_JITTER_MS: u64 = 3_000;
 
-/// What a node does next about its place.
+/// What a node does next to find or keep its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing: it leads, or knows nobody to ask.
+    /// This node is the leader, or knows no node to ask.
     Wait,
-    /// It asks to be taken in.
     Join(Contact),
-    /// It reports.
     Report(Contact),
 }
 
@@ -38,19 +37,19 @@
 #[derive(Clone, Debug)]
 pub struct Uplink {
     local: Contact,
-    /// The way from the root to the node that is reported to, which comes last.
+    /// The path from the root to the parent, which comes last.
     ancestors: Vec<Contact>,
-    /// Whether the last of `above` has taken this node in.
+    /// Whether the last of `ancestors` has accepted this node.
     is_joined: bool,
     referred_to: Option<Contact>,
     referrals: u32,
     avoided: BTreeMap<NodeId, Timestamp>,
-    /// When the root was last heard, over the nodes between; a new place counts as if it had been.
+    /// When the root last reached this node through its ancestors; initially the time of joining.
     root_seen_at: Option<Timestamp>,
 }
 
 impl Uplink {
-    /// A node that has no place yet.
+    /// A node without a place.
     pub const fn new(local: Contact) -> Self {
         Self {
             local,
@@ -63,7 +62,7 @@
         }
     }
 
-    /// What to do next, where `root` leads as far as is known; `leads` tells that this node itself does.
+    /// The next step, where `root` is the known leader, if any; `leads` is set if this node itself leads.
     pub fn next_step(&mut self, root: Option<&Contact>, leads: bool, now: Timestamp) -> NextStep {
         self.avoided.retain(|_, at| now.saturating_since(*at) < AVOID_PERIOD);
         if leads {
@@ -88,7 +87,7 @@
         candidate.map_or(NextStep::Wait, |contact| NextStep::Join(contact.clone()))
     }
 
-    /// `parent` has taken this node in.
+    /// Records that `parent` has accepted this node.
     pub fn joined(&mut self, parent: Contact, now: Timestamp) {
         self.truncate_ancestors(&parent.node);
         self.ancestors.push(parent);
@@ -98,14 +97,14 @@
         self.root_seen_at = Some(now);
     }
 
-    /// This node was told to ask `to` instead.
+    /// Records a referral to another node.
     pub fn referred(&mut self, to: Contact) {
         self.is_joined = false;
         self.referrals += 1;
         self.referred_to = (self.referrals <= MAX_REFERRALS).then_some(to);
     }
 
-    /// A node did not answer, or refused this node: it is left, and for a while not asked.
+    /// Records that a node did not answer, or refused this one: it is left, and avoided for a while.
     pub fn failed(&mut self, node: &NodeId, now: Timestamp) {
         self.avoided.insert(node.clone(), now);
         if self.ancestors.last().is_some_and(|parent| parent.node == *node) {
@@ -117,8 +116,8 @@
         }
     }
 
-    /// The node that is reported to has told the way from the root to itself, and how long ago it heard of the root.
-    /// Whether the way is one: where it leads over this node, that one is left.
+    /// Records the path from the root to the parent, as sent by the parent, and how long ago the parent had
+    /// contact to the root. Returns false and leaves the parent if this node itself is on the path.
     pub fn update_path(&mut self, path: Vec<Contact>, root_age: Option<Duration>, now: Timestamp) -> bool {
         if path.iter().any(|contact| contact.node == self.local.node) {
             self.leave_parent(now);
@@ -133,29 +132,29 @@
         true
     }
 
-    /// The way from the root to this node, which comes last: the nodes below are told.
+    /// The path from the root to this node, which comes last, to be sent to the children.
     pub fn path(&self) -> Vec<Contact> {
         let ancestors = self.ancestors.iter().filter(|_| self.is_joined);
         ancestors.chain([&self.local]).cloned().collect()
     }
 
-    /// Whether the node `node` stands above this one, or is this one.
+    /// Whether `node` is this node or one of its ancestors.
     pub fn is_self_or_ancestor(&self, node: &NodeId) -> bool {
         self.local.node == *node
             || (self.is_joined && self.ancestors.iter().any(|contact| contact.node == *node))
     }
 
-    /// The node that is reported to.
+    /// The node that this one reports to.
     pub fn parent(&self) -> Option<&Contact> {
         self.ancestors.last().filter(|_| self.is_joined)
     }
 
-    /// How many nodes stand above this one.
+    /// The number of ancestors.
     pub fn depth(&self) -> usize {
         if self.is_joined { self.ancestors.len() } else { 0 }
     }
 
-    /// How long ago the root was heard of, over the nodes between.
+    /// How long ago the root last reached this node through its ancestors.
     pub fn root_age(&self, leads: bool, now: Timestamp) -> Option<Duration> {
         if leads {
             return Some(Duration::ZERO);
@@ -163,12 +162,12 @@
         self.root_seen_at.map(|at| now.saturating_since(at))
     }
 
-    /// Nodes that are not asked for the moment.
+    /// The nodes that are currently not asked.
     pub fn avoided(&self) -> Vec<NodeId> {
         self.avoided.keys().cloned().collect()
     }
 
-    /// Whether the nodes above have been without the root for long, though another node leads.
+    /// Whether the ancestors have had no contact to the root for too long, although a leader is known.
     fn has_lost_root(&self, root: Option<&Contact>, now: Timestamp) -> bool {
         let Some(root) = root.filter(|root| self.is_joined && !self.avoided.contains_key(&root.node)) else {
             return false;
@@ -179,7 +178,7 @@
         is_expired && self.ancestors.last().is_none_or(|parent| parent.node != root.node)
     }
 
-    /// Leaves the node that is reported to, and all above it: they do not lead to the root.
+    /// Leaves the parent and forgets all ancestors.
     fn leave_parent(&mut self, now: Timestamp) {
         if let Some(parent) = self.ancestors.last() {
             self.avoided.insert(parent.node.clone(), now);
@@ -193,7 +192,7 @@
         contact.node != self.local.node && !self.avoided.contains_key(&contact.node)
     }
 
-    /// Keeps what stands above a node that takes this one in, as far as it is known.
+    /// Drops `parent` and everything below it from the known path.
     fn truncate_ancestors(&mut self, parent: &NodeId) {
         if let Some(position) = self.ancestors.iter().position(|contact| contact.node == *parent) {
             self.ancestors.truncate(position);
