--- a/crates/core/tests/forwarding_caller_connection.rs
+++ b/crates/core/tests/forwarding_caller_connection.rs
@@ -1,4 +1,4 @@
-//! When a caller's connection closes, by what is seen on it.
+//! When a caller's connection closes, depending on its observed state.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     Timestamp::from_millis(3_600_000 + milliseconds)
 }
 
-/// A connection on which nothing has come since its last answer ended, at the time 0.
-fn resting() -> ConnectionState {
+/// A connection without activity since its last answer ended, at time 0.
+fn idle() -> ConnectionState {
     ConnectionState {
         is_serving: false,
         has_partial_head: false,
@@ -26,47 +26,47 @@
     }
 }
 
-fn judged(seen: ConnectionState, stage: StopStage, milliseconds: u64) -> ConnectionAction {
-    next_action(seen, stage, IDLE, at(milliseconds))
+fn action(state: ConnectionState, stage: StopStage, milliseconds: u64) -> ConnectionAction {
+    next_action(state, stage, IDLE, at(milliseconds))
 }
 
 #[test]
-fn a_connection_that_rests_closes_after_longer_than_callers_count_on_and_in_a_stop_soon() {
-    assert!(matches!(judged(resting(), StopStage::Serving, 19_900), ConnectionAction::KeepOpen(Some(_))));
-    assert_eq!(judged(resting(), StopStage::Serving, 20_000), ConnectionAction::Close);
-    assert!(matches!(judged(resting(), StopStage::Draining, 3_000), ConnectionAction::KeepOpen(Some(_))));
-    assert!(matches!(judged(resting(), StopStage::Closing, 100), ConnectionAction::KeepOpen(Some(_))));
-    assert_eq!(judged(resting(), StopStage::Closing, 200), ConnectionAction::Close);
+fn idle_connections_close_after_the_advertised_timeout_and_soon_in_a_planned_stop() {
+    assert!(matches!(action(idle(), StopStage::Serving, 19_900), ConnectionAction::KeepOpen(Some(_))));
+    assert_eq!(action(idle(), StopStage::Serving, 20_000), ConnectionAction::Close);
+    assert!(matches!(action(idle(), StopStage::Draining, 3_000), ConnectionAction::KeepOpen(Some(_))));
+    assert!(matches!(action(idle(), StopStage::Closing, 100), ConnectionAction::KeepOpen(Some(_))));
+    assert_eq!(action(idle(), StopStage::Closing, 200), ConnectionAction::Close);
 }
 
 #[test]
-fn nothing_closes_while_a_request_is_served_before_the_end() {
-    let served = ConnectionState { is_serving: true, ..resting() };
+fn a_connection_stays_open_while_a_request_is_served_until_the_process_ends() {
+    let served = ConnectionState { is_serving: true, ..idle() };
     for stage in [StopStage::Serving, StopStage::Draining, StopStage::Closing] {
-        assert_eq!(judged(served, stage, 600_000), ConnectionAction::KeepOpen(None));
+        assert_eq!(action(served, stage, 600_000), ConnectionAction::KeepOpen(None));
     }
-    assert_eq!(judged(served, StopStage::Ended, 0), ConnectionAction::Abort);
+    assert_eq!(action(served, StopStage::Ended, 0), ConnectionAction::Abort);
 }
 
 #[test]
-fn what_has_arrived_keeps_a_connection_open() {
-    let arrived = ConnectionState { is_readable: true, ..resting() };
+fn unread_bytes_keep_a_connection_open() {
+    let readable = ConnectionState { is_readable: true, ..idle() };
     for stage in [StopStage::Serving, StopStage::Draining, StopStage::Closing] {
-        assert!(matches!(judged(arrived, stage, 600_000), ConnectionAction::KeepOpen(Some(_))), "{stage:?}");
+        assert!(matches!(action(readable, stage, 600_000), ConnectionAction::KeepOpen(Some(_))), "{stage:?}");
     }
 }
 
 #[test]
-fn a_head_that_never_ends_keeps_a_connection_no_longer_than_none_but_a_stop_waits_for_it() {
-    let amid = ConnectionState { has_partial_head: true, ..resting() };
-    assert_eq!(judged(amid, StopStage::Serving, 20_000), ConnectionAction::Abort);
-    assert!(matches!(judged(amid, StopStage::Closing, 20_000), ConnectionAction::KeepOpen(Some(_))));
+fn an_incomplete_head_keeps_a_connection_no_longer_than_an_idle_one_except_in_a_planned_stop() {
+    let partial = ConnectionState { has_partial_head: true, ..idle() };
+    assert_eq!(action(partial, StopStage::Serving, 20_000), ConnectionAction::Abort);
+    assert!(matches!(action(partial, StopStage::Closing, 20_000), ConnectionAction::KeepOpen(Some(_))));
 }
 
 #[test]
-fn a_connection_that_is_kept_is_looked_at_again_later_and_none_with_a_request_on_it_closes() {
+fn open_connections_are_checked_again_later_and_none_with_a_request_closes() {
     bolero::check!().with_type::<(u8, u8, u16, u16, u32)>().for_each(|(flags, stage, used, free, now)| {
-        let seen = ConnectionState {
+        let state = ConnectionState {
             is_serving: flags & 1 > 0,
             has_partial_head: flags & 2 > 0,
             is_readable: flags & 4 > 0,
@@ -75,17 +75,17 @@
         };
         let stage = STAGES[usize::from(*stage) % STAGES.len()];
         let now = at(u64::from(*now));
-        match next_action(seen, stage, IDLE, now) {
-            ConnectionAction::KeepOpen(again) => {
+        match next_action(state, stage, IDLE, now) {
+            ConnectionAction::KeepOpen(recheck) => {
                 assert!(stage < StopStage::Ended);
-                assert!(again.is_none_or(|again| again > now));
-                assert_eq!(again.is_none(), seen.is_serving);
+                assert!(recheck.is_none_or(|recheck| recheck > now));
+                assert_eq!(recheck.is_none(), state.is_serving);
             }
             ConnectionAction::Close => {
-                assert!(!seen.is_serving && !seen.has_partial_head && !seen.is_readable)
+                assert!(!state.is_serving && !state.has_partial_head && !state.is_readable)
             }
             ConnectionAction::Abort => {
-                assert!(stage == StopStage::Ended || !seen.is_serving && !seen.is_readable)
+                assert!(stage == StopStage::Ended || !state.is_serving && !state.is_readable)
             }
         }
     });
--- a/crates/core/tests/forwarding_change_log.rs
+++ b/crates/core/tests/forwarding_change_log.rs
@@ -1,4 +1,4 @@
-//! What another node must be told of the store, by what it knows.
+//! Which changes of the store another node has to receive, given the revision that it knows.
 
 use paddlemount_core::forwarding::{
     backends::BackendId,
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_reader_is_told_each_subject_that_has_changed_since_once() {
+fn each_entry_changed_since_the_known_revision_is_listed_once() {
     let mut log = ChangeLog::default();
     log.reset(Revision(5));
     log.record(backend(1), Revision(6));
@@ -28,17 +28,17 @@
 }
 
 #[test]
-fn a_reader_that_knows_less_than_the_log_or_more_than_the_teller_is_told_nothing() {
+fn revisions_outside_the_log_yield_nothing() {
     let mut log = ChangeLog::default();
-    assert_eq!(count(&log, 3, 4), None, "nothing is known yet");
+    assert_eq!(count(&log, 3, 4), None, "the log is empty");
     log.reset(Revision(5));
     log.record(backend(1), Revision(6));
-    assert_eq!(count(&log, 4, 6), None, "what changed before the beginning is not remembered");
-    assert_eq!(count(&log, 8, 6), None, "the reader knows more");
+    assert_eq!(count(&log, 4, 6), None, "earlier changes are not recorded");
+    assert_eq!(count(&log, 8, 6), None, "the reader is ahead");
 }
 
 #[test]
-fn what_falls_out_of_the_log_is_told_to_nobody_as_if_it_were_all() {
+fn a_truncated_log_never_passes_for_a_complete_one() {
     let mut log = ChangeLog::default();
     log.reset(Revision(0));
     for revision in 1..=10_000 {
@@ -47,7 +47,7 @@
     assert_eq!(count(&log, 0, 10_000), None);
     assert_eq!(count(&log, 10_000 - 4_096, 10_000), Some(4_096));
     assert_eq!(count(&log, 10_000 - 4_097, 10_000), None);
-    // Several subjects of one revision fall out one by one: the reader that lacks any of them is told nothing.
+    // Several entries of one revision are dropped one by one: a reader that lacks any of them gets nothing.
     let mut log = ChangeLog::default();
     log.reset(Revision(0));
     for number in 0..4_096 {
@@ -59,11 +59,9 @@
     assert_eq!(count(&log, 1, 2), Some(1));
 }
 
-/// A node whose history was lost took the snapshot of a node that was cut off from the store, twelve revisions older than
-/// what it knew. It asked for what followed, which the store had forgotten, took the same snapshot again, and served by an old
-/// configuration for four seconds.
+/// Guards against a node that applies an older snapshot and so serves an old configuration.
 #[test]
-fn a_snapshot_never_takes_back_what_is_known() {
+fn a_snapshot_never_reverts_a_known_revision() {
     assert!(is_newer(Revision(16), None));
     assert!(is_newer(Revision(29), Some(Revision(28))));
     assert!(!is_newer(Revision(28), Some(Revision(28))));
--- a/crates/core/tests/forwarding_fleet.rs
+++ b/crates/core/tests/forwarding_fleet.rs
@@ -1,4 +1,4 @@
-//! What forwarding nodes tell each other: sums of work, counts, news, and the budgets that follow from them.
+//! What forwarding nodes exchange: sums of work, counts, gossip, and the shares that follow from them.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -45,15 +45,15 @@
     Fleet::new(member(node, zone), 20)
 }
 
-fn informed(node: &str, zone: &str) -> Fleet {
+fn fleet_with_count(node: &str, zone: &str) -> Fleet {
     let mut fleet = fleet_of(node, zone);
     fleet.record_update(Vec::new(), Some(4), at(0));
     fleet
 }
 
-/// The node `sender`, with `below` others below it, reports `work` for the first time, or once more.
-fn report(fleet: &mut Fleet, sender: Member, below: u32, work: Vec<EngineWork>, now: Timestamp) {
-    let heard = below + 1;
+/// Records a report of `sender`, which has `descendants` other nodes below it.
+fn report(fleet: &mut Fleet, sender: Member, descendants: u32, work: Vec<EngineWork>, now: Timestamp) {
+    let heard = descendants + 1;
     let request = JoinRequest { sender: sender.clone(), heard, room: 0, avoids: Vec::new() };
     assert_eq!(fleet.children.admit(&request, now), Admission::Accepted);
     let report = Report {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_root_counts_only_after_it_has_heard_reports_for_a_while_and_remembers_the_greatest_count() {
+fn a_root_counts_only_after_a_delay_and_uses_the_maximum_recent_count() {
     let mut root = fleet_of("a1", "a");
     root.tick(true, at(0));
     assert_eq!(root.node_count(at(0)), None);
@@ -85,47 +85,47 @@
     root.tick(true, at(2_000));
     assert_eq!(root.node_count(at(2_000)), Some(3));
     root.tick(true, at(10_000));
-    assert_eq!(root.children.subtree_size(), 1, "nodes that say nothing are gone");
-    assert_eq!(root.node_count(at(10_000)), Some(3), "but may still act on the count");
+    assert_eq!(root.children.subtree_size(), 1, "unresponsive nodes are removed");
+    assert_eq!(root.node_count(at(10_000)), Some(3), "removed nodes may still act on the count");
     root.tick(true, at(30_000));
     assert_eq!(root.node_count(at(30_000)), Some(1));
 }
 
 #[test]
-fn a_node_that_loses_everyone_does_not_take_itself_for_the_only_one() {
-    let mut fleet = informed("b2", "b");
+fn a_disconnected_node_does_not_count_itself_as_the_only_one() {
+    let mut fleet = fleet_with_count("b2", "b");
     fleet.tick(false, at(20_000));
     assert_eq!(fleet.node_count(at(20_000)), None);
 }
 
 #[test]
-fn each_node_is_told_the_work_of_all_others_once() {
+fn each_node_receives_the_work_of_all_others_once() {
     let mut root = fleet_of("a1", "a");
     root.tick(true, at(0));
     report(&mut root, member("a2", "a"), 0, vec![work("e1", 2)], at(0));
     report(&mut root, member("b1", "b"), 1, vec![work("e1", 5), work("e2", 3)], at(0));
     let own = [work("e1", 10)];
-    let told = root.work_excluding(&NodeId::from("b1"), &own, at(1));
-    assert_eq!(told, vec![work("e1", 12)]);
-    let mut between = informed("b1", "b");
-    between.record_update(told, Some(4), at(1));
-    report(&mut between, member("b2", "b"), 0, vec![work("e2", 3)], at(1));
-    let told = between.work_excluding(&NodeId::from("b2"), &[work("e1", 5)], at(2));
-    assert_eq!(told, vec![work("e1", 17)]);
-    assert_eq!(between.subtree_work(&[work("e1", 5)], at(2)), vec![work("e1", 5), work("e2", 3)]);
+    let received = root.work_excluding(&NodeId::from("b1"), &own, at(1));
+    assert_eq!(received, vec![work("e1", 12)]);
+    let mut inner = fleet_with_count("b1", "b");
+    inner.record_update(received, Some(4), at(1));
+    report(&mut inner, member("b2", "b"), 0, vec![work("e2", 3)], at(1));
+    let received = inner.work_excluding(&NodeId::from("b2"), &[work("e1", 5)], at(2));
+    assert_eq!(received, vec![work("e1", 17)]);
+    assert_eq!(inner.subtree_work(&[work("e1", 5)], at(2)), vec![work("e1", 5), work("e2", 3)]);
 }
 
 #[test]
-fn what_was_told_from_above_is_not_used_for_long() {
-    let mut fleet = informed("b2", "b");
+fn an_update_of_the_parent_expires() {
+    let mut fleet = fleet_with_count("b2", "b");
     fleet.record_update(vec![work("e1", 9)], None, at(0));
     assert_eq!(fleet.work_of_others(at(100)), vec![work("e1", 9)]);
     assert!(fleet.work_of_others(at(5_000)).is_empty());
 }
 
 #[test]
-fn each_feed_of_many_nodes_has_a_few_readers_and_hardly_one_has_none() {
-    // Nodes know how many they are and not which: what each draws for itself must add up.
+fn with_many_nodes_each_feed_has_a_few_readers_and_few_feeds_have_none() {
+    // Nodes know their number but not their names: their independent selections must add up.
     for count in [30, 300, 985] {
         let (nodes, engines) = (nodes(count), engines(4 * count));
         let mut readers = BTreeMap::new();
@@ -139,19 +139,19 @@
         let most = readers.values().max().copied().unwrap_or_default();
         assert!((2.2..=3.3).contains(&mean), "{count} nodes: {mean} readers on average");
         assert!(without <= engines.len() / 8, "{count} nodes: {without} feeds without a reader");
-        assert!(most <= 12, "{count} nodes: {most} readers, and an engine serves a dozen");
+        assert!(most <= 12, "{count} nodes: {most} readers, but an engine serves a dozen");
     }
 }
 
 #[test]
-fn feeds_of_engines_that_keep_parts_for_minutes_are_left_alone() {
-    // Twelve engines that are filled anew in 16 s, and ten thousand in six minutes.
+fn feeds_of_engines_with_long_retention_are_not_followed() {
+    // Twelve engines whose caches turn over in 16 s, and ten thousand in six minutes.
     assert!(should_follow_feeds(80_000.0, 12 * 110_556, false));
     assert!(!should_follow_feeds(2_500_000.0, 9_675 * 88_547, false));
-    // In between nothing goes to and fro.
+    // Hysteresis in between.
     assert!(should_follow_feeds(5_000_000.0, 9_675 * 88_547, true));
     assert!(!should_follow_feeds(5_000_000.0, 9_675 * 88_547, false));
-    // A node that has just started does not know yet: one of a first start has missed nothing.
+    // Without prompts the previous result stands.
     assert!(should_follow_feeds(0.0, 1_000_000, true));
     assert!(!should_follow_feeds(0.0, 1_000_000, false));
 }
@@ -165,11 +165,11 @@
 }
 
 #[test]
-fn a_node_follows_few_feeds_of_many_engines_however_few_nodes_are_counted() {
+fn a_node_follows_a_bounded_number_of_feeds_whatever_the_node_count() {
     let engines = engines(90);
     for known in [None, Some(1), Some(3), Some(10)] {
         let count = followed_feeds(&NodeId::from("n0"), known, engines.iter()).len();
-        assert!((10..=24).contains(&count), "{count} feeds with {known:?} nodes counted");
+        assert!((10..=24).contains(&count), "{count} feeds with a node count of {known:?}");
     }
     let ten_thousand: Vec<EngineId> =
         (0..10_000).map(|number| EngineId::from(format!("e{number}"))).collect();
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn nodes_that_know_nobody_follow_different_feeds() {
+fn nodes_without_a_node_count_follow_different_feeds() {
     let engines = engines(90);
     let first = followed_feeds(&NodeId::from("n0"), None, engines.iter());
     let second = followed_feeds(&NodeId::from("n1"), None, engines.iter());
@@ -185,58 +185,58 @@
 }
 
 #[test]
-fn a_root_that_has_just_begun_keeps_the_count_that_it_knew() {
-    let mut root = informed("a2", "a");
+fn a_new_root_retains_the_count_that_it_received() {
+    let mut root = fleet_with_count("a2", "a");
     root.tick(true, at(100));
     assert_eq!(root.node_count(at(100)), Some(4), "nobody has reported yet");
     report(&mut root, member("b1", "b"), 0, Vec::new(), at(1_900));
     root.tick(true, at(2_100));
-    assert_eq!(root.node_count(at(2_100)), Some(4), "those that are gone may still act on it");
+    assert_eq!(root.node_count(at(2_100)), Some(4), "removed nodes may still act on the count");
     report(&mut root, member("b1", "b"), 0, Vec::new(), at(12_500));
     root.tick(true, at(12_500));
-    assert_eq!(root.node_count(at(12_500)), Some(2), "by now all that are left have reported");
+    assert_eq!(root.node_count(at(12_500)), Some(2), "all remaining nodes have reported");
 }
 
-fn news(part: u64) -> KeptNews {
+fn update(part: u64) -> KeptNews {
     KeptNews { engine: EngineId::from("e"), scope: 1, part, tokens: 10 }
 }
 
 #[test]
-fn news_comes_once_and_in_order_and_a_reader_of_another_log_begins_with_what_comes_next() {
+fn updates_are_delivered_once_in_order_and_a_reader_of_another_log_starts_at_the_end() {
     let mut log = GossipLog::new(7);
-    log.append([news(1), news(2)]);
+    log.append([update(1), update(2)]);
     let (first, cursor) = log.since(7, 0, 1);
     assert_eq!((first.len(), cursor), (2, 2));
-    log.append([news(3)]);
-    assert_eq!(log.since(7, cursor, 1), (vec![news(3)], 3));
+    log.append([update(3)]);
+    assert_eq!(log.since(7, cursor, 1), (vec![update(3)], 3));
     assert_eq!(log.since(7, 3, 1), (Vec::new(), 3));
     assert_eq!(log.since(8, 0, 1), (Vec::new(), 3));
     assert_eq!(log.since(7, 99, 1), (Vec::new(), 3));
 }
 
 #[test]
-fn what_the_node_above_has_not_taken_is_told_again() {
+fn unacknowledged_updates_are_sent_again() {
     let mut log = GossipLog::new(7);
-    log.enqueue(news(1));
-    assert_eq!(log.next_batch(), vec![news(1)]);
-    log.enqueue(news(2));
-    assert_eq!(log.next_batch(), vec![news(1), news(2)], "the first report was not answered");
+    log.enqueue(update(1));
+    assert_eq!(log.next_batch(), vec![update(1)]);
+    log.enqueue(update(2));
+    assert_eq!(log.next_batch(), vec![update(1), update(2)], "the first batch was not acknowledged");
     log.acknowledge();
     assert_eq!(log.next_batch(), Vec::new());
     for part in 0..5_000 {
-        log.enqueue(news(part));
+        log.enqueue(update(part));
     }
     assert!(log.drain().len() <= 1_024);
 }
 
 #[test]
-fn news_of_stores_goes_before_news_of_engines_that_came_earlier() {
+fn updates_about_stores_are_sent_before_earlier_ones_about_engines() {
     let mut log = GossipLog::new(7);
     let store = EngineId::from("store");
     log.set_stores([store.clone()].into());
-    let of_store = KeptNews { engine: store, ..news(9) };
+    let of_store = KeptNews { engine: store, ..update(9) };
     for part in 0..1_000 {
-        log.enqueue(news(part));
+        log.enqueue(update(part));
     }
     log.enqueue(of_store.clone());
     assert_eq!(log.next_batch()[0], of_store);
@@ -244,15 +244,15 @@
 }
 
 #[test]
-fn the_more_nodes_report_the_less_each_is_told_at_once() {
+fn batches_shrink_with_the_number_of_children() {
     let mut log = GossipLog::new(7);
-    log.append((0..2_000).map(news));
-    let told = |readers| log.since(7, 0, readers).0.len();
-    assert_eq!((told(1), told(26), told(100), told(1_000)), (384, 315, 81, 64));
+    log.append((0..2_000).map(update));
+    let received = |readers| log.since(7, 0, readers).0.len();
+    assert_eq!((received(1), received(26), received(100), received(1_000)), (384, 315, 81, 64));
 }
 
 #[test]
-fn numbers_of_repeats_follow_the_number_of_nodes() {
+fn the_retry_reserve_follows_the_number_of_nodes() {
     use paddlemount_core::forwarding::budget::{WindowBudget, WindowBudgetSettings};
     let settings = WindowBudgetSettings { share_per_mille: 0, reserve: 2, window: Duration::from_secs(10) };
     let mut budget = WindowBudget::new(settings);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_root_that_hears_nobody_any_more_knows_that_it_may_be_cut_off() {
+fn a_root_that_receives_no_more_reports_considers_itself_partitioned() {
     let mut root = fleet_of("a1", "a");
     root.tick(true, at(0));
     assert!(!root.is_partitioned(at(9_000)), "it may be the only node");
@@ -274,34 +274,30 @@
 }
 
 #[test]
-fn others_hear_of_the_busiest_engines_only() {
+fn only_the_busiest_engines_are_advertised() {
     let mut root = fleet_of("a1", "a");
     root.tick(true, at(0));
     let many = (0..400).map(|number| work(&format!("e{number:03}"), number)).collect();
     report(&mut root, member("a2", "a"), 0, many, at(0));
-    let told = root.work_of_others(at(1));
-    assert_eq!(told.len(), 128, "enough for all engines of a pool of ninety");
-    assert_eq!(told[0], work("e399", 399));
-    assert_eq!(told[127], work("e272", 272));
+    let received = root.work_of_others(at(1));
+    assert_eq!(received.len(), 128, "the maximum");
+    assert_eq!(received[0], work("e399", 399));
+    assert_eq!(received[127], work("e272", 272));
 }
 
 #[test]
-fn a_node_that_has_just_started_may_leave_two_silent_back_ends() {
+fn a_node_that_has_just_started_may_leave_two_unresponsive_back_ends() {
     assert_eq!(node_reserve(56, None, 64, 0.5), 2);
     assert_eq!(node_reserve(198, None, 64, 0.5), 3);
     assert_eq!(node_reserve(54, Some(7), 64, 0.9), 3);
     assert_eq!(node_reserve(198, Some(79), 64, 0.9), 1);
-    assert_eq!(
-        node_reserve(178, Some(69), 64, 0.0),
-        1,
-        "what is left of the slack is for nodes that start again"
-    );
+    assert_eq!(node_reserve(178, Some(69), 64, 0.0), 1, "the rest of the slack is for nodes that restart");
 }
 
 #[test]
-fn repeats_beside_add_up_to_less_than_the_slack_whatever_the_number_of_nodes() {
-    // The least whole repeat for each of a thousand nodes was more than a slack of 1,040 allows where half of them start
-    // again: each then has its part twice.
+fn the_reserves_of_all_nodes_stay_below_the_slack_whatever_their_number() {
+    // Guards against a minimum of one retry for each node, which exceeds the slack of a large fleet when half
+    // of its nodes restart and draw their reserve twice.
     for (slack, nodes) in [(1_040, 985), (1_040, 1_970), (630, 295), (54, 7), (56, 200), (0, 10)] {
         let draws = (0..nodes).map(|node| (f64::from(node) * 0.618_033_988_749_895).fract());
         let sum: u32 = draws.map(|draw| node_reserve(slack, Some(nodes), 64, draw)).sum();
@@ -311,9 +307,9 @@
     }
 }
 
-/// Each of 69 nodes had six connections to a back end that took 300 from all of them, and each of 985 six of 1,900.
+/// Guards against a minimum share for each node, which exceeds the total in a large fleet.
 #[test]
-fn all_nodes_together_have_no_more_of_what_they_share_than_there_is() {
+fn even_shares_of_all_nodes_add_up_to_no_more_than_the_total() {
     for (whole, nodes) in [(300, 69), (1_900, 985), (100, 985), (360, 7), (7, 7), (0, 3)] {
         let draws = (0..nodes).map(|number| (f64::from(number) + 0.5) / f64::from(nodes));
         let sum: u32 = draws.map(|draw| even_share(whole, nodes, draw)).sum();
--- a/crates/core/tests/forwarding_planned_stop.rs
+++ b/crates/core/tests/forwarding_planned_stop.rs
@@ -1,4 +1,4 @@
-//! How long answers take, and what a planned stop still begins.
+//! How long answers take, and which requests still start in a planned stop.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
     Duration::from_secs(count)
 }
 
-/// An answer whose request does not say how long it may be.
-fn whole(count: u64) -> AnswerTime {
+/// An answer without an estimated length.
+fn answer_of(count: u64) -> AnswerTime {
     AnswerTime { first_chunk: seconds(1), total: seconds(count), estimated_tokens: None }
 }
 
@@ -27,29 +27,29 @@
 fn the_longest_answer_of_the_last_minute_counts() {
     let mut times = AnswerTimes::default();
     assert_eq!(times.longest(ROUTE, at(0)), None);
-    times.record(ROUTE, whole(5), at(0));
-    times.record(ROUTE, whole(2), at(1));
-    times.record(ROUTE, whole(3), at(30));
+    times.record(ROUTE, answer_of(5), at(0));
+    times.record(ROUTE, answer_of(2), at(1));
+    times.record(ROUTE, answer_of(3), at(30));
     assert_eq!(times.longest(ROUTE, at(49)), Some(seconds(5)));
-    assert_eq!(times.longest(ROUTE, at(60)), Some(seconds(3)), "the longer one is a minute old");
+    assert_eq!(times.longest(ROUTE, at(60)), Some(seconds(3)), "the longer one has expired");
     assert_eq!(times.longest(ROUTE, at(90)), None);
     assert_eq!(times.longest("other", at(30)), None);
 }
 
 #[test]
-fn after_a_long_pause_nothing_of_before_is_left() {
+fn times_expire_after_a_long_pause() {
     let mut times = AnswerTimes::default();
     for second in 0..60 {
-        times.record(ROUTE, whole(5), at(second));
+        times.record(ROUTE, answer_of(5), at(second));
     }
-    times.record(ROUTE, whole(1), at(10_000));
+    times.record(ROUTE, answer_of(1), at(10_000));
     assert_eq!(times.longest(ROUTE, at(10_000)), Some(seconds(1)));
 }
 
 #[test]
 fn routes_without_a_recent_answer_are_forgotten() {
     let mut times = AnswerTimes::default();
-    times.record(ROUTE, whole(5), at(0));
+    times.record(ROUTE, answer_of(5), at(0));
     times.sweep(at(30));
     assert_eq!(times.longest(ROUTE, at(30)), Some(seconds(5)));
     times.sweep(at(100));
@@ -57,59 +57,68 @@
 }
 
 #[test]
-fn a_request_begins_only_where_a_long_answer_would_end_in_time() {
+fn a_request_starts_only_if_a_long_answer_would_end_in_time() {
     let stop = PlannedStop::new(at(0), seconds(6), seconds(8));
-    let waits = seconds(15);
-    assert!(stop.may_start(Some(seconds(5)), waits, at(3)));
-    assert!(!stop.may_start(Some(seconds(5)), waits, at(4)));
-    assert!(stop.may_start(Some(seconds(5)), seconds(2), at(4)), "its caller leaves before the end");
-    assert!(stop.may_start(None, waits, at(4)), "nothing is known of its route");
-    assert!(!stop.may_start(None, waits, at(9)), "the end has passed");
+    let caller_timeout = seconds(15);
+    assert!(stop.may_start(Some(seconds(5)), caller_timeout, at(3)));
+    assert!(!stop.may_start(Some(seconds(5)), caller_timeout, at(4)));
+    assert!(stop.may_start(Some(seconds(5)), seconds(2), at(4)), "its caller gives up before the end");
+    assert!(stop.may_start(None, caller_timeout, at(4)), "no answer of its route is known");
+    assert!(!stop.may_start(None, caller_timeout, at(9)), "the process has ended");
 }
 
-/// Three streams that a planned stop cut after 5.1 to 6.8 s were guessed to have 540 to 952 tokens, where half of all were
-/// guessed to have fewer than 240; of requests that it refused since an answer of their route had been long, most were
-/// guessed to have fewer than 350.
+/// Guards against a decision by the longest answer of a route, which refuses short requests and cuts off long
+/// ones.
 #[test]
-fn an_answer_is_reckoned_with_by_what_its_request_guesses() {
+fn the_expected_duration_follows_the_estimate_of_the_request() {
     let mut times = AnswerTimes::default();
-    let guessed = |tokens, milliseconds: u64| AnswerTime {
+    let estimated = |tokens, milliseconds: u64| AnswerTime {
         first_chunk: Duration::from_millis(100),
         total: Duration::from_millis(100 + milliseconds),
         estimated_tokens: Some(tokens),
     };
-    times.record(ROUTE, guessed(300, 1_000), at(0));
-    times.record(ROUTE, guessed(100, 1_400), at(10));
-    // Six milliseconds for each guessed token, with as much again and a half.
+    times.record(ROUTE, estimated(300, 1_000), at(0));
+    times.record(ROUTE, estimated(100, 1_400), at(10));
+    // Six milliseconds for each estimated token, times 2.5.
     assert_eq!(times.expected(ROUTE, Some(200), at(11)), Some(Duration::from_millis(3_100)));
     assert_eq!(times.expected(ROUTE, Some(540), at(11)), Some(Duration::from_millis(8_200)));
-    assert_eq!(times.expected(ROUTE, None, at(11)), Some(Duration::from_millis(1_500)), "the longest");
+    assert_eq!(
+        times.expected(ROUTE, None, at(11)),
+        Some(Duration::from_millis(1_500)),
+        "the longest recent answer"
+    );
     assert_eq!(times.expected("other", Some(10), at(11)), None);
-    assert_eq!(times.expected(ROUTE, Some(10), at(80)), None, "a minute old");
+    assert_eq!(times.expected(ROUTE, Some(10), at(80)), None, "all have expired");
 }
 
-/// A stream that came 3.6 s after the signal, expected to take far less than the 4 s that were left, was begun and cut.
+/// Guards against starting an answer on the strength of its estimate alone, and cutting it off.
 #[test]
-fn once_callers_are_no_longer_taken_only_what_certainly_ends_begins() {
+fn after_the_drain_period_only_requests_that_end_in_any_case_start() {
     let stop = PlannedStop::new(at(0), seconds(3), seconds(8));
-    let waits = seconds(15);
-    assert!(stop.may_start(None, waits, at(2)), "callers are taken");
-    assert!(!stop.may_start(None, waits, at(3)), "nothing is known of it");
-    assert!(!stop.may_start(Some(Duration::from_millis(1)), waits, at(3)), "it is only expected to be short");
-    assert!(stop.may_start(None, seconds(5), at(3)), "its caller leaves before the end");
-    assert!(!stop.may_start(None, seconds(0), at(8)), "the end has come");
+    let caller_timeout = seconds(15);
+    assert!(stop.may_start(None, caller_timeout, at(2)), "callers are accepted");
+    assert!(!stop.may_start(None, caller_timeout, at(3)), "its duration is unknown");
+    assert!(
+        !stop.may_start(Some(Duration::from_millis(1)), caller_timeout, at(3)),
+        "a short estimate is not enough"
+    );
+    assert!(stop.may_start(None, seconds(5), at(3)), "its caller gives up before the end");
+    assert!(!stop.may_start(None, seconds(0), at(8)), "the process ends");
     let short = PlannedStop::new(at(0), seconds(3), seconds(2));
-    assert!(!short.may_start(None, seconds(1), at(2)), "no longer than the grace period");
+    assert!(!short.may_start(None, seconds(1), at(2)), "the drain period ends with the grace period");
 }
 
 #[test]
-fn a_connection_is_counted_on_for_less_time_than_a_stop_takes_callers() {
+fn the_advertised_idle_timeout_is_shorter_than_the_drain_period() {
     for grace in [1, 4, 8, 30] {
-        let leaving = PlannedStop::drain_period(seconds(grace));
-        let told = PlannedStop::keep_alive_seconds(leaving).unwrap_or(0);
-        assert!(seconds(told) <= leaving, "{grace} s of grace: {told} s are told, {leaving:?} are left");
+        let drain_period = PlannedStop::drain_period(seconds(grace));
+        let advertised = PlannedStop::keep_alive_seconds(drain_period).unwrap_or(0);
+        assert!(
+            seconds(advertised) <= drain_period,
+            "{grace} s of grace: {advertised} s are advertised, {drain_period:?} are left"
+        );
         let stop = PlannedStop::with_grace_period(at(0), seconds(grace));
-        assert_eq!(stop.accepts_until, at(0) + leaving);
+        assert_eq!(stop.accepts_until, at(0) + drain_period);
         assert!(stop.ends_at < at(grace));
     }
     assert_eq!(PlannedStop::keep_alive_seconds(PlannedStop::drain_period(seconds(8))), Some(2));
--- a/crates/core/tests/forwarding_shards.rs
+++ b/crates/core/tests/forwarding_shards.rs
@@ -1,4 +1,4 @@
-//! Which of several stores of kept parts a prompt's parts belong to.
+//! Which of several cache stores a prompt's segments belong to.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -16,33 +16,33 @@
     (0..count).map(store).collect()
 }
 
-fn prompt(subject: u64, own: u64) -> Prompt {
+fn prompt(last_shared: u64, own_segment: u64) -> Prompt {
     let part = |id, tokens| Segment { id: SegmentId(id), tokens };
     Prompt {
         model: ModelId::from("m"),
         prompt_tokens: 7_000,
         output_tokens: 10,
-        segments: vec![part(1, 2_000), part(subject, 4_000), part(own, 1_000)],
+        segments: vec![part(1, 2_000), part(last_shared, 4_000), part(own_segment, 1_000)],
     }
 }
 
 #[test]
-fn all_prompts_with_one_subject_belong_to_one_store_in_whatever_order_stores_are_known() {
+fn prompts_with_the_same_last_shared_segment_belong_to_one_store_in_any_order_of_stores() {
     let known = stores(6);
-    for subject in 100..200 {
-        let first = shard_of(&prompt(subject, 1_000), known.iter().cloned());
-        let second = shard_of(&prompt(subject, 2_000), known.iter().rev().cloned());
+    for last_shared in 100..200 {
+        let first = shard_of(&prompt(last_shared, 1_000), known.iter().cloned());
+        let second = shard_of(&prompt(last_shared, 2_000), known.iter().rev().cloned());
         assert!(first.is_some());
-        assert_eq!(first, second, "subject {subject}");
+        assert_eq!(first, second, "segment {last_shared}");
     }
 }
 
 #[test]
-fn every_store_gets_its_part_of_the_prompts() {
+fn prompts_are_spread_evenly_over_the_stores() {
     let known = stores(6);
     let mut prompts: BTreeMap<String, u32> = BTreeMap::new();
-    for subject in 0..6_000 {
-        let store = shard_of(&prompt(subject + 10, 0), known.iter().cloned()).expect("a store");
+    for last_shared in 0..6_000 {
+        let store = shard_of(&prompt(last_shared + 10, 0), known.iter().cloned()).expect("a store");
         *prompts.entry(store.id.as_str().to_owned()).or_default() += 1;
     }
     assert_eq!(prompts.len(), 6);
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn a_store_that_goes_moves_only_what_belonged_to_it() {
+fn removing_a_store_moves_only_its_own_prompts() {
     let known = stores(6);
-    let lost = known[2].clone();
-    let left: Vec<CacheStore> = known.iter().filter(|store| **store != lost).cloned().collect();
-    for subject in 10..500 {
-        let before = shard_of(&prompt(subject, 0), known.iter().cloned()).expect("a store");
-        let after = shard_of(&prompt(subject, 0), left.iter().cloned()).expect("a store");
-        assert!(before == after || before == lost, "subject {subject}");
+    let removed = known[2].clone();
+    let remaining: Vec<CacheStore> = known.iter().filter(|store| **store != removed).cloned().collect();
+    for last_shared in 10..500 {
+        let before = shard_of(&prompt(last_shared, 0), known.iter().cloned()).expect("a store");
+        let after = shard_of(&prompt(last_shared, 0), remaining.iter().cloned()).expect("a store");
+        assert!(before == after || before == removed, "segment {last_shared}");
     }
 }
 
 #[test]
-fn a_prompt_that_shares_nothing_belongs_to_no_store() {
+fn a_prompt_without_shared_segments_belongs_to_no_store() {
     let alone = Prompt { segments: vec![Segment { id: SegmentId(5), tokens: 900 }], ..prompt(0, 0) };
     assert_eq!(shard_of(&alone, stores(6).into_iter()), None);
     assert_eq!(shard_of(&prompt(1, 2), std::iter::empty()), None);
--- a/crates/core/tests/tree_support/mod.rs
+++ b/crates/core/tests/tree_support/mod.rs
@@ -1,4 +1,4 @@
-//! Forwarding nodes that find their places in the tree in virtual time, of which some end, start again or are cut off.
+//! Simulates forwarding nodes that join the tree in virtual time, while some end, restart or are partitioned.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,29 +15,29 @@
 };
 
 /// The pause between two reports of a node.
-const ROUND: Duration = Duration::from_millis(200);
-/// Nodes that a strong machine takes in.
-pub const STRONG: usize = 20;
-/// Nodes that a small machine takes in.
-const SMALL: usize = 6;
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// The fan-in of a strong machine.
+pub const STRONG_FAN_IN: usize = 20;
+/// The fan-in of a weak machine.
+const WEAK_FAN_IN: usize = 6;
 
-/// Nodes, of which some are not running.
+/// The simulated nodes, of which some are not running.
 pub struct Nodes {
     pub fleets: BTreeMap<NodeId, Fleet>,
     pub running: BTreeSet<NodeId>,
-    pub cut_off: BTreeSet<NodeId>,
+    pub partitioned: BTreeSet<NodeId>,
     pub root: Option<NodeId>,
     pub now: Timestamp,
-    /// Requests to be taken in, by the node that got them, since they were last counted.
-    pub asked: BTreeMap<NodeId, usize>,
+    /// The number of join requests, by the node that received them.
+    pub join_requests: BTreeMap<NodeId, usize>,
 }
 
-/// What became of a report at the node above.
-enum Receipt {
-    /// The report was taken; the node may be told of a better place.
-    Taken { refer: Option<Contact> },
-    /// The report did not arrive, or its sender has no place there.
-    NotTaken,
+/// The outcome of a report at the parent.
+enum ReportOutcome {
+    /// The parent accepted the report, and may refer the sender elsewhere.
+    Accepted { referral: Option<Contact> },
+    /// The report did not arrive, or its sender is not a child of the receiver.
+    Rejected,
 }
 
 pub fn name(number: usize) -> NodeId {
@@ -49,16 +49,17 @@
 }
 
 impl Nodes {
-    /// Nodes in five zones, every `strong_each`th of which is strong; all start at once, and the first one leads.
-    pub fn starting(count: usize, strong_each: usize) -> Self {
-        let fleets = (0..count).map(|number| (name(number), fleet(number, strong_each))).collect();
+    /// Nodes in five zones, every `strong_interval`th of which is strong; all start at once, and the first
+    /// one leads.
+    pub fn starting(count: usize, strong_interval: usize) -> Self {
+        let fleets = (0..count).map(|number| (name(number), fleet(number, strong_interval))).collect();
         Self {
             fleets,
             running: (0..count).map(name).collect(),
-            cut_off: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             root: Some(name(0)),
             now: Timestamp::from_millis(100_000),
-            asked: BTreeMap::new(),
+            join_requests: BTreeMap::new(),
         }
     }
 
@@ -67,17 +68,17 @@
     }
 
     fn reaches(&self, from: &NodeId, to: &NodeId) -> bool {
-        self.running.contains(to) && !self.cut_off.contains(from) && !self.cut_off.contains(to)
+        self.running.contains(to) && !self.partitioned.contains(from) && !self.partitioned.contains(to)
     }
 
-    /// Each node takes its turn once.
+    /// Runs one step of each node.
     fn round(&mut self) {
-        self.now = self.now + ROUND;
+        self.now = self.now + REPORT_INTERVAL;
         let names: Vec<NodeId> = self.running.iter().cloned().collect();
         for node in names {
-            // A node that is referred asks on at once.
+            // A referred node asks the next one at once.
             for _ in 0..20 {
-                if !self.turn(&node) {
+                if !self.step(&node) {
                     break;
                 }
             }
@@ -88,8 +89,8 @@
         (0..count).for_each(|_| self.round());
     }
 
-    /// One turn of a node. Whether it goes on at once.
-    fn turn(&mut self, node: &NodeId) -> bool {
+    /// Runs one step of a node. Returns whether it continues at once.
+    fn step(&mut self, node: &NodeId) -> bool {
         let (now, leads) = (self.now, self.root.as_ref() == Some(node));
         let root = self.root.as_ref().map(|root| self.contact(root));
         let Some(fleet) = self.fleets.get_mut(node) else { return false };
@@ -109,8 +110,8 @@
 
     fn join(&mut self, node: &NodeId, to: &Contact) {
         let request = self.fleets[node].join_request(self.now);
-        *self.asked.entry(to.node.clone()).or_default() += 1;
-        let answer = self.reaches(node, &to.node).then(|| self.take_in(&to.node, &request));
+        *self.join_requests.entry(to.node.clone()).or_default() += 1;
+        let answer = self.reaches(node, &to.node).then(|| self.handle_join(&to.node, &request));
         let now = self.now;
         let fleet = self.fleet_mut(node);
         match answer {
@@ -120,7 +121,7 @@
         }
     }
 
-    fn take_in(&mut self, parent: &NodeId, request: &JoinRequest) -> JoinAnswer {
+    fn handle_join(&mut self, parent: &NodeId, request: &JoinRequest) -> JoinAnswer {
         let (now, leads) = (self.now, self.root.as_ref() == Some(parent));
         let fleet = self.fleet_mut(parent);
         let has_place = leads || fleet.uplink.parent().is_some();
@@ -135,77 +136,83 @@
 
     fn report(&mut self, node: &NodeId, to: &Contact) {
         let now = self.now;
-        let Receipt::Taken { refer } = self.take_report(node, &to.node) else {
+        let ReportOutcome::Accepted { referral } = self.handle_report(node, &to.node) else {
             self.fleet_mut(node).uplink.failed(&to.node, now);
             return;
         };
         let leads = self.root.as_ref() == Some(&to.node);
-        let above = &self.fleets[&to.node].uplink;
-        let (path, rooted) = (above.path(), above.root_age(leads, now));
+        let parent_uplink = &self.fleets[&to.node].uplink;
+        let (path, root_age) = (parent_uplink.path(), parent_uplink.root_age(leads, now));
         let uplink = &mut self.fleet_mut(node).uplink;
-        if uplink.update_path(path, rooted, now)
-            && let Some(to) = refer
+        if uplink.update_path(path, root_age, now)
+            && let Some(to) = referral
         {
             uplink.referred(to);
         }
     }
 
-    /// The report of `node` arrives at `parent`, which takes it in once more where it does not know it.
-    fn take_report(&mut self, node: &NodeId, parent: &NodeId) -> Receipt {
+    /// The report of `node` arrives at `parent`, which handles it as a join request if it does not know the
+    /// sender.
+    fn handle_report(&mut self, node: &NodeId, parent: &NodeId) -> ReportOutcome {
         let now = self.now;
         if !self.reaches(node, parent) || self.fleets[parent].uplink.is_self_or_ancestor(node) {
-            return Receipt::NotTaken;
+            return ReportOutcome::Rejected;
         }
         let report = report_of(&self.fleets[node], now);
-        let above = self.fleets[parent].uplink.parent().cloned();
+        let grandparent = self.fleets[parent].uplink.parent().cloned();
         let children = &mut self.fleet_mut(parent).children;
-        let refer = children.take_referral(node, above.as_ref());
+        let referral = children.take_referral(node, grandparent.as_ref());
         let known = children.record_report(&report, now);
-        if refer.is_some() || known {
-            return Receipt::Taken { refer };
+        if referral.is_some() || known {
+            return ReportOutcome::Accepted { referral };
         }
         let request = self.fleets[node].join_request(now);
-        match self.take_in(parent, &request) {
-            JoinAnswer::Accepted => Receipt::Taken { refer: None },
-            JoinAnswer::Referred { to } => Receipt::Taken { refer: Some(to) },
-            JoinAnswer::Refused => Receipt::NotTaken,
+        match self.handle_join(parent, &request) {
+            JoinAnswer::Accepted => ReportOutcome::Accepted { referral: None },
+            JoinAnswer::Referred { to } => ReportOutcome::Accepted { referral: Some(to) },
+            JoinAnswer::Refused => ReportOutcome::Rejected,
         }
     }
 
     fn fleet_mut(&mut self, node: &NodeId) -> &mut Fleet {
-        self.fleets.get_mut(node).expect("every node has its part of the fleet, running or not")
+        self.fleets.get_mut(node).expect("each node has a fleet, running or not")
     }
 
     pub fn kill(&mut self, node: &NodeId) {
         self.running.remove(node);
     }
 
-    pub fn start_again(&mut self, node: &NodeId) {
+    pub fn restart(&mut self, node: &NodeId) {
         let me = self.fleets[node].local_member().clone();
-        let takes = if me.capacity > 1 { STRONG } else { SMALL };
-        self.fleets.insert(node.clone(), Fleet::new(me, takes));
+        let fan_in = if me.capacity > 1 { STRONG_FAN_IN } else { WEAK_FAN_IN };
+        self.fleets.insert(node.clone(), Fleet::new(me, fan_in));
         self.running.insert(node.clone());
     }
 
-    /// The nodes on the way from one to the root, by whom each reports to; nothing where it does not lead there.
-    pub fn way_up(&self, node: &NodeId) -> Option<Vec<NodeId>> {
-        let mut way = vec![node.clone()];
-        while way.last() != self.root.as_ref() {
-            let parent = self.fleets[way.last()?].uplink.parent()?.node.clone();
-            if way.contains(&parent) || !self.running.contains(&parent) {
+    /// The nodes from `node` to the root; `None` if the path does not reach it.
+    pub fn path_to_root(&self, node: &NodeId) -> Option<Vec<NodeId>> {
+        let mut path = vec![node.clone()];
+        while path.last() != self.root.as_ref() {
+            let parent = self.fleets[path.last()?].uplink.parent()?.node.clone();
+            if path.contains(&parent) || !self.running.contains(&parent) {
                 return None;
             }
-            way.push(parent);
+            path.push(parent);
         }
-        Some(way)
+        Some(path)
     }
 
-    pub fn lost(&self) -> Vec<&NodeId> {
-        self.running.iter().filter(|node| self.way_up(node).is_none()).collect()
+    pub fn disconnected(&self) -> Vec<&NodeId> {
+        self.running.iter().filter(|node| self.path_to_root(node).is_none()).collect()
     }
 
-    pub fn deepest(&self) -> usize {
-        self.running.iter().filter_map(|node| self.way_up(node)).map(|way| way.len() - 1).max().unwrap_or(0)
+    pub fn max_depth(&self) -> usize {
+        self.running
+            .iter()
+            .filter_map(|node| self.path_to_root(node))
+            .map(|path| path.len() - 1)
+            .max()
+            .unwrap_or(0)
     }
 
     pub fn children_of(&self, node: &NodeId) -> Vec<&NodeId> {
@@ -214,28 +221,28 @@
         self.running.iter().filter(reports).collect()
     }
 
-    /// How many nodes stand how deep, the strong ones first.
+    /// The number of nodes by strength (strong ones first) and depth.
     pub fn depths(&self) -> BTreeMap<(u32, usize), usize> {
         let mut depths = BTreeMap::new();
         for node in &self.running {
-            let depth = self.way_up(node).map_or(99, |way| way.len() - 1);
+            let depth = self.path_to_root(node).map_or(99, |path| path.len() - 1);
             *depths.entry((100 - self.fleets[node].local_member().capacity, depth)).or_default() += 1;
         }
         depths
     }
 
-    /// How many of a hundred nodes stand deeper than `depth`.
-    pub fn percent_below(&self, depth: usize) -> usize {
-        let deep = |node: &&NodeId| self.way_up(node).is_none_or(|way| way.len() - 1 > depth);
+    /// The percentage of nodes deeper than `depth`.
+    pub fn percent_deeper_than(&self, depth: usize) -> usize {
+        let deep = |node: &&NodeId| self.path_to_root(node).is_none_or(|path| path.len() - 1 > depth);
         self.running.iter().filter(deep).count() * 100 / self.running.len()
     }
 
-    pub fn most_children(&self) -> usize {
+    pub fn max_children(&self) -> usize {
         self.running.iter().map(|node| self.children_of(node).len()).max().unwrap_or(0)
     }
 
-    /// Links between zones.
-    pub fn crossings(&self) -> usize {
+    /// The number of links between zones.
+    pub fn cross_zone_links(&self) -> usize {
         let zone = |node: &NodeId| self.fleets[node].local_member().zone.clone();
         let crosses = |node: &&NodeId| {
             let parent = self.fleets[*node].uplink.parent();
@@ -244,21 +251,21 @@
         self.running.iter().filter(crosses).count()
     }
 
-    pub fn most_asked(&self) -> usize {
-        self.asked.values().copied().max().unwrap_or(0)
+    pub fn max_join_requests(&self) -> usize {
+        self.join_requests.values().copied().max().unwrap_or(0)
     }
 }
 
-/// One node; every `strong_each`th of a zone is strong.
-pub fn fleet(number: usize, strong_each: usize) -> Fleet {
-    let strong = (number / 5).is_multiple_of(strong_each);
+/// One node; every `strong_interval`th of a zone is strong.
+pub fn fleet(number: usize, strong_interval: usize) -> Fleet {
+    let strong = (number / 5).is_multiple_of(strong_interval);
     let member = Member {
         node: name(number),
         zone: ZoneId::from(format!("zone-{}", number % 5)),
         address: address(),
         capacity: if strong { 100 } else { 1 },
     };
-    Fleet::new(member, if strong { STRONG } else { SMALL })
+    Fleet::new(member, if strong { STRONG_FAN_IN } else { WEAK_FAN_IN })
 }
 
 fn report_of(fleet: &Fleet, now: Timestamp) -> Report {
