--- a/crates/core/src/forwarding/prompt.rs
+++ b/crates/core/src/forwarding/prompt.rs
@@ -35,7 +35,7 @@
 
     /// Tokens of the shared segments.
     pub fn shared_tokens(&self) -> u32 {
-        self.shared().iter().map(|part| part.tokens).sum()
+        self.shared().iter().map(|segment| segment.tokens).sum()
     }
 }
 
--- a/crates/core/src/forwarding/uplink.rs
+++ b/crates/core/src/forwarding/uplink.rs
@@ -62,10 +62,10 @@
         }
     }
 
-    /// The next step, where `root` is the known leader, if any; `leads` is set if this node itself leads.
-    pub fn next_step(&mut self, root: Option<&Contact>, leads: bool, now: Timestamp) -> NextStep {
+    /// The next step, where `root` is the known leader, if any; `is_leader` is set if this node leads.
+    pub fn next_step(&mut self, root: Option<&Contact>, is_leader: bool, now: Timestamp) -> NextStep {
         self.avoided.retain(|_, at| now.saturating_since(*at) < AVOID_PERIOD);
-        if leads {
+        if is_leader {
             self.ancestors.clear();
             self.is_joined = false;
             self.referred_to = None;
@@ -155,8 +155,8 @@
     }
 
     /// How long ago the root last reached this node through its ancestors.
-    pub fn root_age(&self, leads: bool, now: Timestamp) -> Option<Duration> {
-        if leads {
+    pub fn root_age(&self, is_leader: bool, now: Timestamp) -> Option<Duration> {
+        if is_leader {
             return Some(Duration::ZERO);
         }
         self.root_seen_at.map(|at| now.saturating_since(at))
--- a/crates/core/tests/forwarding_choice.rs
+++ b/crates/core/tests/forwarding_choice.rs
@@ -63,7 +63,7 @@
     segments.push(Segment { id: SegmentId(999), tokens: own });
     Prompt {
         model: ModelId::from("m"),
-        prompt_tokens: segments.iter().map(|part| part.tokens).sum(),
+        prompt_tokens: segments.iter().map(|segment| segment.tokens).sum(),
         output_tokens: 50,
         segments,
     }
@@ -136,8 +136,8 @@
     let mut chooser = Chooser::default();
     let first = chooser.choose(placement(1), &fixture.candidates()).expect("a back end");
     assert_eq!(first.save_to, Some(store.clone()));
-    let kept = CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(7), tokens: 4_000 };
-    chooser.apply_feed(&id, &[kept], Timestamp::ZERO);
+    let cached = CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(7), tokens: 4_000 };
+    chooser.apply_feed(&id, &[cached], Timestamp::ZERO);
     let second = chooser.choose(placement(2), &fixture.candidates()).expect("a back end");
     assert_eq!((second.import_from, second.save_to), (Some(address(50)), None));
 }
@@ -164,13 +164,13 @@
     let prompt = prompt(&[(7, 4_000)], 300);
     let mut chooser = Chooser::default();
     chooser.record_prefill(&fixture.ids[1], &scope(1), &prompt, Timestamp::ZERO);
-    let part = |tokens| CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(7), tokens };
-    chooser.apply_feed(&fixture.ids[1], &[part(1_600)], Timestamp::ZERO);
+    let segment = |tokens| CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(7), tokens };
+    chooser.apply_feed(&fixture.ids[1], &[segment(1_600)], Timestamp::ZERO);
     assert_eq!(
         chooser.prefixes.cached_tokens(&fixture.ids[1], ScopeHash::from(&scope(1)), prompt.shared()),
         1_600
     );
-    chooser.apply_feed(&fixture.ids[1], &[part(0)], Timestamp::ZERO);
+    chooser.apply_feed(&fixture.ids[1], &[segment(0)], Timestamp::ZERO);
     assert!(chooser.prefixes.is_empty());
 }
 
@@ -223,13 +223,13 @@
     let backend = BackendId::from("engine-0");
     assert!(chooser.prefixes.retention(100_000, at(0)).as_secs() > 1_000);
     for number in 0..100 {
-        let part =
+        let segment =
             CachedSegment { scope: ScopeHash::from(&scope(1)), segment: SegmentId(number), tokens: 1_000 };
-        chooser.apply_feed(&backend, &[part], at(number * 100));
+        chooser.apply_feed(&backend, &[segment], at(number * 100));
     }
     // Ten thousand tokens a second, with room for a hundred thousand.
-    let kept = chooser.prefixes.retention(100_000, at(10_000)).as_secs();
-    assert!((8..14).contains(&kept), "{kept}");
+    let retention = chooser.prefixes.retention(100_000, at(10_000)).as_secs();
+    assert!((8..14).contains(&retention), "{retention}");
 }
 
 #[test]
@@ -336,8 +336,9 @@
     let mut counts = vec![0; fixture.ids.len()];
     for number in 0..count {
         let now = from + pause * number;
-        let asked = prompt(&[], 1);
-        let placement = Placement { prompt: None, now, ..fixture.placement(&asked, now.as_millis()) };
+        let request_prompt = prompt(&[], 1);
+        let placement =
+            Placement { prompt: None, now, ..fixture.placement(&request_prompt, now.as_millis()) };
         let choice = chooser.choose(placement, &fixture.candidates()).expect("a back end");
         chooser.loads.record_latency(&choice.backend, 2.0, now);
         let index = fixture.ids.iter().position(|id| *id == choice.backend).expect("one of them");
@@ -400,8 +401,8 @@
     let mut slow = 0;
     for tenth in 0..600 {
         let now = Timestamp::from_millis(tenth * 100);
-        let asked = prompt(&[], 1);
-        let placement = Placement { prompt: None, now, ..fixture.placement(&asked, tenth) };
+        let request_prompt = prompt(&[], 1);
+        let placement = Placement { prompt: None, now, ..fixture.placement(&request_prompt, tenth) };
         let choice = chooser.choose(placement, &fixture.candidates()).expect("a back end");
         let is_slow = choice.backend == fixture.ids[0];
         slow += usize::from(is_slow);
--- a/crates/core/tests/forwarding_fleet.rs
+++ b/crates/core/tests/forwarding_fleet.rs
@@ -136,10 +136,10 @@
         }
         let mean = readers.values().sum::<i32>() as f64 / engines.len() as f64;
         let without = engines.len() - readers.len();
-        let most = readers.values().max().copied().unwrap_or_default();
+        let max_readers = readers.values().max().copied().unwrap_or_default();
         assert!((2.2..=3.3).contains(&mean), "{count} nodes: {mean} readers on average");
         assert!(without <= engines.len() / 8, "{count} nodes: {without} feeds without a reader");
-        assert!(most <= 12, "{count} nodes: {most} readers, but an engine serves a dozen");
+        assert!(max_readers <= 12, "{count} nodes: {max_readers} readers, but an engine serves a dozen");
     }
 }
 
@@ -223,8 +223,8 @@
     assert_eq!(log.next_batch(), vec![update(1), update(2)], "the first batch was not acknowledged");
     log.acknowledge();
     assert_eq!(log.next_batch(), Vec::new());
-    for part in 0..5_000 {
-        log.enqueue(update(part));
+    for segment in 0..5_000 {
+        log.enqueue(update(segment));
     }
     assert!(log.drain().len() <= 1_024);
 }
@@ -235,8 +235,8 @@
     let store = EngineId::from("store");
     log.set_stores([store.clone()].into());
     let of_store = KeptNews { engine: store, ..update(9) };
-    for part in 0..1_000 {
-        log.enqueue(update(part));
+    for segment in 0..1_000 {
+        log.enqueue(update(segment));
     }
     log.enqueue(of_store.clone());
     assert_eq!(log.next_batch()[0], of_store);
@@ -310,10 +310,10 @@
 /// Guards against a minimum share for each node, which exceeds the total in a large fleet.
 #[test]
 fn even_shares_of_all_nodes_add_up_to_no_more_than_the_total() {
-    for (whole, nodes) in [(300, 69), (1_900, 985), (100, 985), (360, 7), (7, 7), (0, 3)] {
+    for (total, nodes) in [(300, 69), (1_900, 985), (100, 985), (360, 7), (7, 7), (0, 3)] {
         let draws = (0..nodes).map(|number| (f64::from(number) + 0.5) / f64::from(nodes));
-        let sum: u32 = draws.map(|draw| even_share(whole, nodes, draw)).sum();
-        assert!(sum <= whole + 1, "{sum} of {whole} at {nodes} nodes");
-        assert!(sum * 2 > whole || whole == 0, "{sum} of {whole} at {nodes} nodes");
+        let sum: u32 = draws.map(|draw| even_share(total, nodes, draw)).sum();
+        assert!(sum <= total + 1, "{sum} of {total} at {nodes} nodes");
+        assert!(sum * 2 > total || total == 0, "{sum} of {total} at {nodes} nodes");
     }
 }
--- a/crates/core/tests/forwarding_shards.rs
+++ b/crates/core/tests/forwarding_shards.rs
@@ -17,12 +17,12 @@
 }
 
 fn prompt(last_shared: u64, own_segment: u64) -> Prompt {
-    let part = |id, tokens| Segment { id: SegmentId(id), tokens };
+    let segment = |id, tokens| Segment { id: SegmentId(id), tokens };
     Prompt {
         model: ModelId::from("m"),
         prompt_tokens: 7_000,
         output_tokens: 10,
-        segments: vec![part(1, 2_000), part(last_shared, 4_000), part(own_segment, 1_000)],
+        segments: vec![segment(1, 2_000), segment(last_shared, 4_000), segment(own_segment, 1_000)],
     }
 }
 
--- a/crates/core/tests/tree_support/mod.rs
+++ b/crates/core/tests/tree_support/mod.rs
@@ -50,7 +50,7 @@
 
 impl Nodes {
     /// Nodes in five zones, every `strong_interval`th of which is strong; all start at once, and the first
-    /// one leads.
+    /// one is_leader.
     pub fn starting(count: usize, strong_interval: usize) -> Self {
         let fleets = (0..count).map(|number| (name(number), fleet(number, strong_interval))).collect();
         Self {
@@ -91,11 +91,11 @@
 
     /// Runs one step of a node. Returns whether it continues at once.
     fn step(&mut self, node: &NodeId) -> bool {
-        let (now, leads) = (self.now, self.root.as_ref() == Some(node));
+        let (now, is_leader) = (self.now, self.root.as_ref() == Some(node));
         let root = self.root.as_ref().map(|root| self.contact(root));
         let Some(fleet) = self.fleets.get_mut(node) else { return false };
-        fleet.tick(leads, now);
-        match fleet.uplink.next_step(root.as_ref(), leads, now) {
+        fleet.tick(is_leader, now);
+        match fleet.uplink.next_step(root.as_ref(), is_leader, now) {
             NextStep::Wait => false,
             NextStep::Join(to) => {
                 self.join(node, &to);
@@ -122,9 +122,9 @@
     }
 
     fn handle_join(&mut self, parent: &NodeId, request: &JoinRequest) -> JoinAnswer {
-        let (now, leads) = (self.now, self.root.as_ref() == Some(parent));
+        let (now, is_leader) = (self.now, self.root.as_ref() == Some(parent));
         let fleet = self.fleet_mut(parent);
-        let has_place = leads || fleet.uplink.parent().is_some();
+        let has_place = is_leader || fleet.uplink.parent().is_some();
         if !has_place || fleet.uplink.is_self_or_ancestor(&request.sender.node) {
             return JoinAnswer::Refused;
         }
@@ -140,9 +140,9 @@
             self.fleet_mut(node).uplink.failed(&to.node, now);
             return;
         };
-        let leads = self.root.as_ref() == Some(&to.node);
+        let is_leader = self.root.as_ref() == Some(&to.node);
         let parent_uplink = &self.fleets[&to.node].uplink;
-        let (path, root_age) = (parent_uplink.path(), parent_uplink.root_age(leads, now));
+        let (path, root_age) = (parent_uplink.path(), parent_uplink.root_age(is_leader, now));
         let uplink = &mut self.fleet_mut(node).uplink;
         if uplink.update_path(path, root_age, now)
             && let Some(to) = referral
