--- a/crates/core/src/forwarding/choice.rs
+++ b/crates/core/src/forwarding/choice.rs
@@ -63,7 +63,7 @@
 
 /// A cache store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CacheStore {
+pub struct StoreEndpoint {
     /// The name under which its feed is known.
     pub id: BackendId,
     pub address: SocketAddr,
@@ -80,7 +80,7 @@
     /// A random number drawn for the request; selects the sample and breaks ties.
     pub seed: u64,
     /// The cache store that this prompt's segments belong to ([`shard_of`]).
-    pub store: Option<&'a CacheStore>,
+    pub store: Option<&'a StoreEndpoint>,
     /// How many back ends are sampled, in addition to the preferred one; `None` evaluates all. Where many
     /// nodes choose with the same outdated information, different samples prevent them from choosing the same
     /// back end.
@@ -103,7 +103,7 @@
     /// The kind of that source, if it is believed to have segments cached that the back end lacks.
     pub import_source: Option<SourceKind>,
     /// The cache store that receives the segments that nobody has cached.
-    pub save_to: Option<CacheStore>,
+    pub save_to: Option<StoreEndpoint>,
     /// The back end that receives a copy of the run's memory as it grows.
     pub copy_to: Option<CopyHolder>,
     /// Tokens that the back end is expected to prefill, including the cost of imports.
--- a/crates/core/src/forwarding/choice/shards.rs
+++ b/crates/core/src/forwarding/choice/shards.rs
@@ -6,11 +6,11 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::CacheStore;
+use super::StoreEndpoint;
 use crate::forwarding::prompt::Prompt;
 
 /// The cache store for a prompt's shared segments; `None` if there is no store or no shared segment.
-pub fn shard_of(prompt: &Prompt, stores: impl Iterator<Item = CacheStore>) -> Option<CacheStore> {
+pub fn shard_of(prompt: &Prompt, stores: impl Iterator<Item = StoreEndpoint>) -> Option<StoreEndpoint> {
     let last = prompt.shared().last()?;
     stores.max_by_key(|store| xxh3_64_with_seed(store.id.as_str().as_bytes(), last.id.0))
 }
--- a/crates/core/tests/forwarding_choice.rs
+++ b/crates/core/tests/forwarding_choice.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::forwarding::{
     backends::BackendId,
-    choice::{CacheStore, Candidate, Choice, Chooser, Placement, SourceKind, SourceTimes},
+    choice::{Candidate, Choice, Chooser, Placement, SourceKind, SourceTimes, StoreEndpoint},
     prefixes::{CachedSegment, ScopeHash},
     prompt::{CacheScope, Prompt, Segment, SegmentId},
 };
@@ -131,7 +131,7 @@
     let fixture = Fixture::of(&[1; 3]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let id = BackendId::from("store");
-    let store = CacheStore { id: id.clone(), address: address(50) };
+    let store = StoreEndpoint { id: id.clone(), address: address(50) };
     let placement = |seed| Placement { store: Some(&store), ..fixture.placement(&prompt, seed) };
     let mut chooser = Chooser::default();
     let first = chooser.choose(placement(1), &fixture.candidates()).expect("a back end");
@@ -146,7 +146,7 @@
 fn the_store_is_preferred_to_an_engine_with_the_same_segments_only_with_many_nodes() {
     let fixture = Fixture::of(&[1; 3]);
     let prompt = prompt(&[(7, 4_000)], 300);
-    let store = CacheStore { id: BackendId::from("store"), address: address(50) };
+    let store = StoreEndpoint { id: BackendId::from("store"), address: address(50) };
     let mut chooser = Chooser::default();
     chooser.record_prefill(&fixture.ids[0], &scope(1), &prompt, Timestamp::ZERO);
     chooser.record_prefill(&store.id, &scope(1), &prompt, Timestamp::ZERO);
@@ -295,7 +295,7 @@
     let scope = CacheScope { model: prompt.model.clone(), weights: WeightsVersion(1), tenant: None };
     chooser.record_prefill(&fixture.ids[0], &scope, &prompt, Timestamp::from_millis(1));
     let id = BackendId::from("store");
-    let store = CacheStore { id: id.clone(), address: address(90) };
+    let store = StoreEndpoint { id: id.clone(), address: address(90) };
     let placement = Placement { store: Some(&store), ..fixture.placement(&prompt, 1) };
     let alone = chooser.choose(placement, &fixture.candidates()).expect("a choice");
     assert_eq!((&alone.backend, alone.cached_tokens), (&fixture.ids[0], 3_000));
--- a/crates/core/tests/forwarding_shards.rs
+++ b/crates/core/tests/forwarding_shards.rs
@@ -3,13 +3,13 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use paddlemount_core::forwarding::{
-    choice::{CacheStore, shard_of},
+    choice::{StoreEndpoint, shard_of},
     prompt::{Prompt, Segment, SegmentId},
 };
 use paddlemount_protocol::identity::{EngineId, ModelId};
 
-fn stores(count: u16) -> Vec<CacheStore> {
-    let store = |number: u16| CacheStore {
+fn stores(count: u16) -> Vec<StoreEndpoint> {
+    let store = |number: u16| StoreEndpoint {
         id: EngineId::from(format!("kept-{number}").as_str()),
         address: SocketAddr::from(([10, 0, 0, 1], 7_000 + number)),
     };
@@ -53,7 +53,7 @@
 fn removing_a_store_moves_only_its_own_prompts() {
     let known = stores(6);
     let removed = known[2].clone();
-    let remaining: Vec<CacheStore> = known.iter().filter(|store| **store != removed).cloned().collect();
+    let remaining: Vec<StoreEndpoint> = known.iter().filter(|store| **store != removed).cloned().collect();
     for last_shared in 10..500 {
         let before = shard_of(&prompt(last_shared, 0), known.iter().cloned()).expect("a store");
         let after = shard_of(&prompt(last_shared, 0), remaining.iter().cloned()).expect("a store");
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/beliefs.rs
@@ -7,7 +7,7 @@
         backends::{BackendId, BackendState, Backends},
         budget::{WindowBudget, WindowBudgetSettings, node_reserve},
         change_log::ChangeLog,
-        choice::{CacheStore, Chooser},
+        choice::{Chooser, StoreEndpoint},
         freshness::Freshness,
         refusals::Refusals,
         rollout::{Rollout, RolloutSettings},
@@ -199,11 +199,11 @@
     }
 
     /// The stores of kept parts that the configuration has, each under the name by which its feed is known.
-    pub fn stores(&self) -> impl Iterator<Item = CacheStore> + '_ {
+    pub fn stores(&self) -> impl Iterator<Item = StoreEndpoint> + '_ {
         let services = self.table.iter().flat_map(|table| table.services());
         services.filter_map(|(name, service)| {
             let kept = service.cache_store.as_ref()?;
-            Some(CacheStore { id: BackendId::from(name.as_str()), address: kept.address })
+            Some(StoreEndpoint { id: BackendId::from(name.as_str()), address: kept.address })
         })
     }
 
