--- a/crates/core/src/forwarding/answer_times.rs
+++ b/crates/core/src/forwarding/answer_times.rs
@@ -1,83 +1,81 @@
-//! How long whole answers have lately taken, and how long one may take that is to begin.
+//! How long recent answers took, and how long the answer to a new request is expected to take.
 //!
-//! The answers of a route differ by a factor of a hundred in length. What a request guesses of its own tells more of it than
-//! the longest answer of its route: the streams that a planned stop cut were guessed two to four times as long as most, while
-//! requests that it refused for a long one before them were short.
+//! Answers of one route differ by orders of magnitude in length, so a request's own estimate predicts its
+//! duration better than the longest answer of its route.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use paddlemount_protocol::time::Timestamp;
 
-/// The time of which the longest answer is kept apart.
+/// The interval over which times are aggregated.
 const SLICE: Duration = Duration::from_secs(10);
-/// Slices that count, the present one included: answers are remembered for 50 to 60 s.
-const SLICES: usize = 6;
+/// The number of slices that count, including the current one: answers are remembered for 50 to 60 s.
+const SLICE_COUNT: usize = 6;
 
-/// How much longer than by its guess an answer is reckoned with: guesses are right in the median, and an answer that is cut
-/// costs its caller far more than a round trip to another node.
-const GUESS_SLACK_PER_MILLE: u64 = 2_500;
-/// Thousandths in a whole.
+/// The factor applied to an estimate, in thousandths. Estimates are right in the median, and an answer that
+/// is cut off costs its caller far more than a round trip to another node.
+const ESTIMATE_MARGIN_PER_MILLE: u64 = 2_500;
+/// The number of thousandths in one.
 const PER_MILLE: u64 = 1_000;
 
 /// How long an answer took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTime {
-    /// From the request's arrival to the first part of the answer.
-    pub first: Duration,
-    /// To its end.
-    pub whole: Duration,
-    /// Tokens that its request guessed it to have.
-    pub guessed_tokens: Option<u32>,
+    /// From the request's arrival to the first chunk of the answer.
+    pub first_chunk: Duration,
+    /// From the request's arrival to the end of the answer.
+    pub total: Duration,
+    /// The answer's length as estimated by its request.
+    pub estimated_tokens: Option<u32>,
 }
 
-/// The times of some answers.
+/// Aggregated times of some answers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Times {
-    /// The longest of them.
     longest: Duration,
-    /// The longest time to a first part.
-    slowest_first: Duration,
-    /// The time from the first part to the end of all answers whose length was guessed, and the tokens that were guessed.
-    run: Duration,
-    guessed: u64,
+    slowest_first_chunk: Duration,
+    /// The sums, over all answers with an estimated length, of the time from the first chunk to the end, and
+    /// of the estimated tokens.
+    streaming: Duration,
+    estimated: u64,
 }
 
 impl Times {
     fn add(&mut self, other: &Self) {
         self.longest = self.longest.max(other.longest);
-        self.slowest_first = self.slowest_first.max(other.slowest_first);
-        self.run += other.run;
-        self.guessed += other.guessed;
+        self.slowest_first_chunk = self.slowest_first_chunk.max(other.slowest_first_chunk);
+        self.streaming += other.streaming;
+        self.estimated += other.estimated;
     }
 }
 
 impl From<AnswerTime> for Times {
     fn from(time: AnswerTime) -> Self {
-        let guessed = u64::from(time.guessed_tokens.unwrap_or(0));
-        let run = time.whole.saturating_sub(time.first);
+        let estimated = u64::from(time.estimated_tokens.unwrap_or(0));
+        let streaming = time.total.saturating_sub(time.first_chunk);
         Self {
-            longest: time.whole,
-            slowest_first: time.first,
-            run: if guessed > 0 { run } else { Duration::ZERO },
-            guessed,
+            longest: time.total,
+            slowest_first_chunk: time.first_chunk,
+            streaming: if estimated > 0 { streaming } else { Duration::ZERO },
+            estimated,
         }
     }
 }
 
 /// The times of one route's answers, by slices of time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Recent {
-    /// The number of the newest slice, counted from the clock's zero.
+struct RecentTimes {
+    /// The number of the newest slice since the epoch.
     newest: u64,
-    by_slice: [Times; SLICES],
+    by_slice: [Times; SLICE_COUNT],
 }
 
-impl Recent {
-    /// Empties the slices that have grown too old by `now`.
+impl RecentTimes {
+    /// Clears the slices that have expired by `now`.
     fn advance(&mut self, now: Timestamp) {
         let present = slice_of(now);
         let passed = present.saturating_sub(self.newest);
-        for number in 1..=passed.min(SLICES as u64) {
+        for number in 1..=passed.min(SLICE_COUNT as u64) {
             self.by_slice[index(self.newest + number)] = Times::default();
         }
         self.newest = self.newest.max(present);
@@ -89,44 +87,44 @@
 }
 
 fn index(slice: u64) -> usize {
-    (slice % SLICES as u64) as usize
+    (slice % SLICE_COUNT as u64) as usize
 }
 
 /// How long recent answers took, by route.
 #[derive(Debug, Default)]
 pub struct AnswerTimes {
-    by_route: BTreeMap<String, Recent>,
+    by_route: BTreeMap<String, RecentTimes>,
 }
 
 impl AnswerTimes {
-    /// An answer has ended whole.
-    pub fn ended(&mut self, route: &str, time: AnswerTime, now: Timestamp) {
+    /// Records an answer that has ended completely.
+    pub fn record(&mut self, route: &str, time: AnswerTime, now: Timestamp) {
         if !self.by_route.contains_key(route) {
-            self.by_route.insert(route.to_owned(), Recent::default());
+            self.by_route.insert(route.to_owned(), RecentTimes::default());
         }
         let Some(recent) = self.by_route.get_mut(route) else { return };
         recent.advance(now);
         recent.by_slice[index(slice_of(now))].add(&time.into());
     }
 
-    /// The longest answer of the last minute; nothing where none has ended.
+    /// The longest answer of the last minute; `None` if none has ended.
     pub fn longest(&self, route: &str, now: Timestamp) -> Option<Duration> {
         Some(self.recent(route, now)?.longest)
     }
 
-    /// How long an answer is reckoned to take that is guessed to have so many tokens, by what recent guesses were worth; as
-    /// long as the longest where nothing is guessed. Nothing where none has ended.
-    pub fn expected(&self, route: &str, guessed_tokens: Option<u32>, now: Timestamp) -> Option<Duration> {
+    /// The expected duration of an answer with this estimated length, derived from the rate of recent
+    /// answers; the longest recent duration without an estimate. `None` if no answer has ended recently.
+    pub fn expected(&self, route: &str, estimated_tokens: Option<u32>, now: Timestamp) -> Option<Duration> {
         let recent = self.recent(route, now)?;
-        let Some(guessed) = guessed_tokens.filter(|_| recent.guessed > 0) else {
+        let Some(estimated) = estimated_tokens.filter(|_| recent.estimated > 0) else {
             return Some(recent.longest);
         };
-        let micros = recent.run.as_micros() as u64 / recent.guessed * u64::from(guessed);
-        let run = Duration::from_micros(micros.saturating_mul(GUESS_SLACK_PER_MILLE) / PER_MILLE);
-        Some(recent.slowest_first + run)
+        let micros = recent.streaming.as_micros() as u64 / recent.estimated * u64::from(estimated);
+        let streaming = Duration::from_micros(micros.saturating_mul(ESTIMATE_MARGIN_PER_MILLE) / PER_MILLE);
+        Some(recent.slowest_first_chunk + streaming)
     }
 
-    /// The times of the last minute.
+    /// The aggregated times of the last minute.
     fn recent(&self, route: &str, now: Timestamp) -> Option<Times> {
         let mut recent = *self.by_route.get(route)?;
         recent.advance(now);
@@ -135,12 +133,12 @@
         (!all.longest.is_zero()).then_some(all)
     }
 
-    /// Forgets routes without a recent answer.
+    /// Removes routes without a recent answer.
     pub fn sweep(&mut self, now: Timestamp) {
         let by_route = std::mem::take(&mut self.by_route);
         self.by_route = by_route
             .into_iter()
-            .filter(|(_, recent)| slice_of(now).saturating_sub(recent.newest) < SLICES as u64)
+            .filter(|(_, recent)| slice_of(now).saturating_sub(recent.newest) < SLICE_COUNT as u64)
             .collect();
     }
 }
--- a/crates/core/src/forwarding/choice/sources.rs
+++ b/crates/core/src/forwarding/choice/sources.rs
@@ -1,44 +1,44 @@
-//! Whom to import a prefix from, and who gets a copy of a run.
+//! The source to import a prefix from, and the back end that receives a copy of a run.
 
 use std::{cmp::Reverse, net::SocketAddr};
 
 use paddlemount_protocol::identity::WeightsVersion;
 
-use super::{Candidate, Choice, Chooser, CopyHolder, Field, Placement, SourceKind, prompts::Group, tie};
+use super::{
+    Candidate, CandidatePool, Choice, Chooser, CopyHolder, Placement, SourceKind, prompts::WeightsGroup, tie,
+};
 use crate::forwarding::{
     prefixes::ScopeHash,
-    prompt::{Part, Prompt},
+    prompt::{Prompt, Segment},
 };
 
-/// Tokens of a part below which an import doesn't pay: engines keep parts by blocks of this size.
-pub(super) const IMPORT_MINIMUM_TOKENS: u32 = 16;
+/// The minimum number of tokens to import: engines cache segments in blocks of this size.
+pub(super) const MIN_IMPORT_TOKENS: u32 = 16;
 
-/// Back ends that are looked at as sources of a prefix: the first parts of many prompts are kept nearly everywhere.
-const MOST_HOLDERS: usize = 64;
+/// The maximum number of back ends considered as sources: the first segments of many prompts are cached
+/// nearly everywhere.
+const MAX_HOLDERS: usize = 64;
 
-/// A back end that keeps some of a prefix.
+/// A back end with some of a prefix cached.
 pub(super) struct Holder<'a> {
-    /// The back end.
     pub(super) candidate: Candidate<'a>,
-    /// Tokens of the prefix that it keeps.
-    pub(super) kept: u32,
-    /// Requests of this node under way there.
+    /// Tokens of the prefix that it has cached.
+    pub(super) cached_tokens: u32,
+    /// This node's requests in flight there.
     pub(super) requests: u32,
 }
 
-/// Whom a prefix may be imported from.
+/// A source that a prefix may be imported from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Source {
-    /// Where it listens.
     pub(super) address: SocketAddr,
-    /// Tokens of the prefix that it keeps.
-    pub(super) kept: u32,
-    /// What it is.
+    /// Tokens of the prefix that it has cached.
+    pub(super) cached_tokens: u32,
     pub(super) kind: SourceKind,
 }
 
 impl Chooser {
-    /// Who gets a copy: the back end with the least under way among those with the same weights.
+    /// The back end that receives a copy: the one with the fewest requests among those with the same weights.
     pub(super) fn copy_holder(
         &self,
         choice: &Choice,
@@ -51,26 +51,26 @@
             .filter(|other| other.eligible && *other.id != choice.backend && other.weights == weights);
         let order = |other: &&Candidate<'_>| {
             let requests = self.load(other.id).requests;
-            (other.zone != placement.zone, requests, tie(other.id, placement.draw))
+            (other.zone != placement.zone, requests, tie(other.id, placement.seed))
         };
         others.min_by_key(order).map(|other| CopyHolder { backend: other.id.clone(), address: other.address })
     }
 
-    /// Who keeps some of a prefix under these weights, in the order of their identities.
+    /// The back ends with some of a prefix cached under these weights, ordered by identity.
     pub(super) fn holders<'a>(
         &self,
         hash: ScopeHash,
         weights: WeightsVersion,
-        shared: &[Part],
-        field: &'a dyn Field,
+        shared: &[Segment],
+        pool: &'a dyn CandidatePool,
     ) -> Vec<Holder<'a>> {
-        let keepers = self.prefixes.keepers(hash, shared, MOST_HOLDERS);
-        let mut holders: Vec<Holder<'a>> = keepers
+        let ids = self.prefixes.holders(hash, shared, MAX_HOLDERS);
+        let mut holders: Vec<Holder<'a>> = ids
             .into_iter()
-            .filter_map(|id| field.find(id))
+            .filter_map(|id| pool.find(id))
             .filter(|candidate| candidate.weights == Some(weights))
             .map(|candidate| Holder {
-                kept: self.prefixes.kept(candidate.id, hash, shared),
+                cached_tokens: self.prefixes.cached_tokens(candidate.id, hash, shared),
                 requests: self.load(candidate.id).requests,
                 candidate,
             })
@@ -79,37 +79,38 @@
         holders
     }
 
-    /// Whom to name where the back end is believed to keep the whole prefix itself: that may be wrong, and where it is
-    /// right nothing is moved. Where nodes are many, what a node believes of engines is old, and the store drops parts
-    /// much later than engines do; few nodes know the engines, whose links are more than the store's.
-    pub(super) fn source_in_reserve(
+    /// The source to import from in case a back end that is believed to have the prefix cached does not; if
+    /// it does, nothing is transferred. With many nodes, this node's information on engines is outdated, while
+    /// the store evicts segments much later than engines do, so the store is used.
+    pub(super) fn fallback_source(
         choice: &Choice,
         placement: Placement<'_>,
-        group: &Group<'_>,
+        group: &WeightsGroup<'_>,
     ) -> Option<SocketAddr> {
-        if choice.held_tokens < IMPORT_MINIMUM_TOKENS {
+        if choice.cached_tokens < MIN_IMPORT_TOKENS {
             return None;
         }
-        if let Some(store) = placement.store.filter(|_| placement.considered.is_some()) {
+        if let Some(store) = placement.store.filter(|_| placement.sample_size.is_some()) {
             return Some(store.address);
         }
-        let keeps =
-            |other: &&Holder<'_>| *other.candidate.id != choice.backend && other.kept >= choice.held_tokens;
+        let has_prefix = |other: &&Holder<'_>| {
+            *other.candidate.id != choice.backend && other.cached_tokens >= choice.cached_tokens
+        };
         let other = group
             .holders
             .iter()
-            .filter(keeps)
+            .filter(has_prefix)
             .map(|holder| &holder.candidate)
-            .min_by_key(|other| (other.zone != placement.zone, tie(other.id, placement.draw)));
+            .min_by_key(|other| (other.zone != placement.zone, tie(other.id, placement.seed)));
         other.map(|other| other.address).or(placement.store.map(|store| store.address))
     }
 
-    /// Who keeps most of the prefix under the same weights: another back end or the store. Where nodes are many the store
-    /// comes first, as in [`Self::source_in_reserve`], unless answers that wait for stores begin later.
+    /// The back end or store with most of the prefix cached under the same weights. With many nodes, the
+    /// store wins ties, as in [`Self::fallback_source`], unless answers from stores begin later.
     pub(super) fn source(
         &self,
         candidate: &Candidate<'_>,
-        group: &Group<'_>,
+        group: &WeightsGroup<'_>,
         placement: Placement<'_>,
         prompt: &Prompt,
     ) -> Option<Source> {
@@ -117,23 +118,30 @@
         let best = others
             .max_by_key(|other| {
                 let same_zone = other.candidate.zone == candidate.zone;
-                (other.kept, other.candidate.eligible, same_zone, Reverse(other.requests))
+                (other.cached_tokens, other.candidate.eligible, same_zone, Reverse(other.requests))
             })
             .map(|other| Source {
                 address: other.candidate.address,
-                kept: other.kept,
+                cached_tokens: other.cached_tokens,
                 kind: SourceKind::Engine,
             });
-        let stored = placement.store.map(|store| Source {
+        let from_store = placement.store.map(|store| Source {
             address: store.address,
-            kept: self.prefixes.kept(&store.id, group.hash, prompt.shared()),
+            cached_tokens: self.prefixes.cached_tokens(&store.id, group.hash, prompt.shared()),
             kind: SourceKind::Store,
         });
-        let store_first = placement.considered.is_some() && self.source_times.prefers_store(placement.draw);
-        match (best, stored) {
-            (Some(best), Some(stored)) if stored.kept > best.kept => Some(stored),
-            (Some(best), Some(stored)) if stored.kept == best.kept && store_first => Some(stored),
-            (None, stored) => stored,
+        let prefers_store =
+            placement.sample_size.is_some() && self.source_times.prefers_store(placement.seed);
+        match (best, from_store) {
+            (Some(best), Some(from_store)) if from_store.cached_tokens > best.cached_tokens => {
+                Some(from_store)
+            }
+            (Some(best), Some(from_store))
+                if from_store.cached_tokens == best.cached_tokens && prefers_store =>
+            {
+                Some(from_store)
+            }
+            (None, from_store) => from_store,
             (best, _) => best,
         }
     }
--- a/crates/core/src/forwarding/prefixes.rs
+++ b/crates/core/src/forwarding/prefixes.rs
@@ -1,8 +1,8 @@
-//! Which back end is believed to keep which parts of prompts.
+//! Which back ends are believed to have which segments of prompts cached.
 //!
-//! Engines tell of what they keep in feeds that are late and lose entries; what a node's own requests have made an
-//! engine read is last_reported at once. A belief that is wrong costs time, never correctness: engines find parts only under
-//! the scope that the node names.
+//! Engines report their caches in feeds that lag and lose entries; segments prefilled by this node's own
+//! requests are recorded at once. A wrong entry costs time, never correctness: engines find segments only
+//! under the scope that the request names.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,25 +11,25 @@
 
 use super::{
     backends::BackendId,
-    prompt::{CacheScope, Part, PartId},
+    prompt::{CacheScope, Segment, SegmentId},
 };
 
-/// Parts that are remembered at most; the older half is then forgotten.
-const MOST_PARTS: usize = 8_192;
-/// Engines keep parts by blocks; a part is whole where less than a block of it is missing.
+/// The maximum number of segments in the index; beyond it, the older half is evicted.
+const MAX_SEGMENTS: usize = 8_192;
+/// The block size of engine caches. A segment is complete if less than a block of it is missing.
 const BLOCK_TOKENS: u32 = 16;
 
-/// Tokens of a part below which other nodes need not hear of it: it is read again in no time.
-const NEWS_MINIMUM_TOKENS: u32 = 256;
-/// The time in which what was counted fades to a third.
-const FADES: Duration = Duration::from_secs(4);
+/// The size of a segment below which it is not gossiped, as prefilling it again is cheap.
+const MIN_GOSSIP_TOKENS: u32 = 256;
+/// The time constant by which token counts decay.
+const DECAY: Duration = Duration::from_secs(4);
 
-/// A scope in short.
+/// The hash of a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ScopeHash(pub u64);
 
 impl ScopeHash {
-    /// The hash of a scope's text, as feeds tell it.
+    /// The hash of a scope's text, as used in feeds.
     pub fn of_text(text: &str) -> Self {
         Self(xxh3_64(text.as_bytes()))
     }
@@ -41,194 +41,196 @@
     }
 }
 
-/// One entry of an engine's feed: how much of a part it keeps now.
+/// One entry of an engine's feed: how much of a segment it has cached now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptPart {
-    /// The scope.
+pub struct CachedSegment {
     pub scope: ScopeHash,
-    /// The part.
-    pub part: PartId,
-    /// Tokens of it that are kept now; none where it is gone.
+    pub segment: SegmentId,
+    /// The number of its tokens that are cached now; zero if it was evicted.
     pub tokens: u32,
 }
 
 #[derive(Debug, Default)]
-struct Keepers {
+struct Holders {
     by_backend: Vec<(BackendId, u32)>,
     used_at: Timestamp,
 }
 
-/// What back ends are believed to keep.
+/// The segments that back ends are believed to have cached.
 #[derive(Debug, Default)]
-pub struct Prefixes {
-    keepers: HashMap<(ScopeHash, PartId), Keepers>,
-    /// Tokens that engines have lately begun to keep; fades with [`FADES`].
+pub struct PrefixIndex {
+    holders: HashMap<(ScopeHash, SegmentId), Holders>,
+    /// Tokens that engines have recently cached; decays with [`DECAY`].
     added: f64,
     added_at: Timestamp,
-    /// Tokens of prompts that this node's own requests have lately had; fades likewise.
+    /// Prompt tokens of this node's own recent requests; decays likewise.
     prompted: f64,
     prompted_at: Timestamp,
 }
 
-impl Prefixes {
-    /// A request of this node has had an engine read or keep a prompt of so many tokens.
-    pub fn prompted(&mut self, tokens: u32, now: Timestamp) {
-        self.prompted = self.prompted_faded(now) + f64::from(tokens);
+impl PrefixIndex {
+    /// Records a prompt of this node's own requests.
+    pub fn record_prompt(&mut self, tokens: u32, now: Timestamp) {
+        self.prompted = self.decayed_prompted(now) + f64::from(tokens);
         self.prompted_at = now;
     }
 
-    /// Tokens of prompts a second that this node's requests lately had.
-    pub fn prompted_per_second(&self, now: Timestamp) -> f64 {
-        self.prompted_faded(now) / FADES.as_secs_f64()
+    /// The recent rate of this node's prompt tokens.
+    pub fn prompt_tokens_per_second(&self, now: Timestamp) -> f64 {
+        self.decayed_prompted(now) / DECAY.as_secs_f64()
     }
 
-    fn prompted_faded(&self, now: Timestamp) -> f64 {
+    fn decayed_prompted(&self, now: Timestamp) -> f64 {
         let elapsed = now.saturating_since(self.prompted_at).as_secs_f64();
-        self.prompted * (-elapsed / FADES.as_secs_f64()).exp()
+        self.prompted * (-elapsed / DECAY.as_secs_f64()).exp()
     }
 
-    /// A back end keeps so much of a part now.
-    pub fn set(&mut self, backend: &BackendId, kept: &KeptPart, now: Timestamp) {
-        let key = (kept.scope, kept.part);
-        if kept.tokens == 0 {
-            self.drop_keeper(key, backend);
+    /// Sets how much of a segment a back end has cached.
+    pub fn set(&mut self, backend: &BackendId, cached: &CachedSegment, now: Timestamp) {
+        let key = (cached.scope, cached.segment);
+        if cached.tokens == 0 {
+            self.remove_holder(key, backend);
             return;
         }
-        let keepers = self.keepers.entry(key).or_default();
-        keepers.used_at = now;
+        let holders = self.holders.entry(key).or_default();
+        holders.used_at = now;
         let known =
-            keepers.by_backend.iter().find(|(keeper, _)| keeper == backend).map_or(0, |(_, tokens)| *tokens);
-        match keepers.by_backend.iter_mut().find(|(keeper, _)| keeper == backend) {
-            Some((_, tokens)) => *tokens = kept.tokens,
-            None => keepers.by_backend.push((backend.clone(), kept.tokens)),
+            holders.by_backend.iter().find(|(holder, _)| holder == backend).map_or(0, |(_, tokens)| *tokens);
+        match holders.by_backend.iter_mut().find(|(holder, _)| holder == backend) {
+            Some((_, tokens)) => *tokens = cached.tokens,
+            None => holders.by_backend.push((backend.clone(), cached.tokens)),
         }
-        self.count_added(kept.tokens.saturating_sub(known), now);
-        if self.keepers.len() > MOST_PARTS {
-            self.forget_oldest();
+        self.count_added(cached.tokens.saturating_sub(known), now);
+        if self.holders.len() > MAX_SEGMENTS {
+            self.evict_oldest();
         }
     }
 
     fn count_added(&mut self, tokens: u32, now: Timestamp) {
-        self.added = self.faded(now) + f64::from(tokens);
+        self.added = self.decayed_added(now) + f64::from(tokens);
         self.added_at = now;
     }
 
-    fn faded(&self, now: Timestamp) -> f64 {
+    fn decayed_added(&self, now: Timestamp) -> f64 {
         let elapsed = now.saturating_since(self.added_at).as_secs_f64();
-        self.added * (-elapsed / FADES.as_secs_f64()).exp()
+        self.added * (-elapsed / DECAY.as_secs_f64()).exp()
     }
 
-    /// How long a part that nobody uses is kept, where all engines together have room for `room` tokens.
-    pub fn kept_for(&self, room: u64, now: Timestamp) -> Duration {
-        let per_second = self.faded(now) / FADES.as_secs_f64();
-        Duration::try_from_secs_f64(room as f64 / per_second.max(1.0)).unwrap_or(Duration::MAX)
+    /// How long an unused segment stays cached if all engines together have room for `capacity_tokens`.
+    pub fn retention(&self, capacity_tokens: u64, now: Timestamp) -> Duration {
+        let per_second = self.decayed_added(now) / DECAY.as_secs_f64();
+        Duration::try_from_secs_f64(capacity_tokens as f64 / per_second.max(1.0)).unwrap_or(Duration::MAX)
     }
 
-    /// A back end has read all of `parts`. Gives what is news for other nodes.
-    pub fn read(
+    /// Records that a back end has prefilled all `segments`. Returns the updates for other nodes.
+    pub fn record_prefill(
         &mut self,
         backend: &BackendId,
         scope: ScopeHash,
-        parts: &[Part],
+        segments: &[Segment],
         now: Timestamp,
-    ) -> Vec<KeptPart> {
-        let kept = parts.iter().map(|part| KeptPart { scope, part: part.id, tokens: part.tokens });
-        kept.filter(|part| self.note_read(backend, part, now)).collect()
-    }
-
-    /// Notes that a back end keeps a part; whether other nodes should hear of it.
-    fn note_read(&mut self, backend: &BackendId, part: &KeptPart, now: Timestamp) -> bool {
-        let known = self.keeps(backend, part);
-        self.set(backend, part, now);
-        !known && part.tokens >= NEWS_MINIMUM_TOKENS
-    }
-
-    /// Whether a back end is believed to keep at least so much of a part.
-    pub fn keeps(&self, backend: &BackendId, part: &KeptPart) -> bool {
-        let keepers = self.keepers.get(&(part.scope, part.part));
-        keepers.is_some_and(|keepers| {
-            keepers.by_backend.iter().any(|(keeper, tokens)| keeper == backend && *tokens >= part.tokens)
+    ) -> Vec<CachedSegment> {
+        let cached = segments.iter().map(|segment| CachedSegment {
+            scope,
+            segment: segment.id,
+            tokens: segment.tokens,
+        });
+        cached.filter(|segment| self.record_segment(backend, segment, now)).collect()
+    }
+
+    /// Records that a back end has a segment cached. Returns whether to gossip it.
+    fn record_segment(&mut self, backend: &BackendId, segment: &CachedSegment, now: Timestamp) -> bool {
+        let known = self.is_cached(backend, segment);
+        self.set(backend, segment, now);
+        !known && segment.tokens >= MIN_GOSSIP_TOKENS
+    }
+
+    /// Whether a back end is believed to have at least this much of a segment cached.
+    pub fn is_cached(&self, backend: &BackendId, segment: &CachedSegment) -> bool {
+        let holders = self.holders.get(&(segment.scope, segment.segment));
+        holders.is_some_and(|holders| {
+            holders.by_backend.iter().any(|(holder, tokens)| holder == backend && *tokens >= segment.tokens)
         })
     }
 
-    /// Whether a back end is believed to keep anything of a part.
-    pub fn keeps_any(&self, backend: &BackendId, scope: ScopeHash, part: PartId) -> bool {
-        self.keeps(backend, &KeptPart { scope, part, tokens: 1 })
+    /// Whether a back end is believed to have any of a segment cached.
+    pub fn is_partly_cached(&self, backend: &BackendId, scope: ScopeHash, segment: SegmentId) -> bool {
+        self.is_cached(backend, &CachedSegment { scope, segment, tokens: 1 })
     }
 
-    /// A back end keeps nothing any more.
+    /// Removes a back end.
     pub fn forget(&mut self, backend: &BackendId) {
-        for keepers in self.keepers.values_mut() {
-            keepers.by_backend.retain(|(keeper, _)| keeper != backend);
+        for holders in self.holders.values_mut() {
+            holders.by_backend.retain(|(holder, _)| holder != backend);
         }
-        self.keepers.retain(|_, keepers| !keepers.by_backend.is_empty());
+        self.holders.retain(|_, holders| !holders.by_backend.is_empty());
     }
 
-    /// Tokens that a back end keeps of `parts`, from the first on without a gap.
-    pub fn kept(&self, backend: &BackendId, scope: ScopeHash, parts: &[Part]) -> u32 {
+    /// The tokens of `segments` that a back end has cached, without a gap from the first one on.
+    pub fn cached_tokens(&self, backend: &BackendId, scope: ScopeHash, segments: &[Segment]) -> u32 {
         let mut sum = 0;
-        for part in parts {
-            let keepers = self.keepers.get(&(scope, part.id));
+        for segment in segments {
+            let holders = self.holders.get(&(scope, segment.id));
             let of_backend =
-                keepers.and_then(|keepers| keepers.by_backend.iter().find(|(keeper, _)| keeper == backend));
-            let tokens = of_backend.map_or(0, |(_, tokens)| (*tokens).min(part.tokens));
-            if tokens + BLOCK_TOKENS <= part.tokens {
+                holders.and_then(|holders| holders.by_backend.iter().find(|(holder, _)| holder == backend));
+            let tokens = of_backend.map_or(0, |(_, tokens)| (*tokens).min(segment.tokens));
+            if tokens + BLOCK_TOKENS <= segment.tokens {
                 return sum + tokens;
             }
-            sum += part.tokens;
+            sum += segment.tokens;
         }
         sum
     }
 
-    /// Back ends that keep some of `parts`, those of the last ones first: all of them, or about as many as `enough`.
-    pub fn keepers(&self, scope: ScopeHash, parts: &[Part], enough: usize) -> Vec<&BackendId> {
+    /// Back ends with some of `segments` cached, those of the last segments first; at most `limit`.
+    pub fn holders(&self, scope: ScopeHash, segments: &[Segment], limit: usize) -> Vec<&BackendId> {
         let mut found: Vec<&BackendId> = Vec::new();
-        for part in parts.iter().rev() {
-            let keepers = self.keepers.get(&(scope, part.id));
-            for (keeper, _) in keepers.into_iter().flat_map(|keepers| &keepers.by_backend) {
-                if found.len() >= enough {
+        for segment in segments.iter().rev() {
+            let holders = self.holders.get(&(scope, segment.id));
+            for (holder, _) in holders.into_iter().flat_map(|holders| &holders.by_backend) {
+                if found.len() >= limit {
                     return found;
                 }
-                if !found.contains(&keeper) {
-                    found.push(keeper);
+                if !found.contains(&holder) {
+                    found.push(holder);
                 }
             }
         }
         found
     }
 
-    /// The first of `parts` that nobody keeps whole.
-    pub fn first_cold<'a>(&self, scope: ScopeHash, parts: &'a [Part]) -> Option<&'a Part> {
-        parts.iter().find(|part| {
-            let keepers = self.keepers.get(&(scope, part.id));
-            !keepers.is_some_and(|keepers| {
-                keepers.by_backend.iter().any(|(_, tokens)| *tokens + BLOCK_TOKENS > part.tokens)
+    /// The first of `segments` that nobody has cached completely.
+    pub fn first_uncached<'a>(&self, scope: ScopeHash, segments: &'a [Segment]) -> Option<&'a Segment> {
+        segments.iter().find(|segment| {
+            let holders = self.holders.get(&(scope, segment.id));
+            !holders.is_some_and(|holders| {
+                holders.by_backend.iter().any(|(_, tokens)| *tokens + BLOCK_TOKENS > segment.tokens)
             })
         })
     }
 
-    /// The number of parts known.
+    /// The number of segments in the index.
     pub fn len(&self) -> usize {
-        self.keepers.len()
+        self.holders.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
-        self.keepers.is_empty()
+        self.holders.is_empty()
     }
 
-    fn drop_keeper(&mut self, key: (ScopeHash, PartId), backend: &BackendId) {
-        let Some(keepers) = self.keepers.get_mut(&key) else { return };
-        keepers.by_backend.retain(|(keeper, _)| keeper != backend);
-        if keepers.by_backend.is_empty() {
-            self.keepers.remove(&key);
+    fn remove_holder(&mut self, key: (ScopeHash, SegmentId), backend: &BackendId) {
+        let Some(holders) = self.holders.get_mut(&key) else { return };
+        holders.by_backend.retain(|(holder, _)| holder != backend);
+        if holders.by_backend.is_empty() {
+            self.holders.remove(&key);
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let mut ages: Vec<Timestamp> = self.keepers.values().map(|keepers| keepers.used_at).collect();
+    fn evict_oldest(&mut self) {
+        let mut ages: Vec<Timestamp> = self.holders.values().map(|holders| holders.used_at).collect();
         ages.sort_unstable();
         let middle = ages[ages.len() / 2];
-        self.keepers.retain(|_, keepers| keepers.used_at > middle);
+        self.holders.retain(|_, holders| holders.used_at > middle);
     }
 }
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -112,7 +112,7 @@
     /// The back end.
     pub backend: BackendId,
     began: Timestamp,
-    unread_tokens: Option<u64>,
+    pending_prefill_tokens: Option<u64>,
 }
 
 impl std::fmt::Debug for Work {
@@ -124,24 +124,24 @@
 impl Work {
     fn begin(node: &Rc<Node>, choice: &Choice) -> Self {
         let began = node.now();
-        node.beliefs.borrow_mut().chooser.loads.started(&choice.backend, choice.expected_tokens, began);
+        node.beliefs.borrow_mut().chooser.loads.record_start(&choice.backend, choice.expected_tokens, began);
         node.health(&choice.backend, HealthEvent::Dispatched, false);
         Self {
             node: Rc::clone(node),
             backend: choice.backend.clone(),
             began,
-            unread_tokens: Some(choice.expected_tokens),
+            pending_prefill_tokens: Some(choice.expected_tokens),
         }
     }
 
     /// The first part of the answer is here.
     pub fn first_part(&mut self) {
-        if let Some(tokens) = self.unread_tokens.take() {
+        if let Some(tokens) = self.pending_prefill_tokens.take() {
             let now = self.node.now();
             let milliseconds = now.saturating_since(self.began).as_secs_f64() * 1_000.0;
             let mut beliefs = self.node.beliefs.borrow_mut();
-            beliefs.chooser.loads.read(&self.backend, tokens, self.began);
-            beliefs.chooser.loads.measured(&self.backend, milliseconds, now);
+            beliefs.chooser.loads.record_first_event(&self.backend, tokens, self.began);
+            beliefs.chooser.loads.record_latency(&self.backend, milliseconds, now);
         }
     }
 }
@@ -149,10 +149,10 @@
 impl Drop for Work {
     fn drop(&mut self) {
         let mut beliefs = self.node.beliefs.borrow_mut();
-        if let Some(tokens) = self.unread_tokens.take() {
-            beliefs.chooser.loads.read(&self.backend, tokens, self.began);
+        if let Some(tokens) = self.pending_prefill_tokens.take() {
+            beliefs.chooser.loads.record_first_event(&self.backend, tokens, self.began);
         }
-        beliefs.chooser.loads.ended(&self.backend);
+        beliefs.chooser.loads.record_end(&self.backend);
     }
 }
 
