--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -145,11 +145,11 @@
     /// than `tenant` would have with one more.
     pub fn evict_for(&mut self, tenant: &TenantId, weight: u32) -> Option<Waiting> {
         let load = |waiting: usize, weight: u32| waiting as f64 / f64::from(weight.max(1));
-        let longest = self.tenants.iter().filter(|(_, queue)| queue.len() > 0);
-        let longest = longest.max_by(|(_, left), (_, right)| {
+        let fullest = self.tenants.iter().filter(|(_, queue)| queue.len() > 0);
+        let fullest = fullest.max_by(|(_, left), (_, right)| {
             load(left.len(), left.weight).total_cmp(&load(right.len(), right.weight))
         });
-        let (victim, queue) = longest?;
+        let (victim, queue) = fullest?;
         if load(queue.len(), queue.weight) <= load(self.len_of(tenant) + 1, weight) {
             return None;
         }
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes over the quotas of a configuration. Tenants that are not named have none.
+    /// Replaces the quotas by those of a configuration. Tenants that are not listed have none.
     pub fn configure<'a>(
         &mut self,
         quotas: impl Iterator<Item = (&'a TenantId, &'a TenantQuota)>,
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -95,16 +95,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Call a peer; exactly one `Answer` or `Failed` must follow.
-    Call { call: CallId, address: SocketAddr, request: MembershipRequest, timeout: Duration },
+    Call {
+        call: CallId,
+        address: SocketAddr,
+        request: MembershipRequest,
+        timeout: Duration,
+    },
     Answer {
         call: CallId,
-        /// The answer.
         answer: MembershipAnswer,
     },
     /// A member of this region was added or changed.
     Changed(MemberRecord),
     /// An item arrived from a peer.
-    Item { from: NodeId, item: PiggybackItem },
+    Item {
+        from: NodeId,
+        item: PiggybackItem,
+    },
     /// A later incarnation runs under this node's name; this process must stop.
     Superseded,
 }
--- a/crates/core/src/peers/changes.rs
+++ b/crates/core/src/peers/changes.rs
@@ -100,19 +100,19 @@
         self.changes.next += 1;
         let id = self.changes.next;
         let change = ConfigurationChange::new(request.clone(), self.replica.revision(), now);
-        let obstacle = self.obstacle(now).filter(|_| !request.dry_run);
+        let refusal_reason = self.refusal_reason(now).filter(|_| !request.dry_run);
         let phase = Phase::Store { change: Box::new(change), read_due: false };
         let deadline = now + STORE_DEADLINE;
         let task = Task { call, request, began: now, phase, next_at: deadline, deadline };
         self.changes.running.insert(id, task);
-        match obstacle {
+        match refusal_reason {
             Some(reason) => self.refuse(id, self.replica.revision(), reason, now),
             None => self.call_store(StoreRequest::Read, STORE_TIMEOUT, Purpose::Change(id)),
         }
     }
 
     /// Returns why a change made now could not be accepted.
-    fn obstacle(&self, now: Timestamp) -> Option<String> {
+    fn refusal_reason(&self, now: Timestamp) -> Option<String> {
         if self.membership.is_superseded() {
             return Some("this node was replaced; ask another node".to_owned());
         }
@@ -163,12 +163,12 @@
                 let request = StoreRequest::Put { expected, configuration };
                 self.call_store(request, STORE_TIMEOUT, Purpose::Change(id));
             }
-            ChangeStep::End(ending) => self.end_store_phase(id, ending, now),
+            ChangeStep::End(outcome) => self.end_store_phase(id, outcome, now),
         }
     }
 
-    fn end_store_phase(&mut self, id: u64, ending: StoreOutcome, now: Timestamp) {
-        match ending {
+    fn end_store_phase(&mut self, id: u64, outcome: StoreOutcome, now: Timestamp) {
+        match outcome {
             StoreOutcome::Stored { revision, configuration } => {
                 self.begin_confirmation(id, revision, configuration, now);
             }
@@ -241,7 +241,7 @@
             Phase::Confirm { .. } => {
                 task.next_at = now + CONFIRMATION_CHECK_INTERVAL;
                 self.check_confirmations(id, is_over, now);
-                self.ask_regions(id, now);
+                self.request_confirmations(id, now);
             }
         }
     }
@@ -273,7 +273,7 @@
     }
 
     /// Requests confirmation from a representative of each region that has not confirmed.
-    fn ask_regions(&mut self, id: u64, now: Timestamp) {
+    fn request_confirmations(&mut self, id: u64, now: Timestamp) {
         let Some(task) = self.changes.running.get_mut(&id) else { return };
         let Phase::Confirm { revision, regions, .. } = &mut task.phase else { return };
         let revision = *revision;
@@ -285,11 +285,11 @@
             }
         }
         for region in open {
-            self.ask_region(id, revision, region, now);
+            self.request_confirmation(id, revision, region, now);
         }
     }
 
-    fn ask_region(&mut self, id: u64, revision: Revision, region: RegionId, now: Timestamp) {
+    fn request_confirmation(&mut self, id: u64, revision: Revision, region: RegionId, now: Timestamp) {
         let Some(representative) = self.membership.representative_of(&region, now) else {
             self.region_answered(id, &region, None);
             return;
--- a/crates/core/src/peers/types.rs
+++ b/crates/core/src/peers/types.rs
@@ -97,15 +97,12 @@
     },
     Answer {
         call: CallId,
-        /// The answer.
         answer: PeerAnswer,
     },
     /// Call the store; exactly one `Store` event must follow.
     Store {
         call: CallId,
-        /// What to ask.
         request: StoreRequest,
-        /// How long to wait.
         timeout: Duration,
     },
     /// Report the outcome of a change to the operator.
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -44,11 +44,11 @@
 pub const CRASH_THRESHOLD: usize = 3;
 /// How long a request is held: the maximum TTL of a lease in the users' store.
 pub const HOLD_DURATION: Duration = Duration::from_secs(600);
-/// How long crashes count.
+/// Time for which a crash counts as evidence.
 const CRASH_TTL: Duration = Duration::from_secs(600);
 /// Maximum difference between two nodes' times of the same event.
 const MAX_CLOCK_SKEW: Duration = Duration::from_millis(10);
-/// Minimum age of all crashes but the last for a conclusion: by then the nodes, which report every 200 ms
+/// Minimum age of all crashes but the last for a conclusion. By then the nodes, which report every 200 ms
 /// over two steps, have reported the engines that ended together with them.
 const MIN_CRASH_AGE: Duration = Duration::from_millis(400);
 /// How long all nodes must have been asked for completed runs before a conclusion: a digest goes down and a
@@ -59,7 +59,7 @@
 const COMPLETION_DEDUP_WINDOW: Duration = Duration::from_millis(250);
 /// Successive crashes from which all nodes are asked for completed runs.
 const INQUIRY_THRESHOLD: usize = 2;
-/// How long the parent's last digest is used.
+/// Time for which the parent's last digest is used.
 const DIGEST_TTL: Duration = Duration::from_secs(30);
 /// Maximum number of suspected requests.
 const MAX_SUSPICIONS: usize = 2_048;
@@ -79,7 +79,7 @@
     Parent,
 }
 
-/// A held request, as a node knows it.
+/// The hold on a request, as known at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
     pub by: HoldSource,
--- a/crates/core/tests/admission_queue.rs
+++ b/crates/core/tests/admission_queue.rs
@@ -1,4 +1,4 @@
-//! Who runs, who waits, who is refused.
+//! Admission: which requests run, wait or are refused, and when.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -72,13 +72,13 @@
     submit(&mut admission, request("first", "a"), START);
     submit(&mut admission, request("second", "a"), START);
     end(&mut admission, "first", at(1_000));
-    // One request ahead takes a second; the deadline leaves 300 ms.
+    // The request ahead takes a second; the deadline leaves 300 ms.
     let late = AdmissionRequest { deadline: Some(at(1_500)), ..request("late", "a") };
     assert_eq!(refused(&submit(&mut admission, late, at(1_000))).1, RefusalCode::DeadlineExceeded);
 }
 
 #[test]
-fn a_request_that_waits_too_long_gets_its_answer_when_that_is_certain() {
+fn a_waiting_request_is_refused_once_it_cannot_start_in_time() {
     let mut admission = admission(1, AdmissionSettings::default());
     submit(&mut admission, request("running", "a"), START);
     let waiting = AdmissionRequest { deadline: Some(at(1_000)), ..request("waiting", "a") };
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_full_queue_gives_way_to_a_tenant_that_has_less_in_it() {
+fn a_full_queue_evicts_a_request_of_the_tenant_with_the_most() {
     let settings = AdmissionSettings { queue_length: 4, ..AdmissionSettings::default() };
     let mut admission = admission(1, settings);
     for ticket in ["running", "a1", "a2", "a3", "a4"] {
@@ -99,13 +99,13 @@
     let (ticket, code) = refused(&submit(&mut admission, request("a5", "large"), START));
     assert_eq!((ticket.as_str(), code), ("a5", RefusalCode::Overloaded));
     assert_eq!(refused(&submit(&mut admission, request("b1", "small"), START)).0, "a4");
-    // The large tenant has had one request, the small one none.
+    // The large tenant was served one request, the small one none.
     assert_eq!(end(&mut admission, "running", at(10)), ["b1"]);
     assert_eq!(end(&mut admission, "b1", at(20)), ["a1"]);
 }
 
 #[test]
-fn priorities_order_the_requests_of_one_tenant_and_low_steps_back_behind_all() {
+fn priorities_order_requests_within_a_tenant_and_low_yields_to_all_tenants() {
     let mut admission = admission(1, AdmissionSettings::default());
     submit(&mut admission, request("running", "a"), START);
     for (ticket, tenant, priority) in [
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_part_of_the_limit_is_kept_for_tenants_below_their_share() {
+fn a_part_of_the_limit_is_reserved_for_tenants_below_their_share() {
     let mut admission = admission(20, AdmissionSettings::default());
     submit(&mut admission, request("small-0", "small"), START);
     for number in 0..40 {
@@ -138,14 +138,14 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_its_place() {
+fn a_cancelled_request_frees_its_slot() {
     let mut admission = admission(1, AdmissionSettings::default());
     for ticket in ["running", "waiting", "next"] {
         submit(&mut admission, request(ticket, "a"), START);
     }
-    let left = |ticket: &str| AdmissionEvent::Cancelled { ticket: RequestId::from(ticket) };
-    assert!(admission.apply(left("waiting"), at(1)).is_empty());
-    let actions = admission.apply(left("running"), at(2));
+    let cancel = |ticket: &str| AdmissionEvent::Cancelled { ticket: RequestId::from(ticket) };
+    assert!(admission.apply(cancel("waiting"), at(1)).is_empty());
+    let actions = admission.apply(cancel("running"), at(2));
     assert_eq!(actions.iter().map(run_ticket).collect::<Vec<_>>(), ["next"]);
 }
 
@@ -176,9 +176,9 @@
             *served.entry(tenant).or_default() += f64::from(waiting.cost) / f64::from(weight);
             let share = |index: usize| served.get(&tenants[index]).copied().unwrap_or(0.0);
             let largest = |index: usize| f64::from(cost(u8::MAX)) / f64::from(weights[index]);
-            for (left, right) in [(0, 1), (1, 2), (0, 2)] {
-                let apart = (share(left) - share(right)).abs();
-                assert!(!all_wait || apart <= largest(left) + largest(right) + 0.1);
+            for (cancel, right) in [(0, 1), (1, 2), (0, 2)] {
+                let difference = (share(cancel) - share(right)).abs();
+                assert!(!all_wait || difference <= largest(cancel) + largest(right) + 0.1);
             }
         }
         assert!(queue.is_empty());
@@ -195,18 +195,18 @@
     Wait(u16),
 }
 
-/// Where a request stands that has neither ended nor been given up.
+/// The state of a request that has neither ended nor been abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum RequestState {
     Waiting,
     Running,
 }
 
-/// What has become of all requests so far.
+/// Tracks the expected state of all requests.
 struct Requests {
     now: Timestamp,
     tickets: Vec<RequestId>,
-    open: BTreeMap<RequestId, Standing>,
+    open: BTreeMap<RequestId, RequestState>,
 }
 
 impl Requests {
@@ -214,13 +214,13 @@
         Self { now: START, tickets: Vec::new(), open: BTreeMap::new() }
     }
 
-    /// What a step means to the admission; nothing where it does not apply.
+    /// Converts a step to an event; `None` if the step does not apply.
     fn event(&mut self, step: &Step) -> Option<AdmissionEvent> {
         let event = match step {
             Step::Submit { tenant, priority, deadline } => self.submit(*tenant, *priority, *deadline),
             Step::End(number) => {
                 let ticket = self.pick(*number)?;
-                if self.open.get(&ticket) != Some(&Standing::Running) {
+                if self.open.get(&ticket) != Some(&RequestState::Running) {
                     return None;
                 }
                 self.open.remove(&ticket);
@@ -249,7 +249,7 @@
     fn submit(&mut self, tenant: u8, priority: u8, deadline: Option<u16>) -> AdmissionEvent {
         let ticket = RequestId::from(self.tickets.len().to_string());
         self.tickets.push(ticket.clone());
-        self.open.insert(ticket.clone(), Standing::Waiting);
+        self.open.insert(ticket.clone(), RequestState::Waiting);
         let priority = [Priority::Low, Priority::Normal, Priority::High][usize::from(priority % 3)];
         let deadline = deadline.map(|after| self.now + Duration::from_millis(u64::from(after)));
         let tenant = ["a", "b", "c"][usize::from(tenant % 3)];
@@ -261,27 +261,27 @@
         self.tickets.get(usize::from(number) % self.tickets.len().max(1)).cloned()
     }
 
-    /// Each request is answered once, and only while it waits.
-    fn take(&mut self, action: AdmissionAction) {
+    /// Checks that each request is answered once, and only while it waits.
+    fn check_action(&mut self, action: AdmissionAction) {
         match action {
             AdmissionAction::Run { ticket, .. } => {
-                let before = self.open.insert(ticket, Standing::Running);
-                assert_eq!(before, Some(Standing::Waiting), "run twice or after it was given up");
+                let before = self.open.insert(ticket, RequestState::Running);
+                assert_eq!(before, Some(RequestState::Waiting), "run twice or after it was abandoned");
             }
             AdmissionAction::Refuse { ticket, refusal } => {
-                assert_eq!(self.open.remove(&ticket), Some(Standing::Waiting), "refused after it ran");
+                assert_eq!(self.open.remove(&ticket), Some(RequestState::Waiting), "refused after it ran");
                 assert_eq!(refusal.outcome, Outcome::NotRun);
             }
         }
     }
 
     fn running(&self) -> usize {
-        self.open.values().filter(|standing| **standing == Standing::Running).count()
+        self.open.values().filter(|state| **state == RequestState::Running).count()
     }
 }
 
 #[test]
-fn limit_and_queue_are_never_exceeded_and_each_request_gets_one_answer() {
+fn limit_and_queue_length_hold_and_each_request_gets_one_answer() {
     let settings = AdmissionSettings { queue_length: 6, ..AdmissionSettings::default() };
     let pool = PoolId::from("pool");
     bolero::check!().with_type::<Vec<Step>>().for_each(|steps| {
@@ -291,7 +291,7 @@
             let Some(event) = requests.event(step) else { continue };
             let before = admission.view(&pool).unwrap();
             for action in admission.apply(event, requests.now) {
-                requests.take(action);
+                requests.check_action(action);
             }
             let view = admission.view(&pool).unwrap();
             assert_eq!(view.in_flight as usize, requests.running());
@@ -300,6 +300,6 @@
             assert!(view.waiting <= settings.queue_length);
         }
         admission.apply(AdmissionEvent::Tick, requests.now + Duration::from_secs(3));
-        assert_eq!(admission.view(&pool).unwrap().waiting, 0, "nothing is held back");
+        assert_eq!(admission.view(&pool).unwrap().waiting, 0, "no request waits past its latest start");
     });
 }
--- a/crates/core/tests/admission_shared_engines.rs
+++ b/crates/core/tests/admission_shared_engines.rs
@@ -1,4 +1,4 @@
-//! Many nodes before the same engines: short queues at the engines, even shares, fairness between tenants.
+//! Many nodes that share engines: short queues at the engines, even shares, and fairness between tenants.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -27,7 +27,7 @@
     ends: Timestamp,
 }
 
-/// One pool whose engines serve `slots` requests at once and queue the rest in order of priority.
+/// One pool whose engines serve `slots` requests at once and queue the others by priority.
 struct World {
     nodes: Vec<Admission>,
     slots: usize,
@@ -36,7 +36,7 @@
     arrivals: BTreeMap<RequestId, (usize, Timestamp)>,
     random: StdRng,
     now: Timestamp,
-    /// Waits from arrival to the batch, in milliseconds, by tenant.
+    /// Waiting times from arrival to the batch in milliseconds, by tenant.
     waits: Vec<Vec<u64>>,
     completed: usize,
     refused: usize,
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Runs for `seconds` with `rates` of requests a second by tenant, each at a random node.
+    /// Runs for `seconds` with `rates` of requests per second by tenant, each at a random node.
     fn run(&mut self, seconds: u64, rates: &[f64]) {
         for _ in 0..seconds * 100 {
             self.now = self.now + STEP;
             for (tenant, rate) in rates.iter().enumerate() {
                 let expected = rate * STEP.as_secs_f64();
-                let whole = expected as usize + usize::from(self.random.random_bool(expected.fract()));
-                (0..whole).for_each(|_| self.arrive(tenant));
+                let count = expected as usize + usize::from(self.random.random_bool(expected.fract()));
+                (0..count).for_each(|_| self.arrive(tenant));
             }
             self.serve();
             self.queue_steps += self.queue.len();
@@ -171,8 +171,8 @@
 }
 
 #[test]
-fn a_tenant_that_asks_for_ten_times_its_share_does_not_slow_the_others() {
-    // Seven tenants use three quarters of an even share each; the eighth asks for ten even shares.
+fn a_tenant_that_offers_ten_times_its_share_does_not_slow_the_others() {
+    // Seven tenants use three quarters of an even share each; the eighth offers ten even shares.
     let share = 192.0 / 8.0;
     let small = [0.75 * share; 7];
     let mut calm = World::new(3, 192, 8);
@@ -189,9 +189,9 @@
 }
 
 #[test]
-fn a_herd_of_restarted_nodes_does_not_overrun_the_engines() {
+fn nodes_that_restart_together_do_not_overload_the_engines() {
     let mut world = World::new(16, 192, 1);
     world.run(3, &[1_000.0]);
-    let most = world.queue.len() + world.running.len();
-    assert!(most <= 2 * 192, "{most} in flight for 192 places");
+    let in_flight = world.queue.len() + world.running.len();
+    assert!(in_flight <= 2 * 192, "{in_flight} in flight for 192 slots");
 }
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys: one replica, one coordinator, placement and its change.
+//! Claims on idempotency keys: replica, coordinator, placement and its change.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_replica_grants_a_key_to_one_try_and_gives_its_answer_again() {
+fn a_replica_grants_a_key_to_one_attempt_and_replays_its_answer() {
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::Granted);
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::Granted);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_try_that_does_not_end_in_its_time_is_reported_as_unknown() {
+fn an_attempt_that_exceeds_its_deadline_is_reported_as_unknown() {
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     replica.handle(&claim(&key, "a"), seconds(10));
     let reply = replica.handle(&claim(&key, "b"), seconds(16));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_fresh_replica_refuses_keys_that_an_earlier_life_could_have_granted() {
+fn a_new_replica_refuses_keys_that_an_earlier_incarnation_could_have_granted() {
     let mut fresh = ClaimReplica::new(ClaimSettings::default(), EPOCH, seconds(100));
     for second in [50, 100, 101, 102] {
         let reply = fresh.handle(&claim(&key_of_second(second, 1), "a"), seconds(103));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_is_forgotten_is_refused() {
+fn keys_older_than_the_retention_are_refused() {
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     replica.handle(&claim(&key, "a"), seconds(10));
     let reply = replica.handle(&claim(&key, "b"), seconds(700));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn large_answers_are_not_kept_and_kept_ones_are_bounded() {
+fn large_answers_are_not_stored_and_stored_ones_are_bounded() {
     let settings = ClaimSettings { max_bytes: 20_000, max_answer_bytes: 1_000, ..ClaimSettings::default() };
     let mut replica = ClaimReplica::new(settings, EPOCH, seconds(0));
     for second in 10..100 {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_claim_given_back_is_free_for_others_and_not_for_its_late_duplicate() {
+fn a_released_claim_is_free_for_others_but_not_for_its_late_duplicate() {
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     replica.handle(&release(&key, "a"), seconds(10));
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::GivenBack);
@@ -190,7 +190,7 @@
     }
 }
 
-/// The replicas that are asked for a claim.
+/// The replicas that receive a claim.
 fn asked(actions: &[ClaimAction]) -> Vec<&str> {
     let claims = actions.iter().filter_map(|action| match action {
         ClaimAction::Send { to, message: ClaimMessage::Claim { .. } } => Some(to.as_str()),
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn of_two_tries_one_stops_at_the_first_replica_that_both_reach() {
+fn of_two_attempts_one_stops_at_the_first_replica_that_both_reach() {
     let (mut first, _) = begin("a", seconds(10));
     let (mut second, _) = begin("b", seconds(10));
     let unreachable = || ClaimEvent::Unreachable { replica: NodeId::from("r1") };
@@ -215,11 +215,11 @@
 }
 
 #[test]
-fn a_silent_replica_holds_a_claim_up_only_for_a_part_of_the_wait() {
+fn an_unresponsive_replica_delays_a_claim_by_a_fraction_of_the_timeout() {
     let (mut coordinator, _) = begin("a", seconds(10));
-    let patience = ClaimSettings::default().reply_timeout / 4;
+    let next_replica_delay = ClaimSettings::default().reply_timeout / 4;
     assert!(asked(&coordinator.handle(ClaimEvent::Tick, seconds(10))).is_empty());
-    assert_eq!(asked(&coordinator.handle(ClaimEvent::Tick, seconds(10) + patience)), ["r2"]);
+    assert_eq!(asked(&coordinator.handle(ClaimEvent::Tick, seconds(10) + next_replica_delay)), ["r2"]);
     assert_eq!(asked(&reply(&mut coordinator, "r2", ClaimReply::Granted)), ["r3"]);
     assert!(reply(&mut coordinator, "r3", ClaimReply::Granted).contains(&ClaimAction::Dispatch));
 }
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn only_a_typed_not_run_is_sent_again_and_reported_as_not_run() {
+fn only_an_explicit_not_run_is_retried_and_reported_as_not_run() {
     let (mut coordinator, _) = begin("a", seconds(10));
     reply(&mut coordinator, "r1", ClaimReply::Granted);
     reply(&mut coordinator, "r2", ClaimReply::Granted);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn an_unclear_ending_is_unknown_and_a_late_answer_is_still_recorded() {
+fn a_timeout_is_reported_as_unknown_and_a_late_answer_is_still_recorded() {
     let (mut coordinator, _) = begin("a", seconds(10));
     reply(&mut coordinator, "r1", ClaimReply::Granted);
     reply(&mut coordinator, "r2", ClaimReply::Granted);
@@ -305,11 +305,14 @@
 }
 
 #[test]
-fn a_kept_answer_of_one_replica_is_given_again() {
+fn an_answer_stored_at_one_replica_is_replayed() {
     let (mut coordinator, _) = begin("b", seconds(10));
-    let ending_kept = RecordedOutcome::Completed { answer: Some("1".into()) };
-    let actions =
-        reply(&mut coordinator, "r2", ClaimReply::Ended { fingerprint: Fingerprint(1), ending: ending_kept });
+    let stored_ending = RecordedOutcome::Completed { answer: Some("1".into()) };
+    let actions = reply(
+        &mut coordinator,
+        "r2",
+        ClaimReply::Ended { fingerprint: Fingerprint(1), ending: stored_ending },
+    );
     assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: true }));
 }
 
--- a/crates/core/tests/configuration_change.rs
+++ b/crates/core/tests/configuration_change.rs
@@ -1,4 +1,4 @@
-//! A change against a store that loses replies, fails, and is raced by another operator.
+//! Configuration changes while the store loses replies, fails, or accepts a competing change.
 
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
 #[derive(Default)]
 struct Store {
     document: RevisedConfiguration,
-    made: BTreeMap<String, u32>,
+    applied: BTreeMap<String, u32>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -56,7 +56,7 @@
         let revision = expected.next();
         self.document = RevisedConfiguration { revision, configuration: (**configuration).clone() };
         let newest = self.document.configuration.changes.last().unwrap();
-        *self.made.entry(newest.id.to_string()).or_default() += 1;
+        *self.applied.entry(newest.id.to_string()).or_default() += 1;
         StorePutResult::Stored { revision }
     }
 
@@ -107,30 +107,30 @@
 }
 
 #[test]
-fn a_reply_lost_after_its_effect_is_settled_by_reading() {
+fn a_put_whose_reply_is_lost_is_resolved_by_reading() {
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
     let ending = run(&mut store, &mut change, &[Fault::None, Fault::LostAfter]);
     assert_eq!(stored(&ending), Some(Revision(1)));
-    assert_eq!(store.made["c1"], 1);
+    assert_eq!(store.applied["c1"], 1);
 }
 
 #[test]
-fn a_put_lost_before_its_effect_is_sent_again() {
+fn a_put_lost_before_its_effect_is_retried() {
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
     let ending = run(&mut store, &mut change, &[Fault::None, Fault::LostBefore, Fault::LostBefore]);
     assert_eq!(stored(&ending), Some(Revision(1)));
-    assert_eq!(store.made["c1"], 1);
+    assert_eq!(store.applied["c1"], 1);
 }
 
 #[test]
-fn a_store_that_is_down_refuses_plainly_and_changes_nothing() {
+fn a_change_is_refused_while_the_store_is_down() {
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
     let ending = run(&mut store, &mut change, &[Fault::Refused; 50]);
     assert!(matches!(ending, StoreOutcome::Refused { .. }), "{ending:?}");
-    assert!(store.made.is_empty());
+    assert!(store.applied.is_empty());
 }
 
 #[test]
@@ -143,14 +143,14 @@
 }
 
 #[test]
-fn a_change_asked_again_is_made_once_and_answered_with_its_revision() {
+fn a_repeated_change_is_applied_once_and_answered_with_its_revision() {
     let mut store = Store::default();
     let ask = || ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
     run(&mut store, &mut ask(), &[]);
     store.race(1);
     let again = run(&mut store, &mut ask(), &[]);
     assert_eq!(stored(&again), Some(Revision(1)));
-    assert_eq!(store.made["c1"], 1);
+    assert_eq!(store.applied["c1"], 1);
 }
 
 #[test]
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn errors_name_the_place_and_the_remedy() {
+fn errors_state_the_place_and_the_remedy() {
     let empty = RevisedConfiguration::default();
     let refused = |change| evaluate(&empty, &request("c", change), NOW).unwrap_err().to_string();
     let tenant = |settings| Change::PutTenant { tenant: "kestrel".into(), settings };
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn whatever_the_store_does_a_change_is_made_once_at_most_and_its_ending_is_true() {
+fn under_any_store_faults_a_change_is_applied_at_most_once_and_its_outcome_is_correct() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|bytes| {
         let faults: Vec<Fault> = bytes
             .iter()
@@ -256,11 +256,11 @@
         let mut store = Store::default();
         let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
         let ending = run(&mut store, &mut change, &faults);
-        let made = store.made.get("c1").copied().unwrap_or(0);
-        assert!(made <= 1);
+        let applied = store.applied.get("c1").copied().unwrap_or(0);
+        assert!(applied <= 1);
         match ending {
-            StoreOutcome::Stored { .. } => assert_eq!(made, 1),
-            StoreOutcome::Refused { .. } => assert_eq!(made, 0),
+            StoreOutcome::Stored { .. } => assert_eq!(applied, 1),
+            StoreOutcome::Refused { .. } => assert_eq!(applied, 0),
             StoreOutcome::Unknown => {}
             StoreOutcome::WouldApply { .. } => panic!("not a dry run"),
         }
--- a/crates/core/tests/configuration_replica.rs
+++ b/crates/core/tests/configuration_replica.rs
@@ -1,4 +1,4 @@
-//! A node's document never goes back, and is fresh only where that was shown.
+//! A node's document never goes back to an older revision, and is fresh only with a confirmation.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The membership of node 0 that knows nodes 1 to `others`.
+/// The membership of node 0, which knows nodes 1 to `others`.
 fn membership(others: u8) -> Membership {
     let own = record(0);
     let settings = MembershipSettings {
@@ -62,7 +62,7 @@
     RevisedConfiguration { revision: Revision(revision), configuration: Configuration::default() }
 }
 
-/// Lets the store answer a replica that asks it.
+/// Answers a replica's store call.
 fn answer_store(replica: &mut Replica, membership: &Membership, now: Timestamp, revision: u64) {
     let asked = replica.tick(membership.table(), membership.quorum_base(), now);
     assert!(matches!(asked, Some(ReplicaAction::Watch(_))), "{asked:?}");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn without_store_and_majority_a_node_stops_serving_after_the_stated_bound() {
+fn without_store_and_majority_a_node_stops_serving_after_the_bound() {
     let membership = membership(2);
     let mut replica = Replica::new(START, Duration::ZERO, false);
     let now = START + Duration::from_secs(1);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn whatever_is_read_the_revision_never_goes_back() {
+fn the_revision_never_decreases_whatever_the_store_returns() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|revisions| {
         let membership = membership(0);
         let mut replica = Replica::new(START, Duration::ZERO, false);
--- a/crates/core/tests/limits_quota.rs
+++ b/crates/core/tests/limits_quota.rs
@@ -1,4 +1,4 @@
-//! Quotas over many nodes: shares never exceed the quota, and the greatest overshoot.
+//! Quotas over many nodes: the sum of the shares and the maximum overshoot.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,18 +18,17 @@
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// How nodes exchange reports.
 #[derive(Clone, Copy)]
 struct Exchange {
     settings: LimitSettings,
     /// Steps between two messages of a node.
     every: usize,
     bytes: usize,
-    /// Whether each message is answered by the receiver's reports.
+    /// Whether the receiver answers each message with its reports.
     answered: bool,
 }
 
-/// Five large messages a second, reports settled within seconds also among many nodes.
+/// Five large messages per second; reports settle within seconds among many nodes too.
 fn fast_exchange() -> Exchange {
     let settings = LimitSettings {
         settle_base: Duration::from_millis(1_500),
@@ -39,7 +38,7 @@
     Exchange { settings, every: 10, bytes: 1_200, answered: false }
 }
 
-/// The node's own exchange: one probe a second, its answer, and 260 bytes in each.
+/// The exchange of production nodes: one probe per second and its answer, with 260 bytes each.
 fn probe_exchange() -> Exchange {
     Exchange { settings: LimitSettings::default(), every: 50, bytes: 260, answered: true }
 }
@@ -52,19 +51,18 @@
     Quota { requests_per_second: Some(rate), ..Quota::default() }
 }
 
-/// Nodes that gossip with random peers and delays, with callers at some of them that ask for all they can get.
+/// Nodes that gossip with random peers and delays; callers at some of them offer unlimited load.
 struct Cluster {
     nodes: Vec<Limits>,
     exchange: Exchange,
     random: StdRng,
     now: Timestamp,
-    on_the_way: Vec<(Timestamp, usize, Vec<QuotaDigest>)>,
-    /// Whether a message from one node reaches another.
+    in_flight: Vec<(Timestamp, usize, Vec<QuotaDigest>)>,
     reaches: fn(usize, usize) -> bool,
     hot: Vec<bool>,
     running: Vec<(Timestamp, usize)>,
-    /// Seconds after which demand moves to other nodes.
-    moves_after: u64,
+    /// Seconds after which the demand moves to other nodes.
+    demand_period_s: u64,
     admitted: u64,
     steps_with_demand: u64,
 }
@@ -84,11 +82,11 @@
             exchange,
             random: StdRng::seed_from_u64(seed),
             now: start,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             reaches: |_, _| true,
             hot: vec![true; size],
             running: Vec::new(),
-            moves_after: 3,
+            demand_period_s: 3,
             admitted: 0,
             steps_with_demand: 0,
         }
@@ -97,14 +95,14 @@
     fn step(&mut self) -> u64 {
         self.now = self.now + STEP;
         let step = (self.now.as_millis() / 20) as usize;
-        if step.is_multiple_of(self.moves_after as usize * 50) {
-            let part = self.random.random_range(0.0..1.0);
-            self.hot.iter_mut().for_each(|hot| *hot = self.random.random_bool(part));
+        if step.is_multiple_of(self.demand_period_s as usize * 50) {
+            let fraction = self.random.random_range(0.0..1.0);
+            self.hot.iter_mut().for_each(|hot| *hot = self.random.random_bool(fraction));
         }
         self.steps_with_demand += u64::from(self.hot.contains(&true));
         self.end_requests();
         self.gossip(step);
-        self.ask()
+        self.offer_load()
     }
 
     fn end_requests(&mut self) {
@@ -132,8 +130,8 @@
             }
         }
         let now = self.now;
-        let (arrived, waiting) = self.on_the_way.drain(..).partition(|(at, ..)| *at <= now);
-        self.on_the_way = waiting;
+        let (arrived, waiting) = self.in_flight.drain(..).partition(|(at, ..)| *at <= now);
+        self.in_flight = waiting;
         for (_, receiver, digests) in arrived {
             self.nodes[receiver].receive(&digests, now);
         }
@@ -143,11 +141,11 @@
         let digests = self.nodes[sender].digests(self.exchange.bytes, self.now);
         let arrives = self.now + Duration::from_millis(self.random.random_range(1..100));
         if (self.reaches)(sender, receiver) && self.random.random_bool(0.99) {
-            self.on_the_way.push((arrives, receiver, digests));
+            self.in_flight.push((arrives, receiver, digests));
         }
     }
 
-    fn ask(&mut self) -> u64 {
+    fn offer_load(&mut self) -> u64 {
         let mut admitted = 0;
         for number in 0..self.nodes.len() {
             for _ in 0..if self.hot[number] { 8 } else { 0 } {
@@ -161,12 +159,12 @@
         admitted
     }
 
-    /// What was admitted as a part of what `rate` allowed while there was demand.
+    /// Returns the admitted fraction of what `rate` allowed while there was demand.
     fn used(&self, rate: f64) -> f64 {
         self.admitted as f64 / (rate * STEP.as_secs_f64() * self.steps_with_demand as f64)
     }
 
-    /// The most that any interval of the next `seconds` exceeds `rate` by, in requests.
+    /// Returns the maximum by which any interval of the next `seconds` exceeds `rate`, in requests.
     fn overshoot(&mut self, rate: f64, seconds: u64) -> f64 {
         let mut level = 0.0_f64;
         let mut highest = 0.0_f64;
@@ -180,7 +178,7 @@
 
 #[test]
 fn demand_that_moves_between_nodes_exceeds_the_quota_by_no_more_than_burst_and_one_request_a_node() {
-    for (size, rate, moves_after, least_used) in [
+    for (size, rate, demand_period_s, min_used) in [
         (3, 30.0, 3, 0.4),
         (3, 30.0, 20, 0.7),
         (3, 200.0, 3, 0.4),
@@ -190,23 +188,23 @@
         (20, 400.0, 20, 0.6),
     ] {
         let mut cluster = Cluster::new(size, requests_quota(rate), 1, fast_exchange());
-        cluster.moves_after = moves_after;
+        cluster.demand_period_s = demand_period_s;
         let overshoot = cluster.overshoot(rate, 120);
         let (bound, used) = (rate + size as f64, cluster.used(rate));
         println!(
-            "{size} nodes, {rate}/s, moves after {moves_after} s: overshoot {overshoot:.1} of {bound}, used {used:.2}"
+            "{size} nodes, {rate}/s, moves after {demand_period_s} s: overshoot {overshoot:.1} of {bound}, used {used:.2}"
         );
         assert!(overshoot <= bound, "{size} nodes at {rate}/s: {overshoot} over {bound}");
-        assert!(used >= least_used, "the quota is meant to be usable: {used}");
+        assert!(used >= min_used, "the quota is meant to be usable: {used}");
     }
 }
 
 #[test]
-fn reports_on_probes_hold_the_quota_too() {
-    for (size, moves_after, least_used) in [(3, 30, 0.7), (12, 60, 0.2), (40, 120, 0.1)] {
+fn the_quota_holds_with_reports_on_probes() {
+    for (size, demand_period_s, min_used) in [(3, 30, 0.7), (12, 60, 0.2), (40, 120, 0.1)] {
         let rate = 100.0;
         let mut cluster = Cluster::new(size, requests_quota(rate), 1, probe_exchange());
-        cluster.moves_after = moves_after;
+        cluster.demand_period_s = demand_period_s;
         let overshoot = cluster.overshoot(rate, 240);
         let (bound, used) = (rate + size as f64, cluster.used(rate));
         let reporting: u32 = cluster.nodes.iter().map(Limits::reporting_nodes).sum();
@@ -215,12 +213,12 @@
             "{size} nodes by probes: overshoot {overshoot:.1} of {bound}, used {used:.2}, reporting {reporting:.2}"
         );
         assert!(overshoot <= bound, "{overshoot} over {bound}");
-        assert!(used >= least_used, "the quota is meant to be usable: {used}");
+        assert!(used >= min_used, "the quota is meant to be usable: {used}");
     }
 }
 
 #[test]
-fn a_partition_holds_the_quota_after_the_settling_time() {
+fn the_quota_holds_in_a_partition_after_the_settle_time() {
     let (size, rate) = (12, 120.0);
     let mut cluster = Cluster::new(size, requests_quota(rate), 7, fast_exchange());
     cluster.overshoot(rate, 20);
@@ -235,7 +233,7 @@
 }
 
 #[test]
-fn messages_that_pass_one_way_only_at_most_double_the_quota() {
+fn one_way_connectivity_at_most_doubles_the_quota() {
     let (size, rate) = (12, 120.0);
     let mut cluster = Cluster::new(size, requests_quota(rate), 8, fast_exchange());
     cluster.reaches = |from, to| from < 6 || to >= 6;
@@ -246,7 +244,7 @@
 }
 
 #[test]
-fn a_node_that_hears_nobody_keeps_its_even_part() {
+fn an_isolated_node_has_its_even_share() {
     let start = Timestamp::from_millis(1_000);
     let mut limits = Limits::new(LimitSettings::default(), NodeId::from("node"), Incarnation(1), start);
     limits.set_members(10, start);
@@ -257,26 +255,26 @@
 
 #[test]
 fn concurrency_over_all_nodes_exceeds_its_quota_by_no_more_than_one_request_a_node() {
-    for (size, quota, moves_after) in [(3, 12, 3), (3, 60, 3), (3, 60, 20), (12, 60, 3), (12, 60, 20)] {
+    for (size, quota, demand_period_s) in [(3, 12, 3), (3, 60, 3), (3, 60, 20), (12, 60, 3), (12, 60, 20)] {
         let limit = Quota { concurrent_requests: Some(quota), ..Quota::default() };
         let mut cluster = Cluster::new(size, limit, 1, fast_exchange());
-        cluster.moves_after = moves_after;
-        let mut most = 0;
+        cluster.demand_period_s = demand_period_s;
+        let mut peak = 0;
         for _ in 0..60 * 50 {
             cluster.step();
-            most = most.max(cluster.running.len());
+            peak = peak.max(cluster.running.len());
         }
         let used = cluster.used(f64::from(quota) / 0.3);
         println!(
-            "{size} nodes, {quota} at once, moves after {moves_after} s: {most} at most, used {used:.2}"
+            "{size} nodes, {quota} at once, moves after {demand_period_s} s: {peak} at most, used {used:.2}"
         );
-        assert!(most <= quota as usize + size, "{most} of {quota} with {size} nodes");
-        assert!(most as f64 >= 0.75 * f64::from(quota), "the quota is meant to be usable: {most} of {quota}");
+        assert!(peak <= quota as usize + size, "{peak} of {quota} with {size} nodes");
+        assert!(peak as f64 >= 0.75 * f64::from(quota), "the quota is meant to be usable: {peak} of {quota}");
     }
 }
 
 #[test]
-fn a_request_larger_than_the_bucket_runs_and_is_paid_for() {
+fn a_request_larger_than_the_bucket_is_granted_and_charged() {
     let mut bucket = TokenBucket::new(100.0, 50.0, Timestamp::ZERO);
     assert_eq!(bucket.wait(400.0, Timestamp::ZERO), Duration::ZERO);
     bucket.take(400.0);
@@ -286,7 +284,7 @@
 }
 
 #[test]
-fn each_limit_names_itself_and_refuses_without_taking_from_the_others() {
+fn a_refusal_states_its_limit_and_takes_nothing_from_the_others() {
     let start = Timestamp::from_millis(1_000);
     let mut limits = Limits::new(LimitSettings::default(), NodeId::from("node"), Incarnation(1), start);
     let quota = Quota {
@@ -296,17 +294,17 @@
     };
     limits.configure([(&tenant(), &quota)].into_iter(), start);
     let later = start + Duration::from_secs(5);
-    let ask = |limits: &mut Limits, tokens| limits.admit(&tenant(), RequestCost { tokens }, later);
-    assert_eq!(ask(&mut limits, 1_000), Ok(()));
-    assert_eq!(ask(&mut limits, 1).map_err(|refusal| refusal.kind), Err(LimitKind::Concurrency));
+    let admit = |limits: &mut Limits, tokens| limits.admit(&tenant(), RequestCost { tokens }, later);
+    assert_eq!(admit(&mut limits, 1_000), Ok(()));
+    assert_eq!(admit(&mut limits, 1).map_err(|refusal| refusal.kind), Err(LimitKind::Concurrency));
     limits.ended(&tenant(), 0);
-    let refused = ask(&mut limits, 500).expect_err("no tokens are left");
+    let refused = admit(&mut limits, 500).expect_err("no tokens are left");
     assert_eq!((refused.kind, refused.retry_after), (LimitKind::Tokens, Duration::from_millis(500)));
     assert!(limits.admit(&TenantId::from("unlimited"), RequestCost { tokens: 1 }, later).is_ok());
 }
 
 #[test]
-fn shares_sum_to_no_more_than_the_quota_for_any_views_that_are_not_too_low() {
+fn shares_sum_to_at_most_the_quota_if_no_demand_is_underestimated() {
     bolero::check!().with_type::<Vec<(u16, u16)>>().for_each(|demands| {
         let reporting = demands.len() as u32;
         let reported: f64 = demands.iter().map(|(own, more)| f64::from(*own) + f64::from(*more)).sum();
@@ -321,7 +319,7 @@
 }
 
 #[test]
-fn digests_stay_within_their_bytes() {
+fn digests_stay_within_their_byte_budget() {
     bolero::check!().with_type::<(Vec<(String, u64, u32)>, u16)>().for_each(|(entries, budget)| {
         let entry = |(name, large, small): &(String, u64, u32)| TenantUsage {
             tenant: TenantId::from(name.as_str()),
--- a/crates/core/tests/peers_start.rs
+++ b/crates/core/tests/peers_start.rs
@@ -1,6 +1,5 @@
-//! A node that starts while the store is down takes work by a peer's word of an earlier read of the store, which soon grows
-//! too old. It must have the word of a majority of its region by then: three of five nodes that had restarted together
-//! refused requests from the lapse of that word to the next question.
+//! A node that starts during a store outage must obtain confirmations from a majority of its region before a
+//! peer's older confirmation expires; otherwise it accepts requests and then refuses them for a while.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -30,14 +29,14 @@
 const NODES: u16 = 5;
 /// Nodes that started together with this one; the others have run for long.
 const RESTARTED: [u16; 2] = [1, 2];
-/// When the restarted nodes were last heard of in their earlier lives, before the start.
-const HERD_ENDED: Duration = Duration::from_secs(2);
-/// How long the restarted nodes hold no confirmations themselves.
-const UNHEARD: Duration = Duration::from_secs(2);
-/// The last read of the store by anybody, before the start.
-const STORE_READ: Duration = Duration::from_millis(6_560);
+/// Age, at the start, of the last confirmation by the earlier incarnations of the restarted nodes.
+const LAST_CONFIRMATION_AGE: Duration = Duration::from_secs(2);
+/// How long the restarted nodes have no confirmations.
+const WITHOUT_CONFIRMATIONS: Duration = Duration::from_secs(2);
+/// Age, at the start, of the last store read by any node.
+const STORE_READ_AGE: Duration = Duration::from_millis(6_560);
 const STEP: Duration = Duration::from_millis(20);
-const PLAYED: Duration = Duration::from_secs(4);
+const SIMULATED: Duration = Duration::from_secs(4);
 const SEEDS: u64 = 40;
 
 fn record(number: u16) -> MemberRecord {
@@ -76,16 +75,16 @@
     MemberConfirmation { member: short_hash(&record(number).node), age_steps }
 }
 
-/// What a peer says of its configuration: one that has run for long has heard of all, one that has just started of none.
+/// A peer's configuration gossip: nodes that have run for long have confirmations by all, restarted nodes by
+/// none.
 fn configuration_gossip(peer: u16, now: Timestamp) -> ConfigurationGossip {
     let running = now.saturating_since(START);
-    if RESTARTED.contains(&peer) && running < UNHEARD {
+    if RESTARTED.contains(&peer) && running < WITHOUT_CONFIRMATIONS {
         return ConfigurationGossip { revision: Revision(1), ..ConfigurationGossip::default() };
     }
-    let mut members: Vec<MemberConfirmation> =
-        (3..NODES).map(|number| heard(number, Duration::ZERO)).collect();
-    members.extend(RESTARTED.map(|number| heard(number, HERD_ENDED + running)));
-    let store_age = Some(STORE_READ + running).filter(|age| *age < STALE_AFTER);
+    let mut members: Vec<MemberConfirmation> = (3..NODES).map(|number| heard(number, Duration::ZERO)).collect();
+    members.extend(RESTARTED.map(|number| heard(number, LAST_CONFIRMATION_AGE + running)));
+    let store_age = Some(STORE_READ_AGE + running).filter(|age| *age < STALE_AFTER);
     ConfigurationGossip {
         revision: Revision(1),
         store_age_ms: store_age.map(|age| u32::try_from(milliseconds(age)).expect("a short time")),
@@ -122,7 +121,7 @@
     }
 }
 
-/// Lets the node take the time, and answers all that it asks; the store fails.
+/// Sends a tick and answers all calls; the store fails.
 fn step(node: &mut Peers, now: Timestamp) {
     let mut actions = VecDeque::from(node.handle(PeerEvent::Tick, now));
     while let Some(action) = actions.pop_front() {
@@ -140,15 +139,15 @@
     }
 }
 
-/// When the node first takes work, and the times after that at which it does not.
+/// Returns when the node first serves, and the times after that at which it does not.
 fn refusing_times(seed: u64) -> (Option<Duration>, Vec<Duration>) {
     let mut node = starting_node(seed);
     let mut first = None;
     let mut refusing = Vec::new();
     let mut running = Duration::ZERO;
-    while running < PLAYED {
+    while running < SIMULATED {
         let now = START + running;
-        // A request may come just before the node takes the time.
+        // A request may arrive just before the tick.
         let serves = node.may_serve(now);
         if first.is_some() && !serves {
             refusing.push(running);
@@ -161,10 +160,10 @@
 }
 
 #[test]
-fn a_node_that_starts_in_an_outage_of_the_store_goes_on_taking_work() {
+fn a_node_that_starts_during_a_store_outage_keeps_serving() {
     for seed in 0..SEEDS {
         let (first, refusing) = refusing_times(seed);
-        assert!(first.is_some(), "seed {seed}: it never takes work");
-        assert_eq!(refusing, [], "seed {seed}: it took work at {first:?}");
+        assert!(first.is_some(), "seed {seed}: it never serves");
+        assert_eq!(refusing, [], "seed {seed}: it served first at {first:?}");
     }
 }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back for the back ends that ended under them, and which are not.
+//! Which requests are held for crashing engines, and which are not.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
     time::Timestamp,
 };
 
-/// By then all nodes have told of a crash.
-const SETTLING: Duration = Duration::from_millis(700);
+/// Time after which all nodes have reported a crash.
+const SETTLE_TIME: Duration = Duration::from_millis(700);
 const START: Timestamp = Timestamp::from_millis(3_600_000);
 
 fn at(milliseconds: u64) -> Timestamp {
@@ -34,32 +34,32 @@
     }
 }
 
-/// Takes a crash in and concludes what it shows, when others have told what ended with it.
-fn take(quarantine: &mut Quarantine, crash: Crash) -> Option<QuarantinedRequest> {
-    let (now, later) = (crash.ended, crash.ended + SETTLING);
+/// Records a crash and draws conclusions once all nodes have reported.
+fn record_crash(quarantine: &mut Quarantine, crash: Crash) -> Option<QuarantinedRequest> {
+    let (now, later) = (crash.ended, crash.ended + SETTLE_TIME);
     quarantine.crashed(crash, now);
     quarantine.conclude(&NodeId::from("n1"), later).pop()
 }
 
-/// A request under which engines ended one after the other, each under a run that began after the end before.
+/// A quarantine that holds a request after successive crashes.
 fn held(body: &str) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 0..CRASH_THRESHOLD as u64 {
         let began = number * 1_000;
-        take(&mut quarantine, crash(body, &format!("e{number}"), began, began + 200));
+        record_crash(&mut quarantine, crash(body, &format!("e{number}"), began, began + 200));
     }
     quarantine
 }
 
 #[test]
-fn the_third_crash_in_turn_holds_a_request_back_and_names_the_engines() {
+fn the_third_successive_crash_holds_a_request_and_lists_the_engines() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(take(&mut quarantine, crash("x", "e0", 0, 100)), None);
-    assert_eq!(take(&mut quarantine, crash("x", "e1", 200, 300)), None);
+    assert_eq!(record_crash(&mut quarantine, crash("x", "e0", 0, 100)), None);
+    assert_eq!(record_crash(&mut quarantine, crash("x", "e1", 200, 300)), None);
     assert!(quarantine.held(&request("x"), at(300)).is_none());
-    let held = take(&mut quarantine, crash("x", "e2", 400, 500)).expect("it is held back");
+    let held = record_crash(&mut quarantine, crash("x", "e2", 400, 500)).expect("it is held");
     assert_eq!(held.engines.len(), CRASH_THRESHOLD);
-    let known = quarantine.held(&request("x"), at(1_200)).expect("it is held back");
+    let known = quarantine.held(&request("x"), at(1_200)).expect("it is held");
     assert_eq!(
         (known.by, known.since, known.until),
         (HoldSource::Counted, at(1_200), at(1_200) + HOLD_DURATION)
@@ -86,16 +86,16 @@
 }
 
 #[test]
-fn a_rack_that_is_lost_under_many_runs_of_one_request_counts_once() {
+fn a_lost_rack_with_many_runs_of_one_request_counts_once() {
     let mut quarantine = Quarantine::default();
     for engine in 0..40 {
         let lost = crash("x", &format!("e{engine}"), 900 - engine * 20, 1_000 + engine % 3);
-        assert_eq!(take(&mut quarantine, lost), None, "engine {engine}");
+        assert_eq!(record_crash(&mut quarantine, lost), None, "engine {engine}");
     }
     // A second rack, under runs that began before the first was lost.
     for engine in 40..80 {
         assert_eq!(
-            take(&mut quarantine, crash("x", &format!("e{engine}"), 950, 1_400)),
+            record_crash(&mut quarantine, crash("x", &format!("e{engine}"), 950, 1_400)),
             None,
             "engine {engine}"
         );
@@ -104,23 +104,23 @@
 }
 
 #[test]
-fn racks_that_are_lost_one_after_the_other_hold_nothing_back_even_where_nothing_is_served_between() {
+fn racks_lost_in_succession_hold_no_request_even_without_completed_runs() {
     let mut quarantine = Quarantine::default();
     for rack in 0..10 {
         let began = rack * 1_000;
         for engine in 0..4 {
             let lost = crash("x", &format!("e{rack}-{engine}"), began, began + 400 + engine);
-            assert_eq!(take(&mut quarantine, lost), None, "rack {rack}");
+            assert_eq!(record_crash(&mut quarantine, lost), None, "rack {rack}");
         }
     }
 }
 
 #[test]
-fn a_rack_whose_ends_are_told_by_several_nodes_holds_nothing_back() {
+fn a_lost_rack_reported_by_several_nodes_holds_no_request() {
     let mut quarantine = Quarantine::default();
     for rack in 0..10 {
         let began = rack * 1_000;
-        // This request met one engine of each rack; that others ended too is told a little later.
+        // This request ran on one engine of each rack; the other ends are reported a little later.
         quarantine.crashed(crash("x", &format!("x{rack}"), began, began + 100), at(began + 110));
         assert_eq!(quarantine.conclude(&NodeId::from("n"), at(began + 150)), Vec::new());
         for other in 0..3 {
@@ -133,24 +133,24 @@
 }
 
 #[test]
-fn a_lost_rack_between_them_does_not_hide_crashes_in_turn() {
+fn a_lost_rack_between_successive_crashes_does_not_hide_them() {
     let mut quarantine = Quarantine::default();
-    take(&mut quarantine, crash("x", "e0", 0, 100));
+    record_crash(&mut quarantine, crash("x", "e0", 0, 100));
     for engine in 0..4 {
-        take(&mut quarantine, crash("x", &format!("r{engine}"), 150, 500));
+        record_crash(&mut quarantine, crash("x", &format!("r{engine}"), 150, 500));
     }
-    take(&mut quarantine, crash("x", "e1", 700, 800));
-    assert!(take(&mut quarantine, crash("x", "e2", 1_000, 1_100)).is_some());
+    record_crash(&mut quarantine, crash("x", "e1", 700, 800));
+    assert!(record_crash(&mut quarantine, crash("x", "e2", 1_000, 1_100)).is_some());
 }
 
 #[test]
-fn two_runs_at_a_time_do_not_hide_a_request_that_crashes_engines() {
+fn two_concurrent_runs_do_not_hide_a_request_that_crashes_engines() {
     let mut quarantine = Quarantine::default();
     let mut held = None;
     for pair in 0..3 {
         let began = pair * 1_000;
         for engine in 0..2 {
-            held = held.or(take(
+            held = held.or(record_crash(
                 &mut quarantine,
                 crash("x", &format!("e{pair}-{engine}"), began + engine, began + 100),
             ));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn what_was_sent_to_an_engine_after_its_end_does_not_count() {
+fn a_run_sent_to_an_engine_after_its_end_does_not_count() {
     let mut quarantine = Quarantine::default();
     for number in 0..6_u32 {
         let (ended, engine) = (u64::from(number) * 1_000, format!("e{number}"));
@@ -168,17 +168,17 @@
             crash(&format!("other {number}"), &engine, ended.saturating_sub(50), ended),
             at(ended + 1),
         );
-        // Something in between takes connections for it a little longer.
-        assert_eq!(take(&mut quarantine, crash("x", &engine, ended + 20, ended + 21)), None);
+        // A proxy accepts connections for the engine a little longer.
+        assert_eq!(record_crash(&mut quarantine, crash("x", &engine, ended + 20, ended + 21)), None);
     }
 }
 
 #[test]
-fn a_run_that_is_sent_on_to_an_engine_that_ends_too_does_not_count() {
+fn a_run_retried_on_an_engine_that_ends_too_does_not_count() {
     let mut quarantine = Quarantine::default();
     for time in 0..4 {
         let ended = time * 1_000 + 500;
-        // Two engines end together; the run of the one is sent on to the other before that is known.
+        // Two engines end together; the run of one is retried on the other before its end is known.
         quarantine.crashed(crash("x", &format!("a{time}"), ended - 90, ended), at(ended + 1));
         quarantine.crashed(crash("x", &format!("b{time}"), ended, ended + 1), at(ended + 2));
         let held = quarantine.conclude(&NodeId::from("n"), at(ended + 700));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_request_that_goes_on_at_the_next_engine_at_once_is_not_taken_for_a_lost_rack() {
+fn immediate_retries_at_the_next_engine_are_not_mistaken_for_a_lost_rack() {
     let mut quarantine = Quarantine::default();
     let mut held = None;
     for time in 0..2 {
@@ -207,16 +207,19 @@
         }
         held = held.or(quarantine.conclude(&NodeId::from("n"), at(time * 1_000 + 900)).pop());
     }
-    assert!(held.is_some(), "six engines in two tries");
+    assert!(held.is_some(), "six engines in two attempts");
 }
 
 #[test]
-fn a_release_that_ends_engines_one_by_one_holds_nothing_back_that_is_served_between() {
+fn a_rolling_restart_holds_no_request_that_completes_in_between() {
     let mut quarantine = Quarantine::default();
     for engine in 0..90 {
         let began = engine * 500;
         for body in ["x", "y", "z"] {
-            assert_eq!(take(&mut quarantine, crash(body, &format!("e{engine}"), began, began + 300)), None);
+            assert_eq!(
+                record_crash(&mut quarantine, crash(body, &format!("e{engine}"), began, began + 300)),
+                None
+            );
             quarantine.completed(request(body), at(began + 400));
         }
     }
@@ -224,12 +227,12 @@
 }
 
 #[test]
-fn requests_that_come_once_are_not_held_back_however_many_engines_end() {
+fn requests_that_come_once_are_not_held_however_many_engines_end() {
     let mut quarantine = Quarantine::default();
     for number in 0..4_000 {
         let body = format!("request {}", number / 2);
         let engine = format!("e{}", number % 300);
-        assert_eq!(take(&mut quarantine, crash(&body, &engine, number, number + 100)), None);
+        assert_eq!(record_crash(&mut quarantine, crash(&body, &engine, number, number + 100)), None);
     }
     assert!(quarantine.count_suspected() <= 2_048, "what is remembered is bounded");
 }
@@ -238,30 +241,33 @@
 fn the_same_engine_counts_once() {
     let mut quarantine = Quarantine::default();
     for time in 0..10 {
-        assert_eq!(take(&mut quarantine, crash("x", "e0", time * 1_000, time * 1_000 + 100)), None);
+        assert_eq!(record_crash(&mut quarantine, crash("x", "e0", time * 1_000, time * 1_000 + 100)), None);
     }
 }
 
 #[test]
-fn a_run_that_comes_to_its_end_ends_a_hold() {
+fn a_completed_run_ends_a_hold() {
     let mut quarantine = held("x");
     assert!(quarantine.completed(request("x"), at(3_000)));
     assert!(quarantine.held(&request("x"), at(3_000)).is_none());
-    // What broke off before it no longer counts, also where it is told late.
-    assert_eq!(take(&mut quarantine, crash("x", "e9", 2_900, 2_950)), None);
-    assert_eq!(take(&mut quarantine, crash("x", "e10", 3_100, 3_200)), None);
-    assert_eq!(take(&mut quarantine, crash("x", "e11", 3_300, 3_400)), None);
-    assert!(take(&mut quarantine, crash("x", "e12", 3_500, 3_600)).is_some(), "three in turn after it do");
+    // Earlier crashes no longer count, even if reported late.
+    assert_eq!(record_crash(&mut quarantine, crash("x", "e9", 2_900, 2_950)), None);
+    assert_eq!(record_crash(&mut quarantine, crash("x", "e10", 3_100, 3_200)), None);
+    assert_eq!(record_crash(&mut quarantine, crash("x", "e11", 3_300, 3_400)), None);
+    assert!(
+        record_crash(&mut quarantine, crash("x", "e12", 3_500, 3_600)).is_some(),
+        "three successive ones after it do"
+    );
 }
 
 #[test]
-fn crashes_at_several_nodes_add_up_at_the_node_above_and_the_conclusion_reaches_all() {
+fn crashes_at_several_nodes_add_up_at_the_root_and_the_conclusion_reaches_all() {
     let (mut root, mut nodes) = (Quarantine::default(), vec![Quarantine::default(); CRASH_THRESHOLD]);
     for (number, node) in nodes.iter_mut().enumerate() {
         let began = number as u64 * 1_000;
-        assert_eq!(take(node, crash("x", &format!("e{number}"), began, began + 100)), None);
-        let told = node.report(0, MAX_REPORTED_EVENTS, at(began + 300));
-        root.receive_report(told.report, at(began + 302));
+        assert_eq!(record_crash(node, crash("x", &format!("e{number}"), began, began + 100)), None);
+        let batch = node.report(0, MAX_REPORTED_EVENTS, at(began + 300));
+        root.receive_report(batch.report, at(began + 302));
     }
     let concluded = root.conclude(&NodeId::from("root"), at(3_000));
     assert_eq!(concluded.len(), 1);
@@ -273,32 +279,32 @@
 }
 
 #[test]
-fn another_node_above_hears_all_that_is_remembered() {
+fn a_new_parent_receives_all_remembered_events() {
     let mut node = Quarantine::default();
-    take(&mut node, crash("x", "e0", 0, 100));
+    record_crash(&mut node, crash("x", "e0", 0, 100));
     let first = node.report(0, MAX_REPORTED_EVENTS, at(200));
     assert_eq!(node.report(first.last_event, MAX_REPORTED_EVENTS, at(300)).report.crashes.len(), 0);
-    take(&mut node, crash("x", "e1", 400, 500));
+    record_crash(&mut node, crash("x", "e1", 400, 500));
     assert_eq!(node.report(first.last_event, MAX_REPORTED_EVENTS, at(600)).report.crashes.len(), 1);
     assert_eq!(node.report(0, MAX_REPORTED_EVENTS, at(600)).report.crashes.len(), 2);
 }
 
 #[test]
-fn what_a_node_knows_to_be_well_it_says_as_soon_as_others_suspect_it() {
+fn a_node_reports_an_earlier_completion_once_others_suspect_the_request() {
     let (mut root, mut node) = (Quarantine::default(), Quarantine::default());
-    take(&mut root, crash("x", "e0", 0, 100));
-    // At another node a run comes to its end before anybody suspects anything there.
+    record_crash(&mut root, crash("x", "e0", 0, 100));
+    // A run completes at another node before that node knows of any suspicion.
     node.completed(request("x"), at(350));
-    take(&mut root, crash("x", "e1", 200, 300));
+    record_crash(&mut root, crash("x", "e1", 200, 300));
     node.receive_digest(root.digest(at(400)), at(400));
-    let told = node.report(0, MAX_REPORTED_EVENTS, at(450));
-    assert_eq!(told.report.completed.len(), 1);
-    root.receive_report(told.report, at(455));
-    assert_eq!(take(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
+    let batch = node.report(0, MAX_REPORTED_EVENTS, at(450));
+    assert_eq!(batch.report.completed.len(), 1);
+    root.receive_report(batch.report, at(455));
+    assert_eq!(record_crash(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
 }
 
 #[test]
-fn all_nodes_are_asked_before_a_conclusion() {
+fn all_nodes_are_asked_for_completions_before_a_conclusion() {
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let began = number * 300;
@@ -316,48 +322,48 @@
         let (began, engine) = (number * 1_000, format!("e{number}"));
         // Another request is caught in each of these crashes.
         quarantine.crashed(crash("x", &engine, began, began + 200), at(began + 201));
-        assert_eq!(take(&mut quarantine, crash("y", &engine, began, began + 200)), None);
+        assert_eq!(record_crash(&mut quarantine, crash("y", &engine, began, began + 200)), None);
     }
 }
 
 #[test]
-fn news_that_goes_round_among_nodes_comes_to_rest() {
+fn events_reported_in_a_cycle_stop_circulating() {
     let mut nodes = vec![Quarantine::default(); 3];
-    take(&mut nodes[0], crash("x", "e0", 0, 100));
+    record_crash(&mut nodes[0], crash("x", "e0", 0, 100));
     nodes[0].completed(request("x"), at(200));
     for round in 1..20 {
-        for teller in 0..nodes.len() {
-            let told = nodes[teller].report(0, MAX_REPORTED_EVENTS, at(200 + round * 50));
-            for (hearer, node) in nodes.iter_mut().enumerate() {
-                if hearer != teller {
-                    // Each way takes some milliseconds, by which the hearer places it later.
-                    node.receive_report(told.report.clone(), at(205 + round * 50));
+        for sender in 0..nodes.len() {
+            let batch = nodes[sender].report(0, MAX_REPORTED_EVENTS, at(200 + round * 50));
+            for (receiver, node) in nodes.iter_mut().enumerate() {
+                if receiver != sender {
+                    // Messages take some milliseconds, so that the receiver assigns a later time.
+                    node.receive_report(batch.report.clone(), at(205 + round * 50));
                 }
             }
         }
     }
     for node in &nodes {
-        let told = node.report(0, 1_000, at(2_000)).report;
-        assert!(told.crashes.len() <= 1 && told.completed.len() <= 1, "{told:?}");
+        let batch = node.report(0, 1_000, at(2_000)).report;
+        assert!(batch.crashes.len() <= 1 && batch.completed.len() <= 1, "{batch:?}");
     }
 }
 
 #[test]
-fn nodes_that_are_told_of_a_suspect_report_a_run_of_it_that_comes_to_its_end() {
+fn nodes_report_completed_runs_of_requests_that_others_suspect() {
     let mut root = Quarantine::default();
-    take(&mut root, crash("x", "e0", 0, 100));
-    take(&mut root, crash("x", "e1", 200, 300));
+    record_crash(&mut root, crash("x", "e0", 0, 100));
+    record_crash(&mut root, crash("x", "e1", 200, 300));
     let mut node = Quarantine::default();
     node.receive_digest(root.digest(at(400)), at(400));
     node.completed(request("x"), at(500));
-    let told = node.report(0, MAX_REPORTED_EVENTS, at(600));
-    assert_eq!(told.report.completed.len(), 1);
-    root.receive_report(told.report, at(610));
-    assert_eq!(take(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
+    let batch = node.report(0, MAX_REPORTED_EVENTS, at(600));
+    assert_eq!(batch.report.completed.len(), 1);
+    root.receive_report(batch.report, at(610));
+    assert_eq!(record_crash(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
 }
 
 #[test]
-fn what_the_store_holds_back_holds_until_the_store_says_otherwise() {
+fn a_stored_hold_lasts_until_the_store_releases_it() {
     let mut quarantine = Quarantine::default();
     assert!(quarantine.stored(request("x"), at(0)));
     assert!(!quarantine.stored(request("x"), at(10)));
@@ -365,14 +371,13 @@
     assert!(quarantine.held(&request("x"), much_later).is_some());
     assert!(quarantine.released(&request("x"), much_later));
     assert!(quarantine.held(&request("x"), much_later).is_none());
-    // One further crash is enough then.
     let crash =
         Crash { began: much_later, ended: much_later + Duration::from_millis(100), ..crash("x", "e0", 0, 0) };
-    assert!(take(&mut quarantine, crash).is_some());
+    assert!(record_crash(&mut quarantine, crash).is_some());
 }
 
 #[test]
-fn a_hold_that_the_store_never_took_ends_by_itself() {
+fn a_hold_that_was_never_stored_expires() {
     let mut quarantine = held("x");
     assert!(quarantine.sweep(at(2_900) + HOLD_DURATION - Duration::from_millis(1)).is_empty());
     assert_eq!(quarantine.sweep(at(2_900) + HOLD_DURATION), vec![request("x")]);
--- a/crates/core/tests/quarantine_properties.rs
+++ b/crates/core/tests/quarantine_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of held requests whatever nodes see and tell each other, in whatever order.
+//! Invariants of holds under any order of events and reports.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,7 +24,7 @@
     Crashes { node: u8, request: u8, engine: u8, ran: u8 },
     Completes { node: u8, request: u8 },
     Reports { node: u8 },
-    Tells { node: u8 },
+    SendsDigest { node: u8 },
     Concludes,
 }
 
@@ -35,12 +35,12 @@
 struct World {
     nodes: Vec<Quarantine>,
     now: Timestamp,
-    /// Engines that ended under each request, as any node saw it, since a run of it last came to its end anywhere.
+    /// Engines that ended under each request at any node since its last completed run.
     ended: BTreeMap<RequestFingerprint, BTreeSet<EngineId>>,
 }
 
 impl World {
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let index = |node: u8| usize::from(node) % NODES;
         match step {
             Step::Passes { milliseconds } => self.now = self.now + Duration::from_millis(milliseconds.into()),
@@ -57,19 +57,19 @@
                 self.nodes[index(node)].completed(request(number), self.now);
             }
             Step::Reports { node } if index(node) > 0 => {
-                let told = self.nodes[index(node)].report(0, MAX_REPORTED_EVENTS, self.now);
-                self.nodes[0].receive_report(told.report, self.now);
+                let batch = self.nodes[index(node)].report(0, MAX_REPORTED_EVENTS, self.now);
+                self.nodes[0].receive_report(batch.report, self.now);
             }
-            Step::Tells { node } if index(node) > 0 => {
+            Step::SendsDigest { node } if index(node) > 0 => {
                 let digest = self.nodes[0].digest(self.now);
                 self.nodes[index(node)].receive_digest(digest, self.now);
             }
-            Step::Reports { .. } | Step::Tells { .. } => {}
+            Step::Reports { .. } | Step::SendsDigest { .. } => {}
             Step::Concludes => {
                 let held = self.nodes[0].conclude(&NodeId::from("n0"), self.now);
                 for request in held {
                     let ended = self.ended.get(&request.fingerprint).map_or(0, BTreeSet::len);
-                    assert!(ended >= CRASH_THRESHOLD, "held back after {ended} engines: {request:?}");
+                    assert!(ended >= CRASH_THRESHOLD, "held after {ended} engines: {request:?}");
                     assert!(request.engines.len() >= CRASH_THRESHOLD);
                 }
             }
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn nothing_is_held_back_for_fewer_engines_than_it_takes_and_only_the_root_concludes() {
+fn no_request_is_held_below_the_threshold_and_only_the_root_concludes() {
     check!().with_type::<Vec<Step>>().for_each(|steps| {
         let mut world =
             World { nodes: vec![Quarantine::default(); NODES], now: START, ended: BTreeMap::new() };
         for step in steps {
-            world.take(*step);
+            world.apply(*step);
         }
         for node in &world.nodes[1..] {
             for number in 0..4 {
                 let by = node.held(&request(number), world.now).map(|held| held.by);
-                assert_ne!(by, Some(HoldSource::Counted), "a node that is told concludes nothing");
+                assert_ne!(by, Some(HoldSource::Counted), "only the root draws conclusions");
             }
         }
     });
--- a/crates/core/tests/quota_ledger.rs
+++ b/crates/core/tests/quota_ledger.rs
@@ -1,5 +1,5 @@
-//! Tenants' quotas over all forwarding nodes: never more than the bound in any window, and as little refused below the
-//! limit as can be, whatever happens to the nodes.
+//! Tenant quotas over all forwarding nodes: no window exceeds the bound, and little is refused below the
+//! limit, whatever happens to the nodes.
 
 mod quota_support;
 
@@ -14,10 +14,10 @@
     identity::{NodeId, TenantId},
     time::Timestamp,
 };
-use quota_support::{Fleet, Outcome, Trouble, Way, bounds, quota, tenant};
+use quota_support::{Disturbance, Fleet, Outcome, Strategy, bounds, quota, tenant};
 
-/// The largest share of a bound that the worst window may take.
-const MOST: f64 = 1.0;
+/// Maximum fraction of a bound that any window may use.
+const MAX_BOUND_FRACTION: f64 = 1.0;
 const NODES: usize = 79;
 const SEEDS: u64 = 6;
 
@@ -25,17 +25,17 @@
     Timestamp::from_millis(milliseconds)
 }
 
-/// One case: rates of demand, as multiples of the quota's rate, one after the other.
+/// One case: successive demands as multiples of the quota's rate.
 struct Case {
     name: &'static str,
     demands: &'static [(u64, f64)],
-    troubles: Vec<Trouble>,
-    /// The least part of the units within the quota that is served.
-    least_served: f64,
+    disturbances: Vec<Disturbance>,
+    /// Minimum granted fraction of the units within the quota.
+    min_served: f64,
 }
 
 fn cases(per_second: f64) -> Vec<Case> {
-    let case = |name, demands, troubles, least_served| Case { name, demands, troubles, least_served };
+    let case = |name, demands, disturbances, min_served| Case { name, demands, disturbances, min_served };
     vec![
         case("calm", &[(30_000, 0.56)], vec![], 0.99),
         case("a rush of 1.7 times", &[(8_000, 0.56), (5_000, 0.95), (8_000, 0.56)], vec![], 0.98),
@@ -44,59 +44,60 @@
         case(
             "a limit far below the use",
             &[(20_000, 0.56)],
-            vec![Trouble::Rate { at: 8_000, per_second: per_second * 0.2 }],
+            vec![Disturbance::Rate { at: 8_000, per_second: per_second * 0.2 }],
             0.6,
         ),
         case(
             "a third cut off, calm",
             &[(30_000, 0.56)],
-            vec![Trouble::Cut { at: 8_000, part: 0.33, lasts: 10_000 }],
+            vec![Disturbance::Cut { at: 8_000, part: 0.33, lasts: 10_000 }],
             0.85,
         ),
         case(
             "a third cut off, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Trouble::Cut { at: 10_000, part: 0.33, lasts: 10_000 }],
+            vec![Disturbance::Cut { at: 10_000, part: 0.33, lasts: 10_000 }],
             0.3,
         ),
         case(
             "all killed, calm",
             &[(30_000, 0.56)],
-            vec![Trouble::Kill { at: 10_000, part: 1.0, lasts: 600 }],
+            vec![Disturbance::Kill { at: 10_000, part: 1.0, lasts: 600 }],
             0.9,
         ),
         case(
             "all killed, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Trouble::Kill { at: 14_000, part: 1.0, lasts: 600 }],
+            vec![Disturbance::Kill { at: 14_000, part: 1.0, lasts: 600 }],
             0.3,
         ),
         case(
             "half killed, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Trouble::Kill { at: 14_000, part: 0.55, lasts: 600 }],
+            vec![Disturbance::Kill { at: 14_000, part: 0.55, lasts: 600 }],
             0.3,
         ),
         case(
             "the root lost for good, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Trouble::Kill { at: 12_000, part: 0.013, lasts: 60_000 }],
+            vec![Disturbance::Kill { at: 12_000, part: 0.013, lasts: 60_000 }],
             0.3,
         ),
     ]
 }
 
-fn play(way: Way, case: &Case, per_second: f64, nodes: usize, seed: u64) -> Outcome {
-    let mut fleet = Fleet::new(way, nodes, per_second, seed);
+fn play(strategy: Strategy, case: &Case, per_second: f64, nodes: usize, seed: u64) -> Outcome {
+    let mut fleet = Fleet::new(strategy, nodes, per_second, seed);
     fleet.run(4_000, 0.0, &[]);
     for (lasts, factor) in case.demands {
-        fleet.run(*lasts, factor * per_second, &case.troubles);
+        fleet.run(*lasts, factor * per_second, &case.disturbances);
     }
     fleet.outcome()
 }
 
-fn worst(way: Way, case: &Case, per_second: f64, nodes: usize) -> Outcome {
-    let outcomes: Vec<Outcome> = (0..SEEDS).map(|seed| play(way, case, per_second, nodes, seed)).collect();
+fn worst(strategy: Strategy, case: &Case, per_second: f64, nodes: usize) -> Outcome {
+    let outcomes: Vec<Outcome> =
+        (0..SEEDS).map(|seed| play(strategy, case, per_second, nodes, seed)).collect();
     Outcome {
         worst_window: outcomes.iter().map(|outcome| outcome.worst_window).fold(0.0, f64::max),
         served_within: outcomes.iter().map(|outcome| outcome.served_within).fold(1.0, f64::min),
@@ -109,9 +110,9 @@
     let mut wrong = Vec::new();
     for per_second in [573_606.0, 120_000.0] {
         for case in cases(per_second) {
-            let outcome = worst(Way::ToldLevel, &case, per_second, NODES);
+            let outcome = worst(Strategy::SharedLevel, &case, per_second, NODES);
             println!("{per_second} {}: {outcome:?}", case.name);
-            if outcome.worst_window > MOST || outcome.served_within < case.least_served {
+            if outcome.worst_window > MAX_BOUND_FRACTION || outcome.served_within < case.min_served {
                 wrong.push(format!("{per_second}, {}: {outcome:?}", case.name));
             }
         }
@@ -122,12 +123,12 @@
 #[test]
 #[ignore = "a comparison of ways, for docs/design/shifted.md; nothing is asserted"]
 fn ways_compared() {
-    for way in [Way::EvenParts, Way::SharesByDemand, Way::ToldLevel] {
+    for strategy in [Strategy::EvenShares, Strategy::SharesByDemand, Strategy::SharedLevel] {
         for per_second in [573_606.0, 120_000.0, 29_000.0] {
             for case in cases(per_second) {
-                let outcome = worst(way, &case, per_second, NODES);
+                let outcome = worst(strategy, &case, per_second, NODES);
                 println!(
-                    "| {way:?} | {per_second:.0} | {} | {:.2} | {:.3} |",
+                    "| {strategy:?} | {per_second:.0} | {} | {:.2} | {:.3} |",
                     case.name, outcome.worst_window, outcome.served_within
                 );
             }
@@ -135,7 +136,7 @@
     }
 }
 
-const ALONE: NodePosition = NodePosition { is_root: false, counted: Some(10), assumed: 10 };
+const WITHOUT_PARENT: NodePosition = NodePosition { is_root: false, counted: Some(10), assumed: 10 };
 const ROOT: NodePosition = NodePosition { is_root: true, counted: Some(1), assumed: 1 };
 
 fn ledger(per_second: f64) -> QuotaLedger {
@@ -153,21 +154,21 @@
 }
 
 #[test]
-fn what_a_node_has_granted_since_its_report_is_taken_off_what_it_is_told() {
+fn grants_since_the_report_are_subtracted_from_the_received_level() {
     let mut ledger = ledger(100_000.0);
     ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
     ledger.admit(&tenant(), 300.0, 0.5, at(210)).expect("granted");
     ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(200), at(220));
     assert_eq!(level(&ledger, 220), 49_700.0);
-    assert_eq!(ledger.report(at(400))[0].spent, 300.0, "what was told once is not told again");
+    assert_eq!(ledger.report(at(400))[0].spent, 300.0, "a report includes no grant twice");
 }
 
-/// The ledger of one of ten nodes, told the level of all, that stood still from its next report at `sent_at` to the answer
-/// at `now`.
-fn frozen(sent_at: u64, now: u64) -> QuotaLedger {
+/// The ledger of one of ten nodes that received the level of all nodes and was paused from its report at
+/// `sent_at` to the answer at `now`.
+fn paused(sent_at: u64, now: u64) -> QuotaLedger {
     let mut ledger = ledger(100_000.0);
-    ledger.tick(ALONE, at(0));
+    ledger.tick(WITHOUT_PARENT, at(0));
     ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(10), at(20));
     assert_eq!(ledger.report(at(sent_at)).len(), 0);
     ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(sent_at), at(now));
@@ -175,44 +176,44 @@
 }
 
 #[test]
-fn what_a_node_is_told_is_as_old_as_the_report_that_it_answers() {
-    let ledger = frozen(200, 1_100);
+fn a_received_level_is_as_old_as_the_report_that_it_answers() {
+    let ledger = paused(200, 1_100);
     let age = ledger.view(&tenant(), at(1_100)).expect("a quota").report_age;
     assert_eq!(age, Some(Duration::from_millis(900)));
 }
 
 #[test]
-fn an_answer_that_was_long_under_way_does_not_let_a_node_draw_on_the_level_of_all() {
-    // A node that stands still for 5 s between its report and the answer granted by a level of 5 s before, until the
-    // next report: each of ten such nodes the whole.
-    let mut ledger = frozen(200, 5_200);
+fn a_late_answer_does_not_let_a_node_use_the_level_of_all_nodes() {
+    // A node that was paused for 5 s between its report and the answer would grant from a level of 5 s before
+    // until the next report; each of ten such nodes would grant all of it.
+    let mut ledger = paused(200, 5_200);
     let hundredth = BucketSize::of(&quota(100_000.0), &bounds()).capacity / 100.0;
     let granted = (0..200).filter(|_| ledger.admit(&tenant(), hundredth, 0.0, at(5_200)).is_ok()).count();
-    assert!(granted <= 11, "{granted} hundredths of the capacity, over an even part and one request");
+    assert!(granted <= 11, "{granted} hundredths of the capacity, over an even share and one request");
 }
 
 #[test]
-fn a_node_that_stood_still_draws_on_its_own_part_before_it_looks_at_who_is_heard() {
+fn a_paused_node_uses_only_its_own_share_before_its_next_tick() {
     let mut ledger = ledger(100_000.0);
-    ledger.tick(ALONE, at(0));
+    ledger.tick(WITHOUT_PARENT, at(0));
     ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(10), at(20));
     let hundredth = BucketSize::of(&quota(100_000.0), &bounds()).capacity / 100.0;
     let granted = (0..200).filter(|_| ledger.admit(&tenant(), hundredth, 0.0, at(5_200)).is_ok()).count();
-    assert!(granted <= 11, "{granted} hundredths of the capacity, over an even part and one request");
+    assert!(granted <= 11, "{granted} hundredths of the capacity, over an even share and one request");
 }
 
 #[test]
-fn an_answer_that_was_long_under_way_still_takes_the_report_off() {
+fn a_late_answer_still_acknowledges_the_report() {
     let mut ledger = ledger(100_000.0);
-    ledger.tick(ALONE, at(0));
+    ledger.tick(WITHOUT_PARENT, at(0));
     ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
     ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(200), at(5_200));
-    assert!(ledger.report(at(5_300)).iter().all(|entry| entry.spent == 0.0), "it was told");
+    assert!(ledger.report(at(5_300)).iter().all(|entry| entry.spent == 0.0), "it was reported");
 }
 
 #[test]
-fn a_report_without_answer_is_told_again() {
+fn an_unanswered_report_is_sent_again() {
     let mut ledger = ledger(100_000.0);
     ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
@@ -221,7 +222,7 @@
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn a_request_that_did_not_run_is_refunded() {
     let mut ledger = ledger(100_000.0);
     let before = level(&ledger, 0);
     let grant = ledger.admit(&tenant(), 1_000.0, 0.5, at(0)).expect("granted").expect("a quota");
@@ -239,18 +240,18 @@
 }
 
 #[test]
-fn a_request_larger_than_a_nodes_part_is_granted_by_a_filled_account() {
+fn a_request_larger_than_a_nodes_share_is_granted_by_a_full_account() {
     let mut ledger = ledger(1_000.0);
-    ledger.tick(ALONE, at(0));
+    ledger.tick(WITHOUT_PARENT, at(0));
     let capacity = BucketSize::of(&quota(1_000.0), &bounds()).capacity;
-    // The node's part fills up within the time that its part of the rate takes.
-    ledger.tick(ALONE, at(600_000));
+    // The node's share fills up at its share of the rate.
+    ledger.tick(WITHOUT_PARENT, at(600_000));
     ledger.admit(&tenant(), capacity * 2.0, 0.5, at(600_000)).expect("granted");
     assert!(ledger.admit(&tenant(), 1.0, 0.5, at(600_000)).is_err(), "and leaves a debt");
 }
 
 #[test]
-fn a_refused_caller_is_told_when_the_quota_suffices_and_callers_come_back_apart() {
+fn retry_hints_are_bounded_and_spread() {
     let mut ledger = ledger(1_000.0);
     ledger.tick(ROOT, at(0));
     ledger.tick(ROOT, at(3_000));
@@ -263,7 +264,7 @@
 }
 
 #[test]
-fn reports_of_unknown_tenants_and_impossible_figures_change_nothing() {
+fn reports_with_unknown_tenants_or_invalid_figures_change_nothing() {
     let mut ledger = ledger(1_000.0);
     let before = level(&ledger, 0);
     let entry =
@@ -279,7 +280,7 @@
 }
 
 #[test]
-fn a_lower_quota_takes_what_is_beyond_it_at_once() {
+fn a_lower_quota_caps_the_level_at_once() {
     let mut ledger = ledger(100_000.0);
     ledger.configure([(&tenant(), &quota(1_000.0))].into_iter(), at(10));
     assert!(level(&ledger, 10) <= BucketSize::of(&quota(1_000.0), &bounds()).capacity);
@@ -288,7 +289,7 @@
 }
 
 #[test]
-fn requests_count_as_the_operator_says() {
+fn requests_are_counted_in_the_configured_unit() {
     let tokens = quota(1.0);
     let requests = TenantQuota { unit: QuotaUnit::Requests, ..tokens };
     assert_eq!(tokens.units(TokenUsage::Stated(1_540)), Some(1_540.0));
@@ -298,13 +299,13 @@
 }
 
 #[test]
-fn a_plan_keeps_to_the_bound_also_where_it_has_no_slack() {
+fn the_bucket_size_keeps_the_bound_without_slack() {
     let bare =
         paddlemount_core::limits::ledger::bucket_size::QuotaBounds { overage: 0.0, slack: 0.0, ..bounds() };
     for quota in [quota(1_000.0), TenantQuota { burst: 0.0, ..quota(1_000.0) }] {
-        let plan = BucketSize::of(&quota, &bare);
-        assert!(plan.capacity > 0.0 && plan.rate > 0.0);
-        assert!(plan.rate * 8.0 + plan.capacity < bare.max_units(&quota));
+        let bucket = BucketSize::of(&quota, &bare);
+        assert!(bucket.capacity > 0.0 && bucket.rate > 0.0);
+        assert!(bucket.rate * 8.0 + bucket.capacity < bare.max_units(&quota));
     }
 }
 
@@ -324,7 +325,7 @@
                     at(now),
                 ),
                 3 => ledger.report_failed(),
-                4 => ledger.tick(ALONE, at(now)),
+                4 => ledger.tick(WITHOUT_PARENT, at(now)),
                 5 => ledger.tick(ROOT, at(now)),
                 _ => {
                     let entry = TenantSpending { tenant: tenant(), spent: f64::from(*signed), demand: 1.0 };
--- a/crates/core/tests/quota_support/mod.rs
+++ b/crates/core/tests/quota_support/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of nodes in virtual time that grants one tenant's requests, by any of several ways.
+//! Simulates a fleet of nodes in virtual time that grants one tenant's requests by one of several strategies.
 //!
-//! Nodes report up a tree each 200 ms, as forwarding nodes do; a message takes up to 120 ms, as on a small machine under load.
+//! Nodes report up a tree every 200 ms, as forwarding nodes do; a message takes up to 120 ms.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -34,19 +34,18 @@
     TenantId::from("t")
 }
 
-/// How nodes decide on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Each node has its even part.
-    EvenParts,
-    /// Shares by settled demand, told by every node to every other each 0.5 s.
+pub enum Strategy {
+    /// Each node has its even share.
+    EvenShares,
+    /// Shares by settled demand, which all nodes report to each other every 0.5 s.
     SharesByDemand,
-    /// One bucket, whose level is told down the tree.
-    ToldLevel,
+    /// One bucket, whose level is distributed down the tree.
+    SharedLevel,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum NodeState {
     Up,
     Down { until: u64 },
 }
@@ -54,46 +53,56 @@
 struct Node {
     ledger: QuotaLedger,
     shares: Limits,
-    life: Life,
+    state: NodeState,
     cut: bool,
     next_report: u64,
 }
 
-/// What happens to the fleet.
+/// A fault or change that affects the fleet.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
-    /// The part of the nodes is cut off from the others for so long.
-    Cut { at: u64, part: f64, lasts: u64 },
-    /// The part of the nodes is killed and starts again after so long.
-    Kill { at: u64, part: f64, lasts: u64 },
-    /// The operator sets another rate.
-    Rate { at: u64, per_second: f64 },
+pub enum Disturbance {
+    /// A fraction of the nodes is partitioned off for `lasts` ms.
+    Cut {
+        at: u64,
+        part: f64,
+        lasts: u64,
+    },
+    /// A fraction of the nodes is killed and restarts after `lasts` ms.
+    Kill {
+        at: u64,
+        part: f64,
+        lasts: u64,
+    },
+    Rate {
+        at: u64,
+        per_second: f64,
+    },
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// The worst window's units, as a part of the bound.
+    /// Units of the worst window, as a fraction of the bound.
     pub worst_window: f64,
-    /// Of the units within the quota, as a token bucket of the quota's own rate and burst sees them, the part granted.
+    /// Granted fraction of the units that a token bucket with the quota's rate and burst admits.
     pub served_within: f64,
-    /// Requests granted, of those asked.
+    /// Granted fraction of all requests.
     pub granted: f64,
 }
 
 pub struct Fleet {
-    way: Way,
+    strategy: Strategy,
     nodes: Vec<Node>,
     random: StdRng,
     now: u64,
     quota: TenantQuota,
-    /// Which part of the requests each node gets.
+    /// The relative load of each node.
     weights: Vec<f64>,
-    asked: f64,
+    requests: f64,
     granted_requests: f64,
-    owed: f64,
-    owed_granted: f64,
-    owed_level: f64,
+    within_quota: f64,
+    within_quota_granted: f64,
+    quota_level: f64,
     runs: VecDeque<(u64, f64)>,
     in_window: f64,
     worst: f64,
@@ -106,22 +115,22 @@
 }
 
 impl Fleet {
-    pub fn new(way: Way, nodes: usize, per_second: f64, seed: u64) -> Self {
+    pub fn new(strategy: Strategy, nodes: usize, per_second: f64, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let quota = quota(per_second);
         let weights: Vec<f64> = (0..nodes).map(|_| random.random_range(0.4..1.6)).collect();
         let mut fleet = Self {
-            way,
+            strategy,
             nodes: Vec::new(),
             random,
             now: 0,
             quota,
             weights,
-            asked: 0.0,
+            requests: 0.0,
             granted_requests: 0.0,
-            owed: 0.0,
-            owed_granted: 0.0,
-            owed_level: per_second,
+            within_quota: 0.0,
+            within_quota_granted: 0.0,
+            quota_level: per_second,
             runs: VecDeque::new(),
             in_window: 0.0,
             worst: 0.0,
@@ -129,7 +138,7 @@
             rate_changed_at: None,
         };
         for index in 0..nodes {
-            let node = fleet.fresh(index, true);
+            let node = fleet.new_node(index, true);
             fleet.nodes.push(node);
         }
         fleet
@@ -139,7 +148,7 @@
         Timestamp::from_millis(self.now)
     }
 
-    fn fresh(&mut self, index: usize, first_start: bool) -> Node {
+    fn new_node(&mut self, index: usize, first_start: bool) -> Node {
         let now = self.time();
         let mut ledger = QuotaLedger::new(bounds(), first_start, 64);
         ledger.configure([(&tenant(), &self.quota)].into_iter(), now);
@@ -148,7 +157,7 @@
         shares.configure([(&tenant(), &self.share_quota())].into_iter(), now);
         shares.set_members(self.weights.len() as u32, now);
         let next_report = self.now + self.random.random_range(0..PERIOD);
-        Node { ledger, shares, life: Life::Up, cut: false, next_report }
+        Node { ledger, shares, state: NodeState::Up, cut: false, next_report }
     }
 
     fn share_quota(&self) -> Quota {
@@ -159,11 +168,12 @@
         }
     }
 
-    /// Runs for `lasts` ms, with `demand` tokens a second asked for, by requests as long prompts and short chats.
-    pub fn run(&mut self, lasts: u64, demand: f64, troubles: &[Trouble]) {
+    /// Runs for `lasts` ms with a demand of `demand` tokens per second, in requests with long prompts and
+    /// short chats.
+    pub fn run(&mut self, lasts: u64, demand: f64, disturbances: &[Disturbance]) {
         let end = self.now + lasts;
         while self.now < end {
-            self.trouble(troubles);
+            self.apply_disturbances(disturbances);
             self.revive();
             self.exchange();
             self.arrivals(demand);
@@ -171,20 +181,23 @@
         }
     }
 
-    fn trouble(&mut self, troubles: &[Trouble]) {
-        for trouble in troubles {
-            match *trouble {
-                Trouble::Cut { at, part, lasts } if self.now >= at => {
+    fn apply_disturbances(&mut self, disturbances: &[Disturbance]) {
+        for disturbance in disturbances {
+            match *disturbance {
+                Disturbance::Cut { at, part, lasts } if self.now >= at => {
                     let number = (self.nodes.len() as f64 * part) as usize;
                     let on = self.now < at + lasts;
                     self.nodes.iter_mut().rev().take(number).for_each(|node| node.cut = on);
                 }
-                Trouble::Kill { at, part, lasts } if self.now / STEP == at / STEP => {
+                Disturbance::Kill { at, part, lasts } if self.now / STEP == at / STEP => {
                     let number = (self.nodes.len() as f64 * part) as usize;
                     let until = self.now + lasts;
-                    self.nodes.iter_mut().take(number).for_each(|node| node.life = Life::Down { until });
+                    self.nodes
+                        .iter_mut()
+                        .take(number)
+                        .for_each(|node| node.state = NodeState::Down { until });
                 }
-                Trouble::Rate { at, per_second } if self.now / STEP == at / STEP => {
+                Disturbance::Rate { at, per_second } if self.now / STEP == at / STEP => {
                     self.quota = quota(per_second);
                     self.rate_changed_at = Some(self.now);
                     let (now, share) = (self.time(), self.share_quota());
@@ -200,67 +213,68 @@
 
     fn revive(&mut self) {
         for index in 0..self.nodes.len() {
-            if matches!(self.nodes[index].life, Life::Down { until } if self.now >= until) {
-                self.nodes[index] = self.fresh(index, false);
+            if matches!(self.nodes[index].state, NodeState::Down { until } if self.now >= until) {
+                self.nodes[index] = self.new_node(index, false);
             }
         }
-        // The lease of a root that has gone runs out before another one leads; a restarted process takes its own over.
+        // The lease of a lost root expires before another node leads; a restarted process resumes its own.
         if self.is_up(self.root) {
             return;
         }
-        let restarts = matches!(self.nodes[self.root].life, Life::Down { until } if until < self.now + 3_000);
+        let restarts =
+            matches!(self.nodes[self.root].state, NodeState::Down { until } if until < self.now + 3_000);
         if !restarts && let Some(next) = (0..self.nodes.len()).find(|index| self.is_up(*index)) {
             self.root = next;
         }
     }
 
     fn is_up(&self, index: usize) -> bool {
-        self.nodes[index].life == Life::Up && !self.nodes[index].cut
+        self.nodes[index].state == NodeState::Up && !self.nodes[index].cut
     }
 
-    /// The nodes that stand between the root and their zones, as far as they are up.
-    fn between(&self, zone: usize) -> Option<usize> {
+    /// The intermediate node of a zone, if one is up.
+    fn intermediate(&self, zone: usize) -> Option<usize> {
         (0..self.nodes.len()).find(|index| index % ZONES == zone && self.is_up(*index))
     }
 
     fn parent(&self, index: usize) -> Option<usize> {
         let root = self.is_up(self.root).then_some(self.root);
-        let between = self.between(index % ZONES).filter(|between| *between != index);
+        let intermediate = self.intermediate(index % ZONES).filter(|intermediate| *intermediate != index);
         let parent =
-            if root.is_some_and(|root| root % ZONES == index % ZONES) { root } else { between.or(root) };
+            if root.is_some_and(|root| root % ZONES == index % ZONES) { root } else { intermediate.or(root) };
         parent.filter(|parent| *parent != index && self.is_up(index))
     }
 
     fn exchange(&mut self) {
         let counted = Some(self.nodes.len() as u32);
         for index in 0..self.nodes.len() {
-            if self.nodes[index].life != Life::Up || self.now < self.nodes[index].next_report {
+            if self.nodes[index].state != NodeState::Up || self.now < self.nodes[index].next_report {
                 continue;
             }
             let delay = self.random.random_range(0..120);
             self.nodes[index].next_report = self.now + PERIOD + delay;
             let now = self.time();
-            let is_root = index == self.root && self.is_up(index) && self.way != Way::EvenParts;
+            let is_root = index == self.root && self.is_up(index) && self.strategy != Strategy::EvenShares;
             self.nodes[index].ledger.tick(NodePosition { is_root, counted, assumed: 64 }, now);
-            if self.way == Way::SharesByDemand {
-                self.tell_shares(index, now);
+            if self.strategy == Strategy::SharesByDemand {
+                self.exchange_shares(index, now);
                 continue;
             }
-            if is_root || self.way == Way::EvenParts {
+            if is_root || self.strategy == Strategy::EvenShares {
                 continue;
             }
             let Some(parent) = self.parent(index) else { continue };
             let report = self.nodes[index].ledger.report(now);
-            let heard = self.nodes[index].ledger.reporting_nodes();
+            let reporting = self.nodes[index].ledger.reporting_nodes();
             let name = NodeId::from(format!("n{index}").as_str());
-            self.nodes[parent].ledger.receive_report(name, heard, report, now);
+            self.nodes[parent].ledger.receive_report(name, reporting, report, now);
             let digest = self.nodes[parent].ledger.digest(now);
             self.nodes[index].ledger.report_answered(&digest, now, now);
         }
     }
 
-    /// Shares by demand are given the best case: every node hears every other one at once.
-    fn tell_shares(&mut self, index: usize, now: Timestamp) {
+    /// Exchanges shares in the best case: every node reaches all others at once.
+    fn exchange_shares(&mut self, index: usize, now: Timestamp) {
         self.nodes[index].shares.tick(now);
         if !self.is_up(index) {
             return;
@@ -284,15 +298,15 @@
                 } else {
                     900.0 * self.random.random_range(0.5..2.0)
                 };
-                self.arrive(units);
+                self.handle_request(units);
             }
             expected -= 1.0;
         }
         let rate = self.quota.per_second;
-        self.owed_level = (self.owed_level + rate * STEP as f64 / 1_000.0).min(self.quota.burst);
+        self.quota_level = (self.quota_level + rate * STEP as f64 / 1_000.0).min(self.quota.burst);
     }
 
-    fn arrive(&mut self, units: f64) {
+    fn handle_request(&mut self, units: f64) {
         let total: f64 = self.weights.iter().sum();
         let mut at = self.random.random_range(0.0..total);
         let index = self
@@ -303,19 +317,19 @@
                 at <= 0.0
             })
             .unwrap_or(0);
-        // Callers go to nodes that are up, also to those that are cut off from the others.
-        let up = |index: &usize| self.nodes[*index].life == Life::Up;
+        // Callers reach all nodes that are up, including partitioned ones.
+        let up = |index: &usize| self.nodes[*index].state == NodeState::Up;
         let Some(index) = (index..self.nodes.len()).chain(0..index).find(up) else { return };
-        let within = self.owed_level >= units;
+        let within = self.quota_level >= units;
         if within {
-            self.owed_level -= units;
-            self.owed += units;
+            self.quota_level -= units;
+            self.within_quota += units;
         }
-        self.asked += 1.0;
+        self.requests += 1.0;
         if self.grant(index, units) {
             self.granted_requests += 1.0;
-            self.owed_granted += if within { units } else { 0.0 };
-            self.ran(units);
+            self.within_quota_granted += if within { units } else { 0.0 };
+            self.record_run(units);
         }
     }
 
@@ -323,12 +337,12 @@
         let now = self.time();
         let draw = self.random.random_range(0.0..1.0);
         let node = &mut self.nodes[index];
-        match self.way {
-            Way::ToldLevel => {
+        match self.strategy {
+            Strategy::SharedLevel => {
                 let granted: Result<Option<QuotaGrant>, _> = node.ledger.admit(&tenant(), units, draw, now);
                 granted.is_ok()
             }
-            Way::SharesByDemand => {
+            Strategy::SharesByDemand => {
                 let cost = RequestCost { tokens: units as u32 };
                 let granted = node.shares.admit(&tenant(), cost, now).is_ok();
                 if granted {
@@ -336,19 +350,19 @@
                 }
                 granted
             }
-            // A ledger that nobody ever tells anything goes on with its part.
-            Way::EvenParts => node.ledger.admit(&tenant(), units, draw, now).is_ok(),
+            // A ledger without a parent continues with its share.
+            Strategy::EvenShares => node.ledger.admit(&tenant(), units, draw, now).is_ok(),
         }
     }
 
-    fn ran(&mut self, units: f64) {
+    fn record_run(&mut self, units: f64) {
         self.runs.push_back((self.now, units));
         self.in_window += units;
         let window = bounds().window.as_millis() as u64;
         while self.runs.front().is_some_and(|(at, _)| at + window <= self.now) {
             self.in_window -= self.runs.pop_front().map_or(0.0, |(_, units)| units);
         }
-        // A lower limit binds one window after it is in force.
+        // A lower limit applies one window after it is in force.
         if self.rate_changed_at.is_some_and(|at| self.now < at + window) {
             return;
         }
@@ -358,8 +372,8 @@
     pub fn outcome(&self) -> Outcome {
         Outcome {
             worst_window: self.worst,
-            served_within: self.owed_granted / self.owed.max(1.0),
-            granted: self.granted_requests / self.asked.max(1.0),
+            served_within: self.within_quota_granted / self.within_quota.max(1.0),
+            granted: self.granted_requests / self.requests.max(1.0),
         }
     }
 }
--- a/crates/core/tests/store_era.rs
+++ b/crates/core/tests/store_era.rs
@@ -1,4 +1,4 @@
-//! Revisions in one order over the eras of a store that comes back from copies.
+//! Revisions are totally ordered across the eras of a store that was restored from a backup.
 
 use paddlemount_protocol::{
     era::StoreEra,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn a_revision_of_a_later_era_is_later_whatever_its_number() {
+fn a_revision_of_a_later_era_is_greater_whatever_its_number() {
     bolero::check!().with_type::<(u16, u32, u16, u32)>().for_each(
         |(era, number, other_era, other_number)| {
             let revision = |era: u16, number: u32| Revision::in_era(StoreEra(era.into()), number.into());
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn without_eras_a_revision_is_the_stores_own_number() {
+fn without_eras_a_revision_equals_the_stores_number() {
     assert_eq!(Revision::in_era(StoreEra::default(), 4_711), Revision(4_711));
     assert_eq!(StoreEra::new(7), Some(StoreEra(7)));
     assert_eq!(StoreEra::new(u64::MAX), None);
