--- a/crates/bench/src/experiment/overload.rs
+++ b/crates/bench/src/experiment/overload.rs
@@ -52,7 +52,7 @@
             settings.concurrency.target_queueing = milliseconds(target);
         }
         if let Some(part) = limits.reserved_part {
-            settings.reserved_part = part;
+            settings.reserved_fraction = part;
         }
         settings
     }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -30,7 +30,7 @@
     /// Maximum time that a request waits at this node.
     pub max_wait: Duration,
     /// Fraction of the limit reserved for tenants below their fair share, from 0.0 to 1.0.
-    pub reserved_part: f64,
+    pub reserved_fraction: f64,
     pub concurrency: ConcurrencySettings,
 }
 
@@ -39,7 +39,7 @@
         Self {
             queue_length: 256,
             max_wait: Duration::from_secs(2),
-            reserved_part: 0.1,
+            reserved_fraction: 0.1,
             concurrency: ConcurrencySettings::default(),
         }
     }
@@ -266,8 +266,8 @@
             let refusal = state.refusal(late.by_deadline, "it could not begin in time");
             actions.push(AdmissionAction::Refuse { ticket: late.ticket, refusal });
         }
-        while let Some((tenant, waiting)) = state.next(self.settings.reserved_part) {
-            let is_over_share = state.started(&tenant, self.settings.reserved_part);
+        while let Some((tenant, waiting)) = state.next(self.settings.reserved_fraction) {
+            let is_over_share = state.started(&tenant, self.settings.reserved_fraction);
             let priority = if is_over_share { Priority::Low } else { waiting.priority };
             let running = Running { pool: pool.clone(), tenant, since: now };
             self.running.insert(waiting.ticket.clone(), running);
--- a/crates/core/src/admission/pool.rs
+++ b/crates/core/src/admission/pool.rs
@@ -62,46 +62,46 @@
 
 impl PoolState {
     /// Removes the next request that may run from the queue.
-    pub(super) fn next(&mut self, reserved_part: f64) -> Option<(TenantId, Waiting)> {
+    pub(super) fn next(&mut self, reserved_fraction: f64) -> Option<(TenantId, Waiting)> {
         let limit = self.limit.limit();
         if self.queue.is_empty() || self.in_flight >= limit {
             return None;
         }
-        let level = self.fair_level(reserved_part);
-        let within_common_part = f64::from(self.in_flight) < self.common_part(reserved_part);
+        let level = self.fair_level(reserved_fraction);
+        let within_common_part = f64::from(self.in_flight) < self.common_part(reserved_fraction);
         let by_tenant = &self.by_tenant;
         self.queue.pop(|tenant, weight| within_common_part || below_level(by_tenant, tenant, weight, level))
     }
 
     /// Returns the part of the limit that all tenants may use, whatever their share.
-    fn common_part(&self, reserved_part: f64) -> f64 {
+    fn common_part(&self, reserved_fraction: f64) -> f64 {
         let limit = f64::from(self.limit.limit());
-        limit - (limit * reserved_part).floor()
+        limit - (limit * reserved_fraction).floor()
     }
 
     /// Returns the max-min fair level: the requests in flight per unit of weight at which the common part is
     /// used up if each tenant gets what it wants, up to its weight times the level.
-    fn fair_level(&self, reserved_part: f64) -> f64 {
+    fn fair_level(&self, reserved_fraction: f64) -> f64 {
         let in_flight = self.by_tenant.iter().map(|(tenant, in_flight)| {
             let wanted = in_flight.requests as usize + self.queue.len_of(tenant);
             (wanted as f64, f64::from(in_flight.weight))
         });
         let only_waiting = self.queue.backlogs().filter(|(tenant, ..)| !self.by_tenant.contains_key(*tenant));
         let waiting = only_waiting.map(|(_, weight, waiting)| (waiting as f64, f64::from(weight)));
-        share::fair_level(self.common_part(reserved_part), in_flight.chain(waiting).collect())
+        share::fair_level(self.common_part(reserved_fraction), in_flight.chain(waiting).collect())
     }
 
     /// Returns the requests in flight per unit of weight if all active tenants want the same.
-    fn even_level(&self, tenant: &TenantId, weight: u32, reserved_part: f64) -> f64 {
+    fn even_level(&self, tenant: &TenantId, weight: u32, reserved_fraction: f64) -> f64 {
         let others = self.by_tenant.iter().filter(|(other, _)| *other != tenant);
         let weights = others.map(|(_, in_flight)| in_flight.weight).sum::<u32>() + weight;
-        self.common_part(reserved_part) / f64::from(weights)
+        self.common_part(reserved_fraction) / f64::from(weights)
     }
 
     /// Counts a started request. Returns whether its tenant is far above its even share.
-    pub(super) fn started(&mut self, tenant: &TenantId, reserved_part: f64) -> bool {
+    pub(super) fn started(&mut self, tenant: &TenantId, reserved_fraction: f64) -> bool {
         let weight = self.queue.weight_of(tenant);
-        let demotion = DEMOTION_FACTOR * self.even_level(tenant, weight, reserved_part);
+        let demotion = DEMOTION_FACTOR * self.even_level(tenant, weight, reserved_fraction);
         let is_over_share = !below_level(&self.by_tenant, tenant, weight, demotion);
         self.in_flight += 1;
         let in_flight = self.by_tenant.entry(tenant.clone()).or_default();
--- a/crates/core/src/claims/reconfiguration.rs
+++ b/crates/core/src/claims/reconfiguration.rs
@@ -44,7 +44,7 @@
 
     /// Records that a member has sealed, or that the machine list no longer contains its machine: a removed
     /// machine grants nothing either.
-    pub fn sealed(&mut self, member: NodeId, now: Timestamp) {
+    pub fn record_sealed(&mut self, member: NodeId, now: Timestamp) {
         if self.placement.members.iter().any(|candidate| candidate.node == member) {
             self.sealed.insert(member);
         }
--- a/crates/core/src/configuration/confirmation.rs
+++ b/crates/core/src/configuration/confirmation.rs
@@ -31,8 +31,8 @@
         self.revision
     }
 
-    /// Returns the live members to ask now; each must be followed by [`answered`](Self::answered) or
-    /// [`failed`](Self::failed).
+    /// Returns the live members to ask now; each must be followed by [`record_answer`](Self::record_answer) or
+    /// [`record_failure`](Self::record_failure).
     pub fn to_ask(&mut self, table: &MemberTable) -> Vec<(NodeId, SocketAddr)> {
         let own = &table.own().node;
         let is_open = |node: &NodeId| !self.holding.contains(node) && !self.pending.contains(node);
@@ -43,7 +43,7 @@
     }
 
     /// Records that a member holds `revision`.
-    pub fn answered(&mut self, node: NodeId, revision: Revision) {
+    pub fn record_answer(&mut self, node: NodeId, revision: Revision) {
         self.pending.remove(&node);
         if revision >= self.revision {
             self.holding.insert(node);
@@ -51,7 +51,7 @@
     }
 
     /// Records that a member did not answer.
-    pub fn failed(&mut self, node: &NodeId) {
+    pub fn record_failure(&mut self, node: &NodeId) {
         self.pending.remove(node);
     }
 
--- a/crates/core/src/configuration/replica.rs
+++ b/crates/core/src/configuration/replica.rs
@@ -44,9 +44,9 @@
 /// An output of the replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaAction {
-    /// Watch the store; [`Replica::store_answered`] must follow.
+    /// Watch the store; [`Replica::handle_store_reply`] must follow.
     Watch(StoreWatch),
-    /// Pull from a peer; [`Replica::pulled`] must follow.
+    /// Pull from a peer; [`Replica::handle_pull_answer`] must follow.
     Pull {
         address: SocketAddr,
         request: ConfigurationRequest,
@@ -145,7 +145,7 @@
     }
 
     /// Handles the store's reply to the latest [`ReplicaAction::Watch`].
-    pub fn store_answered(
+    pub fn handle_store_reply(
         &mut self,
         result: Result<StoredDocument, StoreFailure>,
         now: Timestamp,
@@ -180,7 +180,11 @@
     }
 
     /// Installs a document that this node wrote to the store.
-    pub fn stored(&mut self, revision: Revision, configuration: Configuration) -> Option<ReplicaAction> {
+    pub fn install_stored(
+        &mut self,
+        revision: Revision,
+        configuration: Configuration,
+    ) -> Option<ReplicaAction> {
         self.install(Arc::new(RevisedConfiguration { revision, configuration }))
     }
 
@@ -261,7 +265,7 @@
     }
 
     /// Handles the answer to a pull from `address`; `None` if it failed.
-    pub fn pulled(
+    pub fn handle_pull_answer(
         &mut self,
         address: SocketAddr,
         answer: Option<&ConfigurationAnswer>,
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -62,7 +62,7 @@
     /// Requested units per second over the same nodes, as far as known.
     pub demand: f64,
     /// The fraction of the nodes that share the level.
-    pub part: f64,
+    pub fraction: f64,
     /// Age of the level from the parent; `None` if this node owns the level.
     pub report_age: Option<Duration>,
 }
@@ -189,7 +189,7 @@
             per_second: account.quota.per_second,
             level: account.level(),
             demand: account.demand().max(account.own_demand(now)),
-            part: self.sharing.fraction,
+            fraction: self.sharing.fraction,
             report_age: report_age.filter(|_| !self.sharing.owns_level),
         })
     }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -231,7 +231,7 @@
     }
 
     /// Admits a request or returns the limit that it exceeds. Each admitted request must be passed to
-    /// [`ended`](Self::ended).
+    /// [`release`](Self::release).
     pub fn admit(
         &mut self,
         tenant: &TenantId,
@@ -242,9 +242,9 @@
     }
 
     /// Records that an admitted request has ended with `unused_tokens` of its cost unused.
-    pub fn ended(&mut self, tenant: &TenantId, unused_tokens: u32) {
+    pub fn release(&mut self, tenant: &TenantId, unused_tokens: u32) {
         if let Some(limits) = self.tenants.get_mut(tenant) {
-            limits.ended(unused_tokens);
+            limits.release(unused_tokens);
         }
     }
 
--- a/crates/core/src/limits/tenant.rs
+++ b/crates/core/src/limits/tenant.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    pub(super) fn ended(&mut self, unused_tokens: u32) {
+    pub(super) fn release(&mut self, unused_tokens: u32) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(limit) = &mut self.tokens {
             limit.bucket.refund(f64::from(unused_tokens));
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -106,8 +106,8 @@
         match event {
             MembershipEvent::Tick => {}
             MembershipEvent::Request { call, request } => self.serve(call, request, now),
-            MembershipEvent::Answer { call, answer } => self.answered(call, answer, now),
-            MembershipEvent::Failed { call } => self.failed(call, now),
+            MembershipEvent::Answer { call, answer } => self.handle_answer(call, answer, now),
+            MembershipEvent::Failed { call } => self.handle_failure(call, now),
             MembershipEvent::Machines(list) => self.set_machines(list),
             MembershipEvent::Offer(item) => self.dissemination.offer(item),
             MembershipEvent::ProbeNow(count) => self.probe_now(count),
@@ -247,7 +247,7 @@
         }
     }
 
-    fn answered(&mut self, call: CallId, answer: &MembershipAnswer, now: Timestamp) {
+    fn handle_answer(&mut self, call: CallId, answer: &MembershipAnswer, now: Timestamp) {
         let Some(purpose) = self.calls.remove(&call) else { return };
         match answer {
             MembershipAnswer::Alive { gossip } => {
@@ -255,7 +255,7 @@
                 if gossip.sender.region != self.settings.region {
                     self.contacts.found_elsewhere(gossip.sender.address);
                 }
-                self.reached(&purpose);
+                self.handle_reached(&purpose);
                 self.compare_tables(gossip, now);
             }
             MembershipAnswer::Reached { reached } => {
@@ -272,7 +272,7 @@
         }
     }
 
-    fn reached(&mut self, purpose: &Purpose) {
+    fn handle_reached(&mut self, purpose: &Purpose) {
         match purpose {
             Purpose::Round(node) => self.rounds.reached(node),
             Purpose::Relay(call) => {
@@ -283,7 +283,7 @@
         }
     }
 
-    fn failed(&mut self, call: CallId, now: Timestamp) {
+    fn handle_failure(&mut self, call: CallId, now: Timestamp) {
         match self.calls.remove(&call) {
             Some(Purpose::Round(node)) => self.round_call_ended(&node, false, now),
             Some(Purpose::Relay(call)) => {
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -106,9 +106,9 @@
         match event {
             PeerEvent::Tick => self.membership_event(MembershipEvent::Tick, now),
             PeerEvent::Request { call, request } => self.serve(call, request, now),
-            PeerEvent::Answer { call, answer } => self.answered(call, Some(answer), now),
-            PeerEvent::Failed { call } => self.answered(call, None, now),
-            PeerEvent::Store { call, result } => self.store_answered(call, result, now),
+            PeerEvent::Answer { call, answer } => self.handle_answer(call, Some(answer), now),
+            PeerEvent::Failed { call } => self.handle_answer(call, None, now),
+            PeerEvent::Store { call, result } => self.handle_store_reply(call, result, now),
             PeerEvent::Machines(list) => self.membership_event(MembershipEvent::Machines(list), now),
             PeerEvent::Offer(item) => self.membership_event(MembershipEvent::Offer(item), now),
             PeerEvent::Change { call, request } => self.begin_change(call, *request, now),
@@ -246,26 +246,26 @@
     }
 
     /// Handles the answer to a call, or its failure.
-    fn answered(&mut self, call: CallId, answer: Option<&PeerAnswer>, now: Timestamp) {
+    fn handle_answer(&mut self, call: CallId, answer: Option<&PeerAnswer>, now: Timestamp) {
         match self.calls.remove(&call) {
             Some(Purpose::Membership { call, sent_at }) => {
-                self.membership_answered(call, answer, sent_at, now)
+                self.handle_membership_answer(call, answer, sent_at, now)
             }
             Some(Purpose::Pull(address)) => {
-                let action = self.replica.pulled(address, configuration_answer(answer));
+                let action = self.replica.handle_pull_answer(address, configuration_answer(answer));
                 self.execute(action);
             }
             Some(Purpose::Check { check, node }) => {
-                self.checks.answered(check, node, configuration_answer(answer));
+                self.checks.handle_answer(check, node, configuration_answer(answer));
             }
             Some(Purpose::CheckRegion { change, region }) => {
-                self.region_answered(change, &region, configuration_answer(answer));
+                self.handle_region_answer(change, &region, configuration_answer(answer));
             }
             Some(Purpose::Watch | Purpose::Change(_)) | None => {}
         }
     }
 
-    fn membership_answered(
+    fn handle_membership_answer(
         &mut self,
         call: CallId,
         answer: Option<&PeerAnswer>,
@@ -294,7 +294,7 @@
         self.execute(action);
     }
 
-    fn store_answered(&mut self, call: CallId, result: Result<StoreReply, StoreFailure>, now: Timestamp) {
+    fn handle_store_reply(&mut self, call: CallId, result: Result<StoreReply, StoreFailure>, now: Timestamp) {
         match self.calls.remove(&call) {
             Some(Purpose::Watch) => {
                 let result = match result {
@@ -302,10 +302,10 @@
                     Ok(StoreReply::Put(_)) => Err(StoreFailure::Unclear),
                     Err(failure) => Err(failure),
                 };
-                let action = self.replica.store_answered(result, now);
+                let action = self.replica.handle_store_reply(result, now);
                 self.execute(action);
             }
-            Some(Purpose::Change(change)) => self.change_store_answered(change, result, now),
+            Some(Purpose::Change(change)) => self.handle_change_store_reply(change, result, now),
             _ => {}
         }
     }
--- a/crates/core/src/peers/changes.rs
+++ b/crates/core/src/peers/changes.rs
@@ -124,7 +124,7 @@
         ))
     }
 
-    pub(super) fn change_store_answered(
+    pub(super) fn handle_change_store_reply(
         &mut self,
         id: u64,
         result: Result<StoreReply, StoreFailure>,
@@ -186,7 +186,7 @@
         now: Timestamp,
     ) {
         if let Some(configuration) = configuration {
-            let action = self.replica.stored(revision, *configuration);
+            let action = self.replica.install_stored(revision, *configuration);
             self.execute(action);
         }
         let check = self.checks.begin(revision, None, now);
@@ -198,7 +198,7 @@
         task.deadline = now + CONFIRMATION_DEADLINE;
     }
 
-    pub(super) fn region_answered(
+    pub(super) fn handle_region_answer(
         &mut self,
         id: u64,
         region: &RegionId,
@@ -291,7 +291,7 @@
 
     fn request_confirmation(&mut self, id: u64, revision: Revision, region: RegionId, now: Timestamp) {
         let Some(representative) = self.membership.representative_of(&region, now) else {
-            self.region_answered(id, &region, None);
+            self.handle_region_answer(id, &region, None);
             return;
         };
         let request = ConfigurationRequest::CheckRegion { revision, asker: self.own_contact() };
--- a/crates/core/src/peers/checks.rs
+++ b/crates/core/src/peers/checks.rs
@@ -54,11 +54,13 @@
         self.running.remove(&check);
     }
 
-    pub(super) fn answered(&mut self, check: u64, node: NodeId, answer: Option<&ConfigurationAnswer>) {
+    pub(super) fn handle_answer(&mut self, check: u64, node: NodeId, answer: Option<&ConfigurationAnswer>) {
         let Some(check) = self.running.get_mut(&check) else { return };
         match answer {
-            Some(ConfigurationAnswer::Holds { revision }) => check.confirmation.answered(node, *revision),
-            _ => check.confirmation.failed(&node),
+            Some(ConfigurationAnswer::Holds { revision }) => {
+                check.confirmation.record_answer(node, *revision)
+            }
+            _ => check.confirmation.record_failure(&node),
         }
     }
 
@@ -97,7 +99,7 @@
         let Some(check) = self.checks.running.get_mut(&id) else { return };
         check.next_at = now + ROUND_INTERVAL;
         let table = self.membership.table();
-        check.confirmation.answered(table.own().node.clone(), self.replica.revision());
+        check.confirmation.record_answer(table.own().node.clone(), self.replica.revision());
         let revision = check.confirmation.revision();
         let members = check.confirmation.to_ask(table);
         for (node, address) in members {
--- a/crates/core/src/quarantine/completions.rs
+++ b/crates/core/src/quarantine/completions.rs
@@ -22,7 +22,7 @@
 
 impl Completions {
     /// Records a completed run.
-    pub fn completed(&mut self, fingerprint: RequestFingerprint, at: Timestamp) {
+    pub fn record(&mut self, fingerprint: RequestFingerprint, at: Timestamp) {
         self.last.insert(fingerprint, at);
         self.order.push_back((at, fingerprint));
         while self.order.len() > MAX_COMPLETIONS
--- a/crates/core/src/quarantine/ends.rs
+++ b/crates/core/src/quarantine/ends.rs
@@ -32,7 +32,7 @@
 
 impl EngineEnds {
     /// Records the end of an engine; the first report determines the time.
-    pub fn ended(&mut self, engine: &EngineId, at: Timestamp) {
+    pub fn record(&mut self, engine: &EngineId, at: Timestamp) {
         if self.by_engine.contains_key(engine) {
             return;
         }
@@ -44,7 +44,7 @@
     }
 
     /// Attributes the end of an engine to a request that is held for it.
-    pub fn explained(&mut self, engine: &EngineId, by: RequestFingerprint) {
+    pub fn attribute(&mut self, engine: &EngineId, by: RequestFingerprint) {
         if self.by_engine.contains_key(engine) {
             self.explained.insert(engine.clone(), by);
         }
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -117,17 +117,17 @@
 
 impl Quarantine {
     /// Records an engine that ended under a run.
-    pub fn crashed(&mut self, crash: Crash, now: Timestamp) {
+    pub fn record_crash(&mut self, crash: Crash, now: Timestamp) {
         let fingerprint = crash.fingerprint;
         if now.saturating_since(crash.ended) >= CRASH_TTL {
             return;
         }
-        self.ends.ended(&crash.engine, crash.ended);
+        self.ends.record(&crash.engine, crash.ended);
         if self.counted.contains_key(&fingerprint) {
-            self.ends.explained(&crash.engine, fingerprint);
+            self.ends.attribute(&crash.engine, fingerprint);
         }
         let suspicion = self.suspicions.entry(fingerprint).or_default();
-        if !suspicion.crashed(crash.clone()) {
+        if !suspicion.add_crash(crash.clone()) {
             return;
         }
         self.log(Event::Crash(crash));
@@ -161,7 +161,7 @@
             bound(&mut self.counted);
         }
         for request in &held {
-            request.engines.iter().for_each(|engine| self.ends.explained(engine, request.fingerprint));
+            request.engines.iter().for_each(|engine| self.ends.attribute(engine, request.fingerprint));
         }
         // Conclusions already in the store are not written again.
         held.retain(|request| !self.stored.contains_key(&request.fingerprint));
@@ -169,8 +169,8 @@
     }
 
     /// Records a run completed at this node. Returns whether that ends a hold.
-    pub fn completed(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> bool {
-        self.completions.completed(fingerprint, now);
+    pub fn record_completion(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> bool {
+        self.completions.record(fingerprint, now);
         self.apply_completion(fingerprint, now, now)
     }
 
@@ -181,7 +181,7 @@
             self.report_completion(fingerprint, at);
             return false;
         };
-        if !suspicion.completed(at) {
+        if !suspicion.add_completion(at) {
             return false;
         }
         self.log(Event::Completed { fingerprint, at });
@@ -215,7 +215,7 @@
     }
 
     /// Records a conclusion from the metadata store. Returns whether it is new to this node.
-    pub fn stored(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> bool {
+    pub fn add_stored_hold(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> bool {
         let is_new = !self.is_known(&fingerprint);
         self.stored.entry(fingerprint).or_insert(now);
         bound(&mut self.stored);
@@ -224,7 +224,7 @@
 
     /// Records that a conclusion was removed from the metadata store, by expiry or by an operator. One
     /// further crash restores the hold. Returns whether the request was held.
-    pub fn released(&mut self, fingerprint: &RequestFingerprint, now: Timestamp) -> bool {
+    pub fn remove_stored_hold(&mut self, fingerprint: &RequestFingerprint, now: Timestamp) -> bool {
         let known = self.stored.remove(fingerprint).is_some();
         let counted = self.counted.remove(fingerprint).is_some();
         self.parent_holds.remove(fingerprint);
@@ -255,7 +255,7 @@
     }
 
     /// Whether any request of this origin may be held; only then is its fingerprint needed.
-    pub fn may_hold(&self, origin: u64) -> bool {
+    pub fn may_be_held(&self, origin: u64) -> bool {
         let mut maps = [&self.counted, &self.stored, &self.parent_holds].into_iter();
         maps.any(|known| known.range(fingerprints_of(origin)).next().is_some())
     }
@@ -274,7 +274,7 @@
             .map(|(fingerprint, _)| *fingerprint)
             .collect();
         for fingerprint in &ended {
-            self.released(fingerprint, now);
+            self.remove_stored_hold(fingerprint, now);
         }
         self.ends.forget_before(now - CRASH_TTL);
         self.reported_completions.retain(|_, at| now.saturating_since(*at) < CRASH_TTL);
--- a/crates/core/src/quarantine/suspicion.rs
+++ b/crates/core/src/quarantine/suspicion.rs
@@ -45,7 +45,7 @@
 
 impl Suspicion {
     /// Adds a crash. Returns whether it is new.
-    pub fn crashed(&mut self, crash: Crash) -> bool {
+    pub fn add_crash(&mut self, crash: Crash) -> bool {
         let known = self.crashes.iter().any(|known| known.engine == crash.engine);
         if known || self.completed.is_some_and(|completed| crash.ended <= completed) {
             return false;
@@ -59,7 +59,7 @@
     }
 
     /// Records a completed run: earlier crashes had another cause. Returns whether it is new.
-    pub fn completed(&mut self, at: Timestamp) -> bool {
+    pub fn add_completion(&mut self, at: Timestamp) -> bool {
         if self.completed.is_some_and(|known| at < known + COMPLETION_DEDUP_WINDOW) {
             return false;
         }
--- a/crates/core/src/quarantine/tree.rs
+++ b/crates/core/src/quarantine/tree.rs
@@ -39,7 +39,7 @@
                 began: ago(entry.began_ms_ago),
                 ended: ago(entry.ended_ms_ago),
             };
-            self.crashed(crash, now);
+            self.record_crash(crash, now);
         }
         for entry in report.completed {
             let is_over = self.apply_completion(entry.fingerprint, ago(entry.ended_ms_ago), now);
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -383,10 +383,10 @@
     placement.next = Some(placement_of(&[("n4", "z1", "r")]).members);
     let mut change = Reconfiguration::begin(placement, settle).expect("next members are named");
     assert_eq!(change.tick(seconds(1)).len(), 3);
-    change.sealed(NodeId::from("stranger"), seconds(1));
-    change.sealed(NodeId::from("n1"), seconds(1));
+    change.record_sealed(NodeId::from("stranger"), seconds(1));
+    change.record_sealed(NodeId::from("n1"), seconds(1));
     assert_eq!(change.tick(seconds(100)).len(), 2);
-    change.sealed(NodeId::from("n3"), seconds(100));
+    change.record_sealed(NodeId::from("n3"), seconds(100));
     assert!(change.tick(seconds(129)).is_empty());
     let [ReconfigurationAction::Activate(next)] = &change.tick(seconds(130))[..] else {
         panic!("the next epoch begins");
--- a/crates/core/tests/configuration_replica.rs
+++ b/crates/core/tests/configuration_replica.rs
@@ -66,7 +66,7 @@
 fn answer_store(replica: &mut Replica, membership: &Membership, now: Timestamp, revision: u64) {
     let asked = replica.tick(membership.table(), membership.quorum_base(), now);
     assert!(matches!(asked, Some(ReplicaAction::Watch(_))), "{asked:?}");
-    replica.store_answered(Ok(StoredDocument::Present(document(revision))), now);
+    replica.handle_store_reply(Ok(StoredDocument::Present(document(revision))), now);
 }
 
 #[test]
--- a/crates/core/tests/limits_quota.rs
+++ b/crates/core/tests/limits_quota.rs
@@ -110,7 +110,7 @@
         let (ended, running) = self.running.drain(..).partition(|(until, _)| *until <= now);
         self.running = running;
         for (_, node) in ended {
-            self.nodes[node].ended(&tenant(), 0);
+            self.nodes[node].release(&tenant(), 0);
         }
     }
 
@@ -297,7 +297,7 @@
     let admit = |limits: &mut Limits, tokens| limits.admit(&tenant(), RequestCost { tokens }, later);
     assert_eq!(admit(&mut limits, 1_000), Ok(()));
     assert_eq!(admit(&mut limits, 1).map_err(|refusal| refusal.kind), Err(LimitKind::Concurrency));
-    limits.ended(&tenant(), 0);
+    limits.release(&tenant(), 0);
     let refused = admit(&mut limits, 500).expect_err("no tokens are left");
     assert_eq!((refused.kind, refused.retry_after), (LimitKind::Tokens, Duration::from_millis(500)));
     assert!(limits.admit(&TenantId::from("unlimited"), RequestCost { tokens: 1 }, later).is_ok());
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -35,9 +35,9 @@
 }
 
 /// Records a crash and draws conclusions once all nodes have reported.
-fn record_crash(quarantine: &mut Quarantine, crash: Crash) -> Option<QuarantinedRequest> {
+fn crash_and_conclude(quarantine: &mut Quarantine, crash: Crash) -> Option<QuarantinedRequest> {
     let (now, later) = (crash.ended, crash.ended + SETTLE_TIME);
-    quarantine.crashed(crash, now);
+    quarantine.record_crash(crash, now);
     quarantine.conclude(&NodeId::from("n1"), later).pop()
 }
 
@@ -46,7 +46,7 @@
     let mut quarantine = Quarantine::default();
     for number in 0..CRASH_THRESHOLD as u64 {
         let began = number * 1_000;
-        record_crash(&mut quarantine, crash(body, &format!("e{number}"), began, began + 200));
+        crash_and_conclude(&mut quarantine, crash(body, &format!("e{number}"), began, began + 200));
     }
     quarantine
 }
@@ -54,17 +54,17 @@
 #[test]
 fn the_third_successive_crash_holds_a_request_and_lists_the_engines() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(record_crash(&mut quarantine, crash("x", "e0", 0, 100)), None);
-    assert_eq!(record_crash(&mut quarantine, crash("x", "e1", 200, 300)), None);
+    assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e0", 0, 100)), None);
+    assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e1", 200, 300)), None);
     assert!(quarantine.held(&request("x"), at(300)).is_none());
-    let held = record_crash(&mut quarantine, crash("x", "e2", 400, 500)).expect("it is held");
+    let held = crash_and_conclude(&mut quarantine, crash("x", "e2", 400, 500)).expect("it is held");
     assert_eq!(held.engines.len(), CRASH_THRESHOLD);
     let known = quarantine.held(&request("x"), at(1_200)).expect("it is held");
     assert_eq!(
         (known.by, known.since, known.until),
         (HoldSource::Counted, at(1_200), at(1_200) + HOLD_DURATION)
     );
-    assert!(quarantine.may_hold(request("x").origin));
+    assert!(quarantine.may_be_held(request("x").origin));
     assert!(quarantine.held(&request("y"), at(500)).is_none(), "another body is another request");
 }
 
@@ -90,12 +90,12 @@
     let mut quarantine = Quarantine::default();
     for engine in 0..40 {
         let lost = crash("x", &format!("e{engine}"), 900 - engine * 20, 1_000 + engine % 3);
-        assert_eq!(record_crash(&mut quarantine, lost), None, "engine {engine}");
+        assert_eq!(crash_and_conclude(&mut quarantine, lost), None, "engine {engine}");
     }
     // A second rack, under runs that began before the first was lost.
     for engine in 40..80 {
         assert_eq!(
-            record_crash(&mut quarantine, crash("x", &format!("e{engine}"), 950, 1_400)),
+            crash_and_conclude(&mut quarantine, crash("x", &format!("e{engine}"), 950, 1_400)),
             None,
             "engine {engine}"
         );
@@ -110,7 +110,7 @@
         let began = rack * 1_000;
         for engine in 0..4 {
             let lost = crash("x", &format!("e{rack}-{engine}"), began, began + 400 + engine);
-            assert_eq!(record_crash(&mut quarantine, lost), None, "rack {rack}");
+            assert_eq!(crash_and_conclude(&mut quarantine, lost), None, "rack {rack}");
         }
     }
 }
@@ -121,12 +121,12 @@
     for rack in 0..10 {
         let began = rack * 1_000;
         // This request ran on one engine of each rack; the other ends are reported a little later.
-        quarantine.crashed(crash("x", &format!("x{rack}"), began, began + 100), at(began + 110));
+        quarantine.record_crash(crash("x", &format!("x{rack}"), began, began + 100), at(began + 110));
         assert_eq!(quarantine.conclude(&NodeId::from("n"), at(began + 150)), Vec::new());
         for other in 0..3 {
             let engine = format!("o{rack}-{other}");
             let body = format!("other {rack} {other}");
-            quarantine.crashed(crash(&body, &engine, began, began + 102), at(began + 500));
+            quarantine.record_crash(crash(&body, &engine, began, began + 102), at(began + 500));
         }
         assert_eq!(quarantine.conclude(&NodeId::from("n"), at(began + 900)), Vec::new());
     }
@@ -135,12 +135,12 @@
 #[test]
 fn a_lost_rack_between_successive_crashes_does_not_hide_them() {
     let mut quarantine = Quarantine::default();
-    record_crash(&mut quarantine, crash("x", "e0", 0, 100));
+    crash_and_conclude(&mut quarantine, crash("x", "e0", 0, 100));
     for engine in 0..4 {
-        record_crash(&mut quarantine, crash("x", &format!("r{engine}"), 150, 500));
+        crash_and_conclude(&mut quarantine, crash("x", &format!("r{engine}"), 150, 500));
     }
-    record_crash(&mut quarantine, crash("x", "e1", 700, 800));
-    assert!(record_crash(&mut quarantine, crash("x", "e2", 1_000, 1_100)).is_some());
+    crash_and_conclude(&mut quarantine, crash("x", "e1", 700, 800));
+    assert!(crash_and_conclude(&mut quarantine, crash("x", "e2", 1_000, 1_100)).is_some());
 }
 
 #[test]
@@ -150,7 +150,7 @@
     for pair in 0..3 {
         let began = pair * 1_000;
         for engine in 0..2 {
-            held = held.or(record_crash(
+            held = held.or(crash_and_conclude(
                 &mut quarantine,
                 crash("x", &format!("e{pair}-{engine}"), began + engine, began + 100),
             ));
@@ -164,12 +164,12 @@
     let mut quarantine = Quarantine::default();
     for number in 0..6_u32 {
         let (ended, engine) = (u64::from(number) * 1_000, format!("e{number}"));
-        quarantine.crashed(
+        quarantine.record_crash(
             crash(&format!("other {number}"), &engine, ended.saturating_sub(50), ended),
             at(ended + 1),
         );
         // A proxy accepts connections for the engine a little longer.
-        assert_eq!(record_crash(&mut quarantine, crash("x", &engine, ended + 20, ended + 21)), None);
+        assert_eq!(crash_and_conclude(&mut quarantine, crash("x", &engine, ended + 20, ended + 21)), None);
     }
 }
 
@@ -179,8 +179,8 @@
     for time in 0..4 {
         let ended = time * 1_000 + 500;
         // Two engines end together; the run of one is retried on the other before its end is known.
-        quarantine.crashed(crash("x", &format!("a{time}"), ended - 90, ended), at(ended + 1));
-        quarantine.crashed(crash("x", &format!("b{time}"), ended, ended + 1), at(ended + 2));
+        quarantine.record_crash(crash("x", &format!("a{time}"), ended - 90, ended), at(ended + 1));
+        quarantine.record_crash(crash("x", &format!("b{time}"), ended, ended + 1), at(ended + 2));
         let held = quarantine.conclude(&NodeId::from("n"), at(ended + 700));
         assert_eq!(held.len(), usize::from(time == 2), "the third pair in turn is the third crash");
     }
@@ -191,7 +191,7 @@
     let mut quarantine = Quarantine::default();
     for number in 0..60 {
         let began = number * 40;
-        quarantine.crashed(crash("x", &format!("e{number}"), began, began + 30), at(began + 31));
+        quarantine.record_crash(crash("x", &format!("e{number}"), began, began + 30), at(began + 31));
     }
     assert_eq!(quarantine.conclude(&NodeId::from("n"), at(2_400)).len(), 1);
 }
@@ -203,7 +203,7 @@
     for time in 0..2 {
         for step in 0..3 {
             let (began, engine) = (time * 1_000 + step * 13, format!("e{time}-{step}"));
-            quarantine.crashed(crash("x", &engine, began, began + 12), at(began + 13));
+            quarantine.record_crash(crash("x", &engine, began, began + 12), at(began + 13));
         }
         held = held.or(quarantine.conclude(&NodeId::from("n"), at(time * 1_000 + 900)).pop());
     }
@@ -217,10 +217,10 @@
         let began = engine * 500;
         for body in ["x", "y", "z"] {
             assert_eq!(
-                record_crash(&mut quarantine, crash(body, &format!("e{engine}"), began, began + 300)),
+                crash_and_conclude(&mut quarantine, crash(body, &format!("e{engine}"), began, began + 300)),
                 None
             );
-            quarantine.completed(request(body), at(began + 400));
+            quarantine.record_completion(request(body), at(began + 400));
         }
     }
     assert_eq!(quarantine.count_held(), 0);
@@ -232,7 +232,7 @@
     for number in 0..4_000 {
         let body = format!("request {}", number / 2);
         let engine = format!("e{}", number % 300);
-        assert_eq!(record_crash(&mut quarantine, crash(&body, &engine, number, number + 100)), None);
+        assert_eq!(crash_and_conclude(&mut quarantine, crash(&body, &engine, number, number + 100)), None);
     }
     assert!(quarantine.count_suspected() <= 2_048, "what is remembered is bounded");
 }
@@ -241,21 +241,24 @@
 fn the_same_engine_counts_once() {
     let mut quarantine = Quarantine::default();
     for time in 0..10 {
-        assert_eq!(record_crash(&mut quarantine, crash("x", "e0", time * 1_000, time * 1_000 + 100)), None);
+        assert_eq!(
+            crash_and_conclude(&mut quarantine, crash("x", "e0", time * 1_000, time * 1_000 + 100)),
+            None
+        );
     }
 }
 
 #[test]
 fn a_completed_run_ends_a_hold() {
     let mut quarantine = held("x");
-    assert!(quarantine.completed(request("x"), at(3_000)));
+    assert!(quarantine.record_completion(request("x"), at(3_000)));
     assert!(quarantine.held(&request("x"), at(3_000)).is_none());
     // Earlier crashes no longer count, even if reported late.
-    assert_eq!(record_crash(&mut quarantine, crash("x", "e9", 2_900, 2_950)), None);
-    assert_eq!(record_crash(&mut quarantine, crash("x", "e10", 3_100, 3_200)), None);
-    assert_eq!(record_crash(&mut quarantine, crash("x", "e11", 3_300, 3_400)), None);
+    assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e9", 2_900, 2_950)), None);
+    assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e10", 3_100, 3_200)), None);
+    assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e11", 3_300, 3_400)), None);
     assert!(
-        record_crash(&mut quarantine, crash("x", "e12", 3_500, 3_600)).is_some(),
+        crash_and_conclude(&mut quarantine, crash("x", "e12", 3_500, 3_600)).is_some(),
         "three successive ones after it do"
     );
 }
@@ -265,7 +268,7 @@
     let (mut root, mut nodes) = (Quarantine::default(), vec![Quarantine::default(); CRASH_THRESHOLD]);
     for (number, node) in nodes.iter_mut().enumerate() {
         let began = number as u64 * 1_000;
-        assert_eq!(record_crash(node, crash("x", &format!("e{number}"), began, began + 100)), None);
+        assert_eq!(crash_and_conclude(node, crash("x", &format!("e{number}"), began, began + 100)), None);
         let batch = node.report(0, MAX_REPORTED_EVENTS, at(began + 300));
         root.receive_report(batch.report, at(began + 302));
     }
@@ -281,10 +284,10 @@
 #[test]
 fn a_new_parent_receives_all_remembered_events() {
     let mut node = Quarantine::default();
-    record_crash(&mut node, crash("x", "e0", 0, 100));
+    crash_and_conclude(&mut node, crash("x", "e0", 0, 100));
     let first = node.report(0, MAX_REPORTED_EVENTS, at(200));
     assert_eq!(node.report(first.last_event, MAX_REPORTED_EVENTS, at(300)).report.crashes.len(), 0);
-    record_crash(&mut node, crash("x", "e1", 400, 500));
+    crash_and_conclude(&mut node, crash("x", "e1", 400, 500));
     assert_eq!(node.report(first.last_event, MAX_REPORTED_EVENTS, at(600)).report.crashes.len(), 1);
     assert_eq!(node.report(0, MAX_REPORTED_EVENTS, at(600)).report.crashes.len(), 2);
 }
@@ -292,15 +295,15 @@
 #[test]
 fn a_node_reports_an_earlier_completion_once_others_suspect_the_request() {
     let (mut root, mut node) = (Quarantine::default(), Quarantine::default());
-    record_crash(&mut root, crash("x", "e0", 0, 100));
+    crash_and_conclude(&mut root, crash("x", "e0", 0, 100));
     // A run completes at another node before that node knows of any suspicion.
-    node.completed(request("x"), at(350));
-    record_crash(&mut root, crash("x", "e1", 200, 300));
+    node.record_completion(request("x"), at(350));
+    crash_and_conclude(&mut root, crash("x", "e1", 200, 300));
     node.receive_digest(root.digest(at(400)), at(400));
     let batch = node.report(0, MAX_REPORTED_EVENTS, at(450));
     assert_eq!(batch.report.completed.len(), 1);
     root.receive_report(batch.report, at(455));
-    assert_eq!(record_crash(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
+    assert_eq!(crash_and_conclude(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
 }
 
 #[test]
@@ -308,7 +311,7 @@
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let began = number * 300;
-        quarantine.crashed(crash("x", &format!("e{number}"), began, began + 100), at(began + 101));
+        quarantine.record_crash(crash("x", &format!("e{number}"), began, began + 100), at(began + 101));
     }
     // The second crash was known at 401, so the nodes were asked from then on.
     assert_eq!(quarantine.conclude(&NodeId::from("n"), at(900)), Vec::new());
@@ -321,16 +324,16 @@
     for number in 3..9 {
         let (began, engine) = (number * 1_000, format!("e{number}"));
         // Another request is caught in each of these crashes.
-        quarantine.crashed(crash("x", &engine, began, began + 200), at(began + 201));
-        assert_eq!(record_crash(&mut quarantine, crash("y", &engine, began, began + 200)), None);
+        quarantine.record_crash(crash("x", &engine, began, began + 200), at(began + 201));
+        assert_eq!(crash_and_conclude(&mut quarantine, crash("y", &engine, began, began + 200)), None);
     }
 }
 
 #[test]
 fn events_reported_in_a_cycle_stop_circulating() {
     let mut nodes = vec![Quarantine::default(); 3];
-    record_crash(&mut nodes[0], crash("x", "e0", 0, 100));
-    nodes[0].completed(request("x"), at(200));
+    crash_and_conclude(&mut nodes[0], crash("x", "e0", 0, 100));
+    nodes[0].record_completion(request("x"), at(200));
     for round in 1..20 {
         for sender in 0..nodes.len() {
             let batch = nodes[sender].report(0, MAX_REPORTED_EVENTS, at(200 + round * 50));
@@ -351,29 +354,29 @@
 #[test]
 fn nodes_report_completed_runs_of_requests_that_others_suspect() {
     let mut root = Quarantine::default();
-    record_crash(&mut root, crash("x", "e0", 0, 100));
-    record_crash(&mut root, crash("x", "e1", 200, 300));
+    crash_and_conclude(&mut root, crash("x", "e0", 0, 100));
+    crash_and_conclude(&mut root, crash("x", "e1", 200, 300));
     let mut node = Quarantine::default();
     node.receive_digest(root.digest(at(400)), at(400));
-    node.completed(request("x"), at(500));
+    node.record_completion(request("x"), at(500));
     let batch = node.report(0, MAX_REPORTED_EVENTS, at(600));
     assert_eq!(batch.report.completed.len(), 1);
     root.receive_report(batch.report, at(610));
-    assert_eq!(record_crash(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
+    assert_eq!(crash_and_conclude(&mut root, crash("x", "e2", 700, 800)), None, "the count began anew");
 }
 
 #[test]
 fn a_stored_hold_lasts_until_the_store_releases_it() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.stored(request("x"), at(0)));
-    assert!(!quarantine.stored(request("x"), at(10)));
+    assert!(quarantine.add_stored_hold(request("x"), at(0)));
+    assert!(!quarantine.add_stored_hold(request("x"), at(10)));
     let much_later = at(0) + HOLD_DURATION * 3;
     assert!(quarantine.held(&request("x"), much_later).is_some());
-    assert!(quarantine.released(&request("x"), much_later));
+    assert!(quarantine.remove_stored_hold(&request("x"), much_later));
     assert!(quarantine.held(&request("x"), much_later).is_none());
     let crash =
         Crash { began: much_later, ended: much_later + Duration::from_millis(100), ..crash("x", "e0", 0, 0) };
-    assert!(record_crash(&mut quarantine, crash).is_some());
+    assert!(crash_and_conclude(&mut quarantine, crash).is_some());
 }
 
 #[test]
--- a/crates/core/tests/quarantine_properties.rs
+++ b/crates/core/tests/quarantine_properties.rs
@@ -51,10 +51,10 @@
                 self.ended.entry(fingerprint).or_default().insert(engine.clone());
                 let crash =
                     Crash { fingerprint, engine, route: "r".into(), tenant: None, began, ended: self.now };
-                self.nodes[index(node)].crashed(crash, self.now);
+                self.nodes[index(node)].record_crash(crash, self.now);
             }
             Step::Completes { node, request: number } => {
-                self.nodes[index(node)].completed(request(number), self.now);
+                self.nodes[index(node)].record_completion(request(number), self.now);
             }
             Step::Reports { node } if index(node) > 0 => {
                 let batch = self.nodes[index(node)].report(0, MAX_REPORTED_EVENTS, self.now);
--- a/crates/core/tests/quota_support/mod.rs
+++ b/crates/core/tests/quota_support/mod.rs
@@ -346,7 +346,7 @@
                 let cost = RequestCost { tokens: units as u32 };
                 let granted = node.shares.admit(&tenant(), cost, now).is_ok();
                 if granted {
-                    node.shares.ended(&tenant(), 0);
+                    node.shares.release(&tenant(), 0);
                 }
                 granted
             }
--- a/crates/forward/src/journal.rs
+++ b/crates/forward/src/journal.rs
@@ -245,7 +245,7 @@
             per_second: view.per_second,
             level: view.level as i64,
             demand: view.demand as u64,
-            part: view.part,
+            part: view.fraction,
             told_age_ms: view.report_age.map(|age| age.as_millis() as u64),
         }
     }
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -76,7 +76,7 @@
 
     /// A run came to its end.
     pub fn run_completed(&self, fingerprint: RequestFingerprint) {
-        if self.beliefs.borrow_mut().quarantine.completed(fingerprint, self.now()) {
+        if self.beliefs.borrow_mut().quarantine.record_completion(fingerprint, self.now()) {
             self.release(fingerprint);
         }
     }
@@ -114,7 +114,7 @@
 
     /// The metadata store tells that a request is held back.
     pub fn quarantine_stored(&self, request: &QuarantinedRequest) {
-        let news = self.beliefs.borrow_mut().quarantine.stored(request.fingerprint, self.now());
+        let news = self.beliefs.borrow_mut().quarantine.add_stored_hold(request.fingerprint, self.now());
         if news {
             self.tell_hold(&HeldLine::from(request), HoldSource::Stored);
         }
@@ -122,7 +122,7 @@
 
     /// The metadata store no longer holds a request back.
     pub fn quarantine_released(&self, fingerprint: &RequestFingerprint) {
-        let known = self.beliefs.borrow_mut().quarantine.released(fingerprint, self.now());
+        let known = self.beliefs.borrow_mut().quarantine.remove_stored_hold(fingerprint, self.now());
         if known {
             self.tell_release(fingerprint, "the store holds it no longer");
         }
@@ -155,7 +155,7 @@
             backend: crash.engine.as_str(),
             ran_ms: crash.ended.saturating_since(crash.began).as_millis() as u64,
         });
-        self.beliefs.borrow_mut().quarantine.crashed(crash, self.now());
+        self.beliefs.borrow_mut().quarantine.record_crash(crash, self.now());
         if self.token().is_some() {
             self.conclude_quarantine();
         }
--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -14,7 +14,7 @@
 impl Exchange {
     /// How long what the caller asks for is still held back; nothing where it is not.
     pub(crate) fn held_for(&mut self) -> Option<Duration> {
-        if !self.node.beliefs.borrow().quarantine.may_hold(self.origin().hash()) {
+        if !self.node.beliefs.borrow().quarantine.may_be_held(self.origin().hash()) {
             return None;
         }
         let fingerprint = self.fingerprint();
--- a/crates/node/src/overload/permit.rs
+++ b/crates/node/src/overload/permit.rs
@@ -93,7 +93,7 @@
     fn drop(&mut self) {
         let parts = &mut *self.overload.lock();
         parts.waiting.remove(&self.ticket);
-        parts.limits.ended(&self.tenant, self.charged_tokens.saturating_sub(self.used_tokens));
+        parts.limits.release(&self.tenant, self.charged_tokens.saturating_sub(self.used_tokens));
         parts.apply(AdmissionEvent::Cancelled { ticket: self.ticket.clone() }, self.state.clock.now());
     }
 }
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -82,7 +82,7 @@
 
     /// A try came to its end.
     pub fn completed(&self, fingerprint: RequestFingerprint, now: Timestamp) {
-        if self.lock().completed(fingerprint, now) {
+        if self.lock().record_completion(fingerprint, now) {
             log::info!("request {fingerprint} is no longer held back: a try of it came to its end");
         }
     }
@@ -153,7 +153,7 @@
         state.metrics.counter("paddlemount_runs_crashed_total", &[]).increment(1);
         let Run { fingerprint, route, tenant, engine, began } = run;
         let crash = Crash { fingerprint, engine, route, tenant: Some(tenant), began, ended };
-        state.quarantine.lock().crashed(crash, state.clock.now());
+        state.quarantine.lock().record_crash(crash, state.clock.now());
     });
 }
 
--- a/crates/node/src/settings/overload.rs
+++ b/crates/node/src/settings/overload.rs
@@ -25,7 +25,7 @@
     admission.queue_length = section.number(document, "queue_length", length, 0..=100_000) as usize;
     admission.max_wait = section.milliseconds(document, "longest_wait_ms", 2_000, 1..=60_000);
     let reserved = section.number(document, "reserved_percent", 10, 0..=50);
-    admission.reserved_part = reserved as f64 / 100.0;
+    admission.reserved_fraction = reserved as f64 / 100.0;
     admission.concurrency.target_queueing =
         section.milliseconds(document, "target_queueing_ms", 200, 1..=10_000);
     section.finish(document);
--- a/specs/src/configuration.rs
+++ b/specs/src/configuration.rs
@@ -247,7 +247,7 @@
                 let before = view.replica.revision();
                 let document: RevisedConfiguration = (**document).clone();
                 let revision = document.revision;
-                view.replica.update(|replica| replica.stored(revision, document.configuration));
+                view.replica.update(|replica| replica.install_stored(revision, document.configuration));
                 view.fell |= view.replica.revision() < before;
                 steps.push(Step { label: format!("node {node} learns revision {revision}"), state: next });
             }
