--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -115,7 +115,7 @@
     phase: Phase,
     replies: BTreeMap<NodeId, Option<ClaimReply>>,
     /// Number of replicas asked so far, in order.
-    asked: usize,
+    contacted: usize,
     /// When the next replica is asked although one has not replied.
     next_ask_at: Timestamp,
     acknowledged: Vec<NodeId>,
@@ -140,7 +140,7 @@
             reply_timeout: settings.reply_timeout,
             phase: Phase::Claiming,
             replies: BTreeMap::new(),
-            asked: 0,
+            contacted: 0,
             next_ask_at: now + settings.reply_timeout / NEXT_REPLICA_DIVISOR,
             acknowledged: Vec::new(),
             answer: None,
@@ -198,15 +198,15 @@
     fn ask_next(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         let next = if self.count_granted() > 0 {
             self.request.replicas.len()
-        } else if self.is_held() || (self.replies.len() < self.asked && now < self.next_ask_at) {
-            self.asked
+        } else if self.is_held() || (self.replies.len() < self.contacted && now < self.next_ask_at) {
+            self.contacted
         } else {
-            (self.asked + 1).min(self.request.replicas.len())
+            (self.contacted + 1).min(self.request.replicas.len())
         };
         let message = self.claim_message(now);
         let send = |to: &NodeId| ClaimAction::Send { to: to.clone(), message: message.clone() };
-        let actions = self.request.replicas[self.asked..next].iter().map(send).collect();
-        self.asked = next;
+        let actions = self.request.replicas[self.contacted..next].iter().map(send).collect();
+        self.contacted = next;
         if now >= self.next_ask_at {
             self.next_ask_at = now + self.reply_timeout / NEXT_REPLICA_DIVISOR;
         }
@@ -259,7 +259,7 @@
         if let Some(outcome) = verdict::known_outcome(&self.replies, self.request.fingerprint) {
             return self.abandon(outcome);
         }
-        let waiting = self.asked - self.replies.len();
+        let waiting = self.contacted - self.replies.len();
         if waiting == 0 || now >= self.wait_until {
             return self.abandon(verdict::not_granted(&self.replies));
         }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -38,7 +38,7 @@
 pub enum LeaseEvent {
     Tick,
     Answered(LeaseResult),
-    /// The store could not be reached or refused due to its load, or its reply was lost.
+    /// The store could not be reached, refused due to its load, or its reply was lost.
     Failed,
     /// A receiver of orders has seen a higher token: another node holds the lease.
     Fenced,
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -286,7 +286,7 @@
     pub fn receive_report(
         &mut self,
         node: NodeId,
-        heard: u32,
+        nodes: u32,
         spending: Vec<TenantSpending>,
         now: Timestamp,
     ) -> usize {
@@ -302,7 +302,7 @@
                 None => rejected += 1,
             }
         }
-        self.children.receive_report(node, heard, demands, now);
+        self.children.receive_report(node, nodes, demands, now);
         rejected
     }
 
--- a/crates/core/src/membership/regions.rs
+++ b/crates/core/src/membership/regions.rs
@@ -17,7 +17,7 @@
 
 use super::{Membership, Purpose};
 
-/// Age of a summary beyond which listed nodes are tried besides its representatives.
+/// Age of a summary beyond which listed nodes are preferred to its representatives.
 const STALE_AGE: Duration = Duration::from_secs(15);
 
 /// One in this many messages carries a complete summary.
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -324,9 +324,9 @@
             return;
         }
         let others = self.suspicions.iter().filter(|(fingerprint, _)| **fingerprint != newest);
-        let least = others.min_by_key(|(_, suspicion)| (suspicion.counted, suspicion.last_update()));
-        let least = least.map(|(fingerprint, _)| *fingerprint);
-        if let Some(fingerprint) = least {
+        let weakest = others.min_by_key(|(_, suspicion)| (suspicion.counted, suspicion.last_update()));
+        let weakest = weakest.map(|(fingerprint, _)| *fingerprint);
+        if let Some(fingerprint) = weakest {
             self.suspicions.remove(&fingerprint);
         }
     }
--- a/crates/core/tests/peers_start.rs
+++ b/crates/core/tests/peers_start.rs
@@ -82,7 +82,8 @@
     if RESTARTED.contains(&peer) && running < WITHOUT_CONFIRMATIONS {
         return ConfigurationGossip { revision: Revision(1), ..ConfigurationGossip::default() };
     }
-    let mut members: Vec<MemberConfirmation> = (3..NODES).map(|number| heard(number, Duration::ZERO)).collect();
+    let mut members: Vec<MemberConfirmation> =
+        (3..NODES).map(|number| heard(number, Duration::ZERO)).collect();
     members.extend(RESTARTED.map(|number| heard(number, LAST_CONFIRMATION_AGE + running)));
     let store_age = Some(STORE_READ_AGE + running).filter(|age| *age < STALE_AFTER);
     ConfigurationGossip {
