--- a/crates/core/src/configuration/freshness.rs
+++ b/crates/core/src/configuration/freshness.rs
@@ -60,9 +60,14 @@
     }
 
     /// Records that peer `from` held nothing newer when it answered a request sent at `requested_at`, and
-    /// passed on the confirmations in `heard`.
-    pub fn confirm_by_peer(&mut self, from: &NodeId, heard: &MemberConfirmations, requested_at: Timestamp) {
-        for entry in &heard.0 {
+    /// passed on the confirmations in `confirmations`.
+    pub fn confirm_by_peer(
+        &mut self,
+        from: &NodeId,
+        confirmations: &MemberConfirmations,
+        requested_at: Timestamp,
+    ) {
+        for entry in &confirmations.0 {
             let age = Duration::from_millis(u64::from(entry.age_steps) * CONFIRMATION_AGE_STEP_MS);
             let latest = self.members.entry(entry.member).or_insert(Timestamp::ZERO);
             *latest = (*latest).max(requested_at - age);
--- a/crates/core/tests/configuration_replica.rs
+++ b/crates/core/tests/configuration_replica.rs
@@ -92,7 +92,7 @@
     assert!(!replica.may_serve(membership.table(), base, now + Duration::from_secs(8)));
 }
 
-fn heard(members: &[u8]) -> MemberConfirmations {
+fn confirmations(members: &[u8]) -> MemberConfirmations {
     let entry = |number: &u8| MemberConfirmation { member: short_hash(&record(*number).node), age_steps: 0 };
     MemberConfirmations(members.iter().map(entry).collect())
 }
@@ -106,11 +106,11 @@
         freshness.confirm_by_peer(&record(source).node, &MemberConfirmations::default(), now);
     }
     freshness.count_self(membership.table());
-    freshness.confirm_by_peer(&record(1).node, &heard(&[1]), now);
+    freshness.confirm_by_peer(&record(1).node, &confirmations(&[1]), now);
     let base = membership.quorum_base();
     assert_eq!(base, 5);
     assert_eq!(freshness.confirmed_at(membership.table(), base, now), None);
-    freshness.confirm_by_peer(&record(1).node, &heard(&[2]), now);
+    freshness.confirm_by_peer(&record(1).node, &confirmations(&[2]), now);
     assert_eq!(freshness.confirmed_at(membership.table(), base, now), Some(now));
 }
 
@@ -119,11 +119,11 @@
     let membership = membership(4);
     let now = START + Duration::from_secs(5);
     let mut freshness = Freshness::default();
-    freshness.confirm_by_peer(&record(1).node, &heard(&[1, 2]), now);
+    freshness.confirm_by_peer(&record(1).node, &confirmations(&[1, 2]), now);
     freshness.count_self(membership.table());
     assert_eq!(freshness.confirmed_at(membership.table(), 5, now), None);
-    freshness.confirm_by_peer(&record(2).node, &heard(&[1, 2]), now);
-    freshness.confirm_by_peer(&record(3).node, &heard(&[1, 2]), now);
+    freshness.confirm_by_peer(&record(2).node, &confirmations(&[1, 2]), now);
+    freshness.confirm_by_peer(&record(3).node, &confirmations(&[1, 2]), now);
     freshness.count_self(membership.table());
     assert_eq!(freshness.confirmed_at(membership.table(), 5, now), Some(now));
 }
--- a/crates/core/tests/peers_start.rs
+++ b/crates/core/tests/peers_start.rs
@@ -70,7 +70,7 @@
     u64::try_from(age.as_millis()).expect("a short time")
 }
 
-fn heard(number: u16, age: Duration) -> MemberConfirmation {
+fn confirmation(number: u16, age: Duration) -> MemberConfirmation {
     let age_steps = u8::try_from(milliseconds(age).div_ceil(CONFIRMATION_AGE_STEP_MS)).expect("a short time");
     MemberConfirmation { member: short_hash(&record(number).node), age_steps }
 }
@@ -83,8 +83,8 @@
         return ConfigurationGossip { revision: Revision(1), ..ConfigurationGossip::default() };
     }
     let mut members: Vec<MemberConfirmation> =
-        (3..NODES).map(|number| heard(number, Duration::ZERO)).collect();
-    members.extend(RESTARTED.map(|number| heard(number, LAST_CONFIRMATION_AGE + running)));
+        (3..NODES).map(|number| confirmation(number, Duration::ZERO)).collect();
+    members.extend(RESTARTED.map(|number| confirmation(number, LAST_CONFIRMATION_AGE + running)));
     let store_age = Some(STORE_READ_AGE + running).filter(|age| *age < STALE_AFTER);
     ConfigurationGossip {
         revision: Revision(1),
