--- a/crates/core/src/configuration/confirmation.rs
+++ b/crates/core/src/configuration/confirmation.rs
@@ -31,8 +31,8 @@
         self.revision
     }
 
-    /// Returns the live members to ask now; each must be followed by [`record_answer`](Self::record_answer) or
-    /// [`record_failure`](Self::record_failure).
+    /// Returns the live members to ask now; each must be followed by [`record_answer`](Self::record_answer)
+    /// or [`record_failure`](Self::record_failure).
     pub fn to_ask(&mut self, table: &MemberTable) -> Vec<(NodeId, SocketAddr)> {
         let own = &table.own().node;
         let is_open = |node: &NodeId| !self.holding.contains(node) && !self.pending.contains(node);
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Returns records for `receiver` within [`MAX_UPDATE_BYTES`]: first the receiver's own record if it is not
-    /// alive, so that the receiver can refute it, then the least often sent ones.
+    /// Returns records for `receiver` within [`MAX_UPDATE_BYTES`]: first the receiver's own record if it is
+    /// not alive, so that the receiver can refute it, then the least often sent ones.
     pub(super) fn updates_for(&mut self, receiver: &MemberRecord, table: &MemberTable) -> Vec<MemberRecord> {
         let receiver_record = table.get(&receiver.node).filter(|record| record.state != MemberState::Alive);
         let mut updates: Vec<MemberRecord> = receiver_record.cloned().into_iter().collect();
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Settings of a node's [`Membership`].
+/// Settings of a node's [`Membership`](super::Membership).
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
     pub node: NodeId,
@@ -62,10 +62,10 @@
     }
 }
 
-/// An input to [`Membership::handle`].
+/// An input to [`Membership::handle`](super::Membership::handle).
 #[derive(Clone, Debug)]
 pub enum MembershipEvent<'a> {
-    /// The time of [`Membership::next_wakeup`] has come.
+    /// The time of [`Membership::next_wakeup`](super::Membership::next_wakeup) has come.
     Tick,
     /// A peer calls this node.
     Request {
@@ -91,7 +91,7 @@
     Stop,
 }
 
-/// An output of [`Membership::handle`] for the driver.
+/// An output of [`Membership::handle`](super::Membership::handle) for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Call a peer; exactly one `Answer` or `Failed` must follow.
--- a/crates/core/src/peers/types.rs
+++ b/crates/core/src/peers/types.rs
@@ -49,10 +49,10 @@
     Put(StorePutResult),
 }
 
-/// An input to [`Peers::handle`].
+/// An input to [`Peers::handle`](super::Peers::handle).
 #[derive(Clone, Debug)]
 pub enum PeerEvent<'a> {
-    /// The time of [`Peers::next_wakeup`] has come.
+    /// The time of [`Peers::next_wakeup`](super::Peers::next_wakeup) has come.
     Tick,
     /// A peer calls this node; the driver numbers the call.
     Request {
@@ -85,7 +85,7 @@
     Stop,
 }
 
-/// An output of [`Peers::handle`] for the driver.
+/// An output of [`Peers::handle`](super::Peers::handle) for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerAction {
     /// Call a peer; exactly one `Answer` or `Failed` must follow.
