--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -62,7 +62,7 @@
     /// Requested units per second over the same nodes, as far as known.
     pub demand: f64,
     /// The fraction of the nodes that share the level.
-    pub part: f64,
+    pub fraction: f64,
     /// Age of the level from the parent; `None` if this node owns the level.
     pub report_age: Option<Duration>,
 }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes over the quotas of a configuration. Tenants that are not named have none.
+    /// Replaces the quotas by those of a configuration. Tenants that are not listed have none.
     pub fn configure<'a>(
         &mut self,
         quotas: impl Iterator<Item = (&'a TenantId, &'a TenantQuota)>,
@@ -189,7 +189,7 @@
             per_second: account.quota.per_second,
             level: account.level(),
             demand: account.demand().max(account.own_demand(now)),
-            part: self.sharing.fraction,
+            fraction: self.sharing.fraction,
             report_age: report_age.filter(|_| !self.sharing.owns_level),
         })
     }
@@ -286,7 +286,7 @@
     pub fn receive_report(
         &mut self,
         node: NodeId,
-        heard: u32,
+        nodes: u32,
         spending: Vec<TenantSpending>,
         now: Timestamp,
     ) -> usize {
@@ -302,7 +302,7 @@
                 None => rejected += 1,
             }
         }
-        self.children.receive_report(node, heard, demands, now);
+        self.children.receive_report(node, nodes, demands, now);
         rejected
     }
 
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Settings of a node's [`Membership`].
+/// Settings of a node's [`Membership`](super::Membership).
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
     pub node: NodeId,
@@ -62,10 +62,10 @@
     }
 }
 
-/// An input to [`Membership::handle`].
+/// An input to [`Membership::handle`](super::Membership::handle).
 #[derive(Clone, Debug)]
 pub enum MembershipEvent<'a> {
-    /// The time of [`Membership::next_wakeup`] has come.
+    /// The time of [`Membership::next_wakeup`](super::Membership::next_wakeup) has come.
     Tick,
     /// A peer calls this node.
     Request {
@@ -91,20 +91,27 @@
     Stop,
 }
 
-/// An output of [`Membership::handle`] for the driver.
+/// An output of [`Membership::handle`](super::Membership::handle) for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Call a peer; exactly one `Answer` or `Failed` must follow.
-    Call { call: CallId, address: SocketAddr, request: MembershipRequest, timeout: Duration },
+    Call {
+        call: CallId,
+        address: SocketAddr,
+        request: MembershipRequest,
+        timeout: Duration,
+    },
     Answer {
         call: CallId,
-        /// The answer.
         answer: MembershipAnswer,
     },
     /// A member of this region was added or changed.
     Changed(MemberRecord),
     /// An item arrived from a peer.
-    Item { from: NodeId, item: PiggybackItem },
+    Item {
+        from: NodeId,
+        item: PiggybackItem,
+    },
     /// A later incarnation runs under this node's name; this process must stop.
     Superseded,
 }
--- a/crates/core/tests/configuration_replica.rs
+++ b/crates/core/tests/configuration_replica.rs
@@ -1,4 +1,4 @@
-//! A node's document never goes back, and is fresh only where that was shown.
+//! A node's document never goes back to an older revision, and is fresh only with a confirmation.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The membership of node 0 that knows nodes 1 to `others`.
+/// The membership of node 0, which knows nodes 1 to `others`.
 fn membership(others: u8) -> Membership {
     let own = record(0);
     let settings = MembershipSettings {
@@ -62,11 +62,11 @@
     RevisedConfiguration { revision: Revision(revision), configuration: Configuration::default() }
 }
 
-/// Lets the store answer a replica that asks it.
+/// Answers a replica's store call.
 fn answer_store(replica: &mut Replica, membership: &Membership, now: Timestamp, revision: u64) {
     let asked = replica.tick(membership.table(), membership.quorum_base(), now);
     assert!(matches!(asked, Some(ReplicaAction::Watch(_))), "{asked:?}");
-    replica.store_answered(Ok(StoredDocument::Present(document(revision))), now);
+    replica.handle_store_reply(Ok(StoredDocument::Present(document(revision))), now);
 }
 
 #[test]
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn without_store_and_majority_a_node_stops_serving_after_the_stated_bound() {
+fn without_store_and_majority_a_node_stops_serving_after_the_bound() {
     let membership = membership(2);
     let mut replica = Replica::new(START, Duration::ZERO, false);
     let now = START + Duration::from_secs(1);
@@ -92,7 +92,7 @@
     assert!(!replica.may_serve(membership.table(), base, now + Duration::from_secs(8)));
 }
 
-fn heard(members: &[u8]) -> MemberConfirmations {
+fn confirmations(members: &[u8]) -> MemberConfirmations {
     let entry = |number: &u8| MemberConfirmation { member: short_hash(&record(*number).node), age_steps: 0 };
     MemberConfirmations(members.iter().map(entry).collect())
 }
@@ -106,11 +106,11 @@
         freshness.confirm_by_peer(&record(source).node, &MemberConfirmations::default(), now);
     }
     freshness.count_self(membership.table());
-    freshness.confirm_by_peer(&record(1).node, &heard(&[1]), now);
+    freshness.confirm_by_peer(&record(1).node, &confirmations(&[1]), now);
     let base = membership.quorum_base();
     assert_eq!(base, 5);
     assert_eq!(freshness.confirmed_at(membership.table(), base, now), None);
-    freshness.confirm_by_peer(&record(1).node, &heard(&[2]), now);
+    freshness.confirm_by_peer(&record(1).node, &confirmations(&[2]), now);
     assert_eq!(freshness.confirmed_at(membership.table(), base, now), Some(now));
 }
 
@@ -119,17 +119,17 @@
     let membership = membership(4);
     let now = START + Duration::from_secs(5);
     let mut freshness = Freshness::default();
-    freshness.confirm_by_peer(&record(1).node, &heard(&[1, 2]), now);
+    freshness.confirm_by_peer(&record(1).node, &confirmations(&[1, 2]), now);
     freshness.count_self(membership.table());
     assert_eq!(freshness.confirmed_at(membership.table(), 5, now), None);
-    freshness.confirm_by_peer(&record(2).node, &heard(&[1, 2]), now);
-    freshness.confirm_by_peer(&record(3).node, &heard(&[1, 2]), now);
+    freshness.confirm_by_peer(&record(2).node, &confirmations(&[1, 2]), now);
+    freshness.confirm_by_peer(&record(3).node, &confirmations(&[1, 2]), now);
     freshness.count_self(membership.table());
     assert_eq!(freshness.confirmed_at(membership.table(), 5, now), Some(now));
 }
 
 #[test]
-fn whatever_is_read_the_revision_never_goes_back() {
+fn the_revision_never_decreases_whatever_the_store_returns() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|revisions| {
         let membership = membership(0);
         let mut replica = Replica::new(START, Duration::ZERO, false);
