--- a/crates/core/src/routing/back_off.rs
+++ b/crates/core/src/routing/back_off.rs
@@ -52,7 +52,7 @@
         view.is_backing_off(now).then(|| view.backed_off_until.saturating_since(now))
     }
 
-    /// Returns the shortest remaining back-off time among the engines that candidates serve `request`, or `None`
+    /// Returns the shortest remaining back-off time among the engines that could serve `request`, or `None`
     /// unless all of them are backing off. Engines excluded after earlier attempts count as well.
     pub fn min_back_off(&self, request: &RouteRequest<'_>, now: Timestamp) -> Option<Duration> {
         let members = self.engines.members(request.pool).iter();
