--- a/crates/cli/src/ctl/output.rs
+++ b/crates/cli/src/ctl/output.rs
@@ -53,9 +53,9 @@
     /// Prints one line.
     pub fn print(&mut self, line: &WatchLine) -> Result<(), CtlError> {
         match (self.format, line) {
-            (_, WatchLine::Alive) => Ok(()),
+            (_, WatchLine::Heartbeat) => Ok(()),
             (Format::Json, line) => write(&json_line(line)?),
-            (Format::Text, WatchLine::Rows { table }) => write(&render::single_line(table)),
+            (Format::Text, WatchLine::Rows { table }) => write(&render::key_value_lines(table)),
             (Format::Csv, WatchLine::Rows { table }) => {
                 let has_heads = std::mem::replace(&mut self.has_heads, true);
                 write(&if has_heads { render::csv_rows(table) } else { render::csv(table) })
@@ -64,7 +64,7 @@
                 eprintln!("note: {rows} rows of {node} were gone before they could be read");
                 Ok(())
             }
-            (_, WatchLine::Silent { node, problem }) => {
+            (_, WatchLine::Unresponsive { node, problem }) => {
                 eprintln!("note: {node} does not answer: {problem}");
                 Ok(())
             }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -3,7 +3,7 @@
 //! `std::time::Instant` and the timers of the runtime stand still while a machine is suspended. A lease, a fence, a quota
 //! or the age of a configuration that is counted by them goes on holding after the machine wakes, though all others have
 //! counted on. So whatever ends by time is compared with this clock, and what waits for a moment waits by
-//! [`SteadyClock::within`], which looks at the clock again after a suspension.
+//! [`SteadyClock::timeout_at`], which looks at the clock again after a suspension.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -27,17 +27,17 @@
 impl SteadyClock {
     /// A clock that begins now, at `start`.
     pub fn starting_at(start: Timestamp) -> Self {
-        Self::reading(since_boot, start)
+        Self::with_source(since_boot, start)
     }
 
     /// A clock that begins now, at the time of day.
-    pub fn starting_at_time_of_day() -> Self {
+    pub fn starting_at_system_time() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self::starting_at(Timestamp::ZERO + since_epoch)
     }
 
     /// A clock that begins now, at `start`, and reads `source`.
-    pub fn reading(source: Source, start: Timestamp) -> Self {
+    pub fn with_source(source: Source, start: Timestamp) -> Self {
         Self { source, origin: source(), start }
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// What comes of `future`; nothing where it has not ended by `until`. A suspension counts.
-    pub async fn within<T>(self, until: Timestamp, future: impl Future<Output = T>) -> Option<T> {
+    pub async fn timeout_at<T>(self, until: Timestamp, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
             done = future => Some(done),
@@ -67,8 +67,8 @@
     }
 
     /// What comes of `future`; nothing where it has not ended after `patience`. A suspension counts.
-    pub async fn within_time<T>(self, patience: Duration, future: impl Future<Output = T>) -> Option<T> {
-        self.within(self.now() + patience, future).await
+    pub async fn timeout<T>(self, patience: Duration, future: impl Future<Output = T>) -> Option<T> {
+        self.timeout_at(self.now() + patience, future).await
     }
 }
 
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -282,7 +282,7 @@
     if status.is_server_error() {
         let event = HealthEvent::Failed;
         node.health(backend, event, false);
-        let whole = node.clock.within(give_up_at, take_whole(node, begun)).await;
+        let whole = node.clock.timeout_at(give_up_at, take_whole(node, begun)).await;
         let detail = format!("status {status}");
         return match whole {
             Some(Ok(answer)) => {
--- a/crates/forward/src/caller_stream.rs
+++ b/crates/forward/src/caller_stream.rs
@@ -126,7 +126,7 @@
         let _ = self.shut_down();
         let linger = if self.host.is_stopping() { LINGER_AT_STOP } else { LINGER };
         let crossed = Cell::new(0);
-        self.host.clock().within_time(linger, self.read_to_end(&crossed)).await;
+        self.host.clock().timeout(linger, self.read_to_end(&crossed)).await;
         let bytes = crossed.get();
         if bytes > 0 {
             let open_ms = self.now().saturating_since(self.opened_at).as_millis() as u64;
--- a/crates/forward/src/calls.rs
+++ b/crates/forward/src/calls.rs
@@ -52,7 +52,7 @@
         request: Request<Bytes>,
         patience: Duration,
     ) -> Result<Response<Bytes>, CallError> {
-        let answer = self.clock.within_time(patience, self.exchange(request)).await;
+        let answer = self.clock.timeout(patience, self.exchange(request)).await;
         answer.ok_or(CallError::Timeout(patience))?
     }
 
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -119,7 +119,7 @@
     async fn read_body(&mut self, body: Incoming) -> Result<(), Reason> {
         let most = self.node.beliefs.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
         let reading = Limited::new(body, most).collect();
-        match self.node.clock.within(self.give_up_at, reading).await {
+        match self.node.clock.timeout_at(self.give_up_at, reading).await {
             Some(Ok(whole)) => {
                 self.body = whole.to_bytes();
                 Ok(())
@@ -277,7 +277,7 @@
     }
 
     async fn finish_whole(&mut self, begun: Begun) -> Result<Response<Bytes>, Ended> {
-        match self.node.clock.within(self.give_up_at, take_whole(&self.node, begun)).await {
+        match self.node.clock.timeout_at(self.give_up_at, take_whole(&self.node, begun)).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(detail)) => {
                 self.spent.may_have_run = true;
--- a/crates/language/src/answer.rs
+++ b/crates/language/src/answer.rs
@@ -19,7 +19,7 @@
     pub body: Body,
     /// The nodes that were asked, and what each said; empty where one node answers by itself.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub members: Vec<MemberAnswer>,
+    pub members: Vec<MemberStatus>,
     /// What limits the answer: nodes that did not answer, rows left out.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<String>,
@@ -64,7 +64,7 @@
 
 /// What one node said to a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberAnswer {
+pub struct MemberStatus {
     /// The node.
     pub node: NodeId,
     /// Whether it answered within the deadline.
@@ -81,7 +81,7 @@
 
 /// A question from the node that was asked to another member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberQuestion {
+pub struct MemberQuery {
     /// The statement, as text of the language.
     pub statement: String,
     /// Rows wanted at most.
@@ -143,19 +143,21 @@
         rows: u64,
     },
     /// A member that did not answer.
-    Silent {
+    #[serde(rename = "silent")]
+    Unresponsive {
         /// The member.
         node: NodeId,
         /// Why.
         problem: String,
     },
     /// Nothing happened; sent so that either side notices a broken connection.
-    Alive,
+    #[serde(rename = "alive")]
+    Heartbeat,
 }
 
 /// Why a statement was not answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Problem {
+pub struct QueryError {
     /// The refusal.
     pub error: Refusal,
     /// Where the statement is wrong, if it is.
@@ -183,14 +185,14 @@
 
 /// The head of a column.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ColumnHead {
+pub struct ColumnHeader {
     /// The column's name.
     pub name: String,
     /// The type of its values.
     pub kind: Kind,
 }
 
-impl ColumnHead {
+impl ColumnHeader {
     /// A head.
     pub fn new(name: &str, kind: Kind) -> Self {
         Self { name: name.to_owned(), kind }
@@ -202,14 +204,14 @@
 #[serde(into = "PlainTable", try_from = "PlainTable")]
 pub struct Table {
     /// The heads.
-    pub columns: Vec<ColumnHead>,
+    pub columns: Vec<ColumnHeader>,
     /// The rows; each has one value for each head.
     pub rows: Vec<Vec<Value>>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct PlainTable {
-    columns: Vec<ColumnHead>,
+    columns: Vec<ColumnHeader>,
     rows: Vec<Vec<serde_json::Value>>,
 }
 
@@ -223,25 +225,25 @@
 /// A table whose rows do not fit its heads.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("row {row} of the table does not fit its columns")]
-pub struct MisshapenTable {
+pub struct InvalidTable {
     /// The row, counted from 0.
     pub row: usize,
 }
 
 impl TryFrom<PlainTable> for Table {
-    type Error = MisshapenTable;
+    type Error = InvalidTable;
 
-    fn try_from(plain: PlainTable) -> Result<Self, MisshapenTable> {
+    fn try_from(plain: PlainTable) -> Result<Self, InvalidTable> {
         let mut rows = Vec::with_capacity(plain.rows.len());
         for (index, cells) in plain.rows.iter().enumerate() {
-            let row = read_row(&plain.columns, cells).ok_or(MisshapenTable { row: index })?;
+            let row = read_row(&plain.columns, cells).ok_or(InvalidTable { row: index })?;
             rows.push(row);
         }
         Ok(Self { columns: plain.columns, rows })
     }
 }
 
-fn read_row(columns: &[ColumnHead], cells: &[serde_json::Value]) -> Option<Vec<Value>> {
+fn read_row(columns: &[ColumnHeader], cells: &[serde_json::Value]) -> Option<Vec<Value>> {
     if cells.len() != columns.len() {
         return None;
     }
@@ -249,7 +251,7 @@
 }
 
 /// How a change ended, in one sentence.
-pub fn outcome_sentence(outcome: &ChangeOutcome) -> String {
+pub fn describe_outcome(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::InForce { revision, after_ms } => {
             format!("in force everywhere as revision {revision} after {after_ms} ms")
--- a/crates/language/src/change.rs
+++ b/crates/language/src/change.rs
@@ -16,7 +16,7 @@
 pub enum CommandError {
     /// `create` of an object that exists.
     #[error("{object} {name} exists already; use: set {object} {name} …")]
-    Exists {
+    AlreadyExists {
         /// Its kind.
         object: &'static str,
         /// Its name.
@@ -24,7 +24,7 @@
     },
     /// A command on an object that does not exist.
     #[error("there is no {object} {name}; see: show {object}s")]
-    Missing {
+    NotFound {
         /// Its kind.
         object: &'static str,
         /// Its name.
@@ -32,7 +32,7 @@
     },
     /// A setting that must be given.
     #[error("{object} {name} needs the setting {setting}")]
-    SettingNeeded {
+    MissingSetting {
         /// The object's kind.
         object: &'static str,
         /// Its name.
@@ -42,7 +42,7 @@
     },
     /// A value that a setting cannot have.
     #[error("{setting} must be {allowed}")]
-    BadValue {
+    InvalidValue {
         /// The setting.
         setting: &'static str,
         /// What is allowed.
@@ -93,7 +93,7 @@
     configuration: &Configuration,
 ) -> Result<Change, CommandError> {
     if exists(object, name, configuration) {
-        return Err(CommandError::Exists { object: object.name(), name: name.to_owned() });
+        return Err(CommandError::AlreadyExists { object: object.name(), name: name.to_owned() });
     }
     match object {
         Object::Tenant => put_tenant(name, Tenant::default(), settings),
@@ -108,7 +108,7 @@
     settings: &[Setting],
     configuration: &Configuration,
 ) -> Result<Change, CommandError> {
-    let missing = || CommandError::Missing { object: object.name(), name: name.to_owned() };
+    let missing = || CommandError::NotFound { object: object.name(), name: name.to_owned() };
     match object {
         Object::Tenant => {
             let tenant = configuration.tenants.get(&TenantId::from(name)).ok_or_else(missing)?;
@@ -127,7 +127,7 @@
 
 fn delete(object: Object, name: &str, configuration: &Configuration) -> Result<Change, CommandError> {
     if !exists(object, name, configuration) {
-        return Err(CommandError::Missing { object: object.name(), name: name.to_owned() });
+        return Err(CommandError::NotFound { object: object.name(), name: name.to_owned() });
     }
     Ok(match object {
         Object::Tenant => Change::DeleteTenant { tenant: name.into() },
@@ -145,7 +145,7 @@
 }
 
 fn pool_of<'a>(pool: &PoolId, configuration: &'a Configuration) -> Result<&'a Pool, CommandError> {
-    let missing = || CommandError::Missing { object: Object::Pool.name(), name: pool.as_str().to_owned() };
+    let missing = || CommandError::NotFound { object: Object::Pool.name(), name: pool.as_str().to_owned() };
     configuration.pools.get(pool).ok_or_else(missing)
 }
 
@@ -178,7 +178,7 @@
 }
 
 fn new_pool(name: &str, settings: &[Setting]) -> Result<Pool, CommandError> {
-    let needs = |setting| CommandError::SettingNeeded { object: "pool", name: name.to_owned(), setting };
+    let needs = |setting| CommandError::MissingSetting { object: "pool", name: name.to_owned(), setting };
     let given = |wanted: &str| settings.iter().find(|setting| setting.field.name == wanted);
     let model = given("model").ok_or_else(|| needs("model"))?;
     let weights = given("weights").ok_or_else(|| needs("weights"))?;
@@ -212,7 +212,7 @@
 }
 
 const fn bad(setting: &Setting, allowed: &'static str) -> CommandError {
-    CommandError::BadValue { setting: setting.field.name, allowed }
+    CommandError::InvalidValue { setting: setting.field.name, allowed }
 }
 
 fn whole(setting: &Setting) -> Result<u64, CommandError> {
--- a/crates/language/src/evaluate.rs
+++ b/crates/language/src/evaluate.rs
@@ -8,7 +8,7 @@
 use paddlemount_protocol::time::Timestamp;
 
 use crate::{
-    answer::{ColumnHead, Table},
+    answer::{ColumnHeader, Table},
     glob,
     schema::{FieldSchema, Merge, Noun},
     source::{Row, Source},
@@ -136,7 +136,7 @@
 }
 
 fn age_of(row: &Row) -> u64 {
-    match row.named("age") {
+    match row.get_by_name("age") {
         Value::Duration(microseconds) => *microseconds,
         _ => u64::MAX,
     }
@@ -182,7 +182,7 @@
     query.noun.fields().filter(|field| field.name != left_out).map(Column::Field).collect()
 }
 
-fn column_head(column: &Column) -> ColumnHead {
+fn column_head(column: &Column) -> ColumnHeader {
     let kind = match column {
         Column::Field(field) => field.kind,
         Column::Aggregate(aggregate) => match (aggregate.function, aggregate.field) {
@@ -190,7 +190,7 @@
             (_, Some(field)) => field.kind,
         },
     };
-    ColumnHead { name: column.to_string(), kind }
+    ColumnHeader { name: column.to_string(), kind }
 }
 
 /// Rows that belong together; each row by itself where the query does not group.
--- a/crates/language/src/grammar.rs
+++ b/crates/language/src/grammar.rs
@@ -38,7 +38,7 @@
 };
 
 /// Bytes of one statement at most.
-pub const MAX_TEXT_BYTES: usize = 256 << 10;
+pub const MAX_STATEMENT_BYTES: usize = 256 << 10;
 
 /// Depth of brackets and negations in one condition at most.
 pub const MAX_NESTING: usize = 32;
@@ -68,11 +68,11 @@
 
 /// Reads one statement.
 pub fn parse(text: &str) -> Result<Statement, SyntaxError> {
-    if text.len() > MAX_TEXT_BYTES {
+    if text.len() > MAX_STATEMENT_BYTES {
         return Err(SyntaxError {
             text: String::new(),
             place: 0..0,
-            problem: format!("the statement has {} bytes; {MAX_TEXT_BYTES} are allowed", text.len()),
+            problem: format!("the statement has {} bytes; {MAX_STATEMENT_BYTES} are allowed", text.len()),
             expected: Vec::new(),
             nearest: None,
         });
--- a/crates/language/src/grammar/command.rs
+++ b/crates/language/src/grammar/command.rs
@@ -92,7 +92,7 @@
 fn object(input: &mut Tokens<'_, '_>) -> Parsed<Object> {
     let token = any_word(input)?;
     let words = Object::ALL.iter().map(|object| object.name());
-    Object::named(token.text).ok_or_else(|| Failure::expected(token, words).cut())
+    Object::from_name(token.text).ok_or_else(|| Failure::expected(token, words).cut())
 }
 
 fn settings(input: &mut Tokens<'_, '_>, object: Object) -> Parsed<Vec<Setting>> {
--- a/crates/language/src/grammar/query.rs
+++ b/crates/language/src/grammar/query.rs
@@ -17,13 +17,13 @@
 use crate::{
     schema::{Mechanism, Noun},
     token::{Content, Sign, Token},
-    tree::{Aggregate, Column, Explain, Expression, Field, Function, Order, Query, RouteQuestion},
+    tree::{Aggregate, Column, Explain, Expression, Field, Function, Order, Query, RouteQuery},
     value::Kind,
 };
 
 /// Reads what follows `show`.
 pub fn show(input: &mut Tokens<'_, '_>) -> Parsed<Query> {
-    let noun = noun(input, Noun::named, "a noun (see: help show)")?;
+    let noun = noun(input, Noun::from_name, "a noun (see: help show)")?;
     let columns_at = next(input)?.clone();
     let columns = columns(input, noun)?;
     let filter = filter(input, noun)?;
@@ -40,7 +40,7 @@
 
 /// Reads what follows `watch`.
 pub fn watch(input: &mut Tokens<'_, '_>) -> Parsed<Query> {
-    let noun = noun(input, Noun::watched, "a mechanism or a noun (see: help watch)")?;
+    let noun = noun(input, Noun::from_watch_name, "a mechanism or a noun (see: help watch)")?;
     let columns_at = next(input)?.clone();
     let columns = columns(input, noun)?;
     let filter = filter(input, noun)?;
@@ -90,7 +90,7 @@
 
 fn column(input: &mut Tokens<'_, '_>, noun: Noun) -> Parsed<Column> {
     let token = next(input)?;
-    let function = if token.content == Content::Word { Function::named(token.text) } else { None };
+    let function = if token.content == Content::Word { Function::from_name(token.text) } else { None };
     match function {
         Some(function) => aggregate(input, noun, function).map(Column::Aggregate),
         None => field(input, noun).map(Column::Field),
@@ -217,5 +217,5 @@
     let pool = (keyword("pool"), name).parse_next(input)?.1;
     let tenant = (keyword("tenant"), name).parse_next(input)?.1;
     let prompt = (keyword("prompt"), quoted).parse_next(input)?.1;
-    Ok(Explain::Route(RouteQuestion { pool: PoolId::from(pool), tenant: TenantId::from(tenant), prompt }))
+    Ok(Explain::Route(RouteQuery { pool: PoolId::from(pool), tenant: TenantId::from(tenant), prompt }))
 }
--- a/crates/language/src/help.rs
+++ b/crates/language/src/help.rs
@@ -164,10 +164,10 @@
 
 /// The explanation of a word.
 pub fn topic(word: &str) -> Option<Topic> {
-    let by_noun = || Noun::named(word).map(noun_topic);
-    let by_mechanism = || Mechanism::named(word).map(mechanism_topic);
-    let by_object = || Object::named(word).map(object_topic);
-    let by_function = || Function::named(word).map(function_topic);
+    let by_noun = || Noun::from_name(word).map(noun_topic);
+    let by_mechanism = || Mechanism::from_name(word).map(mechanism_topic);
+    let by_object = || Object::from_name(word).map(object_topic);
+    let by_function = || Function::from_name(word).map(function_topic);
     word_topic(word).or_else(by_noun).or_else(by_mechanism).or_else(by_object).or_else(by_function)
 }
 
@@ -176,7 +176,7 @@
     let plain = WORDS.iter().map(|word| word.word);
     let nouns = Noun::ALL.iter().map(|noun| noun.name());
     let mechanisms = Mechanism::ALL.iter().map(|mechanism| mechanism.name());
-    let mechanisms = mechanisms.filter(|word| Noun::named(word).is_none());
+    let mechanisms = mechanisms.filter(|word| Noun::from_name(word).is_none());
     let objects = Object::ALL.iter().map(|object| object.name());
     let functions = Function::ALL.iter().map(|function| function.name());
     plain.chain(nouns).chain(mechanisms).chain(objects).chain(functions)
@@ -214,7 +214,7 @@
 }
 
 fn noun_topic(noun: Noun) -> Topic {
-    let mechanism = Mechanism::named(noun.name());
+    let mechanism = Mechanism::from_name(noun.name());
     let watched = mechanism.map_or(String::new(), |mechanism| format!(" In watch: {}", mechanism.help()));
     let text = format!("{}{watched}\n{}", noun.help(), field_lines(noun.fields()));
     Topic { word: noun.name(), text, example: format!("show {}", noun.name()) }
--- a/crates/language/src/lib.rs
+++ b/crates/language/src/lib.rs
@@ -23,4 +23,4 @@
 pub mod value;
 
 pub use error::SyntaxError;
-pub use grammar::{MAX_NESTING, MAX_TEXT_BYTES, parse, parse_bytes};
+pub use grammar::{MAX_NESTING, MAX_STATEMENT_BYTES, parse, parse_bytes};
--- a/crates/language/src/print.rs
+++ b/crates/language/src/print.rs
@@ -6,7 +6,7 @@
     grammar::is_reserved,
     token::{Content, UNITS, classify},
     tree::{
-        Action, Aggregate, ChangeCommand, Column, Explain, Expression, Literal, Order, Query, RouteQuestion,
+        Action, Aggregate, ChangeCommand, Column, Explain, Expression, Literal, Order, Query, RouteQuery,
         Setting, Statement,
     },
     value::Value,
@@ -152,7 +152,7 @@
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Request(request) => write!(formatter, "request {}", name(request.as_str())),
-            Self::Route(RouteQuestion { pool, tenant, prompt }) => {
+            Self::Route(RouteQuery { pool, tenant, prompt }) => {
                 let (pool, tenant) = (name(pool.as_str()), name(tenant.as_str()));
                 write!(formatter, "route pool {pool} tenant {tenant} prompt {}", quote(prompt))
             }
--- a/crates/language/src/render.rs
+++ b/crates/language/src/render.rs
@@ -49,7 +49,7 @@
 }
 
 /// A table line without the count, for rows that come one by one.
-pub fn single_line(table: &Table) -> String {
+pub fn key_value_lines(table: &Table) -> String {
     let mut text = String::new();
     for row in &table.rows {
         let cells = table.columns.iter().zip(row).filter(|(_, value)| **value != Value::None);
--- a/crates/language/src/schema.rs
+++ b/crates/language/src/schema.rs
@@ -129,14 +129,14 @@
     }
 
     /// The noun of a word in `show`.
-    pub fn named(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|noun| noun.name().eq_ignore_ascii_case(word))
     }
 
     /// The noun of a word in `watch`, where a mechanism goes before a noun of the same name.
-    pub fn watched(word: &str) -> Option<Self> {
-        let mechanism = Mechanism::named(word).map(Self::Mechanism);
-        mechanism.or_else(|| Self::named(word))
+    pub fn from_watch_name(word: &str) -> Option<Self> {
+        let mechanism = Mechanism::from_name(word).map(Self::Mechanism);
+        mechanism.or_else(|| Self::from_name(word))
     }
 }
 
@@ -192,7 +192,7 @@
 
 impl Mechanism {
     /// The mechanism of a word.
-    pub fn named(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|mechanism| mechanism.name().eq_ignore_ascii_case(word))
     }
 }
@@ -231,7 +231,7 @@
     }
 
     /// The object of a word.
-    pub fn named(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|object| object.name().eq_ignore_ascii_case(word))
     }
 
--- a/crates/language/src/source.rs
+++ b/crates/language/src/source.rs
@@ -5,7 +5,7 @@
 use paddlemount_protocol::time::Timestamp;
 
 use crate::{
-    answer::{ColumnHead, Table},
+    answer::{ColumnHeader, Table},
     schema::{FieldSchema, Noun},
     value::Value,
 };
@@ -50,14 +50,14 @@
     }
 
     /// The value of the field of a name.
-    pub fn named(&self, field: &str) -> &Value {
+    pub fn get_by_name(&self, field: &str) -> &Value {
         const UNKNOWN: &Value = &Value::None;
         self.noun.field(field).map_or(UNKNOWN, |field| self.get(field))
     }
 
     /// A table of rows with all fields of their noun.
     pub fn table(noun: Noun, rows: &[Self]) -> Table {
-        let columns = noun.fields().map(|field| ColumnHead::new(field.name, field.kind)).collect();
+        let columns = noun.fields().map(|field| ColumnHeader::new(field.name, field.kind)).collect();
         Table { columns, rows: rows.iter().map(|row| row.values.clone()).collect() }
     }
 
--- a/crates/language/src/tree.rs
+++ b/crates/language/src/tree.rs
@@ -130,7 +130,7 @@
     }
 
     /// The function of a word.
-    pub fn named(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|function| function.name().eq_ignore_ascii_case(word))
     }
 }
@@ -216,12 +216,12 @@
     /// Why a request went where it went.
     Request(RequestId),
     /// Where a prompt would go now.
-    Route(RouteQuestion),
+    Route(RouteQuery),
 }
 
 /// A prompt not sent yet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RouteQuestion {
+pub struct RouteQuery {
     /// The pool.
     pub pool: PoolId,
     /// The tenant.
--- a/crates/language/tests/evaluation.rs
+++ b/crates/language/tests/evaluation.rs
@@ -102,7 +102,8 @@
 fn a_selection_gives_the_first_rows_of_the_asked_order() {
     let query = query("show requests order by first_token desc limit 2");
     let selection = select(&query, &requests(), 10);
-    let shown: Vec<String> = selection.rows.iter().map(|row| row.named("request").to_string()).collect();
+    let shown: Vec<String> =
+        selection.rows.iter().map(|row| row.get_by_name("request").to_string()).collect();
     assert_eq!((shown, selection.truncated), (vec!["r100".to_owned(), "r99".to_owned()], false));
 }
 
@@ -114,7 +115,10 @@
     };
     let rows = merge(Noun::Engines, vec![belief("n1", 900, 5), belief("n2", 100, 9), belief("n3", 500, 1)]);
     assert_eq!(rows.len(), 1);
-    assert_eq!((rows[0].named("node"), rows[0].named("waiting")), (&"n2".into(), &Value::from(9_u64)));
+    assert_eq!(
+        (rows[0].get_by_name("node"), rows[0].get_by_name("waiting")),
+        (&"n2".into(), &Value::from(9_u64))
+    );
 }
 
 #[test]
--- a/crates/node/src/admin/change.rs
+++ b/crates/node/src/admin/change.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_core::decisions::Mechanism;
 use paddlemount_language::{
-    answer::{Answer, Body, outcome_sentence},
+    answer::{Answer, Body, describe_outcome},
     change::{TranslatedChange, translate},
     tree::{ChangeCommand, Statement},
 };
@@ -38,7 +38,7 @@
         },
     };
     let operator = operator.name.clone();
-    let sentence = outcome_sentence(&outcome);
+    let sentence = describe_outcome(&outcome);
     let detail = format!("{text} by {operator}: {sentence}");
     state.observations.event(Mechanism::Configuration, "change", &id, detail);
     let (change, command) = (id.clone(), text);
--- a/crates/node/src/admin/client.rs
+++ b/crates/node/src/admin/client.rs
@@ -6,7 +6,7 @@
 use http::{Request, Response, header};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use paddlemount_language::answer::{Answer, Problem, WatchLine};
+use paddlemount_language::answer::{Answer, QueryError, WatchLine};
 use paddlemount_protocol::header::DEADLINE_MS;
 
 use crate::client::{ClientError, HttpClient, MAX_ANSWER_BYTES};
@@ -21,7 +21,7 @@
 pub enum AskError {
     /// The node refused the statement.
     #[error("{}", .0.error)]
-    Refused(Box<Problem>),
+    Refused(Box<QueryError>),
     /// The node could not be asked, or its answer could not be read.
     #[error(transparent)]
     Client(#[from] ClientError),
--- a/crates/node/src/admin/execute.rs
+++ b/crates/node/src/admin/execute.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use paddlemount_language::{
-    answer::{Answer, Body, MemberAnswer, MemberQuestion, MemberReply, Table},
+    answer::{Answer, Body, MemberQuery, MemberReply, MemberStatus, Table},
     evaluate::{Selection, merge, select, table},
     help, parse,
     schema::Noun,
@@ -55,7 +55,7 @@
     let members = cluster::members(state);
     let max_rows = rows_per_member(members.len() + 1);
     let statement = Statement::Show(query.clone()).to_string();
-    let question = |_: &_| MemberQuestion { statement: statement.clone(), max_rows, after: None };
+    let question = |_: &_| MemberQuery { statement: statement.clone(), max_rows, after: None };
     let asked = members::ask(state, members, question, deadline).await;
     let Selection { mut rows, truncated } = select(query, &NodeSource::new(state), max_rows);
     let own = own_summary(state, rows.len());
@@ -79,9 +79,9 @@
     matches!(noun, Noun::Claims | Noun::Leases | Noun::Orders)
 }
 
-fn own_summary(state: &NodeState, rows: usize) -> MemberAnswer {
+fn own_summary(state: &NodeState, rows: usize) -> MemberStatus {
     let node = state.settings.node.clone();
-    MemberAnswer { node, answered: true, age_ms: 0, rows, problem: None }
+    MemberStatus { node, answered: true, age_ms: 0, rows, problem: None }
 }
 
 async fn explain_request(
@@ -93,7 +93,7 @@
         return Ok(Answer::alone(Body::Explanation { explanation }));
     }
     let statement = Statement::Explain(Explain::Request(request.clone())).to_string();
-    let question = |_: &_| MemberQuestion { statement: statement.clone(), max_rows: 0, after: None };
+    let question = |_: &_| MemberQuery { statement: statement.clone(), max_rows: 0, after: None };
     let asked = members::ask(state, cluster::members(state), question, deadline).await;
     let notes = members::notes(&asked, deadline);
     let summaries = asked.iter().map(members::Asked::summary).collect();
@@ -123,7 +123,7 @@
 /// # Errors
 ///
 /// Where the statement is none that members ask.
-pub fn reply(state: &NodeState, question: &MemberQuestion) -> Result<MemberReply, Refusal> {
+pub fn reply(state: &NodeState, question: &MemberQuery) -> Result<MemberReply, Refusal> {
     let invalid = |message: String| Refusal::not_run(RefusalCode::InvalidRequest, message);
     let statement = parse(&question.statement).map_err(|error| invalid(error.message()))?;
     let max_rows = question.max_rows.min(MAX_MEMBER_ROWS);
--- a/crates/node/src/admin/explain.rs
+++ b/crates/node/src/admin/explain.rs
@@ -5,10 +5,10 @@
     routing::{Candidate, Decision, RouteRequest},
 };
 use paddlemount_language::{
-    answer::{ColumnHead, Explanation, Section, Table},
+    answer::{ColumnHeader, Explanation, Section, Table},
     schema::Noun,
     source::Row,
-    tree::RouteQuestion,
+    tree::RouteQuery,
     value::{Kind, Value},
 };
 use paddlemount_protocol::{
@@ -71,7 +71,7 @@
 
 /// A row as two columns, without what is unknown.
 fn facts(noun: Noun, row: &Row) -> Table {
-    let columns = vec![ColumnHead::new("field", Kind::Text), ColumnHead::new("value", Kind::Text)];
+    let columns = vec![ColumnHeader::new("field", Kind::Text), ColumnHeader::new("value", Kind::Text)];
     let known = noun.fields().zip(row.values()).filter(|(_, value)| **value != Value::None);
     let rows = known.map(|(field, value)| vec![Value::from(field.name), Value::from(value.to_string())]);
     Table { columns, rows: rows.collect() }
@@ -97,7 +97,7 @@
 
 fn candidates(candidates: &[Candidate]) -> Table {
     let fields: Vec<_> = CANDIDATE_FIELDS.iter().filter_map(|name| Noun::Decisions.field(name)).collect();
-    let columns = fields.iter().map(|field| ColumnHead::new(field.name, field.kind)).collect();
+    let columns = fields.iter().map(|field| ColumnHeader::new(field.name, field.kind)).collect();
     let rows = candidates.iter().enumerate().map(|(index, candidate)| {
         let row = with_candidate(Row::new(Noun::Decisions).with("place", index + 1), candidate);
         fields.iter().map(|field| row.get(field).clone()).collect()
@@ -107,9 +107,9 @@
 
 fn limits(record: &DecisionRecord) -> Table {
     let columns = vec![
-        ColumnHead::new("limit", Kind::Text),
-        ColumnHead::new("refused", Kind::Bool),
-        ColumnHead::new("waited", Kind::Duration),
+        ColumnHeader::new("limit", Kind::Text),
+        ColumnHeader::new("refused", Kind::Bool),
+        ColumnHeader::new("waited", Kind::Duration),
     ];
     let rows = record.limits.iter().map(|met| {
         vec![
@@ -123,13 +123,13 @@
 
 fn attempts(record: &DecisionRecord) -> Table {
     let columns = vec![
-        ColumnHead::new("try", Kind::Text),
-        ColumnHead::new("engine", Kind::Text),
-        ColumnHead::new("incarnation", Kind::Number),
-        ColumnHead::new("model", Kind::Text),
-        ColumnHead::new("weights", Kind::Number),
-        ColumnHead::new("result", Kind::Text),
-        ColumnHead::new("took", Kind::Duration),
+        ColumnHeader::new("try", Kind::Text),
+        ColumnHeader::new("engine", Kind::Text),
+        ColumnHeader::new("incarnation", Kind::Number),
+        ColumnHeader::new("model", Kind::Text),
+        ColumnHeader::new("weights", Kind::Number),
+        ColumnHeader::new("result", Kind::Text),
+        ColumnHeader::new("took", Kind::Duration),
     ];
     let rows = record.attempts.iter().map(|attempt| {
         let precondition = &attempt.precondition;
@@ -151,7 +151,7 @@
 /// # Errors
 ///
 /// Where the pool or the tenant does not exist.
-pub fn route(state: &NodeState, question: &RouteQuestion) -> Result<Explanation, Refusal> {
+pub fn route(state: &NodeState, question: &RouteQuery) -> Result<Explanation, Refusal> {
     let active = state.configuration.load();
     let configuration = &active.document.configuration;
     let not_found = |what: String| Refusal::not_run(RefusalCode::NotFound, what);
@@ -187,7 +187,7 @@
 /// Tokens of the answer that a preview assumes.
 const PREVIEW_TOKENS: u32 = 256;
 
-fn preview(question: &RouteQuestion, prefix: &Option<String>, decision: &Decision) -> Explanation {
+fn preview(question: &RouteQuery, prefix: &Option<String>, decision: &Decision) -> Explanation {
     let reason = snake_case(&decision.reason);
     let summary = match &decision.chosen {
         Some(chosen) => format!(
@@ -198,7 +198,7 @@
         ),
         None => format!("no engine of {} would serve it ({reason})", question.pool),
     };
-    let columns = vec![ColumnHead::new("field", Kind::Text), ColumnHead::new("value", Kind::Text)];
+    let columns = vec![ColumnHeader::new("field", Kind::Text), ColumnHeader::new("value", Kind::Text)];
     let mut rows = vec![
         vec![Value::from("shared_blocks"), Value::from(decision.shared_blocks.to_string())],
         vec![Value::from("wanted_copies"), Value::from(decision.wanted_copies.to_string())],
--- a/crates/node/src/admin/http.rs
+++ b/crates/node/src/admin/http.rs
@@ -3,16 +3,16 @@
 //! | path | method | body → answer |
 //! |---|---|---|
 //! | `/admin/query` | POST | a statement as text → [`Answer`](paddlemount_language::answer::Answer); for `watch` lines of [`WatchLine`](paddlemount_language::answer::WatchLine) |
-//! | `/peer/query` | POST, between nodes | [`MemberQuestion`] → [`MemberReply`](paddlemount_language::answer::MemberReply) |
+//! | `/peer/query` | POST, between nodes | [`MemberQuery`] → [`MemberReply`](paddlemount_language::answer::MemberReply) |
 //!
-//! What is not answered has a [`Problem`] as its body.
+//! What is not answered has a [`QueryError`] as its body.
 
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
 use paddlemount_language::{
-    MAX_TEXT_BYTES,
-    answer::{MemberQuestion, Problem},
+    MAX_STATEMENT_BYTES,
+    answer::{MemberQuery, QueryError},
     parse_bytes,
     tree::{Query, Statement},
 };
@@ -43,24 +43,24 @@
 
 /// The connection is closed, as the body of the refused request may not have been read; told so, a
 /// client does not send its next request on it.
-fn refuse(problem: &Problem) -> WebResponse {
+fn refuse(problem: &QueryError) -> WebResponse {
     let mut response = json_answer(problem.error.code.http_status(), problem);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn problem(error: Refusal) -> Problem {
-    Problem { error, syntax: None }
+fn problem(error: Refusal) -> QueryError {
+    QueryError { error, syntax: None }
 }
 
-async fn answer(context: &WebContext<'_, Arc<NodeState>>) -> Result<WebResponse, Problem> {
+async fn answer(context: &WebContext<'_, Arc<NodeState>>) -> Result<WebResponse, QueryError> {
     let state = context.state();
     let headers = context.req().headers();
     let operator = authenticate(&state.settings.operators, headers).map_err(problem)?;
     let deadline = deadline(headers).map_err(problem)?;
     let _place = state.admin_bounds.queries.take().map_err(problem)?;
     let text = body(context).await.map_err(problem)?;
-    let statement = parse_bytes(&text).map_err(|syntax| Problem {
+    let statement = parse_bytes(&text).map_err(|syntax| QueryError {
         error: Refusal::not_run(RefusalCode::InvalidRequest, syntax.to_string()),
         syntax: Some(syntax),
     })?;
@@ -84,7 +84,7 @@
 async fn body(context: &WebContext<'_, Arc<NodeState>>) -> Result<Bytes, Refusal> {
     let body = std::mem::replace(&mut *context.body_borrow_mut(), RequestBody::None);
     let timeout = context.state().settings.timeouts.body;
-    read_body(body, MAX_TEXT_BYTES, timeout).await.map_err(|error| {
+    read_body(body, MAX_STATEMENT_BYTES, timeout).await.map_err(|error| {
         let code = match error {
             BodyError::TooLarge(_) => RefusalCode::TooLarge,
             BodyError::Timeout(_) | BodyError::Broken => RefusalCode::InvalidRequest,
@@ -111,7 +111,7 @@
 /// Answers the question of another member, which was authenticated before.
 pub fn member_question(state: &NodeState, body: &[u8]) -> WebResponse {
     let reply = state.admin_bounds.member_questions.take().and_then(|_place| {
-        let question: MemberQuestion = serde_json::from_slice(body)
+        let question: MemberQuery = serde_json::from_slice(body)
             .map_err(|error| Refusal::not_run(RefusalCode::InvalidRequest, error.to_string()))?;
         execute::reply(state, &question)
     });
--- a/crates/node/src/admin/members.rs
+++ b/crates/node/src/admin/members.rs
@@ -6,7 +6,7 @@
 };
 
 use futures_util::StreamExt;
-use paddlemount_language::answer::{MemberAnswer, MemberQuestion, MemberReply};
+use paddlemount_language::answer::{MemberQuery, MemberReply, MemberStatus};
 use paddlemount_protocol::identity::NodeId;
 
 use crate::{admin::cluster::Member, peers::transport, state::NodeState};
@@ -28,9 +28,9 @@
 
 impl Asked {
     /// The part of an answer that tells of this member.
-    pub fn summary(&self) -> MemberAnswer {
+    pub fn summary(&self) -> MemberStatus {
         let took_ms = u64::try_from(self.took.as_millis()).unwrap_or(u64::MAX);
-        MemberAnswer {
+        MemberStatus {
             node: self.member.node.clone(),
             answered: self.reply.is_ok(),
             age_ms: took_ms,
@@ -44,7 +44,7 @@
 pub async fn ask(
     state: &Arc<NodeState>,
     members: Vec<Member>,
-    question: impl Fn(&NodeId) -> MemberQuestion,
+    question: impl Fn(&NodeId) -> MemberQuery,
     deadline: Duration,
 ) -> Vec<Asked> {
     let begun = Instant::now();
@@ -61,7 +61,7 @@
 async fn ask_one(
     state: &Arc<NodeState>,
     member: Member,
-    question: MemberQuestion,
+    question: MemberQuery,
     begun: Instant,
     deadline: Duration,
 ) -> Asked {
--- a/crates/node/src/admin/rows/configuration.rs
+++ b/crates/node/src/admin/rows/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, ops::ControlFlow};
 
-use paddlemount_language::{answer::outcome_sentence, schema::Noun, source::Row, value::Value};
+use paddlemount_language::{answer::describe_outcome, schema::Noun, source::Row, value::Value};
 use paddlemount_protocol::{
     configuration::{ChangeOutcome, ChangeRecord, Pool, Tenant},
     identity::{PoolId, Revision, TenantId, WeightsVersion},
@@ -116,7 +116,7 @@
             .with("revision", revision.map(|revision| revision.0))
             .with("based_on", entry.based_on.map(|revision| revision.0))
             .with("command", entry.command.as_str())
-            .with("detail", outcome_sentence(&entry.outcome))
+            .with("detail", describe_outcome(&entry.outcome))
     }
 
     /// A change that was accepted elsewhere is older knowledge than the audit trail of the node that took it.
--- a/crates/node/src/admin/watch.rs
+++ b/crates/node/src/admin/watch.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use futures_util::Stream;
 use paddlemount_language::{
-    answer::{MemberQuestion, Table, WatchLine, WatchPosition},
+    answer::{MemberQuery, Table, WatchLine, WatchPosition},
     evaluate::{matches, merge, select, table},
     schema::{Merge, Noun},
     source::{Row, Source},
@@ -160,7 +160,7 @@
             lines.push(WatchLine::Rows { table: self.table(&rows) });
         }
         if lines.is_empty() {
-            lines.push(WatchLine::Alive);
+            lines.push(WatchLine::Heartbeat);
         }
         lines
     }
@@ -181,7 +181,7 @@
     }
 
     async fn ask(&self, members: Vec<Member>, max_rows: usize) -> Vec<Asked> {
-        let question = |node: &NodeId| MemberQuestion {
+        let question = |node: &NodeId| MemberQuery {
             statement: self.statement.clone(),
             max_rows,
             after: self.positions.get(node).copied(),
@@ -201,7 +201,7 @@
             Err(problem) => {
                 if !self.silent.contains(&node) {
                     self.silent.push(node.clone());
-                    lines.push(WatchLine::Silent { node, problem });
+                    lines.push(WatchLine::Unresponsive { node, problem });
                 }
                 Vec::new()
             }
@@ -241,7 +241,7 @@
 fn row_key(noun: Noun, row: &Row) -> String {
     let (key_fields, node) = match noun.merge() {
         Merge::Freshest(key_fields) => (key_fields, String::new()),
-        Merge::PerNode => (PER_NODE_KEY_FIELDS, row.named("node").to_string()),
+        Merge::PerNode => (PER_NODE_KEY_FIELDS, row.get_by_name("node").to_string()),
     };
     let key = row.values().iter().take(key_fields).map(Value::to_json);
     format!("{node} {}", serde_json::Value::from_iter(key))
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -13,7 +13,7 @@
 impl Clock {
     /// A clock that begins now.
     pub fn start() -> Self {
-        Self(SteadyClock::starting_at_time_of_day())
+        Self(SteadyClock::starting_at_system_time())
     }
 
     /// The steady clock that it reads.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -19,7 +19,7 @@
 use std::{io, net::TcpListener, sync::Arc};
 
 use paddlemount_core::peers::PeerEvent;
-use paddlemount_language::MAX_TEXT_BYTES;
+use paddlemount_language::MAX_STATEMENT_BYTES;
 use paddlemount_protocol::peer::{configuration, membership};
 use xitca_web::{
     App, WebContext,
@@ -63,7 +63,7 @@
 
 async fn member_question(context: &WebContext<'_, Arc<NodeState>>) -> WebResponse {
     let body = std::mem::replace(&mut *context.body_borrow_mut(), RequestBody::None);
-    match read_body(body, MAX_TEXT_BYTES, context.state().settings.timeouts.body).await {
+    match read_body(body, MAX_STATEMENT_BYTES, context.state().settings.timeouts.body).await {
         Ok(body) => admin::http::member_question(context.state(), &body),
         Err(error) => json_answer(400, &error.to_string()),
     }
--- a/crates/node/tests/admin/main.rs
+++ b/crates/node/tests/admin/main.rs
@@ -73,7 +73,7 @@
     let cluster = Cluster::start(1, 1).await;
     let mut watch = cluster.watch(0, "watch engines engine, draining").await;
     assert_eq!(watch.rows().await.rows, [vec![Value::from("engine-1"), Value::from(false)]]);
-    assert_eq!(watch.line().await, Some(WatchLine::Alive));
+    assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
     let mut others = Vec::new();
     for _ in 1..paddlemount_node::admin::bounds::MAX_WATCHERS {
         others.push(cluster.watch(0, "watch routing").await);
@@ -88,7 +88,7 @@
 async fn a_request_is_explained_by_any_node_with_its_candidates_tries_and_trace() {
     let cluster = Cluster::start(2, 2).await;
     let mut watch = cluster.watch(1, "watch decisions request, engine where chosen = true").await;
-    assert_eq!(watch.line().await, Some(WatchLine::Alive));
+    assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
     let (request, status) = cluster.prompt(0, &"standing terms ".repeat(100)).await;
     assert_eq!(status, 200);
     let statement = format!("explain request {request}");
@@ -120,7 +120,7 @@
 async fn a_failed_engine_shows_as_a_second_try_and_an_event_of_retries() {
     let mut cluster = Cluster::start(2, 1).await;
     let mut watch = cluster.watch(0, "watch retries event, subject").await;
-    assert_eq!(watch.line().await, Some(WatchLine::Alive));
+    assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
     let prompt = "hire terms ".repeat(100);
     let (first, _) = cluster.prompt(0, &prompt).await;
     let chosen = format!("show requests engine where request = {first} and state = ended");
@@ -253,7 +253,7 @@
     let cluster = Cluster::start(1, 1).await;
     let taken = || cluster.nodes[0].state().admin_bounds.watchers.taken();
     let mut watch = cluster.watch(0, "watch routing").await;
-    assert_eq!(watch.line().await, Some(WatchLine::Alive));
+    assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
     assert_eq!(taken(), 1);
     drop(watch);
     let begun = Instant::now();
--- a/crates/node/tests/admin/support.rs
+++ b/crates/node/tests/admin/support.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use paddlemount_language::answer::{Answer, Body, Explanation, Problem, Table, WatchLine};
+use paddlemount_language::answer::{Answer, Body, Explanation, QueryError, Table, WatchLine};
 use paddlemount_node::{
     admin::client::{AdminClient, AskError, WatchStream},
     client::HttpClient,
@@ -138,7 +138,7 @@
         AdminClient::new(self.nodes[node].admin_address(), key.to_owned(), deadline)
     }
 
-    pub async fn ask_as(&self, node: usize, key: &str, statement: &str) -> Result<Answer, Problem> {
+    pub async fn ask_as(&self, node: usize, key: &str, statement: &str) -> Result<Answer, QueryError> {
         self.ask_within(node, key, statement, DEADLINE).await
     }
 
@@ -148,7 +148,7 @@
         key: &str,
         statement: &str,
         deadline: Duration,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Answer, QueryError> {
         match self.operator(node, key, deadline).ask(statement).await {
             Ok(answer) => Ok(answer),
             Err(AskError::Refused(problem)) => Err(*problem),
