--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,22 +1,21 @@
-//! The clock by which processes count time: steady, and counting the time in which the machine is suspended.
+//! A monotonic clock that includes the time for which the machine was suspended.
 //!
-//! `std::time::Instant` and the timers of the runtime stand still while a machine is suspended. A lease, a fence, a quota
-//! or the age of a configuration that is counted by them goes on holding after the machine wakes, though all others have
-//! counted on. So whatever ends by time is compared with this clock, and what waits for a moment waits by
-//! [`SteadyClock::timeout_at`], which looks at the clock again after a suspension.
+//! `std::time::Instant` and the runtime's timers stop while a machine is suspended, so a lease, fence, quota or
+//! configuration age measured by them would outlive its deadline. Deadlines are therefore compared with this
+//! clock, and waits use [`SteadyClock::timeout_at`], which reads the clock again after a suspension.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 use paddlemount_protocol::time::Timestamp;
 
-/// How long a wait may go on without a look at the clock.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+/// The longest single timer of a wait, and so the longest delay before a wait notices a suspension.
+const MAX_TIMER_WAIT: Duration = Duration::from_millis(500);
 
-/// Where a clock reads: the time since some moment, which never goes back.
+/// A source of time: the time elapsed since an arbitrary origin; it never decreases.
 pub type Source = fn() -> Duration;
 
-/// A clock that is never set, and that counts suspension.
+/// A monotonic clock that includes suspension and is never adjusted.
 #[derive(Clone, Copy, Debug)]
 pub struct SteadyClock {
     source: Source,
@@ -25,56 +24,56 @@
 }
 
 impl SteadyClock {
-    /// A clock that begins now, at `start`.
+    /// Creates a clock that reads `start` now.
     pub fn starting_at(start: Timestamp) -> Self {
         Self::with_source(since_boot, start)
     }
 
-    /// A clock that begins now, at the time of day.
+    /// Creates a clock that reads the system's time of day now; later adjustments of it are ignored.
     pub fn starting_at_system_time() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self::starting_at(Timestamp::ZERO + since_epoch)
     }
 
-    /// A clock that begins now, at `start`, and reads `source`.
+    /// Creates a clock that reads `start` now and advances with `source`.
     pub fn with_source(source: Source, start: Timestamp) -> Self {
         Self { source, origin: source(), start }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(self) -> Timestamp {
         self.start + (self.source)().saturating_sub(self.origin)
     }
 
-    /// Waits until `at`; a suspension counts.
+    /// Waits until `at`. Time in suspension counts.
     pub async fn sleep_until(self, at: Timestamp) {
         loop {
-            let left = at.saturating_since(self.now());
-            if left.is_zero() {
+            let remaining = at.saturating_since(self.now());
+            if remaining.is_zero() {
                 return;
             }
-            tokio::time::sleep(left.min(LONGEST_WAIT)).await;
+            tokio::time::sleep(remaining.min(MAX_TIMER_WAIT)).await;
         }
     }
 
-    /// What comes of `future`; nothing where it has not ended by `until`. A suspension counts.
-    pub async fn timeout_at<T>(self, until: Timestamp, future: impl Future<Output = T>) -> Option<T> {
+    /// Returns the output of `future`, or `None` if it is not ready by `deadline`. Time in suspension counts.
+    pub async fn timeout_at<T>(self, deadline: Timestamp, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
-            done = future => Some(done),
-            () = self.sleep_until(until) => None,
+            output = future => Some(output),
+            () = self.sleep_until(deadline) => None,
         }
     }
 
-    /// What comes of `future`; nothing where it has not ended after `patience`. A suspension counts.
-    pub async fn timeout<T>(self, patience: Duration, future: impl Future<Output = T>) -> Option<T> {
-        self.timeout_at(self.now() + patience, future).await
+    /// Returns the output of `future`, or `None` if it is not ready after `duration`. Time in suspension counts.
+    pub async fn timeout<T>(self, duration: Duration, future: impl Future<Output = T>) -> Option<T> {
+        self.timeout_at(self.now() + duration, future).await
     }
 }
 
-/// The time since the machine's start, with all suspensions.
+/// The time since the machine booted, including suspensions.
 fn since_boot() -> Duration {
-    // Every Linux since 2.6.39 has this clock; a reading of zero keeps leases for ever, so it must not go unnoticed.
-    let read = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the system has a clock that counts suspension");
+    // Linux has this clock since 2.6.39. A default reading would keep leases forever, so a failure panics.
+    let read = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is available");
     Duration::from(read)
 }
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A machine that is suspended: its timers stand still, the clock does not.
+//! The clock and its timeouts advance while the machine is suspended, though the runtime's timers do not.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -11,7 +11,7 @@
 const START: Timestamp = Timestamp::from_millis(3_600_000);
 
 #[test]
-fn the_clock_begins_at_its_start_and_never_goes_back() {
+fn the_clock_begins_at_its_start_and_is_monotonic() {
     let clock = SteadyClock::starting_at(START);
     let mut last = clock.now();
     assert!(last >= START);
@@ -23,32 +23,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_ends_by_time_ends_while_the_machine_is_suspended() {
-    static READING: AtomicU64 = AtomicU64::new(1_000_000);
-    let clock = SteadyClock::with_source(|| Duration::from_millis(READING.load(Ordering::Relaxed)), START);
-    let until = clock.now() + Duration::from_secs(3);
-    READING.fetch_add(5_000, Ordering::Relaxed);
+async fn deadlines_pass_while_the_machine_is_suspended() {
+    static ELAPSED_MS: AtomicU64 = AtomicU64::new(1_000_000);
+    let clock = SteadyClock::with_source(|| Duration::from_millis(ELAPSED_MS.load(Ordering::Relaxed)), START);
+    let deadline = clock.now() + Duration::from_secs(3);
+    ELAPSED_MS.fetch_add(5_000, Ordering::Relaxed);
     assert_eq!(clock.now(), START + Duration::from_secs(5));
-    assert!(until < clock.now(), "a lease of three seconds is over after five in suspension");
+    assert!(deadline < clock.now(), "a deadline in three seconds has passed after a suspension of five");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_that_a_suspension_interrupts_ends_soon_after_it() {
-    static READING: AtomicU64 = AtomicU64::new(1_000_000);
-    let clock = SteadyClock::with_source(|| Duration::from_millis(READING.load(Ordering::Relaxed)), START);
-    let began = tokio::time::Instant::now();
+async fn a_timeout_that_passes_during_a_suspension_fires_soon_after_it() {
+    static ELAPSED_MS: AtomicU64 = AtomicU64::new(1_000_000);
+    let clock = SteadyClock::with_source(|| Duration::from_millis(ELAPSED_MS.load(Ordering::Relaxed)), START);
+    let started = tokio::time::Instant::now();
     let suspended = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        READING.fetch_add(60_000, Ordering::Relaxed);
+        ELAPSED_MS.fetch_add(60_000, Ordering::Relaxed);
         std::future::pending::<()>().await;
     };
     let ended = clock.timeout(Duration::from_secs(30), suspended).await;
     assert!(ended.is_none());
-    assert!(began.elapsed() <= Duration::from_secs(1), "the timers saw {:?}", began.elapsed());
+    assert!(started.elapsed() <= Duration::from_secs(1), "the timeout fired after {:?}", started.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_future_that_ends_in_time_is_not_cut_off() {
+async fn a_future_that_is_ready_in_time_is_not_timed_out() {
     let clock = SteadyClock::starting_at(START);
     let ended = clock.timeout(Duration::from_secs(3), std::future::ready(7)).await;
     assert_eq!(ended, Some(7));
--- a/crates/language/src/answer.rs
+++ b/crates/language/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers, in the form that the administration API carries.
+//! Answers to statements, as serialized by the administration API.
 
 use paddlemount_protocol::{
     configuration::ChangeOutcome,
@@ -15,242 +15,210 @@
 /// The answer to one statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// What was asked for.
     pub body: Body,
-    /// The nodes that were asked, and what each said; empty where one node answers by itself.
+    /// The status of each queried node; empty if the answer comes from a single node.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<MemberStatus>,
-    /// What limits the answer: nodes that did not answer, rows left out.
+    /// Limitations of the answer, such as nodes that did not respond or rows that were omitted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<String>,
 }
 
 impl Answer {
-    /// An answer of one node by itself.
+    /// Creates the answer of a single node.
     pub const fn alone(body: Body) -> Self {
         Self { body, members: Vec::new(), notes: Vec::new() }
     }
 }
 
-/// What an answer holds.
+/// The content of an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Body {
-    /// Rows.
-    Table {
-        /// The rows.
-        table: Table,
-    },
-    /// Reasons.
-    Explanation {
-        /// The reasons.
-        explanation: Explanation,
-    },
-    /// How a change ended.
+    /// The rows of a query.
+    Table { table: Table },
+    /// Why a request was routed as it was.
+    Explanation { explanation: Explanation },
+    /// The outcome of a change.
     Change {
-        /// The change's identity.
         change: ChangeId,
-        /// How it ended.
         outcome: ChangeOutcome,
-        /// The same in one sentence.
+        /// The outcome as text.
         sentence: String,
     },
-    /// Text for people.
-    Text {
-        /// The text.
-        text: String,
-    },
+    /// Plain text, for `help`.
+    Text { text: String },
 }
 
-/// What one node said to a query.
+/// Whether and how fast one node answered a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The node.
     pub node: NodeId,
-    /// Whether it answered within the deadline.
+    /// Whether it answered before the deadline.
     pub answered: bool,
-    /// Milliseconds from the question to its answer, or until it was given up: its rows are no older than
-    /// that, but for the `age` that each states.
+    /// Milliseconds from sending the query to its answer or timeout. Its rows are at most this old, plus the
+    /// `age` of each row.
     pub age_ms: u64,
-    /// Rows that it gave.
+    /// The number of rows in its answer.
     pub rows: usize,
-    /// Why it did not answer.
+    /// Why it did not answer, if it did not.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub problem: Option<String>,
 }
 
-/// A question from the node that was asked to another member.
+/// A query that the coordinating node forwards to another member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberQuery {
-    /// The statement, as text of the language.
+    /// The text of the statement.
     pub statement: String,
-    /// Rows wanted at most.
+    /// The maximum number of rows in the reply.
     pub max_rows: usize,
-    /// For `watch`: the position to read on from.
+    /// For `watch`: the position after which to continue.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<WatchPosition>,
 }
 
-/// What a member replies.
+/// A member's reply to a [`MemberQuery`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReply {
-    /// The member.
     pub node: NodeId,
-    /// The configuration revision that it has in force.
+    /// The configuration revision in force at the member.
     pub revision: Revision,
-    /// Its rows, with all fields of the noun.
+    /// The matching rows, with all fields of the noun.
     pub table: Table,
-    /// Whether it has more rows.
+    /// Whether further rows matched.
     pub truncated: bool,
-    /// What it knows of the request that is to be explained.
+    /// For `explain`: what the member has recorded about the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub explanation: Option<Explanation>,
-    /// For `watch`: the position to read on from next time.
+    /// For `watch`: the position to continue from.
     #[serde(default)]
     pub next: WatchPosition,
-    /// For `watch`: rows that were gone before they could be read.
+    /// For `watch`: the number of rows evicted before they were read.
     #[serde(default)]
     pub lost: u64,
 }
 
-/// How far a watcher has read what one node remembers.
+/// The position of a `watch` in each of one node's logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchPosition {
-    /// Sampled decision records.
     pub sampled: u64,
     /// Decision records of refused, retried and slow requests.
     pub notable: u64,
-    /// Events.
     pub events: u64,
-    /// The audit trail.
     pub audit: u64,
 }
 
-/// One line of a stream that answers `watch`.
+/// One line of the stream that answers a `watch`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum WatchLine {
     /// Rows that appeared or changed.
-    Rows {
-        /// The rows.
-        table: Table,
-    },
-    /// Rows that were gone before they could be read.
+    Rows { table: Table },
+    /// Rows that were evicted before they were read.
     Lost {
-        /// The node that had them.
         node: NodeId,
-        /// How many.
+        /// The number of rows.
         rows: u64,
     },
     /// A member that did not answer.
     #[serde(rename = "silent")]
-    Unresponsive {
-        /// The member.
-        node: NodeId,
-        /// Why.
-        problem: String,
-    },
-    /// Nothing happened; sent so that either side notices a broken connection.
+    Unresponsive { node: NodeId, problem: String },
+    /// Sent when nothing has changed, so that both sides detect a broken connection.
     #[serde(rename = "alive")]
     Heartbeat,
 }
 
-/// Why a statement was not answered.
+/// The error response to a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueryError {
-    /// The refusal.
     pub error: Refusal,
-    /// Where the statement is wrong, if it is.
+    /// The syntax error, if the statement is invalid.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub syntax: Option<SyntaxError>,
 }
 
-/// Why a request goes where it goes.
+/// Why a request is routed as it is.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The answer in one sentence.
+    /// One sentence.
     pub summary: String,
-    /// The facts, each with its parts.
+    /// The facts by topic.
     pub sections: Vec<Section>,
 }
 
 /// One part of an explanation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Section {
-    /// What it is about.
     pub title: String,
-    /// The facts.
     pub table: Table,
 }
 
-/// The head of a column.
+/// The header of a column.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColumnHeader {
-    /// The column's name.
     pub name: String,
-    /// The type of its values.
     pub kind: Kind,
 }
 
 impl ColumnHeader {
-    /// A head.
+    /// Creates a header.
     pub fn new(name: &str, kind: Kind) -> Self {
         Self { name: name.to_owned(), kind }
     }
 }
 
-/// Rows under their heads. As JSON, durations are milliseconds and times are text.
+/// Rows with column headers. In JSON, durations are milliseconds and times are text.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(into = "PlainTable", try_from = "PlainTable")]
+#[serde(into = "JsonTable", try_from = "JsonTable")]
 pub struct Table {
-    /// The heads.
     pub columns: Vec<ColumnHeader>,
-    /// The rows; each has one value for each head.
+    /// Each row has one value per column.
     pub rows: Vec<Vec<Value>>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct PlainTable {
+struct JsonTable {
     columns: Vec<ColumnHeader>,
     rows: Vec<Vec<serde_json::Value>>,
 }
 
-impl From<Table> for PlainTable {
+impl From<Table> for JsonTable {
     fn from(table: Table) -> Self {
         let rows = table.rows.iter().map(|row| row.iter().map(Value::to_json).collect()).collect();
         Self { columns: table.columns, rows }
     }
 }
 
-/// A table whose rows do not fit its heads.
+/// A table with a row that does not fit its columns.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("row {row} of the table does not fit its columns")]
 pub struct InvalidTable {
-    /// The row, counted from 0.
+    /// The index of the row.
     pub row: usize,
 }
 
-impl TryFrom<PlainTable> for Table {
+impl TryFrom<JsonTable> for Table {
     type Error = InvalidTable;
 
-    fn try_from(plain: PlainTable) -> Result<Self, InvalidTable> {
-        let mut rows = Vec::with_capacity(plain.rows.len());
-        for (index, cells) in plain.rows.iter().enumerate() {
-            let row = read_row(&plain.columns, cells).ok_or(InvalidTable { row: index })?;
+    fn try_from(json: JsonTable) -> Result<Self, InvalidTable> {
+        let mut rows = Vec::with_capacity(json.rows.len());
+        for (index, cells) in json.rows.iter().enumerate() {
+            let row = parse_row(&json.columns, cells).ok_or(InvalidTable { row: index })?;
             rows.push(row);
         }
-        Ok(Self { columns: plain.columns, rows })
+        Ok(Self { columns: json.columns, rows })
     }
 }
 
-fn read_row(columns: &[ColumnHeader], cells: &[serde_json::Value]) -> Option<Vec<Value>> {
+fn parse_row(columns: &[ColumnHeader], cells: &[serde_json::Value]) -> Option<Vec<Value>> {
     if cells.len() != columns.len() {
         return None;
     }
     cells.iter().zip(columns).map(|(cell, column)| Value::from_json(cell, column.kind)).collect()
 }
 
-/// How a change ended, in one sentence.
+/// Describes the outcome of a change in one sentence.
 pub fn describe_outcome(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::InForce { revision, after_ms } => {
--- a/crates/language/src/change.rs
+++ b/crates/language/src/change.rs
@@ -1,4 +1,4 @@
-//! Commands as changes of the configuration.
+//! Translation of commands to changes of the configuration.
 
 use paddlemount_protocol::{
     configuration::{Change, Configuration, Pool, RevisedConfiguration, Service, Tenant},
@@ -11,64 +11,45 @@
     value::Value,
 };
 
-/// A command that cannot become a change of the present configuration.
+/// A command that cannot be applied to the current configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// `create` of an object that exists.
+    /// `create` for an object that exists.
     #[error("{object} {name} exists already; use: set {object} {name} …")]
-    AlreadyExists {
-        /// Its kind.
-        object: &'static str,
-        /// Its name.
-        name: String,
-    },
-    /// A command on an object that does not exist.
+    AlreadyExists { object: &'static str, name: String },
+    /// A command for an object that does not exist.
     #[error("there is no {object} {name}; see: show {object}s")]
-    NotFound {
-        /// Its kind.
-        object: &'static str,
-        /// Its name.
-        name: String,
-    },
-    /// A setting that must be given.
+    NotFound { object: &'static str, name: String },
+    /// A required setting is missing.
     #[error("{object} {name} needs the setting {setting}")]
-    MissingSetting {
-        /// The object's kind.
-        object: &'static str,
-        /// Its name.
-        name: String,
-        /// The setting.
-        setting: &'static str,
-    },
-    /// A value that a setting cannot have.
+    MissingSetting { object: &'static str, name: String, setting: &'static str },
+    /// A value that is out of range for the setting.
     #[error("{setting} must be {allowed}")]
     InvalidValue {
-        /// The setting.
         setting: &'static str,
-        /// What is allowed.
+        /// A description of the allowed values.
         allowed: &'static str,
     },
 }
 
-/// A change with the revision that it rests on.
+/// A change and the revision that it requires.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TranslatedChange {
-    /// The change.
     pub change: Change,
-    /// The revision given by the operator; else, where the change was worked out from present settings, theirs.
+    /// The revision given by the operator; otherwise the current one if the change depends on current settings.
     pub if_revision: Option<Revision>,
 }
 
-/// Translates a command, given the configuration that it starts from.
+/// Translates a command to a change of the `current` configuration.
 ///
-/// `set`, `pin` and `create` are worked out from present settings, so the change rests on the
-/// revision they were read at: it is refused where another change of the object came first.
+/// The changes for `set`, `pin` and `create` depend on current settings and therefore require their revision: they
+/// are refused if another change of the object came first.
 pub fn translate(
     command: &ChangeCommand,
-    present: &RevisedConfiguration,
+    current: &RevisedConfiguration,
 ) -> Result<TranslatedChange, CommandError> {
-    let configuration = &present.configuration;
-    let (change, rests_on_present) = match &command.action {
+    let configuration = &current.configuration;
+    let (change, depends_on_current) = match &command.action {
         Action::Create(object, name, settings) => (create(*object, name, settings, configuration)?, true),
         Action::Set(object, name, settings) => (set(*object, name, settings, configuration)?, true),
         Action::Delete(object, name) => (delete(*object, name, configuration)?, false),
@@ -77,12 +58,12 @@
         }
         Action::Undrain { engine } => (Change::UndrainEngine { engine: engine.clone() }, false),
         Action::RollOut { version, pool } => {
-            pool_of(pool, configuration)?;
+            existing_pool(pool, configuration)?;
             (Change::RollOut { pool: pool.clone(), weights: *version }, false)
         }
         Action::Pin { version, pool } => (pin(pool, *version, configuration)?, true),
     };
-    let implied = rests_on_present.then_some(present.revision);
+    let implied = depends_on_current.then_some(current.revision);
     Ok(TranslatedChange { change, if_revision: command.if_revision.or(implied) })
 }
 
@@ -144,7 +125,7 @@
     }
 }
 
-fn pool_of<'a>(pool: &PoolId, configuration: &'a Configuration) -> Result<&'a Pool, CommandError> {
+fn existing_pool<'a>(pool: &PoolId, configuration: &'a Configuration) -> Result<&'a Pool, CommandError> {
     let missing = || CommandError::NotFound { object: Object::Pool.name(), name: pool.as_str().to_owned() };
     configuration.pools.get(pool).ok_or_else(missing)
 }
@@ -154,7 +135,7 @@
     version: WeightsVersion,
     configuration: &Configuration,
 ) -> Result<Change, CommandError> {
-    let mut settings = pool_of(pool, configuration)?.clone();
+    let mut settings = existing_pool(pool, configuration)?.clone();
     settings.weights = version;
     settings.rollout = None;
     Ok(Change::PutPool { pool: pool.clone(), settings })
@@ -178,17 +159,18 @@
 }
 
 fn new_pool(name: &str, settings: &[Setting]) -> Result<Pool, CommandError> {
-    let needs = |setting| CommandError::MissingSetting { object: "pool", name: name.to_owned(), setting };
+    let missing_setting =
+        |setting| CommandError::MissingSetting { object: "pool", name: name.to_owned(), setting };
     let given = |wanted: &str| settings.iter().find(|setting| setting.field.name == wanted);
-    let model = given("model").ok_or_else(|| needs("model"))?;
-    let weights = given("weights").ok_or_else(|| needs("weights"))?;
-    const EVEN_REUSE_WEIGHT: f64 = 0.5;
+    let model = given("model").ok_or_else(|| missing_setting("model"))?;
+    let weights = given("weights").ok_or_else(|| missing_setting("weights"))?;
+    const DEFAULT_REUSE_WEIGHT: f64 = 0.5;
     Ok(Pool {
         model: ModelId::from(text(model)?),
-        weights: WeightsVersion(whole(weights)?),
+        weights: WeightsVersion(whole_number(weights)?),
         rollout: None,
         adapters: Vec::new(),
-        reuse_weight: EVEN_REUSE_WEIGHT,
+        reuse_weight: DEFAULT_REUSE_WEIGHT,
     })
 }
 
@@ -196,9 +178,9 @@
     for setting in settings {
         match setting.field.name {
             "model" => pool.model = ModelId::from(text(setting)?),
-            "weights" => pool.weights = WeightsVersion(whole(setting)?),
+            "weights" => pool.weights = WeightsVersion(whole_number(setting)?),
             "adapters" => pool.adapters = texts(setting).into_iter().map(AdapterId::from).collect(),
-            _ => pool.reuse_weight = share(setting)?,
+            _ => pool.reuse_weight = fraction(setting)?,
         }
     }
     Ok(Change::PutPool { pool: name.into(), settings: pool })
@@ -211,42 +193,42 @@
     Ok(Change::PutService { service: name.into(), settings: service })
 }
 
-const fn bad(setting: &Setting, allowed: &'static str) -> CommandError {
+const fn invalid(setting: &Setting, allowed: &'static str) -> CommandError {
     CommandError::InvalidValue { setting: setting.field.name, allowed }
 }
 
-fn whole(setting: &Setting) -> Result<u64, CommandError> {
+fn whole_number(setting: &Setting) -> Result<u64, CommandError> {
     match setting.value {
         Value::Number(number) if number.fract() == 0.0 && number >= 0.0 => Ok(number as u64),
-        _ => Err(bad(setting, "a whole number")),
+        _ => Err(invalid(setting, "a whole number")),
     }
 }
 
-fn count(setting: &Setting, least: u32) -> Result<u32, CommandError> {
-    let number = whole(setting).ok().and_then(|number| u32::try_from(number).ok());
-    let allowed = if least == 0 { "a whole number" } else { "a whole number above 0" };
-    number.filter(|number| *number >= least).ok_or_else(|| bad(setting, allowed))
+fn count(setting: &Setting, min: u32) -> Result<u32, CommandError> {
+    let number = whole_number(setting).ok().and_then(|number| u32::try_from(number).ok());
+    let allowed = if min == 0 { "a whole number" } else { "a whole number above 0" };
+    number.filter(|number| *number >= min).ok_or_else(|| invalid(setting, allowed))
 }
 
 fn rate(setting: &Setting) -> Result<Option<f64>, CommandError> {
     match setting.value {
         Value::None => Ok(None),
         Value::Number(number) if number >= 0.0 => Ok(Some(number)),
-        _ => Err(bad(setting, "a number from 0 on, or none")),
+        _ => Err(invalid(setting, "a number from 0 on, or none")),
     }
 }
 
-fn share(setting: &Setting) -> Result<f64, CommandError> {
+fn fraction(setting: &Setting) -> Result<f64, CommandError> {
     match setting.value {
         Value::Number(number) if (0.0..=1.0).contains(&number) => Ok(number),
-        _ => Err(bad(setting, "a number from 0 to 1")),
+        _ => Err(invalid(setting, "a number from 0 to 1")),
     }
 }
 
 fn text(setting: &Setting) -> Result<&str, CommandError> {
     match &setting.value {
         Value::Text(text) if !text.is_empty() => Ok(text),
-        _ => Err(bad(setting, "a text that is not empty")),
+        _ => Err(invalid(setting, "a text that is not empty")),
     }
 }
 
@@ -264,6 +246,6 @@
     if hashes.iter().all(is_hash) {
         Ok(hashes.iter().map(|hash| hash.to_lowercase()).collect())
     } else {
-        Err(bad(setting, "a list of SHA-256 hashes of 64 hexadecimal digits; never the keys themselves"))
+        Err(invalid(setting, "a list of SHA-256 hashes of 64 hexadecimal digits; never the keys themselves"))
     }
 }
--- a/crates/language/src/complete.rs
+++ b/crates/language/src/complete.rs
@@ -1,12 +1,12 @@
-//! Completion of a statement that is being typed.
+//! Completion of a partially typed statement.
 
 use crate::grammar::continuations;
 
-/// What could stand at the end of `text`: the place where the last word begins, in bytes, and the
-/// words that begin as it does. Names of objects are not known here.
+/// Returns the byte offset at which the last word of `text` starts, and the keywords and field names that complete
+/// it. Names of objects are not completed.
 pub fn complete(text: &str) -> (usize, Vec<&'static str>) {
     let start = text
-        .rfind(|last: char| !is_word(last))
+        .rfind(|character: char| !is_word(character))
         .map_or(0, |index| index + text[index..].chars().next().map_or(0, char::len_utf8));
     let typed = text[start..].to_lowercase();
     let mut words: Vec<&'static str> = continuations(&text[..start])
--- a/crates/language/src/evaluate.rs
+++ b/crates/language/src/evaluate.rs
@@ -1,7 +1,7 @@
 //! Evaluation of queries.
 //!
-//! Each node [`select`]s its own rows; the node that was asked puts the rows of all nodes together
-//! with [`merge`] and makes the answer with [`table`], which groups, orders and cuts.
+//! Each node [`select`]s its own rows. The coordinating node combines the rows of all nodes with [`merge`] and builds
+//! the answer with [`table`], which applies grouping, order and limit.
 
 use std::{cmp::Ordering, collections::BTreeMap, ops::ControlFlow};
 
@@ -16,34 +16,33 @@
     value::{Kind, Value},
 };
 
-/// Rows that a source gave for a query.
+/// The rows that a source returned for a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Selection {
-    /// Rows that match the filter.
     pub rows: Vec<Row>,
-    /// Whether there were more rows than allowed.
+    /// Whether further matching rows were omitted.
     pub truncated: bool,
 }
 
-/// Rows that one selection reads at most where it must sort them before it cuts.
+/// The maximum number of rows that a selection is_satisfied when it must sort before it applies a limit.
 pub const MAX_SORTED_ROWS: usize = 20_000;
 
-/// Rows of a source that match the query's filter, at most `max_rows`.
+/// Selects at most `max_rows` rows of a source that match the query's filter.
 ///
-/// Where the query orders single rows that belong to one node each, the first ones in that order are
-/// given, so that the node which puts the answers together misses none of them.
+/// If the query orders ungrouped rows that each belong to one node, the first rows in that order are selected, so
+/// that the coordinating node can apply the query's limit to the merged rows.
 pub fn select(query: &Query, source: &dyn Source, max_rows: usize) -> Selection {
     let now = source.now();
-    let sorts = sorts_before_cut(query);
-    let wanted = wanted_rows(query, max_rows);
-    let bound = if sorts { MAX_SORTED_ROWS } else { wanted };
+    let sorts = sorts_before_limit(query);
+    let row_limit = required_rows(query, max_rows);
+    let read_limit = if sorts { MAX_SORTED_ROWS } else { row_limit };
     let mut selection = Selection { rows: Vec::new(), truncated: false };
     source.visit(query.noun, &mut |row| {
         if !matches(query, &row, now) {
             return ControlFlow::Continue(());
         }
-        if selection.rows.len() >= bound {
-            selection.truncated = bound == max_rows || sorts;
+        if selection.rows.len() >= read_limit {
+            selection.truncated = read_limit == max_rows || sorts;
             return ControlFlow::Break(());
         }
         selection.rows.push(row);
@@ -52,20 +51,20 @@
     if sorts {
         selection.rows.sort_by(|left, right| compare_rows(&query.order_by, left, right));
     }
-    if selection.rows.len() > wanted {
-        selection.rows.truncate(wanted);
-        selection.truncated |= wanted == max_rows;
+    if selection.rows.len() > row_limit {
+        selection.rows.truncate(row_limit);
+        selection.truncated |= row_limit == max_rows;
     }
     selection
 }
 
-fn sorts_before_cut(query: &Query) -> bool {
+fn sorts_before_limit(query: &Query) -> bool {
     !query.is_grouped() && !query.order_by.is_empty() && query.noun.merge() == Merge::PerNode
 }
 
-/// Rows that are enough for the answer: the limit may be applied early where rows stay single and
+/// The number of rows that suffices for the answer: the query's limit applies before merging if rows are ungrouped and
 /// each belongs to one node.
-fn wanted_rows(query: &Query, max_rows: usize) -> usize {
+fn required_rows(query: &Query, max_rows: usize) -> usize {
     match query.limit {
         Some(limit) if !query.is_grouped() && query.noun.merge() == Merge::PerNode => {
             usize::try_from(limit).unwrap_or(usize::MAX).min(max_rows)
@@ -79,41 +78,41 @@
     compare_keys(orders, &keys(left), &keys(right))
 }
 
-/// Whether a row meets the query's filter.
+/// Whether a row matches the query's filter.
 pub fn matches(query: &Query, row: &Row, now: Timestamp) -> bool {
-    query.filter.as_ref().is_none_or(|filter| holds(filter, row, now))
+    query.filter.as_ref().is_none_or(|filter| is_satisfied(filter, row, now))
 }
 
-fn holds(expression: &Expression, row: &Row, now: Timestamp) -> bool {
+fn is_satisfied(expression: &Expression, row: &Row, now: Timestamp) -> bool {
     match expression {
-        Expression::And(parts) => parts.iter().all(|part| holds(part, row, now)),
-        Expression::Or(parts) => parts.iter().any(|part| holds(part, row, now)),
-        Expression::Not(inner) => !holds(inner, row, now),
+        Expression::And(parts) => parts.iter().all(|part| is_satisfied(part, row, now)),
+        Expression::Or(parts) => parts.iter().any(|part| is_satisfied(part, row, now)),
+        Expression::Not(inner) => !is_satisfied(inner, row, now),
         Expression::Compare { field, operator, literal } => {
-            let wanted = match literal {
+            let operand = match literal {
                 Literal::Value(value) => value.clone(),
                 Literal::Ago(microseconds) => Value::Time(Timestamp(now.0.saturating_sub(*microseconds))),
             };
-            compares(row.get(field), *operator, &wanted)
+            satisfies(row.get(field), *operator, &operand)
         }
     }
 }
 
-/// An unknown value equals only `none` and is neither less nor greater than anything.
-fn compares(value: &Value, operator: Operator, wanted: &Value) -> bool {
-    let order = value.compare(wanted);
+/// An unknown value equals only `none` and is not ordered relative to any value.
+fn satisfies(value: &Value, operator: Operator, operand: &Value) -> bool {
+    let order = value.compare(operand);
     match operator {
-        Operator::Equal => value == wanted,
-        Operator::NotEqual => value != wanted,
+        Operator::Equal => value == operand,
+        Operator::NotEqual => value != operand,
         Operator::Less => order == Some(Ordering::Less),
         Operator::AtMost => order.is_some_and(Ordering::is_le),
         Operator::Greater => order == Some(Ordering::Greater),
         Operator::AtLeast => order.is_some_and(Ordering::is_ge),
-        Operator::Like => match (value, wanted) {
+        Operator::Like => match (value, operand) {
             (Value::Text(text), Value::Text(pattern)) => glob::matches(pattern, text),
             _ => false,
         },
-        Operator::Contains => match (value, wanted) {
+        Operator::Contains => match (value, operand) {
             (Value::Text(text), Value::Text(part)) => text.contains(part.as_str()),
             (Value::List(texts), Value::Text(element)) => texts.contains(element),
             _ => false,
@@ -121,18 +120,18 @@
     }
 }
 
-/// Rows of several nodes put together: of beliefs about one object only the freshest stays.
+/// Combines the rows of several nodes. Of several nodes' views of one object, only the most recent remains.
 pub fn merge(noun: Noun, rows: Vec<Row>) -> Vec<Row> {
     let Merge::Freshest(key_fields) = noun.merge() else { return rows };
-    let mut freshest: BTreeMap<String, Row> = BTreeMap::new();
+    let mut newest: BTreeMap<String, Row> = BTreeMap::new();
     for row in rows {
         let key = group_key(&row.values()[..key_fields]);
-        let is_fresher = freshest.get(&key).is_none_or(|kept| age_of(&row) < age_of(kept));
-        if is_fresher {
-            freshest.insert(key, row);
+        let is_newer = newest.get(&key).is_none_or(|other| age_of(&row) < age_of(other));
+        if is_newer {
+            newest.insert(key, row);
         }
     }
-    freshest.into_values().collect()
+    newest.into_values().collect()
 }
 
 fn age_of(row: &Row) -> u64 {
@@ -142,17 +141,17 @@
     }
 }
 
-/// A text that is equal for equal values and sorts by them.
+/// A key that is equal for equal values.
 fn group_key(values: &[Value]) -> String {
     serde_json::Value::from_iter(values.iter().map(Value::to_json)).to_string()
 }
 
-/// The answer to a query from all matching rows.
+/// Builds the answer to a query from all matching rows.
 pub fn table(query: &Query, rows: &[Row]) -> Table {
     let columns = shown_columns(query);
-    let heads = columns.iter().map(column_head).collect();
+    let headers = columns.iter().map(column_header).collect();
     let groups = groups(query, rows);
-    let mut lines: Vec<(Vec<Value>, Vec<Value>)> = groups
+    let mut keyed_rows: Vec<(Vec<Value>, Vec<Value>)> = groups
         .iter()
         .map(|group| {
             let cells = columns.iter().map(|column| cell(column, group)).collect();
@@ -160,12 +159,12 @@
             (keys, cells)
         })
         .collect();
-    lines.sort_by(|left, right| compare_keys(&query.order_by, &left.0, &right.0));
+    keyed_rows.sort_by(|left, right| compare_keys(&query.order_by, &left.0, &right.0));
     let limit = query.limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX));
-    Table { columns: heads, rows: lines.into_iter().map(|(_, cells)| cells).take(limit).collect() }
+    Table { columns: headers, rows: keyed_rows.into_iter().map(|(_, cells)| cells).take(limit).collect() }
 }
 
-/// The columns that a query shows.
+/// The columns of a query's answer.
 pub fn shown_columns(query: &Query) -> Vec<Column> {
     if !query.columns.is_empty() {
         return query.columns.clone();
@@ -175,14 +174,14 @@
         let count = Aggregate { function: Function::Count, field: None };
         return fields.chain([Column::Aggregate(count)]).collect();
     }
-    let left_out = match query.noun.merge() {
+    let omitted = match query.noun.merge() {
         Merge::PerNode => "age",
         Merge::Freshest(_) => "node",
     };
-    query.noun.fields().filter(|field| field.name != left_out).map(Column::Field).collect()
+    query.noun.fields().filter(|field| field.name != omitted).map(Column::Field).collect()
 }
 
-fn column_head(column: &Column) -> ColumnHeader {
+fn column_header(column: &Column) -> ColumnHeader {
     let kind = match column {
         Column::Field(field) => field.kind,
         Column::Aggregate(aggregate) => match (aggregate.function, aggregate.field) {
@@ -193,7 +192,7 @@
     ColumnHeader { name: column.to_string(), kind }
 }
 
-/// Rows that belong together; each row by itself where the query does not group.
+/// The groups of rows; each row is its own group if the query is ungrouped.
 fn groups<'a>(query: &Query, rows: &'a [Row]) -> Vec<Vec<&'a Row>> {
     if !query.is_grouped() {
         return rows.iter().map(|row| vec![row]).collect();
@@ -212,11 +211,11 @@
 fn cell(column: &Column, group: &[&Row]) -> Value {
     match column {
         Column::Field(field) => group.first().map_or(Value::None, |row| row.get(field).clone()),
-        Column::Aggregate(aggregate) => figure(aggregate, group),
+        Column::Aggregate(aggregate) => aggregate_value(aggregate, group),
     }
 }
 
-fn figure(aggregate: &Aggregate, group: &[&Row]) -> Value {
+fn aggregate_value(aggregate: &Aggregate, group: &[&Row]) -> Value {
     let Some(field) = aggregate.field else { return Value::from(group.len()) };
     let mut values: Vec<&Value> =
         group.iter().map(|row| row.get(field)).filter(|value| **value != Value::None).collect();
@@ -225,7 +224,7 @@
         Function::Count => Value::from(values.len()),
         Function::Minimum => values.first().map_or(Value::None, |value| (*value).clone()),
         Function::Maximum => values.last().map_or(Value::None, |value| (*value).clone()),
-        Function::Sum => total(&values, field),
+        Function::Sum => sum(&values, field),
         Function::Average => average(&values, field),
         Function::Median => percentile(&values, 50),
         Function::Percentile95 => percentile(&values, 95),
@@ -233,8 +232,8 @@
     }
 }
 
-fn total(values: &[&Value], field: &FieldSchema) -> Value {
-    measured(values.iter().map(|value| amount(value)).sum(), field)
+fn sum(values: &[&Value], field: &FieldSchema) -> Value {
+    value_of_kind(values.iter().map(|value| amount(value)).sum(), field)
 }
 
 fn average(values: &[&Value], field: &FieldSchema) -> Value {
@@ -242,7 +241,7 @@
         return Value::None;
     }
     let sum: f64 = values.iter().map(|value| amount(value)).sum();
-    measured(sum / values.len() as f64, field)
+    value_of_kind(sum / values.len() as f64, field)
 }
 
 fn amount(value: &Value) -> f64 {
@@ -253,14 +252,14 @@
     }
 }
 
-fn measured(amount: f64, field: &FieldSchema) -> Value {
+fn value_of_kind(amount: f64, field: &FieldSchema) -> Value {
     match field.kind {
         Kind::Duration => Value::Duration(amount.round() as u64),
         _ => Value::from(amount),
     }
 }
 
-/// The least value that at least `percent` in 100 of the sorted values do not exceed (nearest rank).
+/// The percentile of the sorted values by the nearest-rank method.
 fn percentile(values: &[&Value], percent: usize) -> Value {
     let rank = (values.len() * percent).div_ceil(100).max(1);
     values.get(rank - 1).map_or(Value::None, |value| (*value).clone())
--- a/crates/language/src/grammar.rs
+++ b/crates/language/src/grammar.rs
@@ -1,4 +1,4 @@
-//! The grammar.
+//! The parser, by this grammar:
 //!
 //! ```text
 //! statement  = show | watch | explain | change | help
@@ -29,26 +29,26 @@
     stream::TokenSlice,
 };
 
-use self::primitive::{Failure, Parsed, Tokens, end, keyword};
+use self::primitive::{Failure, ParseResult, Tokens, end, keyword};
 use crate::{
-    error::{SyntaxError, nearest},
+    error::{SyntaxError, closest_match},
     help,
-    token::{Content, Token, tokenize},
+    token::{Token, TokenKind, tokenize},
     tree::Statement,
 };
 
-/// Bytes of one statement at most.
+/// The maximum length of a statement in bytes.
 pub const MAX_STATEMENT_BYTES: usize = 256 << 10;
 
-/// Depth of brackets and negations in one condition at most.
+/// The maximum depth of nested parentheses and negations in a condition.
 pub const MAX_NESTING: usize = 32;
 
-/// Words that mean a value wherever a value may stand.
+/// Whether `word` is a literal, and therefore must be quoted as a name.
 pub fn is_reserved(word: &str) -> bool {
     ["none", "true", "false"].iter().any(|reserved| reserved.eq_ignore_ascii_case(word))
 }
 
-/// Reads one statement from bytes.
+/// Parses one statement from bytes.
 pub fn parse_bytes(bytes: &[u8]) -> Result<Statement, SyntaxError> {
     match std::str::from_utf8(bytes) {
         Ok(text) => parse(text),
@@ -57,45 +57,45 @@
             let text = String::from_utf8_lossy(&bytes[..valid]).into_owned();
             Err(SyntaxError {
                 text,
-                place: valid..valid,
+                span: valid..valid,
                 problem: "the text is not UTF-8 from here on".to_owned(),
                 expected: Vec::new(),
-                nearest: None,
+                suggestion: None,
             })
         }
     }
 }
 
-/// Reads one statement.
+/// Parses one statement.
 pub fn parse(text: &str) -> Result<Statement, SyntaxError> {
     if text.len() > MAX_STATEMENT_BYTES {
         return Err(SyntaxError {
             text: String::new(),
-            place: 0..0,
+            span: 0..0,
             problem: format!("the statement has {} bytes; {MAX_STATEMENT_BYTES} are allowed", text.len()),
             expected: Vec::new(),
-            nearest: None,
+            suggestion: None,
         });
     }
     let tokens = tokenize(text)?;
     let mut input = TokenSlice::new(&tokens);
     statement.parse_next(&mut input).map_err(|error| match error {
-        ErrMode::Backtrack(failure) | ErrMode::Cut(failure) => explain_failure(text, &tokens, failure),
-        ErrMode::Incomplete(_) => explain_failure(text, &tokens, Failure::default()),
+        ErrMode::Backtrack(failure) | ErrMode::Cut(failure) => syntax_error(text, &tokens, failure),
+        ErrMode::Incomplete(_) => syntax_error(text, &tokens, Failure::default()),
     })
 }
 
-/// A word that no statement has, to learn what could stand in its place.
+/// A word that is never valid, so that parsing fails at it with the list of valid words.
 const PLACEHOLDER: &str = "@";
 
-/// Words that could follow `text`, the beginning of a statement.
+/// The words that can follow `text`, a prefix of a statement.
 pub fn continuations(text: &str) -> Vec<&'static str> {
     let text = format!("{text} {PLACEHOLDER}");
     let Ok(tokens) = tokenize(&text) else { return Vec::new() };
     let mut input = TokenSlice::new(&tokens);
     match statement.parse_next(&mut input) {
         Err(ErrMode::Backtrack(failure) | ErrMode::Cut(failure))
-            if failure.at + PLACEHOLDER.len() == text.len() =>
+            if failure.offset + PLACEHOLDER.len() == text.len() =>
         {
             let words = failure.expected.into_iter().chain(failure.candidates);
             words.flat_map(|word| word.split(' ').next()).collect()
@@ -104,7 +104,7 @@
     }
 }
 
-fn statement(input: &mut Tokens<'_, '_>) -> Parsed<Statement> {
+fn statement(input: &mut Tokens<'_, '_>) -> ParseResult<Statement> {
     alt((
         preceded(keyword("show"), query::show).map(Statement::Show),
         preceded(keyword("watch"), query::watch).map(Statement::Watch),
@@ -115,7 +115,7 @@
     .parse_next(input)
 }
 
-fn help_word(input: &mut Tokens<'_, '_>) -> Parsed<Option<String>> {
+fn help_word(input: &mut Tokens<'_, '_>) -> ParseResult<Option<String>> {
     if end(input).is_ok() {
         return Ok(None);
     }
@@ -127,29 +127,29 @@
     Ok(Some(topic.word.to_owned()))
 }
 
-fn explain_failure(text: &str, tokens: &[Token<'_>], failure: Failure) -> SyntaxError {
-    let found = tokens.iter().find(|token| token.place.start >= failure.at);
-    let (place, shown, is_end) = match found {
-        Some(token) => (token.place.clone(), token.text, token.content == Content::End),
+fn syntax_error(text: &str, tokens: &[Token<'_>], failure: Failure) -> SyntaxError {
+    let found = tokens.iter().find(|token| token.span.start >= failure.offset);
+    let (span, found_text, is_end) = match found {
+        Some(token) => (token.span.clone(), token.text, token.kind == TokenKind::End),
         None => (text.len()..text.len(), "", true),
     };
     let problem = match failure.problem {
         Some(problem) => problem,
         None if is_end => "the statement ends too early".to_owned(),
-        None => format!("{} was not expected here", shorten(shown)),
+        None => format!("{} was not expected here", truncate(found_text)),
     };
     let words = failure.expected.iter().copied().chain(failure.candidates.iter().copied());
-    let nearest = nearest(shown, words).map(str::to_owned);
+    let suggestion = closest_match(found_text, words).map(str::to_owned);
     let expected = failure.expected.iter().map(|&word| word.to_owned()).collect();
-    SyntaxError { text: text.to_owned(), place, problem, expected, nearest }
+    SyntaxError { text: text.to_owned(), span, problem, expected, suggestion }
 }
 
-fn shorten(text: &str) -> String {
-    const LONGEST: usize = 40;
-    let mut shown: String =
-        text.chars().take(LONGEST).map(|c| if c.is_control() { ' ' } else { c }).collect();
-    if shown.len() < text.len() {
-        shown.push('…');
+fn truncate(text: &str) -> String {
+    const MAX_CHARACTERS: usize = 40;
+    let mut truncated: String =
+        text.chars().take(MAX_CHARACTERS).map(|c| if c.is_control() { ' ' } else { c }).collect();
+    if truncated.len() < text.len() {
+        truncated.push('…');
     }
-    shown
+    truncated
 }
--- a/crates/language/src/grammar/condition.rs
+++ b/crates/language/src/grammar/condition.rs
@@ -1,46 +1,46 @@
-//! Conditions after `where`, and literals.
+//! Parsers of `where` conditions and literals.
 
 use winnow::{Parser, combinator::separated};
 
 use super::{
     MAX_NESTING,
-    primitive::{Failure, Parsed, Tokens, accept, at_sign, is_keyword, keyword, next, sign, text_of},
+    primitive::{Failure, ParseResult, Tokens, accept, is_keyword, keyword, next_is, peek, symbol, text_of},
 };
 use crate::{
+    rfc3339,
     schema::Noun,
-    time_text,
-    token::{Content, Sign, Token},
+    token::{Symbol, Token, TokenKind},
     tree::{Expression, Field, Literal, Operator},
     value::{Kind, Value},
 };
 
-/// Reads a condition on the rows of a noun.
-pub fn condition(input: &mut Tokens<'_, '_>, noun: Noun, depth: usize) -> Parsed<Expression> {
+/// Parses a condition on the rows of a noun.
+pub fn condition(input: &mut Tokens<'_, '_>, noun: Noun, depth: usize) -> ParseResult<Expression> {
     let all = |input: &mut Tokens<'_, '_>| all_of(input, noun, depth);
     let parts: Vec<Expression> = separated(1.., all, keyword("or")).parse_next(input)?;
-    Ok(single_or(parts, Expression::Or))
+    Ok(combine(parts, Expression::Or))
 }
 
-fn all_of(input: &mut Tokens<'_, '_>, noun: Noun, depth: usize) -> Parsed<Expression> {
+fn all_of(input: &mut Tokens<'_, '_>, noun: Noun, depth: usize) -> ParseResult<Expression> {
     let one = |input: &mut Tokens<'_, '_>| simple(input, noun, depth);
     let parts: Vec<Expression> = separated(1.., one, keyword("and")).parse_next(input)?;
-    Ok(single_or(parts, Expression::And))
+    Ok(combine(parts, Expression::And))
 }
 
-fn single_or(mut parts: Vec<Expression>, many: fn(Vec<Expression>) -> Expression) -> Expression {
+fn combine(mut parts: Vec<Expression>, combined: fn(Vec<Expression>) -> Expression) -> Expression {
     match parts.pop() {
         Some(only) if parts.is_empty() => only,
         Some(last) => {
             parts.push(last);
-            many(parts)
+            combined(parts)
         }
-        None => many(parts),
+        None => combined(parts),
     }
 }
 
-/// Reads one condition. Every failure is final: after `where`, `and` and `or` nothing else can stand.
-fn simple(input: &mut Tokens<'_, '_>, noun: Noun, depth: usize) -> Parsed<Expression> {
-    let token = next(input)?;
+/// Parses one condition. Every failure is final, as nothing else is valid after `where`, `and` or `or`.
+fn simple(input: &mut Tokens<'_, '_>, noun: Noun, depth: usize) -> ParseResult<Expression> {
+    let token = peek(input)?;
     if depth > MAX_NESTING {
         let problem = format!("conditions are nested more than {MAX_NESTING} deep here");
         return Err(Failure::problem(token, problem).cut());
@@ -49,24 +49,24 @@
         keyword("not").parse_next(input)?;
         return simple(input, noun, depth + 1).map(|inner| Expression::Not(Box::new(inner)));
     }
-    if at_sign(input, Sign::Open) {
-        sign(Sign::Open, "(").parse_next(input)?;
+    if next_is(input, Symbol::Open) {
+        symbol(Symbol::Open, "(").parse_next(input)?;
         let inner = condition(input, noun, depth + 1)?;
-        sign(Sign::Close, ")").parse_next(input).map_err(|error| error.cut())?;
+        symbol(Symbol::Close, ")").parse_next(input).map_err(|error| error.cut())?;
         return Ok(inner);
     }
     let field = field(input, noun).map_err(|error| error.cut())?;
     comparison(input, field).map_err(|error| error.cut())
 }
 
-/// Reads the name of a field of a noun.
-pub fn field(input: &mut Tokens<'_, '_>, noun: Noun) -> Parsed<Field> {
-    let token = next(input)?;
-    let known = if token.content == Content::Word { noun.field(token.text) } else { None };
+/// Parses the name of a field of a noun.
+pub fn field(input: &mut Tokens<'_, '_>, noun: Noun) -> ParseResult<Field> {
+    let token = peek(input)?;
+    let known = if token.kind == TokenKind::Word { noun.field(token.text) } else { None };
     let Some(field) = known else {
         let names = noun.fields().map(|field| field.name);
-        let mut failure = Failure::unknown(token, field_of(noun), names);
-        if token.content == Content::Word {
+        let mut failure = Failure::unknown(token, field_description(noun), names);
+        if token.kind == TokenKind::Word {
             failure.problem = Some(format!("{} has no field {}", noun.name(), token.text));
         }
         return Err(winnow::error::ErrMode::Backtrack(failure));
@@ -74,7 +74,7 @@
     accept(input, "a field", |_| Some(field))
 }
 
-const fn field_of(noun: Noun) -> &'static str {
+const fn field_description(noun: Noun) -> &'static str {
     match noun {
         Noun::Tenants => "a field of tenants (see: help tenants)",
         Noun::Pools => "a field of pools (see: help pools)",
@@ -95,14 +95,14 @@
     }
 }
 
-fn comparison(input: &mut Tokens<'_, '_>, field: Field) -> Parsed<Expression> {
-    let token = next(input)?;
+fn comparison(input: &mut Tokens<'_, '_>, field: Field) -> ParseResult<Expression> {
+    let token = peek(input)?;
     let Some(operator) = operator_of(token) else {
-        let signs = ["=", "!=", "<", "<=", ">", ">=", "like", "contains"];
-        return Err(Failure::expected(token, signs).cut());
+        let operators = ["=", "!=", "<", "<=", ">", ">=", "like", "contains"];
+        return Err(Failure::expected(token, operators).cut());
     };
-    if !fits(operator, field.kind) {
-        let kind = field.kind.described();
+    if !is_comparable(operator, field.kind) {
+        let kind = field.kind.description();
         let problem = format!("{} cannot be compared with {}; it is {kind}", field.name, operator.name());
         return Err(Failure::problem(token, problem).cut());
     }
@@ -112,20 +112,20 @@
 }
 
 fn operator_of(token: &Token<'_>) -> Option<Operator> {
-    Some(match token.content {
-        Content::Sign(Sign::Equal) => Operator::Equal,
-        Content::Sign(Sign::NotEqual) => Operator::NotEqual,
-        Content::Sign(Sign::Less) => Operator::Less,
-        Content::Sign(Sign::AtMost) => Operator::AtMost,
-        Content::Sign(Sign::Greater) => Operator::Greater,
-        Content::Sign(Sign::AtLeast) => Operator::AtLeast,
-        Content::Word if token.text.eq_ignore_ascii_case("like") => Operator::Like,
-        Content::Word if token.text.eq_ignore_ascii_case("contains") => Operator::Contains,
+    Some(match token.kind {
+        TokenKind::Symbol(Symbol::Equal) => Operator::Equal,
+        TokenKind::Symbol(Symbol::NotEqual) => Operator::NotEqual,
+        TokenKind::Symbol(Symbol::Less) => Operator::Less,
+        TokenKind::Symbol(Symbol::AtMost) => Operator::AtMost,
+        TokenKind::Symbol(Symbol::Greater) => Operator::Greater,
+        TokenKind::Symbol(Symbol::AtLeast) => Operator::AtLeast,
+        TokenKind::Word if token.text.eq_ignore_ascii_case("like") => Operator::Like,
+        TokenKind::Word if token.text.eq_ignore_ascii_case("contains") => Operator::Contains,
         _ => return None,
     })
 }
 
-const fn fits(operator: Operator, kind: Kind) -> bool {
+const fn is_comparable(operator: Operator, kind: Kind) -> bool {
     match operator {
         Operator::Equal | Operator::NotEqual => !matches!(kind, Kind::List),
         Operator::Like => matches!(kind, Kind::Text),
@@ -136,38 +136,38 @@
     }
 }
 
-/// Reads a value for a field.
-pub fn literal(input: &mut Tokens<'_, '_>, field: Field) -> Parsed<Literal> {
-    if field.kind == Kind::Time && matches!(next(input)?.content, Content::Duration(_)) {
+/// Parses a literal of a field's type.
+pub fn literal(input: &mut Tokens<'_, '_>, field: Field) -> ParseResult<Literal> {
+    if field.kind == Kind::Time && matches!(peek(input)?.kind, TokenKind::Duration(_)) {
         return ago(input);
     }
     let kind = field.kind;
-    accept(input, kind.described(), |token| value_of(token, kind)).map(Literal::Value)
+    accept(input, kind.description(), |token| value_of(token, kind)).map(Literal::Value)
 }
 
-fn ago(input: &mut Tokens<'_, '_>) -> Parsed<Literal> {
-    let microseconds = accept(input, "a duration", |token| match token.content {
-        Content::Duration(microseconds) => Some(microseconds),
+fn ago(input: &mut Tokens<'_, '_>) -> ParseResult<Literal> {
+    let microseconds = accept(input, "a duration", |token| match token.kind {
+        TokenKind::Duration(microseconds) => Some(microseconds),
         _ => None,
     })?;
     keyword("ago").parse_next(input)?;
     Ok(Literal::Ago(microseconds))
 }
 
-/// The value that a token stands for, for a field of a kind.
+/// The value of a token as a literal of type `kind`.
 pub fn value_of(token: &Token<'_>, kind: Kind) -> Option<Value> {
     if is_keyword(token, "none") {
         return Some(Value::None);
     }
-    match (kind, &token.content) {
-        (Kind::Number, Content::Number(number)) => Some(Value::Number(*number)),
-        (Kind::Duration, Content::Duration(microseconds)) => Some(Value::Duration(*microseconds)),
-        (Kind::Bool, Content::Word) => match token.text.to_ascii_lowercase().as_str() {
+    match (kind, &token.kind) {
+        (Kind::Number, TokenKind::Number(number)) => Some(Value::Number(*number)),
+        (Kind::Duration, TokenKind::Duration(microseconds)) => Some(Value::Duration(*microseconds)),
+        (Kind::Bool, TokenKind::Word) => match token.text.to_ascii_lowercase().as_str() {
             "true" => Some(Value::Bool(true)),
             "false" => Some(Value::Bool(false)),
             _ => None,
         },
-        (Kind::Time, _) => text_of(token).and_then(|text| time_text::read(&text)).map(Value::Time),
+        (Kind::Time, _) => text_of(token).and_then(|text| rfc3339::parse(&text)).map(Value::Time),
         (Kind::Text | Kind::List, _) => text_of(token).map(Value::Text),
         _ => None,
     }
--- a/crates/language/src/lib.rs
+++ b/crates/language/src/lib.rs
@@ -1,9 +1,8 @@
 //! The operators' query and command language.
 //!
-//! [`parse`] turns text into a typed [`Statement`](tree::Statement) or an error that points at its
-//! place; printing a statement gives text that parses to the same statement. [`evaluate`] answers
-//! queries from rows of a [`Source`](source::Source); [`change`] turns commands into changes of the
-//! configuration. The crate knows nothing of HTTP, nodes or clocks.
+//! [`parse`] turns text into a typed [`Statement`](tree::Statement) or an error with its location; a printed
+//! statement parses to an equal statement. [`evaluate`] runs queries over the rows of a [`Source`](source::Source);
+//! [`change`] translates commands to changes of the configuration. The crate does no I/O and reads no clock.
 
 pub mod answer;
 pub mod change;
@@ -15,9 +14,9 @@
 pub mod help;
 mod print;
 pub mod render;
+mod rfc3339;
 pub mod schema;
 pub mod source;
-mod time_text;
 pub mod token;
 pub mod tree;
 pub mod value;
--- a/crates/language/src/print.rs
+++ b/crates/language/src/print.rs
@@ -1,10 +1,10 @@
-//! Printing of syntax trees in the form that parses to an equal tree.
+//! Formatting of syntax trees as text that parses to an equal tree.
 
 use std::fmt::{self, Display, Formatter};
 
 use crate::{
     grammar::is_reserved,
-    token::{Content, UNITS, classify},
+    token::{TokenKind, UNITS, classify},
     tree::{
         Action, Aggregate, ChangeCommand, Column, Explain, Expression, Literal, Order, Query, RouteQuery,
         Setting, Statement,
@@ -49,10 +49,10 @@
 }
 
 fn list<T: Display>(items: &[T]) -> String {
-    joined(items, ", ")
+    join(items, ", ")
 }
 
-fn joined<T: Display>(items: &[T], separator: &str) -> String {
+fn join<T: Display>(items: &[T], separator: &str) -> String {
     items.iter().map(T::to_string).collect::<Vec<_>>().join(separator)
 }
 
@@ -84,21 +84,21 @@
                 write!(formatter, "{} {} {literal}", field.name, operator.name())
             }
             Self::And(parts) => {
-                let parts: Vec<_> = parts.iter().map(|part| bracketed(part, true)).collect();
+                let parts: Vec<_> = parts.iter().map(|part| parenthesized(part, true)).collect();
                 formatter.write_str(&parts.join(" and "))
             }
             Self::Or(parts) => {
-                let parts: Vec<_> = parts.iter().map(|part| bracketed(part, false)).collect();
+                let parts: Vec<_> = parts.iter().map(|part| parenthesized(part, false)).collect();
                 formatter.write_str(&parts.join(" or "))
             }
-            Self::Not(inner) => write!(formatter, "not {}", bracketed(inner, true)),
+            Self::Not(inner) => write!(formatter, "not {}", parenthesized(inner, true)),
         }
     }
 }
 
-/// A part of a condition, in brackets only where it would read back differently without: nesting
-/// then never gets deeper than it was when read.
-fn bracketed(part: &Expression, binds_tightly: bool) -> String {
+/// Formats a part of a condition, with parentheses only if it would parse differently without them. The printed
+/// nesting thus never exceeds the parsed one.
+fn parenthesized(part: &Expression, binds_tightly: bool) -> String {
     match part {
         Expression::Or(_) => format!("({part})"),
         Expression::And(_) if binds_tightly => format!("({part})"),
@@ -135,11 +135,12 @@
     format!("{}{unit}", microseconds / factor)
 }
 
-/// A text as a bare word where it reads back as one, otherwise in quotes.
+/// Formats a name, with quotes unless it parses as a word without them.
 fn name(text: &str) -> String {
-    let starts_well = text.starts_with(|first: char| first.is_ascii_alphabetic());
-    let plain = text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"_-./:@+".contains(&byte));
-    let is_word = starts_well && plain && classify(text) == Content::Word && !is_reserved(text);
+    let starts_with_letter = text.starts_with(|first: char| first.is_ascii_alphabetic());
+    let all_allowed = text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"_-./:@+".contains(&byte));
+    let is_word =
+        starts_with_letter && all_allowed && classify(text) == TokenKind::Word && !is_reserved(text);
     if is_word { text.to_owned() } else { quote(text) }
 }
 
@@ -179,14 +180,16 @@
 impl Display for Action {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Create(object, named, settings) => {
-                write!(formatter, "create {} {}", object.name(), name(named))?;
+            Self::Create(object, object_name, settings) => {
+                write!(formatter, "create {} {}", object.name(), name(object_name))?;
                 if settings.is_empty() { Ok(()) } else { write!(formatter, " {}", list(settings)) }
             }
-            Self::Set(object, named, settings) => {
-                write!(formatter, "set {} {} {}", object.name(), name(named), list(settings))
+            Self::Set(object, object_name, settings) => {
+                write!(formatter, "set {} {} {}", object.name(), name(object_name), list(settings))
+            }
+            Self::Delete(object, object_name) => {
+                write!(formatter, "delete {} {}", object.name(), name(object_name))
             }
-            Self::Delete(object, named) => write!(formatter, "delete {} {}", object.name(), name(named)),
             Self::Drain { engine, reason } if reason.is_empty() => {
                 write!(formatter, "drain engine {}", name(engine.as_str()))
             }
--- a/crates/language/src/render.rs
+++ b/crates/language/src/render.rs
@@ -1,4 +1,4 @@
-//! Answers as text: aligned tables and comma-separated values.
+//! Rendering of answers as aligned tables and comma-separated values.
 
 use std::fmt::Write;
 
@@ -7,10 +7,10 @@
     value::{Kind, Value},
 };
 
-/// Characters of one cell in an aligned table at most.
-const WIDEST_CELL: usize = 72;
+/// The maximum width of a cell in characters.
+const MAX_CELL_WIDTH: usize = 72;
 
-/// An answer for people.
+/// Renders an answer for a terminal.
 pub fn text(answer: &Answer) -> String {
     let mut text = match &answer.body {
         Body::Table { table } => aligned(table),
@@ -30,16 +30,16 @@
     text
 }
 
-/// A table in aligned columns, with the count of rows.
+/// Renders a table with aligned columns and the number of rows.
 pub fn aligned(table: &Table) -> String {
-    let heads: Vec<String> = table.columns.iter().map(|column| column.name.clone()).collect();
-    let rows: Vec<Vec<String>> = table.rows.iter().map(|row| row.iter().map(shown).collect()).collect();
+    let headers: Vec<String> = table.columns.iter().map(|column| column.name.clone()).collect();
+    let rows: Vec<Vec<String>> = table.rows.iter().map(|row| row.iter().map(cell_text).collect()).collect();
     let width = |index: usize| {
         let cells = rows.iter().map(|row| row[index].chars().count());
-        cells.chain([heads[index].chars().count()]).max().unwrap_or(0)
+        cells.chain([headers[index].chars().count()]).max().unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..heads.len()).map(width).collect();
-    let mut text = line(&heads, &widths, table);
+    let widths: Vec<usize> = (0..headers.len()).map(width).collect();
+    let mut text = line(&headers, &widths, table);
     for row in &rows {
         text.push_str(&line(row, &widths, table));
     }
@@ -48,43 +48,45 @@
     text
 }
 
-/// A table line without the count, for rows that come one by one.
+/// Renders each row as `name=value` pairs on one line, without unknown values; for the rows of `watch`.
 pub fn key_value_lines(table: &Table) -> String {
     let mut text = String::new();
     for row in &table.rows {
         let cells = table.columns.iter().zip(row).filter(|(_, value)| **value != Value::None);
-        let cells: Vec<_> = cells.map(|(head, value)| format!("{}={}", head.name, shown(value))).collect();
+        let cells: Vec<_> =
+            cells.map(|(header, value)| format!("{}={}", header.name, cell_text(value))).collect();
         let _ = writeln!(text, "{}", cells.join("  "));
     }
     text
 }
 
-fn shown(value: &Value) -> String {
+fn cell_text(value: &Value) -> String {
     let text = value.to_string().replace(char::is_control, " ");
-    if text.chars().count() <= WIDEST_CELL {
+    if text.chars().count() <= MAX_CELL_WIDTH {
         return text;
     }
-    text.chars().take(WIDEST_CELL - 1).chain(['…']).collect()
+    text.chars().take(MAX_CELL_WIDTH - 1).chain(['…']).collect()
 }
 
 fn line(cells: &[String], widths: &[usize], table: &Table) -> String {
-    let padded = cells.iter().zip(widths).zip(&table.columns).map(|((cell, &width), head)| match head.kind {
-        Kind::Number | Kind::Duration => format!("{cell:>width$}"),
-        _ => format!("{cell:<width$}"),
-    });
+    let padded =
+        cells.iter().zip(widths).zip(&table.columns).map(|((cell, &width), header)| match header.kind {
+            Kind::Number | Kind::Duration => format!("{cell:>width$}"),
+            _ => format!("{cell:<width$}"),
+        });
     let line = padded.collect::<Vec<_>>().join("  ");
     format!("{}\n", line.trim_end())
 }
 
-/// A table as comma-separated values with a line of heads (RFC 4180); durations in milliseconds.
+/// Renders a table as comma-separated values with a header line (RFC 4180). Durations are in milliseconds.
 pub fn csv(table: &Table) -> String {
-    let heads: Vec<String> = table.columns.iter().map(|column| csv_cell(&column.name)).collect();
-    let mut text = format!("{}\r\n", heads.join(","));
+    let headers: Vec<String> = table.columns.iter().map(|column| csv_cell(&column.name)).collect();
+    let mut text = format!("{}\r\n", headers.join(","));
     text.push_str(&csv_rows(table));
     text
 }
 
-/// The rows of a table as comma-separated values, without heads.
+/// Renders the rows of a table as comma-separated values, without the header line.
 pub fn csv_rows(table: &Table) -> String {
     let mut text = String::new();
     for row in &table.rows {
@@ -101,7 +103,7 @@
         Value::List(texts) => csv_cell(&texts.join(" ")),
         other => match other.to_json() {
             serde_json::Value::String(text) => csv_cell(&text),
-            plain => plain.to_string(),
+            json => json.to_string(),
         },
     }
 }
--- a/crates/language/src/source.rs
+++ b/crates/language/src/source.rs
@@ -1,4 +1,4 @@
-//! Where rows come from.
+//! Sources of rows.
 
 use std::ops::ControlFlow;
 
@@ -10,12 +10,12 @@
     value::Value,
 };
 
-/// Something that knows the rows of each noun, such as a node's state or a fixed set in a test.
+/// A source of the rows of each noun, such as a node's state or a fixed set in a test.
 pub trait Source {
-    /// The present time.
+    /// The current time, to which `ago` refers.
     fn now(&self) -> Timestamp;
 
-    /// Shows the rows of a noun one by one, until the visitor breaks off.
+    /// Calls the visitor with each row of a noun until it returns `Break`.
     fn visit(&self, noun: Noun, visitor: &mut dyn FnMut(Row) -> ControlFlow<()>);
 }
 
@@ -27,53 +27,55 @@
 }
 
 impl Row {
-    /// A row in which nothing is known.
+    /// Creates a row in which every value is unknown.
     pub fn new(noun: Noun) -> Self {
         Self { noun, values: vec![Value::None; noun.fields().count()] }
     }
 
-    /// The row with a field set. A name that is no field of the noun changes nothing.
+    /// Sets a field. A name that is not a field of the noun is ignored, with a panic in debug builds.
     #[must_use]
     pub fn with(mut self, field: &str, value: impl Into<Value>) -> Self {
-        let place = self.noun.fields().position(|candidate| candidate.name == field);
-        debug_assert!(place.is_some(), "{} has no field {field}", self.noun.name());
-        if let Some(place) = place {
-            self.values[place] = value.into();
+        let index = self.noun.fields().position(|candidate| candidate.name == field);
+        debug_assert!(index.is_some(), "{} has no field {field}", self.noun.name());
+        if let Some(index) = index {
+            self.values[index] = value.into();
         }
         self
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     pub fn get(&self, field: &FieldSchema) -> &Value {
         const UNKNOWN: &Value = &Value::None;
         self.noun.index_of(field).map_or(UNKNOWN, |index| &self.values[index])
     }
 
-    /// The value of the field of a name.
+    /// Returns the value of the field with this name.
     pub fn get_by_name(&self, field: &str) -> &Value {
         const UNKNOWN: &Value = &Value::None;
         self.noun.field(field).map_or(UNKNOWN, |field| self.get(field))
     }
 
-    /// A table of rows with all fields of their noun.
+    /// Creates a table of rows with all fields of their noun.
     pub fn table(noun: Noun, rows: &[Self]) -> Table {
         let columns = noun.fields().map(|field| ColumnHeader::new(field.name, field.kind)).collect();
         Table { columns, rows: rows.iter().map(|row| row.values.clone()).collect() }
     }
 
-    /// The rows of such a table. Columns that are no fields are left out, so that nodes of
-    /// neighbouring versions understand each other.
+    /// Reads the rows of such a table. Unknown columns are ignored, so that nodes of adjacent versions remain
+    /// compatible.
     pub fn from_table(noun: Noun, table: Table) -> Vec<Self> {
-        let places: Vec<Option<usize>> = table
+        let indices: Vec<Option<usize>> = table
             .columns
             .iter()
-            .map(|head| noun.fields().position(|field| field.name == head.name && field.kind == head.kind))
+            .map(|header| {
+                noun.fields().position(|field| field.name == header.name && field.kind == header.kind)
+            })
             .collect();
         let rows = table.rows.into_iter().map(|cells| {
             let mut row = Self::new(noun);
-            for (place, value) in places.iter().zip(cells) {
-                if let Some(place) = place {
-                    row.values[*place] = value;
+            for (index, value) in indices.iter().zip(cells) {
+                if let Some(index) = index {
+                    row.values[*index] = value;
                 }
             }
             row
@@ -81,7 +83,7 @@
         rows.collect()
     }
 
-    /// All values, in the order of the noun's fields.
+    /// The values in the order of the noun's fields.
     pub fn values(&self) -> &[Value] {
         &self.values
     }
--- a/crates/language/src/token.rs
+++ b/crates/language/src/token.rs
@@ -1,4 +1,4 @@
-//! Tokens of the language and their places.
+//! The lexer.
 
 use std::ops::Range;
 
@@ -13,37 +13,34 @@
 
 use crate::error::SyntaxError;
 
-/// One token with its place in the text.
+/// One token and its location in the text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Token<'a> {
-    /// What it is.
-    pub content: Content,
-    /// Its text, quotes included.
+    pub kind: TokenKind,
+    /// The source text, including quotes.
     pub text: &'a str,
-    /// Its place in bytes.
-    pub place: Range<usize>,
+    /// The byte range in the source.
+    pub span: Range<usize>,
 }
 
-/// What a token is.
+/// The kind of a token, with its value.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Content {
-    /// A keyword or name.
+pub enum TokenKind {
+    /// A keyword or an unquoted name.
     Word,
-    /// A number.
     Number(f64),
-    /// A length of time in microseconds.
+    /// A duration in microseconds.
     Duration(u64),
-    /// A text in double quotes, without them and with escapes resolved.
+    /// The content of a quoted string, with escapes resolved.
     Quoted(String),
-    /// A sign.
-    Sign(Sign),
-    /// The end of the text; always the last token.
+    Symbol(Symbol),
+    /// The end of the input; always the last token.
     End,
 }
 
-/// The signs of the language.
+/// The operators and punctuation of the language.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Symbol {
     /// `=`
     Equal,
     /// `!=`
@@ -71,7 +68,7 @@
 type Input<'a> = LocatingSlice<&'a str>;
 type Lexed<T> = Result<T, EmptyError>;
 
-/// Units of durations, the largest first, with their microseconds.
+/// Units of durations with their microseconds, the largest first.
 pub const UNITS: [(&str, u64); 6] = [
     ("d", 86_400_000_000),
     ("h", 3_600_000_000),
@@ -81,7 +78,7 @@
     ("us", 1),
 ];
 
-/// Cuts a text into tokens; the last one is [`Content::End`].
+/// Splits a text into tokens; the last one is [`TokenKind::End`].
 pub fn tokenize(text: &str) -> Result<Vec<Token<'_>>, SyntaxError> {
     let mut input = LocatingSlice::new(text);
     let mut tokens = Vec::new();
@@ -89,11 +86,11 @@
         skip_space(&mut input);
         let start = text.len() - input.len();
         if input.is_empty() {
-            tokens.push(Token { content: Content::End, text: "", place: start..start });
+            tokens.push(Token { kind: TokenKind::End, text: "", span: start..start });
             return Ok(tokens);
         }
         match token.parse_next(&mut input) {
-            Ok((content, place)) => tokens.push(Token { content, text: &text[place.clone()], place }),
+            Ok((kind, span)) => tokens.push(Token { kind, text: &text[span.clone()], span }),
             Err(EmptyError) => return Err(lexical_error(text, start)),
         }
     }
@@ -106,7 +103,7 @@
 fn lexical_error(text: &str, start: usize) -> SyntaxError {
     let rest = &text[start..];
     let first = rest.chars().next().map_or(0, char::len_utf8);
-    let (problem, place) = match rest.chars().next() {
+    let (problem, span) = match rest.chars().next() {
         Some('"') => ("this text in quotes does not end".to_owned(), start..text.len()),
         Some('\'') => ("texts are written in double quotes".to_owned(), start..start + first),
         Some('!') => ("expected != here".to_owned(), start..start + first),
@@ -115,16 +112,16 @@
             (format!("the character {found} has no meaning here"), start..start + first)
         }
     };
-    SyntaxError { text: text.to_owned(), place, problem, expected: Vec::new(), nearest: None }
+    SyntaxError { text: text.to_owned(), span, problem, expected: Vec::new(), suggestion: None }
 }
 
-fn token(input: &mut Input<'_>) -> Lexed<(Content, Range<usize>)> {
-    alt((quoted, sign, run)).with_span().parse_next(input)
+fn token(input: &mut Input<'_>) -> Lexed<(TokenKind, Range<usize>)> {
+    alt((quoted, symbol, unquoted)).with_span().parse_next(input)
 }
 
-fn quoted(input: &mut Input<'_>) -> Lexed<Content> {
+fn quoted(input: &mut Input<'_>) -> Lexed<TokenKind> {
     let text = delimited('"', repeat(0.., character), '"').parse_next(input)?;
-    Ok(Content::Quoted(text))
+    Ok(TokenKind::Quoted(text))
 }
 
 fn character(input: &mut Input<'_>) -> Lexed<char> {
@@ -140,60 +137,60 @@
     })
 }
 
-fn sign(input: &mut Input<'_>) -> Lexed<Content> {
-    let sign = alt((
-        "!=".value(Sign::NotEqual),
-        "<=".value(Sign::AtMost),
-        ">=".value(Sign::AtLeast),
-        any.verify_map(single_sign),
+fn symbol(input: &mut Input<'_>) -> Lexed<TokenKind> {
+    let symbol = alt((
+        "!=".value(Symbol::NotEqual),
+        "<=".value(Symbol::AtMost),
+        ">=".value(Symbol::AtLeast),
+        any.verify_map(single_character_symbol),
     ));
-    sign.map(Content::Sign).parse_next(input)
+    symbol.map(TokenKind::Symbol).parse_next(input)
 }
 
-const fn single_sign(character: char) -> Option<Sign> {
+const fn single_character_symbol(character: char) -> Option<Symbol> {
     Some(match character {
-        '=' => Sign::Equal,
-        '<' => Sign::Less,
-        '>' => Sign::Greater,
-        '(' => Sign::Open,
-        ')' => Sign::Close,
-        '[' => Sign::OpenList,
-        ']' => Sign::CloseList,
-        ',' => Sign::Comma,
+        '=' => Symbol::Equal,
+        '<' => Symbol::Less,
+        '>' => Symbol::Greater,
+        '(' => Symbol::Open,
+        ')' => Symbol::Close,
+        '[' => Symbol::OpenList,
+        ']' => Symbol::CloseList,
+        ',' => Symbol::Comma,
         _ => return None,
     })
 }
 
-fn run(input: &mut Input<'_>) -> Lexed<Content> {
-    let run: &str = take_while(1.., is_run_character).parse_next(input)?;
-    Ok(classify(run))
+fn unquoted(input: &mut Input<'_>) -> Lexed<TokenKind> {
+    let text: &str = take_while(1.., is_unquoted_character).parse_next(input)?;
+    Ok(classify(text))
 }
 
-const fn is_run_character(character: char) -> bool {
+const fn is_unquoted_character(character: char) -> bool {
     character.is_ascii_alphanumeric() || matches!(character, '_' | '-' | '.' | '/' | ':' | '@' | '+')
 }
 
-/// What an unquoted run of characters is: a number, a duration or else a word.
-pub fn classify(run: &str) -> Content {
-    let unit_start = run.find(|character: char| character.is_ascii_alphabetic()).unwrap_or(run.len());
-    let (digits, unit) = run.split_at(unit_start);
-    let Some(number) = plain_number(digits) else { return Content::Word };
+/// Classifies an unquoted text as a number, a duration or a word.
+pub fn classify(text: &str) -> TokenKind {
+    let unit_start = text.find(|character: char| character.is_ascii_alphabetic()).unwrap_or(text.len());
+    let (digits, unit) = text.split_at(unit_start);
+    let Some(number) = parse_number(digits) else { return TokenKind::Word };
     if unit.is_empty() {
-        return Content::Number(number);
+        return TokenKind::Number(number);
     }
     let factor = UNITS.iter().find(|(name, _)| *name == unit).map(|(_, factor)| *factor as f64);
     match factor.map(|factor| (number * factor).round()) {
         Some(microseconds) if (0.0..=MAX_DURATION).contains(&microseconds) => {
-            Content::Duration(microseconds as u64)
+            TokenKind::Duration(microseconds as u64)
         }
-        _ => Content::Word,
+        _ => TokenKind::Word,
     }
 }
 
-/// The longest duration: whole microseconds up to here are exact as a floating-point number.
+/// The longest duration in microseconds, up to which all integers are exact as `f64`.
 const MAX_DURATION: f64 = 9_007_199_254_740_992.0;
 
-fn plain_number(digits: &str) -> Option<f64> {
+fn parse_number(digits: &str) -> Option<f64> {
     let unsigned = digits.strip_prefix('-').unwrap_or(digits);
     let (whole, fraction) = unsigned.split_once('.').unwrap_or((unsigned, "0"));
     let all_digits = |part: &str| !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit());
--- a/crates/language/src/tree.rs
+++ b/crates/language/src/tree.rs
@@ -1,4 +1,4 @@
-//! The syntax tree. Printing it (`Display`) gives text that parses to an equal tree.
+//! The syntax tree. Its `Display` form parses to an equal tree.
 
 use paddlemount_protocol::identity::{
     ChangeId, EngineId, PoolId, RequestId, Revision, TenantId, WeightsVersion,
@@ -12,11 +12,11 @@
 /// One statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
-    /// `show …`: rows as they are now.
+    /// `show …`: the current rows.
     Show(Query),
     /// `watch …`: rows as they appear or change.
     Watch(Query),
-    /// `explain …`: why a request goes where it goes.
+    /// `explain …`: why a request is routed as it is.
     Explain(Explain),
     /// A command that changes the configuration.
     Change(ChangeCommand),
@@ -24,25 +24,21 @@
     Help(Option<String>),
 }
 
-/// What is asked for, of which rows, in which form.
+/// A query: which rows of a noun, in which form.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// What it is about.
     pub noun: Noun,
-    /// Columns to show; empty means all fields, or the grouped fields and the count.
+    /// The requested columns; empty means all fields, or the grouped fields and the count.
     pub columns: Vec<Column>,
-    /// Which rows.
     pub filter: Option<Expression>,
-    /// Fields whose values form groups.
     pub group_by: Vec<Field>,
-    /// Order of the rows.
     pub order_by: Vec<Order>,
-    /// Rows at most.
+    /// The maximum number of rows.
     pub limit: Option<u64>,
 }
 
 impl Query {
-    /// All rows and fields of a noun.
+    /// A query for all rows and fields of a noun.
     pub const fn all(noun: Noun) -> Self {
         Self {
             noun,
@@ -54,7 +50,7 @@
         }
     }
 
-    /// Whether rows are put together into groups.
+    /// Whether rows are aggregated in groups.
     pub fn is_grouped(&self) -> bool {
         !self.group_by.is_empty() || self.columns.iter().any(|column| matches!(column, Column::Aggregate(_)))
     }
@@ -66,39 +62,29 @@
 /// One column of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Column {
-    /// A field.
     Field(Field),
-    /// A figure over each group.
     Aggregate(Aggregate),
 }
 
-/// A figure over a group of rows.
+/// An aggregate over a group of rows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Aggregate {
-    /// How it is worked out.
     pub function: Function,
-    /// The field it is worked out from; none for `count()`.
+    /// The aggregated field; none for `count()`.
     pub field: Option<Field>,
 }
 
-/// How a figure over a group is worked out. Rows where the field is unknown are left out.
+/// An aggregate function. Rows with an unknown value of the field are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Function {
-    /// The number of rows.
     Count,
-    /// The sum.
     Sum,
-    /// The mean.
+    /// The arithmetic mean.
     Average,
-    /// The least.
     Minimum,
-    /// The greatest.
     Maximum,
-    /// The value that half of the rows do not exceed.
     Median,
-    /// The value that 95 in 100 rows do not exceed.
     Percentile95,
-    /// The value that 99 in 100 rows do not exceed.
     Percentile99,
 }
 
@@ -115,7 +101,7 @@
         Self::Percentile99,
     ];
 
-    /// The word for it.
+    /// Its keyword.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Count => "count",
@@ -129,42 +115,33 @@
         }
     }
 
-    /// The function of a word.
+    /// Finds a function by its keyword, ignoring case.
     pub fn from_name(word: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|function| function.name().eq_ignore_ascii_case(word))
     }
 }
 
-/// One key of an order.
+/// One sort key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// By what.
     pub column: Column,
-    /// Whether the greatest comes first.
     pub descending: bool,
 }
 
 /// A condition on a row.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expression {
-    /// A field compared with a literal.
-    Compare {
-        /// The field.
-        field: Field,
-        /// How.
-        operator: Operator,
-        /// With what.
-        literal: Literal,
-    },
-    /// All hold; two or more.
+    /// Compares a field with a literal.
+    Compare { field: Field, operator: Operator, literal: Literal },
+    /// All of two or more conditions.
     And(Vec<Expression>),
-    /// At least one holds; two or more.
+    /// At least one of two or more conditions.
     Or(Vec<Expression>),
-    /// It does not hold.
+    /// The negation of a condition.
     Not(Box<Expression>),
 }
 
-/// How a field is compared.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operator {
     /// `=`
@@ -179,14 +156,14 @@
     Greater,
     /// `>=`
     AtLeast,
-    /// `like`: a text matches a pattern with `*` and `?`.
+    /// `like`: whether a text matches a pattern with `*` and `?`.
     Like,
-    /// `contains`: a text has a part, or a list has an element.
+    /// `contains`: whether a text has a substring, or a list an element.
     Contains,
 }
 
 impl Operator {
-    /// The word or sign for it.
+    /// Its keyword or symbol.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Equal => "=",
@@ -201,90 +178,76 @@
     }
 }
 
-/// A value in a condition.
+/// The right-hand side of a comparison.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Literal {
     /// A fixed value; [`Value::None`] is written `none`.
     Value(Value),
-    /// So many microseconds before the query is answered.
+    /// A time this many microseconds before the evaluation.
     Ago(u64),
 }
 
-/// What is to be explained.
+/// The subject of an `explain` statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Explain {
-    /// Why a request went where it went.
+    /// Why a request was routed as it was.
     Request(RequestId),
-    /// Where a prompt would go now.
+    /// Where a prompt would be routed now.
     Route(RouteQuery),
 }
 
-/// A prompt not sent yet.
+/// A query for the route of a prompt that is not sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteQuery {
-    /// The pool.
     pub pool: PoolId,
-    /// The tenant.
     pub tenant: TenantId,
-    /// The prompt's text.
     pub prompt: String,
 }
 
 /// A command with its options.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeCommand {
-    /// What to do.
     pub action: Action,
-    /// Whether only to check it.
+    /// Whether the change is only validated.
     pub dry_run: bool,
-    /// The revision it is based on.
+    /// The revision that the change requires.
     pub if_revision: Option<Revision>,
-    /// The change's identity.
+    /// The identity of the change, for idempotent retries.
     pub id: Option<ChangeId>,
 }
 
 /// What a command does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Create an object that does not exist.
+    /// Creates an object, which must not exist.
     Create(Object, String, Vec<Setting>),
-    /// Change settings of an object that exists.
+    /// Changes settings of an existing object.
     Set(Object, String, Vec<Setting>),
-    /// Delete an object.
     Delete(Object, String),
-    /// Stop new work for an engine.
+    /// Stops new work for an engine.
     Drain {
-        /// The engine.
         engine: EngineId,
-        /// Why.
         reason: String,
     },
-    /// Let an engine take work again.
+    /// Lets an engine accept work again.
     Undrain {
-        /// The engine.
         engine: EngineId,
     },
-    /// Roll out a weights version over a pool.
+    /// Rolls out a weights version over a pool.
     RollOut {
-        /// The version.
         version: WeightsVersion,
-        /// The pool.
         pool: PoolId,
     },
-    /// Serve one version alone, and end a rollout.
+    /// Serves only one version, and ends any rollout.
     Pin {
-        /// The version.
         version: WeightsVersion,
-        /// The pool.
         pool: PoolId,
     },
 }
 
-/// One setting and its new value; [`Value::None`] takes it away.
+/// A setting and its new value; [`Value::None`] removes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting {
-    /// Which.
     pub field: Field,
-    /// Its new value.
     pub value: Value,
 }
--- a/crates/language/src/value.rs
+++ b/crates/language/src/value.rs
@@ -1,33 +1,28 @@
-//! Typed values of fields and literals.
+//! Values of fields and literals.
 
 use std::{cmp::Ordering, fmt};
 
 use paddlemount_protocol::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-use crate::time_text;
+use crate::rfc3339;
 
-/// The types of values.
+/// The type of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Text.
     Text,
-    /// A number.
     Number,
-    /// A length of time.
     Duration,
-    /// True or false.
     Bool,
-    /// A point in time.
     Time,
-    /// Several texts.
+    /// A list of texts.
     List,
 }
 
 impl Kind {
-    /// The type's name with an article, for messages.
-    pub const fn described(self) -> &'static str {
+    /// The type's name with an article, for error messages.
+    pub const fn description(self) -> &'static str {
         match self {
             Self::Text => "a text",
             Self::Number => "a number",
@@ -42,30 +37,26 @@
 /// A typed value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Value {
-    /// Nothing is known or nothing is set.
+    /// Unknown or not set.
     #[default]
     None,
-    /// Text.
     Text(String),
-    /// A number; never infinite, never NaN.
+    /// A finite number.
     Number(f64),
-    /// A length of time in microseconds.
+    /// A duration in microseconds.
     Duration(u64),
-    /// True or false.
     Bool(bool),
-    /// A point in time.
     Time(Timestamp),
-    /// Several texts.
     List(Vec<String>),
 }
 
 impl Value {
-    /// A length of time given in milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn milliseconds(milliseconds: u64) -> Self {
         Self::Duration(milliseconds.saturating_mul(1_000))
     }
 
-    /// Order within one kind; values of different kinds and `None` do not compare.
+    /// Compares values of the same kind; others, and `None`, are not ordered.
     pub fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
             (Self::Text(left), Self::Text(right)) => Some(left.cmp(right)),
@@ -78,7 +69,7 @@
         }
     }
 
-    /// A total order for sorting: `None` first, then by kind, then by value.
+    /// Compares values by a total order for sorting: `None` first, then by kind, then by value.
     pub fn sort_order(&self, other: &Self) -> Ordering {
         let by_value = || self.compare(other).unwrap_or(Ordering::Equal);
         self.rank().cmp(&other.rank()).then_with(by_value)
@@ -96,7 +87,7 @@
         }
     }
 
-    /// The value as plain JSON: durations in milliseconds, times as text.
+    /// Converts the value to JSON: durations in milliseconds, times as text.
     pub fn to_json(&self) -> serde_json::Value {
         match self {
             Self::None => serde_json::Value::Null,
@@ -104,12 +95,12 @@
             Self::Number(number) => json_number(*number),
             Self::Duration(microseconds) => json_number(*microseconds as f64 / 1_000.0),
             Self::Bool(value) => (*value).into(),
-            Self::Time(time) => time_text::format(*time).into(),
+            Self::Time(time) => rfc3339::format(*time).into(),
             Self::List(texts) => texts.clone().into(),
         }
     }
 
-    /// The value of plain JSON, read as `kind`; none where it is of another kind.
+    /// Converts JSON to a value of type `kind`; `None` if it is of another type.
     pub fn from_json(json: &serde_json::Value, kind: Kind) -> Option<Self> {
         if json.is_null() {
             return Some(Self::None);
@@ -119,7 +110,7 @@
             Kind::Number => json.as_f64().map(Self::Number),
             Kind::Duration => json.as_f64().map(|ms| Self::Duration((ms * 1_000.0).round() as u64)),
             Kind::Bool => json.as_bool().map(Self::Bool),
-            Kind::Time => json.as_str().and_then(time_text::read).map(Self::Time),
+            Kind::Time => json.as_str().and_then(rfc3339::parse).map(Self::Time),
             Kind::List => {
                 let texts = json.as_array()?.iter().map(|item| item.as_str().map(str::to_owned));
                 texts.collect::<Option<_>>().map(Self::List)
@@ -128,10 +119,14 @@
     }
 }
 
-/// Whole numbers without a fraction, as readers of JSON expect of counts.
+/// Writes integral numbers without a fraction, as clients expect of counts.
 fn json_number(number: f64) -> serde_json::Value {
-    const EXACT: f64 = 9_007_199_254_740_992.0;
-    if number.fract() == 0.0 && number.abs() < EXACT { (number as i64).into() } else { number.into() }
+    const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
+    if number.fract() == 0.0 && number.abs() < MAX_EXACT_INTEGER {
+        (number as i64).into()
+    } else {
+        number.into()
+    }
 }
 
 impl From<&str> for Value {
@@ -189,7 +184,7 @@
 }
 
 impl fmt::Display for Value {
-    /// The form of tables: short, rounded, `-` where nothing is known.
+    /// Formats the value for tables: rounded, and `-` if unknown.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::None => formatter.write_str("-"),
@@ -197,7 +192,7 @@
             Self::Number(number) => write_rounded(formatter, *number),
             Self::Duration(microseconds) => write_duration(formatter, *microseconds),
             Self::Bool(value) => value.fmt(formatter),
-            Self::Time(time) => formatter.write_str(&time_text::format(*time)),
+            Self::Time(time) => formatter.write_str(&rfc3339::format(*time)),
             Self::List(texts) => formatter.write_str(&texts.join(" ")),
         }
     }
--- a/crates/language/tests/syntax.rs
+++ b/crates/language/tests/syntax.rs
@@ -178,7 +178,7 @@
             assert_eq!(parse(&printed).as_ref(), Ok(&tree), "{printed}");
         }
         Err(error) => {
-            assert!(error.place.start <= error.place.end && error.place.end <= error.text.len(), "{error:?}");
+            assert!(error.span.start <= error.span.end && error.span.end <= error.text.len(), "{error:?}");
             assert!(!error.problem.is_empty());
             assert!(error.to_string().lines().count() == 3, "{error}");
         }
