--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn deadlines_pass_while_the_machine_is_suspended() {
+async fn what_ends_by_time_ends_while_the_machine_is_suspended() {
     static ELAPSED_MS: AtomicU64 = AtomicU64::new(1_000_000);
     let clock = SteadyClock::with_source(|| Duration::from_millis(ELAPSED_MS.load(Ordering::Relaxed)), START);
     let deadline = clock.now() + Duration::from_secs(3);
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_timeout_that_passes_during_a_suspension_fires_soon_after_it() {
+async fn a_wait_that_a_suspension_interrupts_ends_soon_after_it() {
     static ELAPSED_MS: AtomicU64 = AtomicU64::new(1_000_000);
     let clock = SteadyClock::with_source(|| Duration::from_millis(ELAPSED_MS.load(Ordering::Relaxed)), START);
     let started = tokio::time::Instant::now();
--- a/crates/language/src/change.rs
+++ b/crates/language/src/change.rs
@@ -161,7 +161,7 @@
 fn new_pool(name: &str, settings: &[Setting]) -> Result<Pool, CommandError> {
     let missing_setting =
         |setting| CommandError::MissingSetting { object: "pool", name: name.to_owned(), setting };
-    let given = |wanted: &str| settings.iter().find(|setting| setting.field.name == wanted);
+    let given = |field: &str| settings.iter().find(|setting| setting.field.name == field);
     let model = given("model").ok_or_else(|| missing_setting("model"))?;
     let weights = given("weights").ok_or_else(|| missing_setting("weights"))?;
     const DEFAULT_REUSE_WEIGHT: f64 = 0.5;
--- a/crates/language/tests/evaluation.rs
+++ b/crates/language/tests/evaluation.rs
@@ -1,4 +1,4 @@
-//! Queries answered from a fixed set of rows, and commands as changes.
+//! Evaluation of queries over a fixed set of rows, and translation of commands to changes.
 
 use std::ops::ControlFlow;
 
@@ -20,9 +20,9 @@
 
 const NOW: Timestamp = Timestamp::from_millis(1_000_000);
 
-struct Fixed(Vec<Row>);
+struct FixedRows(Vec<Row>);
 
-impl Source for Fixed {
+impl Source for FixedRows {
     fn now(&self) -> Timestamp {
         NOW
     }
@@ -32,7 +32,7 @@
     }
 }
 
-fn requests() -> Fixed {
+fn requests() -> FixedRows {
     let row = |number: u64, tenant: &str, first_token_ms: Option<u64>| {
         Row::new(Noun::Requests)
             .with("request", format!("r{number}"))
@@ -42,7 +42,7 @@
     };
     let kestrel = (1..=100).map(|number| row(number, "kestrel", Some(number)));
     let benoni = (101..=103).map(|number| row(number, "benoni", None));
-    Fixed(kestrel.chain(benoni).collect())
+    FixedRows(kestrel.chain(benoni).collect())
 }
 
 fn query(text: &str) -> Query {
@@ -52,17 +52,17 @@
     }
 }
 
-fn ask(text: &str) -> Table {
+fn run(text: &str) -> Table {
     let query = query(text);
     table(&query, &select(&query, &requests(), 1_000).rows)
 }
 
 fn count(text: &str) -> usize {
-    ask(text).rows.len()
+    run(text).rows.len()
 }
 
 #[test]
-fn conditions_choose_rows() {
+fn conditions_filter_rows() {
     assert_eq!(count("show requests where tenant = benoni"), 3);
     assert_eq!(count("show requests where not tenant = benoni and first_token <= 10ms"), 10);
     assert_eq!(count("show requests where tenant like \"b*i\" or request = r7"), 4);
@@ -75,7 +75,7 @@
 
 #[test]
 fn groups_give_counts_and_percentiles() {
-    let answer = ask("show requests tenant, count(), min(first_token), avg(first_token), p50(first_token), \
+    let answer = run("show requests tenant, count(), min(first_token), avg(first_token), p50(first_token), \
          p95(first_token), p99(first_token), max(first_token) group by tenant order by count() desc");
     let figures = [1, 50_500, 50_000, 95_000, 99_000, 100_000].map(|us| if us == 1 { 1_000 } else { us });
     let mut kestrel = vec![Value::from("kestrel"), Value::from(100_u64)];
@@ -85,35 +85,35 @@
 }
 
 #[test]
-fn order_and_limit_cut_the_answer() {
-    let answer = ask("show requests request order by tenant, first_token desc limit 4");
-    let shown: Vec<String> = answer.rows.iter().map(|row| row[0].to_string()).collect();
-    assert_eq!(shown, ["r101", "r102", "r103", "r100"]);
+fn order_and_limit_are_applied_to_the_answer() {
+    let answer = run("show requests request order by tenant, first_token desc limit 4");
+    let ids: Vec<String> = answer.rows.iter().map(|row| row[0].to_string()).collect();
+    assert_eq!(ids, ["r101", "r102", "r103", "r100"]);
 }
 
 #[test]
-fn a_selection_stops_at_its_bound() {
+fn a_selection_stops_at_its_limit() {
     let query = query("show requests");
     let selection = select(&query, &requests(), 10);
     assert_eq!((selection.rows.len(), selection.truncated), (10, true));
 }
 
 #[test]
-fn a_selection_gives_the_first_rows_of_the_asked_order() {
+fn a_selection_returns_the_first_rows_of_the_requested_order() {
     let query = query("show requests order by first_token desc limit 2");
     let selection = select(&query, &requests(), 10);
-    let shown: Vec<String> =
+    let ids: Vec<String> =
         selection.rows.iter().map(|row| row.get_by_name("request").to_string()).collect();
-    assert_eq!((shown, selection.truncated), (vec!["r100".to_owned(), "r99".to_owned()], false));
+    assert_eq!((ids, selection.truncated), (vec!["r100".to_owned(), "r99".to_owned()], false));
 }
 
 #[test]
-fn of_beliefs_about_one_object_the_freshest_is_shown() {
-    let belief = |node: &str, age_ms: u64, waiting: u64| {
+fn the_most_recent_row_of_an_object_is_kept() {
+    let engine_row = |node: &str, age_ms: u64, waiting: u64| {
         let row = Row::new(Noun::Engines).with("engine", "e1").with("node", node).with("waiting", waiting);
         row.with("age", Value::milliseconds(age_ms))
     };
-    let rows = merge(Noun::Engines, vec![belief("n1", 900, 5), belief("n2", 100, 9), belief("n3", 500, 1)]);
+    let rows = merge(Noun::Engines, vec![engine_row("n1", 900, 5), engine_row("n2", 100, 9), engine_row("n3", 500, 1)]);
     assert_eq!(rows.len(), 1);
     assert_eq!(
         (rows[0].get_by_name("node"), rows[0].get_by_name("waiting")),
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn tables_survive_json_and_are_written_as_csv_and_aligned_text() {
-    let answer = ask("show requests request, at, first_token where request = r12 or request = r101");
+fn tables_round_trip_as_json_and_are_rendered_as_csv_and_aligned_text() {
+    let answer = run("show requests request, at, first_token where request = r12 or request = r101");
     let json = serde_json::to_string(&answer).unwrap();
     assert!(json.contains(r#"["r12","1970-01-01T00:02:00.000000Z",12]"#), "{json}");
     assert_eq!(serde_json::from_str::<Table>(&json).unwrap(), answer);
@@ -135,7 +135,7 @@
     assert_eq!(render::aligned(&answer), text);
 }
 
-fn present() -> RevisedConfiguration {
+fn current() -> RevisedConfiguration {
     let mut configuration = Configuration::default();
     configuration.tenants.insert("kestrel".into(), Tenant { weight: 3, ..Tenant::default() });
     let pool = Pool {
@@ -152,36 +152,36 @@
 fn change(text: &str) -> Result<(Change, Option<Revision>), CommandError> {
     match parse(text) {
         Ok(Statement::Change(command)) => {
-            translate(&command, &present()).map(|translated| (translated.change, translated.if_revision))
+            translate(&command, &current()).map(|translated| (translated.change, translated.if_revision))
         }
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn commands_rest_on_the_revision_that_they_were_worked_out_from() {
-    let (made, revision) = change("set tenant kestrel requests_per_second = 40").unwrap();
-    let Change::PutTenant { settings, .. } = made else { panic!("{made:?}") };
+fn changes_require_the_revision_that_they_depend_on() {
+    let (translated, revision) = change("set tenant kestrel requests_per_second = 40").unwrap();
+    let Change::PutTenant { settings, .. } = translated else { panic!("{translated:?}") };
     assert_eq!((settings.weight, settings.quota.requests_per_second), (3, Some(40.0)));
     assert_eq!(revision, Some(Revision(30)));
     let (_, revision) = change("set tenant kestrel weight = 1 if revision 12").unwrap();
     assert_eq!(revision, Some(Revision(12)));
-    let (made, revision) = change("pin version 9 on pool contracts").unwrap();
-    let Change::PutPool { settings, .. } = made else { panic!("{made:?}") };
+    let (translated, revision) = change("pin version 9 on pool contracts").unwrap();
+    let Change::PutPool { settings, .. } = translated else { panic!("{translated:?}") };
     assert_eq!((settings.weights, settings.rollout, revision), (WeightsVersion(9), None, Some(Revision(30))));
-    let (made, revision) = change("drain engine e1 reason \"fan\"").unwrap();
-    assert_eq!(made, Change::DrainEngine { engine: "e1".into(), reason: "fan".into() });
+    let (translated, revision) = change("drain engine e1 reason \"fan\"").unwrap();
+    assert_eq!(translated, Change::DrainEngine { engine: "e1".into(), reason: "fan".into() });
     assert_eq!(revision, None);
 }
 
 #[test]
-fn commands_that_cannot_be_made_say_why() {
-    let said = |text: &str| change(text).unwrap_err().to_string();
-    assert_eq!(said("create tenant kestrel"), "tenant kestrel exists already; use: set tenant kestrel …");
-    assert_eq!(said("set tenant kestral weight = 2"), "there is no tenant kestral; see: show tenants");
-    assert_eq!(said("create pool p weights = 1"), "pool p needs the setting model");
-    assert_eq!(said("set pool contracts reuse_weight = 1.5"), "reuse_weight must be a number from 0 to 1");
-    assert_eq!(said("set tenant kestrel weight = 0"), "weight must be a whole number above 0");
-    assert!(said("set tenant kestrel key_hashes = [secret]").contains("never the keys themselves"));
-    assert!(said("roll out version 2 to pool none").contains("there is no pool none"));
+fn commands_that_cannot_be_translated_say_why() {
+    let error = |text: &str| change(text).unwrap_err().to_string();
+    assert_eq!(error("create tenant kestrel"), "tenant kestrel exists already; use: set tenant kestrel …");
+    assert_eq!(error("set tenant kestral weight = 2"), "there is no tenant kestral; see: show tenants");
+    assert_eq!(error("create pool p weights = 1"), "pool p needs the setting model");
+    assert_eq!(error("set pool contracts reuse_weight = 1.5"), "reuse_weight must be a number from 0 to 1");
+    assert_eq!(error("set tenant kestrel weight = 0"), "weight must be a whole number above 0");
+    assert!(error("set tenant kestrel key_hashes = [secret]").contains("never the keys themselves"));
+    assert!(error("roll out version 2 to pool none").contains("there is no pool none"));
 }
--- a/crates/language/tests/language_page.rs
+++ b/crates/language/tests/language_page.rs
@@ -1,4 +1,4 @@
-//! The examples of docs/LANGUAGE.md run, and the page names every noun and field.
+//! The examples of docs/LANGUAGE.md are valid, and the page documents every noun and field.
 
 use std::ops::ControlFlow;
 
@@ -20,7 +20,7 @@
 const PAGE: &str = include_str!("../../../docs/LANGUAGE.md");
 const NOW: Timestamp = Timestamp::from_millis(1_800_000_000_000);
 
-/// One row of each noun, in which every field is known.
+/// A source with one row of each noun, in which every field is known.
 struct OneRow;
 
 impl Source for OneRow {
@@ -51,14 +51,14 @@
     blocks.flat_map(|block| block.split("```").next().unwrap_or_default().lines()).collect()
 }
 
-fn runs(query: &Query) {
+fn assert_runs(query: &Query) {
     let answer = table(query, &select(query, &OneRow, 10).rows);
     assert_eq!(answer.rows.len(), 1, "{query}");
     assert_eq!(answer.columns.len(), shown_columns(query).len(), "{query}");
     assert!(answer.rows[0].iter().all(|value| *value != Value::None), "{query}: {answer:?}");
 }
 
-fn present(action: &str) -> RevisedConfiguration {
+fn current(action: &str) -> RevisedConfiguration {
     let mut configuration = Configuration::default();
     if !action.starts_with("create") {
         configuration.tenants.insert("kestrel".into(), Tenant::default());
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn each_example_of_the_page_runs() {
+fn each_example_of_the_page_is_valid() {
     let examples = examples();
     assert!(examples.len() >= 15, "{examples:?}");
     for example in examples {
         match parse(example) {
-            Ok(Statement::Show(query) | Statement::Watch(query)) => runs(&query),
+            Ok(Statement::Show(query) | Statement::Watch(query)) => assert_runs(&query),
             Ok(Statement::Change(command)) => {
-                translate(&command, &present(example)).unwrap_or_else(|error| panic!("{example}: {error}"));
+                translate(&command, &current(example)).unwrap_or_else(|error| panic!("{example}: {error}"));
             }
             Ok(Statement::Explain(_) | Statement::Help(_)) => {}
             Err(error) => panic!("{error}"),
@@ -92,20 +92,20 @@
 }
 
 #[test]
-fn the_page_names_every_noun_field_mechanism_and_setting() {
-    let names = |name: &str| PAGE.contains(&format!("`{name}`"));
+fn the_page_documents_every_noun_field_mechanism_and_setting() {
+    let documents = |name: &str| PAGE.contains(&format!("`{name}`"));
     for noun in Noun::ALL {
-        assert!(names(noun.name()), "{}", noun.name());
+        assert!(documents(noun.name()), "{}", noun.name());
         for field in noun.fields() {
-            assert!(names(field.name), "{} of {}", field.name, noun.name());
+            assert!(documents(field.name), "{} of {}", field.name, noun.name());
         }
     }
     for mechanism in Mechanism::ALL {
-        assert!(names(mechanism.name()), "{}", mechanism.name());
+        assert!(documents(mechanism.name()), "{}", mechanism.name());
     }
     for object in Object::ALL {
         for setting in object.settings() {
-            assert!(names(setting.name), "{} of {}", setting.name, object.name());
+            assert!(documents(setting.name), "{} of {}", setting.name, object.name());
         }
     }
 }
@@ -113,7 +113,7 @@
 #[test]
 fn each_statement_of_the_operators_pages_is_valid() {
     let operations = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operations");
-    let pages = pages_below(operations.as_ref());
+    let pages = pages_under(operations.as_ref());
     assert!(pages.len() >= 10, "{pages:?}");
     for page in pages {
         let text = std::fs::read_to_string(&page).unwrap();
@@ -124,12 +124,12 @@
     }
 }
 
-fn pages_below(directory: &std::path::Path) -> Vec<std::path::PathBuf> {
+fn pages_under(directory: &std::path::Path) -> Vec<std::path::PathBuf> {
     let mut pages = Vec::new();
     for entry in std::fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            pages.extend(pages_below(&path));
+            pages.extend(pages_under(&path));
         } else if path.extension().is_some_and(|extension| extension == "md") {
             pages.push(path);
         }
--- a/crates/language/tests/syntax.rs
+++ b/crates/language/tests/syntax.rs
@@ -1,9 +1,9 @@
-//! Parsing, printing and the messages of errors.
+//! Parsing, printing, completion and error messages.
 
 use bolero::check;
 use paddlemount_language::{MAX_NESTING, complete::complete, help, parse, parse_bytes, tree::Statement};
 
-fn reads_back(text: &str) -> Statement {
+fn parse_printed(text: &str) -> Statement {
     let tree = parse(text).unwrap_or_else(|error| panic!("{error}"));
     let printed = tree.to_string();
     assert_eq!(parse(&printed).as_ref(), Ok(&tree), "{text} was printed as {printed}");
@@ -18,15 +18,15 @@
 fn each_example_of_help_is_a_statement_with_its_word() {
     for word in help::words() {
         let topic = help::topic(word).expect(word);
-        reads_back(&topic.example);
+        parse_printed(&topic.example);
         assert!(topic.example.to_lowercase().contains(word), "{word}: {}", topic.example);
-        reads_back(&format!("help {word}"));
+        parse_printed(&format!("help {word}"));
     }
-    reads_back("help");
+    parse_printed("help");
 }
 
 #[test]
-fn statements_are_printed_in_one_form() {
+fn statements_are_printed_in_a_normal_form() {
     let cases = [
         ("SHOW engines WHERE draining = TRUE", "show engines where draining = true"),
         (
@@ -43,12 +43,12 @@
         ("watch limits", "watch limits"),
     ];
     for (text, printed) in cases {
-        assert_eq!(reads_back(text).to_string(), printed);
+        assert_eq!(parse_printed(text).to_string(), printed);
     }
 }
 
 #[test]
-fn errors_point_at_the_place_and_suggest_the_nearest_word() {
+fn errors_mark_their_location_and_suggest_the_closest_word() {
     let cases = [
         ("shwo engines", "shwo engines\n^^^^\n", "did you mean show?"),
         ("show engnies", "show engnies\n     ^^^^^^^\n", "did you mean engines?"),
@@ -73,15 +73,15 @@
         ("watch requests count()", "               ^^^^^\n", "watch shows single rows"),
         ("show tenants where models < a", "                          ^\n", "cannot be compared"),
     ];
-    for (text, marked, said) in cases {
+    for (text, marker, expected) in cases {
         let message = message(text);
-        assert!(message.contains(marked), "{text}\n{message}");
-        assert!(message.contains(said), "{text}\n{message}");
+        assert!(message.contains(marker), "{text}\n{message}");
+        assert!(message.contains(expected), "{text}\n{message}");
     }
 }
 
 #[test]
-fn words_that_could_follow_are_offered() {
+fn words_that_can_follow_are_completed() {
     let cases: [(&str, usize, &[&str]); 11] = [
         ("sh", 0, &["show"]),
         ("show en", 5, &["engines"]),
@@ -102,29 +102,29 @@
 }
 
 #[test]
-fn deep_nesting_is_refused_with_a_place() {
+fn deep_nesting_is_rejected_with_a_location() {
     let nested = |depth: usize| {
         format!("show engines where {}draining = true{}", "(".repeat(depth), ")".repeat(depth))
     };
-    reads_back(&nested(MAX_NESTING));
+    parse_printed(&nested(MAX_NESTING));
     assert!(message(&nested(MAX_NESTING + 1)).contains("nested more than"));
     assert!(message(&nested(100_000)).contains("nested more than"));
     let alternating = "draining = true or running > 1 and (".repeat(MAX_NESTING);
-    reads_back(&format!("show engines where {alternating}waiting = 1{}", ")".repeat(MAX_NESTING)));
-    reads_back(&format!("show engines where draining = true{}", " and draining = true".repeat(1_000)));
+    parse_printed(&format!("show engines where {alternating}waiting = 1{}", ")".repeat(MAX_NESTING)));
+    parse_printed(&format!("show engines where draining = true{}", " and draining = true".repeat(1_000)));
 }
 
 #[test]
-fn any_bytes_give_a_tree_or_an_error_with_a_place() {
+fn any_bytes_parse_to_a_tree_or_an_error_with_a_location() {
     check!().for_each(|bytes: &[u8]| check_bytes(bytes));
 }
 
 #[test]
-fn any_words_of_the_language_give_a_tree_or_an_error_with_a_place() {
+fn any_words_of_the_language_parse_to_a_tree_or_an_error_with_a_location() {
     let fragments: Vec<String> = help::words()
         .map(str::to_owned)
         .chain(help::words().filter_map(help::topic).map(|topic| topic.example))
-        .chain(SIGNS.iter().map(|&sign| sign.to_owned()))
+        .chain(FRAGMENTS.iter().map(|&sign| sign.to_owned()))
         .collect();
     check!().with_type::<Vec<u8>>().for_each(|choices| {
         let words = choices.iter().map(|&choice| fragments[usize::from(choice) % fragments.len()].as_str());
@@ -133,17 +133,17 @@
 }
 
 #[test]
-fn examples_with_one_changed_byte_give_a_tree_or_an_error_with_a_place() {
+fn examples_with_one_changed_byte_parse_to_a_tree_or_an_error_with_a_location() {
     let examples: Vec<String> = help::words().filter_map(help::topic).map(|topic| topic.example).collect();
-    check!().with_type::<(u8, u16, u8)>().for_each(|&(example, place, byte)| {
+    check!().with_type::<(u8, u16, u8)>().for_each(|&(example, position, byte)| {
         let mut bytes = examples[usize::from(example) % examples.len()].clone().into_bytes();
-        let place = usize::from(place) % bytes.len();
-        bytes[place] = byte;
+        let position = usize::from(position) % bytes.len();
+        bytes[position] = byte;
         check_bytes(&bytes);
     });
 }
 
-const SIGNS: &[&str] = &[
+const FRAGMENTS: &[&str] = &[
     "(",
     ")",
     "[",
