--- a/crates/language/tests/evaluation.rs
+++ b/crates/language/tests/evaluation.rs
@@ -102,8 +102,7 @@
 fn a_selection_returns_the_first_rows_of_the_requested_order() {
     let query = query("show requests order by first_token desc limit 2");
     let selection = select(&query, &requests(), 10);
-    let ids: Vec<String> =
-        selection.rows.iter().map(|row| row.get_by_name("request").to_string()).collect();
+    let ids: Vec<String> = selection.rows.iter().map(|row| row.get_by_name("request").to_string()).collect();
     assert_eq!((ids, selection.truncated), (vec!["r100".to_owned(), "r99".to_owned()], false));
 }
 
@@ -113,7 +112,10 @@
         let row = Row::new(Noun::Engines).with("engine", "e1").with("node", node).with("waiting", waiting);
         row.with("age", Value::milliseconds(age_ms))
     };
-    let rows = merge(Noun::Engines, vec![engine_row("n1", 900, 5), engine_row("n2", 100, 9), engine_row("n3", 500, 1)]);
+    let rows = merge(
+        Noun::Engines,
+        vec![engine_row("n1", 900, 5), engine_row("n2", 100, 9), engine_row("n3", 500, 1)],
+    );
     assert_eq!(rows.len(), 1);
     assert_eq!(
         (rows[0].get_by_name("node"), rows[0].get_by_name("waiting")),
--- a/crates/node/tests/admin/main.rs
+++ b/crates/node/tests/admin/main.rs
@@ -49,7 +49,7 @@
     let cluster = Cluster::start(1, 1).await;
     let problem = cluster.ask_as(0, READ_KEY, "show engnies").await.unwrap_err();
     let syntax = problem.syntax.unwrap();
-    assert_eq!((syntax.place, syntax.nearest.as_deref()), (5..12, Some("engines")));
+    assert_eq!((syntax.span, syntax.suggestion.as_deref()), (5..12, Some("engines")));
     assert_eq!(problem.error.code, RefusalCode::InvalidRequest);
     cluster.stop().await;
 }
