--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -281,12 +281,12 @@
         })
     }
 
-    fn record(&self, ending: RecordedOutcome) -> Vec<ClaimAction> {
+    fn record(&self, outcome: RecordedOutcome) -> Vec<ClaimAction> {
         self.send_to_all(&ClaimMessage::Record {
             key: self.request.key.clone(),
             owner: self.request.owner.clone(),
             fingerprint: self.request.fingerprint,
-            ending,
+            outcome,
         })
     }
 
--- a/crates/core/src/claims/replica.rs
+++ b/crates/core/src/claims/replica.rs
@@ -99,8 +99,8 @@
                 let until = now + Duration::from_millis(*run_for_ms);
                 self.claim(*epoch, key, owner, *fingerprint, until, now)
             }
-            ClaimMessage::Record { key, owner, fingerprint, ending } => {
-                self.record(key, owner, *fingerprint, ending, now);
+            ClaimMessage::Record { key, owner, fingerprint, outcome } => {
+                self.record(key, owner, *fingerprint, outcome, now);
                 ClaimReply::Noted
             }
             ClaimMessage::Release { key, owner } => {
@@ -136,14 +136,14 @@
         let entry = self.entries.get(key)?;
         let fingerprint = entry.fingerprint;
         match &entry.state {
-            EntryState::Released if entry.owner == *owner => Some(ClaimReply::GivenBack),
+            EntryState::Released if entry.owner == *owner => Some(ClaimReply::AlreadyReleased),
             EntryState::Released => None,
             EntryState::Held { .. } if entry.owner == *owner => Some(ClaimReply::Granted),
             EntryState::Held { until } if now <= *until => Some(ClaimReply::Held { fingerprint }),
             EntryState::Held { .. } => {
-                Some(ClaimReply::Ended { fingerprint, ending: RecordedOutcome::Unknown })
+                Some(ClaimReply::Ended { fingerprint, outcome: RecordedOutcome::Unknown })
             }
-            EntryState::Ended(ending) => Some(ClaimReply::Ended { fingerprint, ending: ending.clone() }),
+            EntryState::Ended(outcome) => Some(ClaimReply::Ended { fingerprint, outcome: outcome.clone() }),
         }
     }
 
@@ -168,7 +168,7 @@
         key: &ClaimKey,
         owner: &AttemptId,
         fingerprint: Fingerprint,
-        ending: &RecordedOutcome,
+        outcome: &RecordedOutcome,
         now: Timestamp,
     ) {
         let Ok(issued) = key::issued_at(&key.key) else { return };
@@ -180,18 +180,18 @@
         if is_expired || other_completed {
             return;
         }
-        let state = EntryState::Ended(self.without_oversized_answer(ending));
+        let state = EntryState::Ended(self.without_oversized_answer(outcome));
         self.insert(key, Entry { owner: owner.clone(), fingerprint, state });
     }
 
-    fn without_oversized_answer(&self, ending: &RecordedOutcome) -> RecordedOutcome {
-        match ending {
+    fn without_oversized_answer(&self, outcome: &RecordedOutcome) -> RecordedOutcome {
+        match outcome {
             RecordedOutcome::Completed { answer: Some(answer) }
                 if answer.len() > self.settings.max_answer_bytes =>
             {
                 RecordedOutcome::Completed { answer: None }
             }
-            ending => ending.clone(),
+            outcome => outcome.clone(),
         }
     }
 
--- a/crates/core/src/claims/verdict.rs
+++ b/crates/core/src/claims/verdict.rs
@@ -29,7 +29,7 @@
                 "the idempotency key belongs to a different request: send a new key with each new operation",
             ))
         }
-        ClaimReply::Ended { ending: RecordedOutcome::Completed { answer }, .. } => {
+        ClaimReply::Ended { outcome: RecordedOutcome::Completed { answer }, .. } => {
             Some(stored_answer(answer.as_ref()))
         }
         _ => None,
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -39,12 +39,12 @@
 }
 
 fn record(key: &ClaimKey, owner: &str, answer: &str) -> ClaimMessage {
-    let ending = RecordedOutcome::Completed { answer: Some(answer.to_owned()) };
+    let outcome = RecordedOutcome::Completed { answer: Some(answer.to_owned()) };
     ClaimMessage::Record {
         key: key.clone(),
         owner: AttemptId::from(owner),
         fingerprint: Fingerprint(1),
-        ending,
+        outcome,
     }
 }
 
@@ -83,7 +83,7 @@
     assert_eq!(replica.handle(&record(&key, "a", "1"), seconds(11)), ClaimReply::Noted);
     let reply = replica.handle(&claim(&key, "b"), seconds(12));
     assert!(
-        matches!(reply, ClaimReply::Ended { ending: RecordedOutcome::Completed { answer: Some(answer) }, .. } if answer == "1")
+        matches!(reply, ClaimReply::Ended { outcome: RecordedOutcome::Completed { answer: Some(answer) }, .. } if answer == "1")
     );
 }
 
@@ -92,7 +92,7 @@
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     replica.handle(&claim(&key, "a"), seconds(10));
     let reply = replica.handle(&claim(&key, "b"), seconds(16));
-    assert_eq!(reply, ClaimReply::Ended { fingerprint: Fingerprint(1), ending: RecordedOutcome::Unknown });
+    assert_eq!(reply, ClaimReply::Ended { fingerprint: Fingerprint(1), outcome: RecordedOutcome::Unknown });
 }
 
 #[test]
@@ -144,14 +144,14 @@
     let key = key_of_second(100, 1);
     replica.handle(&record(&key, "a", &"x".repeat(1_001)), seconds(100));
     let reply = replica.handle(&claim(&key, "b"), seconds(100));
-    assert!(matches!(reply, ClaimReply::Ended { ending: RecordedOutcome::Completed { answer: None }, .. }));
+    assert!(matches!(reply, ClaimReply::Ended { outcome: RecordedOutcome::Completed { answer: None }, .. }));
 }
 
 #[test]
 fn a_claim_given_back_is_free_for_others_and_not_for_its_late_duplicate() {
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     replica.handle(&release(&key, "a"), seconds(10));
-    assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::GivenBack);
+    assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::AlreadyReleased);
     assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), ClaimReply::Granted);
     replica.handle(&release(&key, "a"), seconds(10));
     assert!(matches!(replica.handle(&claim(&key, "c"), seconds(10)), ClaimReply::Held { .. }));
@@ -280,7 +280,7 @@
     let held = ClaimReply::Held { fingerprint: Fingerprint(1) };
     let other = ClaimReply::Held { fingerprint: Fingerprint(2) };
     let too_old = ClaimReply::TooOld { floor: seconds(20) };
-    let unknown = ClaimReply::Ended { fingerprint: Fingerprint(1), ending: RecordedOutcome::Unknown };
+    let unknown = ClaimReply::Ended { fingerprint: Fingerprint(1), outcome: RecordedOutcome::Unknown };
     let cases = [
         (held, RefusalCode::InProgress),
         (other, RefusalCode::KeyReused),
@@ -307,9 +307,9 @@
 #[test]
 fn a_kept_answer_of_one_replica_is_given_again() {
     let (mut coordinator, _) = begin("b", seconds(10));
-    let ending_kept = RecordedOutcome::Completed { answer: Some("1".into()) };
+    let recorded = RecordedOutcome::Completed { answer: Some("1".into()) };
     let actions =
-        reply(&mut coordinator, "r2", ClaimReply::Ended { fingerprint: Fingerprint(1), ending: ending_kept });
+        reply(&mut coordinator, "r2", ClaimReply::Ended { fingerprint: Fingerprint(1), outcome: recorded });
     assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: true }));
 }
 
--- a/crates/protocol/src/peer/claims.rs
+++ b/crates/protocol/src/peer/claims.rs
@@ -72,7 +72,8 @@
         /// The attempt that ran.
         owner: AttemptId,
         fingerprint: Fingerprint,
-        ending: RecordedOutcome,
+        #[serde(rename = "ending")]
+        outcome: RecordedOutcome,
     },
     /// Releases a claim. Sent only by a coordinator that has not run the request and never will.
     Release {
@@ -114,7 +115,8 @@
     Ended {
         /// Fingerprint of the request that it ran.
         fingerprint: Fingerprint,
-        ending: RecordedOutcome,
+        #[serde(rename = "ending")]
+        outcome: RecordedOutcome,
     },
     /// The replica's records do not reach back to the time when the key was issued.
     TooOld {
@@ -132,7 +134,8 @@
         epoch: PlacementEpoch,
     },
     /// The requesting attempt released this claim before.
-    GivenBack,
+    #[serde(rename = "given_back")]
+    AlreadyReleased,
     /// The record, release or seal is stored.
     Noted,
 }
