--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,7 @@
 //! Message types of paddlemount's HTTP APIs and peer protocols.
 //!
-//! Every message is JSON over HTTP/1.1. This crate holds data types, their encodings and size limits; the logic
-//! that acts on them is in `paddlemount-core`.
+//! Every message is JSON over HTTP/1.1. This crate holds data types, their encodings and size limits; the
+//! logic that acts on them is in `paddlemount-core`.
 //!
 //! | module | between |
 //! |---|---|
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -14,7 +14,8 @@
 //! | | `/find` | POST | [`CacheLookup`] → [`CacheLookupResult`] |
 //! | | `/ended` | POST | [`EndedIncarnation`](crate::engine::EndedIncarnation) → `{}` |
 //!
-//! Each of them may answer 429 (rate limit) or 503 (outage). A reply may be lost after the request took effect.
+//! Each of them may answer 429 (rate limit) or 503 (outage). A reply may be lost after the request took
+//! effect.
 
 use std::net::SocketAddr;
 
