--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -204,8 +204,7 @@
                 actions.push(AdmissionAction::Refuse { ticket: request.ticket, refusal });
                 return;
             };
-            let refusal =
-                state.refusal(false, "the queue is full and the tenant has the most requests in it");
+            let refusal = state.refusal(false, "the queue is full and the tenant holds the most of it");
             actions.push(AdmissionAction::Refuse { ticket: victim.ticket, refusal });
         }
         let waiting = Waiting {
--- a/crates/core/src/claims/key.rs
+++ b/crates/core/src/claims/key.rs
@@ -19,8 +19,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the idempotency key is not a UUID of version 7; such a UUID carries the time at which it was made, \
-     and without that time a lost claim could not be distinguished from a new one: make one UUID of version \
-     7 for each operation and send it with each retry of the operation"
+     and without that time a lost claim could not be told from a new one: make one UUID of version 7 for \
+     each operation and send it with each retry of the operation"
 )]
 pub struct InvalidKey;
 
--- a/crates/core/src/claims/verdict.rs
+++ b/crates/core/src/claims/verdict.rs
@@ -42,7 +42,7 @@
         None => ClaimOutcome::Refused(Refusal {
             code: RefusalCode::TooLarge,
             outcome: Outcome::Completed,
-            message: "the request completed, but its answer was too large to be stored".to_owned(),
+            message: "the request has run to its end; its answer was too large to be kept".to_owned(),
             retry_after_ms: None,
         }),
     }
@@ -54,20 +54,20 @@
     if has(|reply| matches!(reply, ClaimReply::Ended { .. })) {
         return refused(
             RefusalCode::BackendFailed,
-            "an earlier attempt under this idempotency key ended without a known outcome and may have run: \
+            "an earlier try under this idempotency key ended without a known outcome and may have run: \
              ask the service whether it did",
         );
     }
     if has(|reply| matches!(reply, ClaimReply::Held { .. })) {
         return refused_temporarily(
             RefusalCode::InProgress,
-            "another attempt under this idempotency key is running: ask again with the same key",
+            "another try under this idempotency key is running: ask again with the same key",
         );
     }
     if has(|reply| matches!(reply, ClaimReply::TooOld { .. })) {
         return refused(
             RefusalCode::KeyTooOld,
-            "the idempotency key is older than what its replicas remember, so an earlier attempt under it may \
+            "the idempotency key is older than what its replicas remember, so an earlier try under it may \
              have run: ask the service whether it did, and only then send a new key",
         );
     }
--- a/crates/core/src/peers/changes.rs
+++ b/crates/core/src/peers/changes.rs
@@ -119,8 +119,8 @@
         let regions = self.membership.other_regions(now);
         let region = unresponsive_region(&regions, MAX_REGION_AGE_MS)?;
         Some(format!(
-            "region {region} sent no report for 30 s and could not confirm the change; \
-             retry when it is back, or remove its machines from the machine list"
+            "region {region} was not heard of for 30 s and could not confirm the change; \
+             try again when it is back, or take its machines off the machine list"
         ))
     }
 
--- a/crates/core/src/request/machine.rs
+++ b/crates/core/src/request/machine.rs
@@ -110,11 +110,11 @@
             RequestEvent::NoEngineAvailable { retry_after } => self.no_engine_available(retry_after, actions),
             RequestEvent::Quarantined { retry_after } if self.phase == Phase::Choosing => {
                 self.retry_after = Some(retry_after);
-                let message = "the request is in quarantine: engines repeatedly crashed while running it";
+                let message = "engines ended under this request again and again; none gets it";
                 self.refuse(self.last_code, message, actions);
             }
             RequestEvent::RetryBudgetSpent if self.phase == Phase::Choosing => {
-                self.refuse(self.last_code, "the retry budget of this node is exhausted", actions);
+                self.refuse(self.last_code, "the retry budget of this node is spent", actions);
             }
             RequestEvent::Refused { attempt, refusal } if self.is_current(&attempt) => {
                 self.refused(&refusal, actions);
@@ -150,7 +150,7 @@
 
     fn choose(&mut self, actions: &mut Vec<RequestAction>) {
         if self.attempts >= self.settings.max_attempts {
-            let message = format!("no engine answered in {} attempts", self.attempts);
+            let message = format!("no engine answered in {} tries", self.attempts);
             return self.refuse(self.last_code, &message, actions);
         }
         self.phase = Phase::Choosing;
@@ -196,7 +196,7 @@
         }
         if retry_after.is_some() {
             self.retry_after = retry_after;
-            let message = "all engines that can serve this request are backing off";
+            let message = "all engines that could serve this request have asked for a time without any";
             return self.refuse(RefusalCode::Overloaded, message, actions);
         }
         self.refuse(self.last_code, "no engine can serve this request now", actions);
