--- a/specs/src/bin/search.rs
+++ b/specs/src/bin/search.rs
@@ -1,4 +1,4 @@
-//! `cargo run --release -p paddlemount-specs --bin search`: the searches within wider bounds than tests use.
+//! Searches with wider bounds than in the tests: `cargo run --release -p paddlemount-specs --bin search`.
 
 use paddlemount_specs::{
     Specification,
@@ -14,7 +14,7 @@
     let lease = LeaseSpecification { last_second: 4, ..LeaseSpecification::with_fault(LeaseFault::None) };
     report("lease and fence", &lease);
     let sound = ClaimsSpecification::with_fault(ClaimsFault::None);
-    report("claims, late endings", &ClaimsSpecification { late_endings: true, restarts: 1, ..sound });
+    report("claims, late outcomes", &ClaimsSpecification { late_outcomes: true, restarts: 1, ..sound });
     for key_second in [3, 4] {
         let wide = ClaimsSpecification { last_second: 4, key_second, restarts: 2, ..sound };
         report(&format!("claims, key of second {key_second}"), &wide);
@@ -23,7 +23,7 @@
 
 fn report<S: Specification>(name: &str, specification: &S) {
     let report = search(specification);
-    println!("{name}: {} states in {:.1} s", report.states, report.took.as_secs_f64());
+    println!("{name}: {} states in {:.1} s", report.states, report.elapsed.as_secs_f64());
     if let Some(counterexample) = report.counterexample {
         println!("{counterexample}");
     }
--- a/specs/src/claims.rs
+++ b/specs/src/claims.rs
@@ -1,11 +1,11 @@
-//! Claims: a request runs at most once, and "not run" is true.
+//! Claims: a request runs at most once, and "not run" is reported only if it did not run.
 //!
-//! One key, two tries of the caller at two nodes, three replicas. Messages reach a replica in any order, at any
-//! later time, or never; its reply arrives or is lost. Replicas restart without memory, the clock of
-//! each later life behind that of the first by the whole permitted difference. Coordinators crash at any point,
-//! and are paused at any point: a timer may fire late or never.
+//! The model has one key, two attempts of the caller at two nodes, and three replicas. Messages are reordered, delayed
+//! or lost, and so are replies. Replicas restart without memory, with a clock that is behind that of their first
+//! incarnation by the maximum skew. Coordinators crash or pause at any point: a timer may fire late or never.
 //!
-//! A run begins with the first try; how long after the key was made is a bound. Replicas are alike, so the first to restart is called 0; a replica that remembers nothing need not restart.
+//! A run begins with the first attempt; the time since the key was issued is a bound. Replicas are symmetric, so
+//! they restart in order of their number, and only if they hold an entry.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -22,47 +22,45 @@
 
 use crate::search::{Specification, Step};
 
-const TRIES: usize = 2;
+const ATTEMPTS: usize = 2;
 const EPOCH: PlacementEpoch = PlacementEpoch(1);
 const START_SECOND: u64 = 3;
 
-/// What is deliberately wrong.
+/// A deliberate fault that the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimsFault {
-    /// Nothing.
     None,
-    /// A restarted replica answers for keys issued before its start.
-    FreshReplicaGrantsOldKeys,
-    /// A restarted replica does not allow for the difference of clocks.
-    NoAllowanceForClocks,
-    /// The tries ask different replicas, as if chosen by what each node believes to be alive.
+    /// A restarted replica grants keys issued before its start.
+    RestartedReplicaGrantsOldKeys,
+    /// A restarted replica ignores clock skew.
+    IgnoredClockSkew,
+    /// The attempts use different replicas, as if each node chose by its own membership view.
     ReplicasByView,
-    /// A dispatch without a clear ending is sent again.
-    ResendAfterUnclearEnding,
+    /// A dispatch with an unknown outcome is sent again.
+    ResendAfterUnknownOutcome,
 }
 
-/// Bounds of the search, and what is broken.
+/// The bounds of the search, and the fault.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimsSpecification {
-    /// What is deliberately wrong.
     pub fault: ClaimsFault,
-    /// Restarts of replicas, in all.
+    /// The maximum number of replica restarts.
     pub restarts: u8,
-    /// Whether records and releases may arrive at any later time; otherwise each arrives at once or never.
-    /// Claims may arrive at any later time in either case.
-    pub late_endings: bool,
-    /// Whether "not run" and the answers are judged too, or only the number of runs.
-    pub judge_endings: bool,
-    /// The last second of the model's clock; it starts at 3.
+    /// Whether records and releases may be delayed; otherwise each arrives at once or never. Claims may always be
+    /// delayed.
+    pub late_outcomes: bool,
+    /// Whether "not run" and the answers are checked, in addition to the number of runs.
+    pub check_outcomes: bool,
+    /// The last second of the model's clock, which starts at second 3.
     pub last_second: u64,
-    /// The second at which the key was made, by the caller's clock.
+    /// The second at which the key was issued, by the caller's clock.
     pub key_second: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Packet {
     replica: usize,
-    from_try: usize,
+    from_attempt: usize,
     message: Arc<ClaimMessage>,
 }
 
@@ -71,7 +69,7 @@
 pub struct ClaimsState {
     second: u64,
     replicas: Vec<Replica>,
-    tries: Vec<Try>,
+    attempts: Vec<Attempt>,
     packets: BTreeSet<Packet>,
     restarts: u8,
     runs: u8,
@@ -82,11 +80,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Replica {
     memory: Arc<ClaimReplica>,
-    first_life: bool,
+    first_incarnation: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Try {
+struct Attempt {
     coordinator: Option<Arc<ClaimCoordinator>>,
     wake: Option<Timestamp>,
     dispatches: u8,
@@ -94,16 +92,16 @@
 }
 
 impl ClaimsSpecification {
-    /// Bounds under which the search takes seconds.
+    /// Bounds with which the search takes seconds.
     pub const fn with_fault(fault: ClaimsFault) -> Self {
-        Self { fault, restarts: 2, late_endings: false, judge_endings: true, last_second: 3, key_second: 4 }
+        Self { fault, restarts: 2, late_outcomes: false, check_outcomes: true, last_second: 3, key_second: 4 }
     }
 
     fn settings() -> ClaimSettings {
         ClaimSettings {
             clock_skew: Duration::from_secs(1),
             retention: Duration::from_secs(2),
-            // A silent replica is waited for one second, the step of the model's clock.
+            // The coordinator waits for an unresponsive replica one second, the step of the model's clock.
             reply_timeout: Duration::from_secs(4),
             ..ClaimSettings::default()
         }
@@ -115,8 +113,8 @@
         ClaimKey { tenant: TenantId::from("t"), key: IdempotencyKey::from(text) }
     }
 
-    fn replica_names(&self, try_number: usize) -> Vec<NodeId> {
-        let first = if self.fault == ClaimsFault::ReplicasByView { try_number } else { 0 };
+    fn replica_names(&self, attempt_number: usize) -> Vec<NodeId> {
+        let first = if self.fault == ClaimsFault::ReplicasByView { attempt_number } else { 0 };
         (first..first + 3).map(|replica| NodeId::from(replica.to_string())).collect()
     }
 
@@ -124,18 +122,18 @@
         if self.fault == ClaimsFault::ReplicasByView { 4 } else { 3 }
     }
 
-    /// A replica's clock: the first life's is ahead of all later ones.
-    fn replica_clock(second: u64, first_life: bool) -> Timestamp {
-        Timestamp::from_millis(1_000 * (second + u64::from(first_life)))
+    /// A replica's clock, which is ahead in its first incarnation.
+    fn replica_clock(second: u64, first_incarnation: bool) -> Timestamp {
+        Timestamp::from_millis(1_000 * (second + u64::from(first_incarnation)))
     }
 
-    fn fresh_memory(&self, now: Timestamp) -> ClaimReplica {
+    fn restarted_memory(&self, now: Timestamp) -> ClaimReplica {
         let settings = Self::settings();
         match self.fault {
-            ClaimsFault::FreshReplicaGrantsOldKeys => {
+            ClaimsFault::RestartedReplicaGrantsOldKeys => {
                 ClaimReplica::with_floor(settings, EPOCH, Timestamp::ZERO)
             }
-            ClaimsFault::NoAllowanceForClocks => ClaimReplica::with_floor(settings, EPOCH, now),
+            ClaimsFault::IgnoredClockSkew => ClaimReplica::with_floor(settings, EPOCH, now),
             _ => ClaimReplica::new(settings, EPOCH, now),
         }
     }
@@ -152,28 +150,28 @@
             deadline: now + Duration::from_secs(2),
         };
         let (coordinator, actions) = ClaimCoordinator::begin(request, &Self::settings(), now);
-        next.tries[number].coordinator = Some(Arc::new(coordinator));
-        next.carry_out(number, actions);
-        Step { label: format!("try {number} begins to claim"), state: next }
+        next.attempts[number].coordinator = Some(Arc::new(coordinator));
+        next.apply(number, actions);
+        Step { label: format!("attempt {number} starts to claim"), state: next }
     }
 
-    /// A replica takes a message; its reply arrives, or is lost.
+    /// A replica handles a message; its reply arrives or is lost.
     fn deliver(&self, state: &ClaimsState, packet: &Packet) -> Vec<Step<ClaimsState>> {
-        let mut unanswered = state.clone();
-        unanswered.packets.remove(packet);
-        let target = &mut unanswered.replicas[packet.replica];
-        let now = Self::replica_clock(state.second, target.first_life);
+        let mut reply_lost = state.clone();
+        reply_lost.packets.remove(packet);
+        let target = &mut reply_lost.replicas[packet.replica];
+        let now = Self::replica_clock(state.second, target.first_incarnation);
         let reply = Arc::make_mut(&mut target.memory).handle(&packet.message, now);
-        let what = format!("{} of try {}", message_name(&packet.message), packet.from_try);
-        let mut answered = unanswered.clone();
-        answered.reply(packet, reply.clone());
+        let what = format!("{} of attempt {}", message_name(&packet.message), packet.from_attempt);
+        let mut replied = reply_lost.clone();
+        replied.reply(packet, reply.clone());
         let mut steps = vec![Step {
-            label: format!("replica {} takes {what} and answers {reply:?}", packet.replica),
-            state: answered,
+            label: format!("replica {} handles {what} and replies {reply:?}", packet.replica),
+            state: replied,
         }];
-        if steps[0].state != unanswered {
-            let label = format!("replica {} takes {what}; its answer is lost", packet.replica);
-            steps.push(Step { label, state: unanswered });
+        if steps[0].state != reply_lost {
+            let label = format!("replica {} handles {what}; its reply is lost", packet.replica);
+            steps.push(Step { label, state: reply_lost });
         }
         steps
     }
@@ -181,26 +179,35 @@
     fn restart(&self, state: &ClaimsState, replica: usize) -> Step<ClaimsState> {
         let mut next = state.clone();
         next.restarts += 1;
-        let memory = Arc::new(self.fresh_memory(Self::replica_clock(state.second, false)));
-        next.replicas[replica] = Replica { memory, first_life: false };
+        let memory = Arc::new(self.restarted_memory(Self::replica_clock(state.second, false)));
+        next.replicas[replica] = Replica { memory, first_incarnation: false };
         Step { label: format!("replica {replica} restarts without memory"), state: next }
     }
 
-    /// All endings of a dispatch that is under way.
+    /// All outcomes of a dispatch in flight.
     fn dispatched(&self, state: &ClaimsState, number: usize) -> Vec<Step<ClaimsState>> {
         let mut steps = vec![
-            state.ran(number, true, RunResult::Completed { answer: "a".into() }, "runs and answers"),
-            state.ran(number, false, not_run(false), "is refused as not run"),
+            state.dispatch_ended(
+                number,
+                true,
+                RunResult::Completed { answer: "a".into() },
+                "runs and answers",
+            ),
+            state.dispatch_ended(number, false, not_run(false), "is refused as not run"),
         ];
-        let unclear = RunResult::Unknown { message: String::new() };
-        if self.fault == ClaimsFault::ResendAfterUnclearEnding && state.tries[number].resends == 0 {
-            let mut step =
-                state.ran(number, true, not_run(true), "runs, its answer is lost, and it is sent again");
-            step.state.tries[number].resends = 1;
+        let unknown = RunResult::Unknown { message: String::new() };
+        if self.fault == ClaimsFault::ResendAfterUnknownOutcome && state.attempts[number].resends == 0 {
+            let mut step = state.dispatch_ended(
+                number,
+                true,
+                not_run(true),
+                "runs, its answer is lost, and it is sent again",
+            );
+            step.state.attempts[number].resends = 1;
             steps.push(step);
         } else {
-            steps.push(state.ran(number, true, unclear.clone(), "runs and its answer is lost"));
-            steps.push(state.ran(number, false, unclear, "is lost on the way"));
+            steps.push(state.dispatch_ended(number, true, unknown.clone(), "runs and its answer is lost"));
+            steps.push(state.dispatch_ended(number, false, unknown, "is lost in flight"));
         }
         steps
     }
@@ -211,7 +218,7 @@
 }
 
 impl Packet {
-    fn is_ending(&self) -> bool {
+    fn is_outcome(&self) -> bool {
         matches!(*self.message, ClaimMessage::Record { .. } | ClaimMessage::Release { .. })
     }
 }
@@ -223,36 +230,36 @@
 
     fn event(&mut self, number: usize, event: ClaimEvent) {
         let now = self.now();
-        let Some(coordinator) = &mut self.tries[number].coordinator else { return };
+        let Some(coordinator) = &mut self.attempts[number].coordinator else { return };
         let actions = Arc::make_mut(coordinator).handle(event, now);
-        self.carry_out(number, actions);
+        self.apply(number, actions);
     }
 
-    fn carry_out(&mut self, number: usize, actions: Vec<ClaimAction>) {
+    fn apply(&mut self, number: usize, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::Send { to, message } => {
                     let replica = to.as_str().parse().unwrap_or_default();
-                    self.packets.insert(Packet { replica, from_try: number, message: Arc::new(message) });
+                    self.packets.insert(Packet { replica, from_attempt: number, message: Arc::new(message) });
                 }
-                ClaimAction::Dispatch => self.tries[number].dispatches += 1,
-                ClaimAction::WakeAt(at) => self.tries[number].wake = Some(at),
-                ClaimAction::End(ending) => self.ended(number, &ending),
+                ClaimAction::Dispatch => self.attempts[number].dispatches += 1,
+                ClaimAction::WakeAt(at) => self.attempts[number].wake = Some(at),
+                ClaimAction::End(outcome) => self.finish(number, &outcome),
             }
         }
     }
 
-    fn ended(&mut self, number: usize, ending: &ClaimOutcome) {
-        match ending {
+    fn finish(&mut self, number: usize, outcome: &ClaimOutcome) {
+        match outcome {
             ClaimOutcome::Answered { answer, .. } => self.wrong_answer |= self.runs == 0 || answer != "a",
             ClaimOutcome::Refused(refusal) => {
-                let under_way = self.tries.iter().any(|other| other.dispatches > 0);
+                let in_flight = self.attempts.iter().any(|other| other.dispatches > 0);
                 let claims_not_run = refusal.outcome == Outcome::NotRun;
-                self.false_not_run |= claims_not_run && (self.runs > 0 || under_way);
+                self.false_not_run |= claims_not_run && (self.runs > 0 || in_flight);
             }
         }
-        // What an ended try still does is only its dispatch and its messages on the way.
-        self.tries[number].wake = None;
+        // After its outcome, only the attempt's dispatch and its messages in flight continue.
+        self.attempts[number].wake = None;
     }
 
     fn reply(&mut self, packet: &Packet, reply: ClaimReply) {
@@ -262,23 +269,23 @@
             ClaimMessage::Record { .. } => ClaimEvent::Noted { replica },
             ClaimMessage::Release { .. } | ClaimMessage::Seal { .. } => return,
         };
-        let coordinator = self.tries[packet.from_try].coordinator.as_ref();
+        let coordinator = self.attempts[packet.from_attempt].coordinator.as_ref();
         if coordinator.is_some_and(|coordinator| !coordinator.has_ended()) {
-            self.event(packet.from_try, event);
+            self.event(packet.from_attempt, event);
         }
     }
 
-    fn ran(&self, number: usize, effect: bool, result: RunResult, what: &str) -> Step<Self> {
+    fn dispatch_ended(&self, number: usize, effect: bool, result: RunResult, what: &str) -> Step<Self> {
         let mut next = self.clone();
-        next.tries[number].dispatches -= 1;
+        next.attempts[number].dispatches -= 1;
         next.runs += u8::from(effect);
         next.event(number, ClaimEvent::DispatchEnded(result));
-        Step { label: format!("the dispatch of try {number} {what}"), state: next }
+        Step { label: format!("the dispatch of attempt {number} {what}"), state: next }
     }
 
-    /// Whether nothing can be dispatched or answered any more.
-    fn is_over(&self) -> bool {
-        self.tries.iter().all(|attempt| {
+    /// Whether no attempt can dispatch or answer any more.
+    fn is_finished(&self) -> bool {
+        self.attempts.iter().all(|attempt| {
             let ended = attempt.coordinator.as_ref().is_some_and(|coordinator| coordinator.has_ended());
             ended && attempt.dispatches == 0
         })
@@ -289,17 +296,17 @@
         next.packets.remove(packet);
         let what = message_name(&packet.message);
         Step {
-            label: format!("{what} of try {} to replica {} is lost", packet.from_try, packet.replica),
+            label: format!("{what} of attempt {} to replica {} is lost", packet.from_attempt, packet.replica),
             state: next,
         }
     }
 
     fn may_restart(&self, replica: usize) -> bool {
-        let named = replica == 0 || !self.replicas[replica - 1].first_life;
-        named && self.replicas[replica].memory.usage().entries > 0
+        let is_next = replica == 0 || !self.replicas[replica - 1].first_incarnation;
+        is_next && self.replicas[replica].memory.usage().entries > 0
     }
 
-    fn second_passes(&self) -> Step<Self> {
+    fn advance_second(&self) -> Step<Self> {
         let mut next = self.clone();
         next.second += 1;
         Step { label: "a second passes".to_owned(), state: next }
@@ -307,9 +314,9 @@
 
     fn wake(&self, number: usize) -> Step<Self> {
         let mut next = self.clone();
-        next.tries[number].wake = None;
+        next.attempts[number].wake = None;
         next.event(number, ClaimEvent::Tick);
-        Step { label: format!("the timer of try {number} fires"), state: next }
+        Step { label: format!("the timer of attempt {number} fires"), state: next }
     }
 }
 
@@ -318,12 +325,12 @@
 
     fn initial(&self) -> ClaimsState {
         let memory = Arc::new(ClaimReplica::new(Self::settings(), EPOCH, Self::replica_clock(0, true)));
-        let replica = Replica { memory, first_life: true };
-        let fresh = Try { coordinator: None, wake: None, dispatches: 0, resends: 0 };
+        let replica = Replica { memory, first_incarnation: true };
+        let fresh = Attempt { coordinator: None, wake: None, dispatches: 0, resends: 0 };
         let idle = ClaimsState {
             second: START_SECOND,
             replicas: vec![replica; self.replica_count()],
-            tries: vec![fresh; TRIES],
+            attempts: vec![fresh; ATTEMPTS],
             packets: BTreeSet::new(),
             restarts: 0,
             runs: 0,
@@ -335,15 +342,15 @@
 
     fn steps(&self, state: &ClaimsState) -> Vec<Step<ClaimsState>> {
         let mut steps = Vec::new();
-        if state.is_over() {
+        if state.is_finished() {
             return steps;
         }
-        if let Some(packet) = state.packets.iter().find(|packet| packet.is_ending() && !self.late_endings) {
+        if let Some(packet) = state.packets.iter().find(|packet| packet.is_outcome() && !self.late_outcomes) {
             steps.extend(self.deliver(state, packet));
             steps.push(state.lose(packet));
             return steps;
         }
-        for (number, attempt) in state.tries.iter().enumerate() {
+        for (number, attempt) in state.attempts.iter().enumerate() {
             if attempt.coordinator.is_none() {
                 steps.push(self.begin(state, number));
             }
@@ -362,7 +369,7 @@
             );
         }
         if state.second < self.last_second {
-            steps.push(state.second_passes());
+            steps.push(state.advance_second());
         }
         steps
     }
@@ -371,7 +378,7 @@
         if state.runs > 1 {
             return Some("a request marked as not repeatable runs at most once");
         }
-        if !self.judge_endings {
+        if !self.check_outcomes {
             return None;
         }
         if state.false_not_run {
--- a/specs/src/configuration.rs
+++ b/specs/src/configuration.rs
@@ -1,8 +1,8 @@
-//! Configuration: one of two racing changes wins, an ending is true, and no node's revision falls.
+//! Configuration: one of two conflicting changes wins, reported outcomes are true, and no node's revision decreases.
 //!
-//! Two operators change the same object, based on the same revision, by way of two nodes. A call to the
-//! store may take effect long after its sender has given it up, its reply may be lost, and it may never arrive.
-//! Any document that the store ever held may reach any node at any later time.
+//! Two operators change the same object, based on the same revision, through two nodes. A call to the store may take
+//! effect after its sender has timed out, its reply may be lost, and it may never arrive. Any version of the document
+//! may reach any node at any later time.
 
 use std::time::Duration;
 
@@ -18,56 +18,54 @@
 };
 
 use crate::{
-    opaque::Opaque,
+    debug_hashed::DebugHashed,
     search::{Specification, Step},
 };
 
 const OPERATORS: usize = 2;
 const NODES: usize = 1;
 
-/// What is deliberately wrong.
+/// A deliberate fault that the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigurationFault {
-    /// Nothing.
     None,
-    /// The store replaces the document whatever its revision is.
+    /// The store replaces the document without comparing its revision.
     PutWithoutCompare,
-    /// A lost reply is taken as a sign that nothing was done.
-    LostReplyMeansNothingDone,
+    /// A lost reply is treated as a put that was not applied.
+    LostReplyMeansNotApplied,
 }
 
-/// Bounds of the search, and what is broken.
+/// The bounds of the search, and the fault.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationSpecification {
-    /// What is deliberately wrong.
     pub fault: ConfigurationFault,
-    /// Calls that fail, replies that are lost and calls that are given up, in all.
+    /// The maximum number of failed calls, lost replies and timeouts.
     pub failures: u8,
 }
 
 /// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigurationState {
-    /// Every document that the store held; the last is the present one.
-    documents: Vec<Opaque<RevisedConfiguration>>,
+    /// Every version of the stored document; the last is the current one.
+    documents: Vec<DebugHashed<RevisedConfiguration>>,
     operators: Vec<Operator>,
-    /// Puts that their senders have given up and that may still arrive.
-    late: Vec<(usize, Call)>,
+    /// Puts in flight whose senders have timed out.
+    delayed: Vec<(usize, Call)>,
     nodes: Vec<Node>,
     failures: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Operator {
-    change: Opaque<ConfigurationChange>,
+    change: DebugHashed<ConfigurationChange>,
     call: Option<Call>,
-    ending: Option<Opaque<StoreOutcome>>,
+    outcome: Option<DebugHashed<StoreOutcome>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Call {
     Read,
-    Put { expected: Revision, configuration: Opaque<Configuration> },
+    Put { expected: Revision, configuration: DebugHashed<Configuration> },
 }
 
 impl Call {
@@ -81,11 +79,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    replica: Opaque<Replica>,
-    fell: bool,
+    replica: DebugHashed<Replica>,
+    decreased: bool,
 }
 
-fn change_of(operator: usize) -> ChangeRequest {
+fn change_request(operator: usize) -> ChangeRequest {
     let weight = u32::try_from(operator).unwrap_or_default() + 2;
     ChangeRequest {
         id: ChangeId::from(format!("change {operator}")),
@@ -101,45 +99,45 @@
 }
 
 impl ConfigurationState {
-    fn present(&self) -> Opaque<RevisedConfiguration> {
-        self.documents.last().cloned().unwrap_or_else(|| Opaque::new(RevisedConfiguration::default()))
+    fn current(&self) -> DebugHashed<RevisedConfiguration> {
+        self.documents.last().cloned().unwrap_or_else(|| DebugHashed::new(RevisedConfiguration::default()))
     }
 
-    /// The store carries out a put.
+    /// Applies a put to the store.
     fn put(&mut self, expected: Revision, configuration: &Configuration, compares: bool) -> StorePutResult {
-        let present = self.present().revision;
-        if compares && present != expected {
-            return StorePutResult::Conflict { revision: present };
+        let current = self.current().revision;
+        if compares && current != expected {
+            return StorePutResult::Conflict { revision: current };
         }
-        let revision = present.next();
+        let revision = current.next();
         let document = RevisedConfiguration { revision, configuration: configuration.clone() };
-        self.documents.push(Opaque::new(document));
+        self.documents.push(DebugHashed::new(document));
         StorePutResult::Stored { revision }
     }
 
-    /// A call reaches the store, and nobody hears the answer.
+    /// A call reaches the store, and its reply is lost.
     fn arrive(&mut self, call: &Call, compares: bool) {
         if let Call::Put { expected, configuration } = call {
             self.put(*expected, configuration, compares);
         }
     }
 
-    fn take(&mut self, operator: usize, event: ChangeEvent) {
+    fn handle(&mut self, operator: usize, event: ChangeEvent) {
         let operator = &mut self.operators[operator];
         operator.call = None;
         match operator.change.update(|change| change.step(event)) {
             ChangeStep::Read | ChangeStep::RetryRead => operator.call = Some(Call::Read),
             ChangeStep::Put { expected, configuration } => {
-                let configuration = Opaque::new(*configuration);
+                let configuration = DebugHashed::new(*configuration);
                 operator.call = Some(Call::Put { expected, configuration });
             }
-            ChangeStep::End(ending) => operator.ending = Some(Opaque::new(ending)),
+            ChangeStep::End(outcome) => operator.outcome = Some(DebugHashed::new(outcome)),
         }
     }
 
-    fn revision_with(&self, operator: usize) -> Vec<Revision> {
-        let id = change_of(operator).id;
-        let made = |document: &&Opaque<RevisedConfiguration>| {
+    fn revisions_made_by(&self, operator: usize) -> Vec<Revision> {
+        let id = change_request(operator).id;
+        let made = |document: &&DebugHashed<RevisedConfiguration>| {
             document.configuration.changes.last().is_some_and(|record| record.id == id)
         };
         self.documents.iter().filter(made).map(|document| document.revision).collect()
@@ -151,7 +149,7 @@
         self.fault != ConfigurationFault::PutWithoutCompare
     }
 
-    /// The store answers a call, refuses it, or, where it is a put, takes it late or loses the answer.
+    /// The store answers a call or refuses it; a put may also be delayed, or its reply lost.
     fn call_steps(
         &self,
         state: &ConfigurationState,
@@ -173,12 +171,12 @@
     fn answered(&self, state: &ConfigurationState, operator: usize, call: &Call) -> Step<ConfigurationState> {
         let mut next = state.clone();
         let event = match call {
-            Call::Read => ChangeEvent::Read(Ok((*state.present()).clone())),
+            Call::Read => ChangeEvent::Read(Ok((*state.current()).clone())),
             Call::Put { expected, configuration } => {
                 ChangeEvent::Put(Ok(next.put(*expected, configuration, self.compares())))
             }
         };
-        next.take(operator, event);
+        next.handle(operator, event);
         let label = format!("the store answers the {} of operator {operator}", call.name());
         Step { label, state: next }
     }
@@ -186,9 +184,9 @@
     fn delayed(&self, state: &ConfigurationState, operator: usize, put: &Call) -> Step<ConfigurationState> {
         let mut next = state.clone();
         next.failures += 1;
-        next.late.push((operator, put.clone()));
-        next.take(operator, ChangeEvent::Put(Err(self.unheard_put())));
-        Step { label: format!("operator {operator} gives up a put that is still on its way"), state: next }
+        next.delayed.push((operator, put.clone()));
+        next.handle(operator, ChangeEvent::Put(Err(self.unanswered_put())));
+        Step { label: format!("operator {operator} times out on a put that is in flight"), state: next }
     }
 
     fn reply_lost(
@@ -200,9 +198,9 @@
         let mut next = state.clone();
         next.arrive(put, self.compares());
         next.failures += 1;
-        next.take(operator, ChangeEvent::Put(Err(self.unheard_put())));
+        next.handle(operator, ChangeEvent::Put(Err(self.unanswered_put())));
         Step {
-            label: format!("the store takes the put of operator {operator}; its reply is lost"),
+            label: format!("the store applies the put of operator {operator}; its reply is lost"),
             state: next,
         }
     }
@@ -214,28 +212,28 @@
             Call::Read => ChangeEvent::Read(Err(StoreFailure::NotApplied)),
             Call::Put { .. } => ChangeEvent::Put(Err(StoreFailure::NotApplied)),
         };
-        next.take(operator, event);
+        next.handle(operator, event);
         let label = format!("the store refuses the {} of operator {operator}", call.name());
         Step { label, state: next }
     }
 
-    /// What an operator concludes from a put without an answer.
-    fn unheard_put(&self) -> StoreFailure {
-        if self.fault == ConfigurationFault::LostReplyMeansNothingDone {
+    /// The result of a put without a reply.
+    fn unanswered_put(&self) -> StoreFailure {
+        if self.fault == ConfigurationFault::LostReplyMeansNotApplied {
             StoreFailure::NotApplied
         } else {
             StoreFailure::Unclear
         }
     }
 
-    fn late_steps(&self, state: &ConfigurationState) -> Vec<Step<ConfigurationState>> {
+    fn delayed_steps(&self, state: &ConfigurationState) -> Vec<Step<ConfigurationState>> {
         let arrive = |(position, (operator, call)): (usize, &(usize, Call))| {
             let mut next = state.clone();
-            next.late.remove(position);
+            next.delayed.remove(position);
             next.arrive(call, self.compares());
-            Step { label: format!("a late put of operator {operator} arrives"), state: next }
+            Step { label: format!("a delayed put of operator {operator} arrives"), state: next }
         };
-        state.late.iter().enumerate().map(arrive).collect()
+        state.delayed.iter().enumerate().map(arrive).collect()
     }
 
     fn node_steps(state: &ConfigurationState) -> Vec<Step<ConfigurationState>> {
@@ -248,8 +246,8 @@
                 let document: RevisedConfiguration = (**document).clone();
                 let revision = document.revision;
                 view.replica.update(|replica| replica.install_stored(revision, document.configuration));
-                view.fell |= view.replica.revision() < before;
-                steps.push(Step { label: format!("node {node} learns revision {revision}"), state: next });
+                view.decreased |= view.replica.revision() < before;
+                steps.push(Step { label: format!("node {node} receives revision {revision}"), state: next });
             }
         }
         steps
@@ -265,15 +263,16 @@
         configuration.tenants.insert(TenantId::from("t"), Tenant::default());
         let document = RevisedConfiguration { revision: Revision(1), configuration };
         let operator = |number| Operator {
-            change: Opaque::new(ConfigurationChange::new(change_of(number), Revision(1), now)),
+            change: DebugHashed::new(ConfigurationChange::new(change_request(number), Revision(1), now)),
             call: Some(Call::Read),
-            ending: None,
+            outcome: None,
         };
-        let node = Node { replica: Opaque::new(Replica::new(now, Duration::ZERO, false)), fell: false };
+        let node =
+            Node { replica: DebugHashed::new(Replica::new(now, Duration::ZERO, false)), decreased: false };
         ConfigurationState {
-            documents: vec![Opaque::new(document)],
+            documents: vec![DebugHashed::new(document)],
             operators: (0..OPERATORS).map(operator).collect(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             nodes: vec![node; NODES],
             failures: 0,
         }
@@ -286,16 +285,17 @@
                 steps.extend(self.call_steps(state, number, call));
                 let mut next = state.clone();
                 if let Call::Put { .. } = call {
-                    next.late.push((number, call.clone()));
+                    next.delayed.push((number, call.clone()));
                 }
-                next.take(number, ChangeEvent::Deadline);
+                next.handle(number, ChangeEvent::Deadline);
                 if state.failures < self.failures {
                     next.failures += 1;
-                    steps.push(Step { label: format!("the time of operator {number} is up"), state: next });
+                    steps
+                        .push(Step { label: format!("operator {number} reaches its deadline"), state: next });
                 }
             }
         }
-        steps.extend(self.late_steps(state));
+        steps.extend(self.delayed_steps(state));
         steps.extend(Self::node_steps(state));
         steps
     }
@@ -303,11 +303,11 @@
     fn violation(&self, state: &ConfigurationState) -> Option<&'static str> {
         let mut accepted = 0;
         for (number, operator) in state.operators.iter().enumerate() {
-            let made = state.revision_with(number);
+            let made = state.revisions_made_by(number);
             if made.len() > 1 {
                 return Some("a change is made once");
             }
-            match operator.ending.as_deref() {
+            match operator.outcome.as_deref() {
                 Some(StoreOutcome::Stored { revision, .. }) => {
                     accepted += 1;
                     if !made.contains(revision) {
@@ -323,6 +323,6 @@
         if accepted > 1 {
             return Some("of two conflicting changes one is refused");
         }
-        state.nodes.iter().any(|node| node.fell).then_some("an accepted configuration never reverts")
+        state.nodes.iter().any(|node| node.decreased).then_some("an accepted configuration never reverts")
     }
 }
--- a/specs/src/opaque.rs
+++ b/specs/src/debug_hashed.rs
@@ -1,4 +1,4 @@
-//! State machines that have no hash of their own.
+//! Hashing of state machines that do not implement `Hash`.
 
 use std::{
     fmt::Debug,
@@ -7,14 +7,14 @@
     sync::Arc,
 };
 
-/// A value that is compared and hashed by its whole debug text.
+/// A value that is compared and hashed by its `Debug` output.
 #[derive(Clone, Debug)]
-pub struct Opaque<T> {
+pub struct DebugHashed<T> {
     value: Arc<T>,
     text: Arc<str>,
 }
 
-impl<T: Debug> Opaque<T> {
+impl<T: Debug> DebugHashed<T> {
     /// Wraps a value.
     pub fn new(value: T) -> Self {
         let text = Arc::from(format!("{value:?}"));
@@ -22,17 +22,17 @@
     }
 }
 
-impl<T: Clone + Debug> Opaque<T> {
-    /// Changes the value.
-    pub fn update<R>(&mut self, work: impl FnOnce(&mut T) -> R) -> R {
+impl<T: Clone + Debug> DebugHashed<T> {
+    /// Modifies the value and updates its `Debug` output.
+    pub fn update<R>(&mut self, modify: impl FnOnce(&mut T) -> R) -> R {
         let mut value = (*self.value).clone();
-        let result = work(&mut value);
+        let result = modify(&mut value);
         *self = Self::new(value);
         result
     }
 }
 
-impl<T> Deref for Opaque<T> {
+impl<T> Deref for DebugHashed<T> {
     type Target = T;
 
     fn deref(&self) -> &T {
@@ -40,15 +40,15 @@
     }
 }
 
-impl<T> PartialEq for Opaque<T> {
+impl<T> PartialEq for DebugHashed<T> {
     fn eq(&self, other: &Self) -> bool {
         self.text == other.text
     }
 }
 
-impl<T> Eq for Opaque<T> {}
+impl<T> Eq for DebugHashed<T> {}
 
-impl<T> Hash for Opaque<T> {
+impl<T> Hash for DebugHashed<T> {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.text.hash(state);
     }
--- a/specs/src/lease.rs
+++ b/specs/src/lease.rs
@@ -1,9 +1,8 @@
-//! Lease and fence: once an engine has obeyed a holder, no order of an earlier holder takes effect.
+//! Lease and fence: once an engine has obeyed a lease holder, no order of an earlier holder takes effect.
 //!
-//! Two nodes ask the store for one lease and send orders to one engine. Calls to the store and orders take any
-//! time; replies may be lost; a node is paused at any point, which is the same as its messages being
-//! late; the engine may restart and forget its fence. The store may come back from an older copy, without the lease and with
-//! revisions that it gives out again.
+//! Two nodes request one lease from the store and send orders to one engine. Calls and orders are delayed, replies are
+//! lost, and nodes pause, which equals a delay of their messages. The engine may restart and lose its fence. The store
+//! may be restored from an older backup, without the lease, and then reuses revisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,31 +22,29 @@
 const NODES: usize = 2;
 const TTL_SECONDS: u64 = 2;
 
-/// What is deliberately wrong.
+/// A deliberate fault that the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseFault {
-    /// Nothing.
     None,
-    /// The engine obeys whatever the token is, trusting that only the holder sends orders.
+    /// The engine obeys orders regardless of their token.
     NoFence,
-    /// Orders do not name the engine's life.
-    OrdersForAnyLife,
-    /// The store's own numbers are the tokens, whatever its era.
-    NumbersAlone,
+    /// The engine obeys orders for any of its incarnations.
+    OrdersForAnyIncarnation,
+    /// Tokens are the store's numbers without its era.
+    TokensWithoutEra,
 }
 
-/// Bounds of the search, and what is broken.
+/// The bounds of the search, and the fault.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSpecification {
-    /// What is deliberately wrong.
     pub fault: LeaseFault,
     /// The last second of the model's clock.
     pub last_second: u64,
-    /// Orders that each node sends at most.
+    /// The maximum number of orders of each node.
     pub orders: u8,
-    /// Restarts of the engine.
+    /// The maximum number of engine restarts.
     pub restarts: u8,
-    /// Returns of the store from an older copy.
+    /// The maximum number of store restores.
     pub restores: u8,
 }
 
@@ -61,15 +58,15 @@
     engine: Engine,
     restarts: u8,
     restores: u8,
-    /// Who was given each token; known to the judge only.
+    /// The node that was granted each token; read only by the invariant.
     granted: BTreeMap<FencingToken, usize>,
-    broken: bool,
+    violated: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Store {
     era: StoreEra,
-    /// The number of the last change of holder.
+    /// The number of the last grant to a new holder.
     number: u64,
     holder: Option<(usize, u64)>,
 }
@@ -78,12 +75,12 @@
 struct Node {
     holder: LeaseHolder,
     call: Option<LeaseRequest>,
-    /// The store's answer, and the era that it tells.
+    /// The store's answer and its era.
     reply: Option<(LeaseResult, StoreEra)>,
-    /// The latest era that the node has heard of.
+    /// The latest era that the node has observed.
     era: StoreEra,
-    /// The engine's life that the node knows of.
-    life: Incarnation,
+    /// The engine's incarnation as known to the node.
+    incarnation: Incarnation,
     sent: u8,
 }
 
@@ -91,35 +88,35 @@
 struct Order {
     node: usize,
     token: FencingToken,
-    life: Incarnation,
+    incarnation: Incarnation,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Engine {
-    life: Incarnation,
+    incarnation: Incarnation,
     fence: FencingToken,
-    /// The highest token that it obeyed in any life; known to the judge only.
+    /// The highest token obeyed in any incarnation; read only by the invariant.
     obeyed: FencingToken,
 }
 
 impl LeaseSpecification {
-    /// Bounds under which the search takes seconds.
+    /// Bounds with which the search takes seconds.
     pub const fn with_fault(fault: LeaseFault) -> Self {
         Self { fault, last_second: 3, orders: 2, restarts: 1, restores: 0 }
     }
 
-    /// Bounds under which the store comes back from a copy once.
+    /// Bounds with which the store is restored once.
     pub const fn with_restore(fault: LeaseFault) -> Self {
         Self { fault, last_second: 2, orders: 1, restarts: 0, restores: 1 }
     }
 
-    /// The store comes back from a copy in which the lease was free and the last number was `number`.
+    /// The store is restored from a backup in which the lease was free and the last number was `number`.
     fn restore(&self, state: &LeaseState, number: u64) -> Step<LeaseState> {
         let mut next = state.clone();
         next.restores += 1;
-        let era = if self.fault == LeaseFault::NumbersAlone { 0 } else { state.store.era.0 + 1 };
+        let era = if self.fault == LeaseFault::TokensWithoutEra { 0 } else { state.store.era.0 + 1 };
         next.store = Store { era: StoreEra(era), number, holder: None };
-        Step { label: format!("the store comes back from a copy that ends with {number}"), state: next }
+        Step { label: format!("the store is restored from a backup that ends with {number}"), state: next }
     }
 
     fn obey(&self, state: &LeaseState, order: Order) -> Step<LeaseState> {
@@ -127,12 +124,13 @@
         next.orders.remove(&order);
         let engine = &mut next.engine;
         let fenced = self.fault != LeaseFault::NoFence && order.token < engine.fence;
-        let other_life = self.fault != LeaseFault::OrdersForAnyLife && order.life != engine.life;
+        let other_incarnation =
+            self.fault != LeaseFault::OrdersForAnyIncarnation && order.incarnation != engine.incarnation;
         let label = format!("the order of node {} under token {} arrives", order.node, order.token);
         if fenced {
             next.nodes[order.node].holder.handle(LeaseEvent::Fenced, state.now());
-        } else if !other_life {
-            next.broken |= order.token < engine.obeyed;
+        } else if !other_incarnation {
+            next.violated |= order.token < engine.obeyed;
             engine.fence = engine.fence.max(order.token);
             engine.obeyed = engine.obeyed.max(order.token);
         }
@@ -159,7 +157,7 @@
                 store.number += u64::from(held_before.is_none());
                 store.holder = Some((node, until));
                 let token = store.token();
-                self.broken |= *self.granted.entry(token).or_insert(node) != node;
+                self.violated |= *self.granted.entry(token).or_insert(node) != node;
                 held(token)
             }
             (LeaseRequest::Renew(renew), Some((other, _)))
@@ -190,23 +188,23 @@
             let mut next = self.clone();
             next.nodes[node].reply = None;
             if view.era < *era {
-                // What it held is not certain any more.
+                // A lease of an earlier era may no longer exist.
                 next.nodes[node].era = *era;
                 next.nodes[node].holder = new_holder(node, self.now());
             }
-            next.nodes[node].life = self.engine.life;
+            next.nodes[node].incarnation = self.engine.incarnation;
             next.nodes[node].holder.handle(LeaseEvent::Answered(reply.clone()), self.now());
-            push(format!("node {node} takes the answer"), next);
+            push(format!("node {node} receives the answer"), next);
         }
-        let mut asking = self.clone();
-        if let Some(request) = asking.nodes[node].holder.handle(LeaseEvent::Tick, self.now()) {
-            asking.nodes[node].call = Some(request);
-            push(format!("node {node} asks for the lease"), asking);
+        let mut requesting = self.clone();
+        if let Some(request) = requesting.nodes[node].holder.handle(LeaseEvent::Tick, self.now()) {
+            requesting.nodes[node].call = Some(request);
+            push(format!("node {node} requests the lease"), requesting);
         }
         if let Some(token) = view.holder.token(self.now()).filter(|_| view.sent < orders) {
             let mut next = self.clone();
             next.nodes[node].sent += 1;
-            next.orders.insert(Order { node, token, life: view.life });
+            next.orders.insert(Order { node, token, incarnation: view.incarnation });
             push(format!("node {node} sends an order under token {token}"), next);
         }
         steps
@@ -215,9 +213,9 @@
     fn restart_engine(&self) -> Step<Self> {
         let mut next = self.clone();
         next.restarts += 1;
-        next.engine.life = self.engine.life.next();
+        next.engine.incarnation = self.engine.incarnation.next();
         next.engine.fence = FencingToken(0);
-        Step { label: "the engine restarts and forgets its fence".to_owned(), state: next }
+        Step { label: "the engine restarts and loses its fence".to_owned(), state: next }
     }
 }
 
@@ -245,7 +243,7 @@
             call: None,
             reply: None,
             era: StoreEra::default(),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             sent: 0,
         };
         LeaseState {
@@ -253,11 +251,11 @@
             store: Store { era: StoreEra::default(), number: 0, holder: None },
             nodes: (0..NODES).map(node).collect(),
             orders: BTreeSet::new(),
-            engine: Engine { life: Incarnation(1), fence: FencingToken(0), obeyed: FencingToken(0) },
+            engine: Engine { incarnation: Incarnation(1), fence: FencingToken(0), obeyed: FencingToken(0) },
             restarts: 0,
             restores: 0,
             granted: BTreeMap::new(),
-            broken: false,
+            violated: false,
         }
     }
 
@@ -279,7 +277,7 @@
     }
 
     fn violation(&self, state: &LeaseState) -> Option<&'static str> {
-        let broken = "no order of an earlier holder takes effect after one of a later holder, and no two holders have one token";
-        state.broken.then_some(broken)
+        let violation = "no order of an earlier holder takes effect after one of a later holder, and no two holders have one token";
+        state.violated.then_some(violation)
     }
 }
--- a/specs/src/lib.rs
+++ b/specs/src/lib.rs
@@ -1,15 +1,13 @@
-//! Small specifications of the protocols between nodes, searched exhaustively within stated bounds.
+//! Model checking of the protocols between nodes by exhaustive search within bounds.
 //!
-//! A [`Specification`] puts `core`'s own state machines into a model of what may happen around
-//! them: messages that are delayed or lost, processes that stop and come back, clocks that differ. The
-//! search visits every state that can be reached and checks each; breadth-first order makes the
-//! first counterexample a shortest one. Each specification has deliberately broken variants that show that
-//! the search would notice.
+//! A [`Specification`] embeds the state machines of `core` in a model of their environment: messages are delayed or
+//! lost, processes restart, clocks differ. The search checks every reachable state in breadth-first order, so the
+//! first counterexample is a shortest one. Each specification has deliberate faults that the search must detect.
 
 pub mod claims;
 pub mod configuration;
+mod debug_hashed;
 pub mod lease;
-mod opaque;
 pub mod relay;
 mod search;
 
--- a/specs/src/relay.rs
+++ b/specs/src/relay.rs
@@ -1,7 +1,7 @@
-//! The store's answers passed on between nodes: what a node knows was the newest at the moment that its proof names.
+//! Relaying of the store's state between nodes: what a node knows was the latest state at the time of its proof.
 //!
-//! The store changes at any time. The root watches it, a node below reports to the root and may watch the store as
-//! well. Each call and each answer takes any time, or is lost; standing still is the same as being late.
+//! The store changes at any time. The root watches it; a leaf reports to the root and may also watch the store. Calls
+//! and answers are delayed or lost; a pause of a node equals a delay.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -13,29 +13,27 @@
 
 use crate::search::{Specification, Step};
 
-/// What is deliberately wrong.
+/// A deliberate fault that the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayFault {
-    /// Nothing.
     None,
-    /// The proof counts from when the digest arrived.
+    /// The proof's age counts from the arrival of the digest.
     CountsFromArrival,
-    /// A digest is taken in whatever the store has told the node meanwhile.
-    TakesAnyDigest,
-    /// A snapshot counts from when it arrived.
+    /// A digest is applied even if the node's revision has changed since its report.
+    AppliesAnyDigest,
+    /// The age of a snapshot counts from its arrival.
     SnapshotCountsFromArrival,
 }
 
-/// Bounds of the search, and what is broken.
+/// The bounds of the search, and the fault.
 #[derive(Clone, Copy, Debug)]
 pub struct RelaySpecification {
-    /// What is deliberately wrong.
     pub fault: RelayFault,
     /// The last second of the model's clock.
     pub last_second: u64,
-    /// Changes in the store.
+    /// The maximum number of changes in the store.
     pub changes: usize,
-    /// How often the leaf starts anew, knowing nothing until it is given a snapshot.
+    /// The maximum number of restarts of the leaf, which then has no state until it receives a snapshot.
     pub restarts: usize,
 }
 
@@ -46,35 +44,35 @@
     watching: Option<Watch>,
 }
 
-/// A call to the store, and its answer once it is given.
+/// A call to the store, and its answer once available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Watch {
     sent_at: u64,
     after: Revision,
-    told: Option<Revision>,
+    answer: Option<Revision>,
 }
 
-/// A report on its way to the root.
+/// A report in flight to the root.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Report {
     sent_at: u64,
-    /// What the sender knows; nothing where it asks for a snapshot.
+    /// The sender's revision; `None` requests a snapshot.
     known: Option<Revision>,
 }
 
-/// A digest on its way back.
+/// A digest in flight to the leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Digest {
     report: Report,
     age_seconds: u64,
-    upto: Revision,
+    up_to: Revision,
 }
 
 /// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RelayState {
     second: u64,
-    /// When each change of the store was made.
+    /// The second of each change in the store.
     changed_at: Vec<u64>,
     root: Node,
     leaf: Node,
@@ -85,23 +83,23 @@
 }
 
 const FIRST: Revision = Revision(1);
-/// What a node knows that has just started.
+/// The revision of a node without state.
 const UNKNOWN: Revision = Revision(0);
-/// Reports and digests under way at once.
-const MOST_UNDER_WAY: usize = 2;
+/// The maximum number of reports and digests in flight.
+const MAX_IN_FLIGHT: usize = 2;
 
 fn at(second: u64) -> Timestamp {
     Timestamp::from_millis(1_000 * (second + 100))
 }
 
 impl RelayState {
-    fn newest(&self) -> Revision {
+    fn latest(&self) -> Revision {
         Revision(FIRST.0 + self.changed_at.len() as u64)
     }
 
-    /// Whether a node's knowledge was the newest until the moment that its proof names.
+    /// Whether a node's revision was the latest one at the time of its proof.
     fn is_proved(&self, node: &Node) -> bool {
-        // A node without proof claims nothing, and serves nobody.
+        // A node without a proof does not serve requests.
         let Some(age) = node.freshness.age(at(self.second)) else { return true };
         let next_change = self.changed_at.get((node.revision.0 - FIRST.0) as usize);
         let Some(changed_at) = next_change else { return true };
@@ -110,38 +108,38 @@
 
     fn watch(&self, who: &'static str, node: impl Fn(&mut Self) -> &mut Node) -> Vec<Step<Self>> {
         let mut next = self.clone();
-        let (second, newest) = (self.second, self.newest());
+        let (second, latest) = (self.second, self.latest());
         let watcher = node(&mut next);
         let label = match watcher.watching {
             None => {
-                watcher.watching = Some(Watch { sent_at: second, after: watcher.revision, told: None });
-                format!("the {who} asks the store")
+                watcher.watching = Some(Watch { sent_at: second, after: watcher.revision, answer: None });
+                format!("the {who} calls the store")
             }
-            Some(Watch { sent_at, after, told: None }) => {
-                watcher.watching = Some(Watch { sent_at, after, told: Some(newest) });
-                format!("the store answers the {who} with revision {newest}")
+            Some(Watch { sent_at, after, answer: None }) => {
+                watcher.watching = Some(Watch { sent_at, after, answer: Some(latest) });
+                format!("the store answers the {who} with revision {latest}")
             }
-            Some(Watch { sent_at, after, told: Some(upto) }) => {
+            Some(Watch { sent_at, after, answer: Some(up_to) }) => {
                 watcher.watching = None;
                 if after == watcher.revision {
-                    watcher.revision = upto;
+                    watcher.revision = up_to;
                     watcher.freshness.prove(at(sent_at));
-                    next.remember(who, after, upto);
+                    next.record(who, after, up_to);
                 }
-                format!("the {who} takes revision {upto}")
+                format!("the {who} receives revision {up_to}")
             }
         };
         vec![Step { label, state: next }]
     }
 
-    fn remember(&mut self, who: &str, after: Revision, upto: Revision) {
-        if who == "root" && upto > after {
-            self.log.record(EntryKey::Document, upto);
+    fn record(&mut self, who: &str, after: Revision, up_to: Revision) {
+        if who == "root" && up_to > after {
+            self.log.record(EntryKey::Document, up_to);
         }
     }
 
     fn report(&self) -> Option<Step<Self>> {
-        if self.reports.len() + self.digests.len() >= MOST_UNDER_WAY {
+        if self.reports.len() + self.digests.len() >= MAX_IN_FLIGHT {
             return None;
         }
         let mut next = self.clone();
@@ -154,57 +152,57 @@
         let mut next = self.clone();
         next.reports.remove(&report);
         let age = self.root.freshness.age(at(self.second));
-        // Whoever knows nothing is given a snapshot.
-        let can_tell = |known| self.log.since(known, self.root.revision).is_some();
-        if let Some(age) = age.filter(|_| report.known.is_none_or(can_tell)) {
-            next.digests.insert(Digest { report, age_seconds: age.as_secs(), upto: self.root.revision });
+        // A node without state gets a snapshot.
+        let reaches_back = |known| self.log.since(known, self.root.revision).is_some();
+        if let Some(age) = age.filter(|_| report.known.is_none_or(reaches_back)) {
+            next.digests.insert(Digest { report, age_seconds: age.as_secs(), up_to: self.root.revision });
         }
         Step { label: format!("the root answers {report:?}"), state: next }
     }
 }
 
 impl RelaySpecification {
-    /// Bounds under which the search takes seconds.
+    /// Bounds with which the search takes seconds.
     pub const fn with_fault(fault: RelayFault) -> Self {
         Self { fault, last_second: 2, changes: 2, restarts: 0 }
     }
 
-    /// The same with a leaf that starts anew once; fewer changes keep the search short.
+    /// Bounds with one restart of the leaf, and fewer changes to limit the search.
     pub const fn with_restart(fault: RelayFault) -> Self {
         Self { fault, last_second: 2, changes: 1, restarts: 1 }
     }
 
-    /// The leaf starts anew and knows nothing; what was under way to it is lost.
+    /// The leaf restarts without state; messages in flight are lost.
     fn restart(state: &RelayState) -> Step<RelayState> {
         let mut next = state.clone();
         next.restarts += 1;
         next.leaf = Node { revision: UNKNOWN, ..Node::default() };
         next.reports.clear();
         next.digests.clear();
-        Step { label: "the leaf starts anew".to_owned(), state: next }
+        Step { label: "the leaf restarts".to_owned(), state: next }
     }
 
-    fn take(&self, state: &RelayState, digest: Digest) -> Step<RelayState> {
+    fn receive(&self, state: &RelayState, digest: Digest) -> Step<RelayState> {
         let mut next = state.clone();
         next.digests.remove(&digest);
-        let asked_for = match digest.report.known {
+        let is_applicable = match digest.report.known {
             Some(known) => is_still_applicable(Some(known), Some(state.leaf.revision)),
-            // A snapshot is taken in where nothing newer is known.
-            None => digest.upto > state.leaf.revision,
+            // A snapshot is applied unless the node knows a newer revision.
+            None => digest.up_to > state.leaf.revision,
         };
-        if asked_for || self.fault == RelayFault::TakesAnyDigest {
+        if is_applicable || self.fault == RelayFault::AppliesAnyDigest {
             let counted_from = match self.fault {
                 RelayFault::CountsFromArrival => state.second,
                 RelayFault::SnapshotCountsFromArrival if digest.report.known.is_none() => state.second,
-                RelayFault::None | RelayFault::TakesAnyDigest | RelayFault::SnapshotCountsFromArrival => {
+                RelayFault::None | RelayFault::AppliesAnyDigest | RelayFault::SnapshotCountsFromArrival => {
                     digest.report.sent_at
                 }
             };
             let proved = relayed_proof_time(at(counted_from), Duration::from_secs(digest.age_seconds));
-            next.leaf.revision = digest.upto;
+            next.leaf.revision = digest.up_to;
             next.leaf.freshness.prove(proved);
         }
-        Step { label: format!("the leaf takes {digest:?}"), state: next }
+        Step { label: format!("the leaf receives {digest:?}"), state: next }
     }
 }
 
@@ -233,7 +231,7 @@
         steps.extend(state.watch("leaf", |state| &mut state.leaf));
         steps.extend(state.report());
         steps.extend(state.reports.iter().map(|report| state.answer(*report)));
-        steps.extend(state.digests.iter().map(|digest| self.take(state, *digest)));
+        steps.extend(state.digests.iter().map(|digest| self.receive(state, *digest)));
         if state.changed_at.len() < self.changes {
             let mut next = state.clone();
             next.changed_at.push(state.second);
@@ -252,6 +250,6 @@
 
     fn violation(&self, state: &RelayState) -> Option<&'static str> {
         let proved = state.is_proved(&state.root) && state.is_proved(&state.leaf);
-        (!proved).then_some("what a node knows was the newest at the moment that its proof names")
+        (!proved).then_some("what a node knows was the latest state at the time of its proof")
     }
 }
--- a/specs/src/search.rs
+++ b/specs/src/search.rs
@@ -1,4 +1,4 @@
-//! Exhaustive search over a specification's states.
+//! Exhaustive breadth-first search over the states of a specification.
 
 use std::{
     cell::Cell,
@@ -9,42 +9,42 @@
 
 use pathfinding::directed::bfs::bfs;
 
-/// One thing that may happen in a state.
+/// A possible transition from a state.
 #[derive(Clone, Debug)]
 pub struct Step<S> {
-    /// What happens, for people.
+    /// A description for counterexamples.
     pub label: String,
-    /// The state after it.
+    /// The state after the transition.
     pub state: S,
 }
 
-/// A model with finitely many states.
+/// A model with a finite number of states.
 pub trait Specification {
-    /// A state of the whole system, history included.
+    /// A state of the whole system, with the history that the invariants need.
     type State: Clone + Eq + Hash;
 
-    /// Where every run begins.
+    /// The initial state.
     fn initial(&self) -> Self::State;
 
-    /// Everything that may happen next.
+    /// All transitions that are possible in a state.
     fn steps(&self, state: &Self::State) -> Vec<Step<Self::State>>;
 
-    /// The promise that a state breaks, if any.
+    /// The invariant that a state violates, if any.
     fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// A shortest run that breaks a promise.
+/// A shortest run that violates an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counterexample {
-    /// What happened, in order.
+    /// The labels of its steps, in order.
     pub steps: Vec<String>,
-    /// The promise that is broken.
+    /// The violated invariant.
     pub violation: &'static str,
 }
 
 impl fmt::Display for Counterexample {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(formatter, "broken: {}", self.violation)?;
+        writeln!(formatter, "violated: {}", self.violation)?;
         for (number, step) in self.steps.iter().enumerate() {
             writeln!(formatter, "{:>3}. {step}", number + 1)?;
         }
@@ -52,18 +52,17 @@
     }
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Clone, Debug)]
 pub struct SearchReport {
-    /// States whose steps were followed.
+    /// The number of expanded states.
     pub states: u64,
-    /// How long the search took.
-    pub took: Duration,
-    /// The first broken promise; none where every reachable state keeps all promises.
+    pub elapsed: Duration,
+    /// The first violation; `None` if every reachable state satisfies all invariants.
     pub counterexample: Option<Counterexample>,
 }
 
-/// Visits every reachable state, nearest first, until one breaks a promise.
+/// Visits the reachable states in breadth-first order until one violates an invariant.
 pub fn search<S: Specification>(specification: &S) -> SearchReport {
     let started = Instant::now();
     let states = Cell::new(0);
@@ -73,7 +72,7 @@
     };
     let path = bfs(&specification.initial(), successors, |state| specification.violation(state).is_some());
     let counterexample = path.map(|path| describe(specification, &path));
-    SearchReport { states: states.get(), took: started.elapsed(), counterexample }
+    SearchReport { states: states.get(), elapsed: started.elapsed(), counterexample }
 }
 
 fn describe<S: Specification>(specification: &S, path: &[S::State]) -> Counterexample {
