--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
 //! A monotonic clock that includes the time for which the machine was suspended.
 //!
-//! `std::time::Instant` and the runtime's timers stop while a machine is suspended, so a lease, fence, quota or
-//! configuration age measured by them would outlive its deadline. Deadlines are therefore compared with this
-//! clock, and waits use [`SteadyClock::timeout_at`], which reads the clock again after a suspension.
+//! `std::time::Instant` and the runtime's timers stop while a machine is suspended, so a lease, fence, quota
+//! or configuration age measured by them would outlive its deadline. Deadlines are therefore compared with
+//! this clock, and waits use [`SteadyClock::timeout_at`], which reads the clock again after a suspension.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Returns the output of `future`, or `None` if it is not ready after `duration`. Time in suspension counts.
+    /// Returns the output of `future`, or `None` if it is not ready after `duration`. Time in suspension
+    /// counts.
     pub async fn timeout<T>(self, duration: Duration, future: impl Future<Output = T>) -> Option<T> {
         self.timeout_at(self.now() + duration, future).await
     }
--- a/crates/language/src/answer.rs
+++ b/crates/language/src/answer.rs
@@ -26,7 +26,7 @@
 
 impl Answer {
     /// Creates the answer of a single node.
-    pub const fn alone(body: Body) -> Self {
+    pub const fn from_single_node(body: Body) -> Self {
         Self { body, members: Vec::new(), notes: Vec::new() }
     }
 }
--- a/crates/language/src/change.rs
+++ b/crates/language/src/change.rs
@@ -36,14 +36,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct TranslatedChange {
     pub change: Change,
-    /// The revision given by the operator; otherwise the current one if the change depends on current settings.
+    /// The revision given by the operator; otherwise the current one if the change depends on current
+    /// settings.
     pub if_revision: Option<Revision>,
 }
 
 /// Translates a command to a change of the `current` configuration.
 ///
-/// The changes for `set`, `pin` and `create` depend on current settings and therefore require their revision: they
-/// are refused if another change of the object came first.
+/// The changes for `set`, `pin` and `create` depend on current settings and therefore require their revision:
+/// they are refused if another change of the object came first.
 pub fn translate(
     command: &ChangeCommand,
     current: &RevisedConfiguration,
--- a/crates/language/src/complete.rs
+++ b/crates/language/src/complete.rs
@@ -2,8 +2,8 @@
 
 use crate::grammar::continuations;
 
-/// Returns the byte offset at which the last word of `text` starts, and the keywords and field names that complete
-/// it. Names of objects are not completed.
+/// Returns the byte offset at which the last word of `text` starts, and the keywords and field names that
+/// complete it. Names of objects are not completed.
 pub fn complete(text: &str) -> (usize, Vec<&'static str>) {
     let start = text
         .rfind(|character: char| !is_word(character))
--- a/crates/language/src/evaluate.rs
+++ b/crates/language/src/evaluate.rs
@@ -1,7 +1,7 @@
 //! Evaluation of queries.
 //!
-//! Each node [`select`]s its own rows. The coordinating node combines the rows of all nodes with [`merge`] and builds
-//! the answer with [`table`], which applies grouping, order and limit.
+//! Each node [`select`]s its own rows. The coordinating node combines the rows of all nodes with [`merge`]
+//! and builds the answer with [`table`], which applies grouping, order and limit.
 
 use std::{cmp::Ordering, collections::BTreeMap, ops::ControlFlow};
 
@@ -24,13 +24,13 @@
     pub truncated: bool,
 }
 
-/// The maximum number of rows that a selection is_satisfied when it must sort before it applies a limit.
+/// The maximum number of rows that a selection holds when it must sort before it applies a limit.
 pub const MAX_SORTED_ROWS: usize = 20_000;
 
 /// Selects at most `max_rows` rows of a source that match the query's filter.
 ///
-/// If the query orders ungrouped rows that each belong to one node, the first rows in that order are selected, so
-/// that the coordinating node can apply the query's limit to the merged rows.
+/// If the query orders ungrouped rows that each belong to one node, the first rows in that order are
+/// selected, so that the coordinating node can apply the query's limit to the merged rows.
 pub fn select(query: &Query, source: &dyn Source, max_rows: usize) -> Selection {
     let now = source.now();
     let sorts = sorts_before_limit(query);
@@ -62,8 +62,8 @@
     !query.is_grouped() && !query.order_by.is_empty() && query.noun.merge() == Merge::PerNode
 }
 
-/// The number of rows that suffices for the answer: the query's limit applies before merging if rows are ungrouped and
-/// each belongs to one node.
+/// The number of rows that suffices for the answer: the query's limit applies before merging if rows are
+/// ungrouped and each belongs to one node.
 fn required_rows(query: &Query, max_rows: usize) -> usize {
     match query.limit {
         Some(limit) if !query.is_grouped() && query.noun.merge() == Merge::PerNode => {
--- a/crates/language/src/lib.rs
+++ b/crates/language/src/lib.rs
@@ -1,8 +1,9 @@
 //! The operators' query and command language.
 //!
 //! [`parse`] turns text into a typed [`Statement`](tree::Statement) or an error with its location; a printed
-//! statement parses to an equal statement. [`evaluate`] runs queries over the rows of a [`Source`](source::Source);
-//! [`change`] translates commands to changes of the configuration. The crate does no I/O and reads no clock.
+//! statement parses to an equal statement. [`evaluate`] runs queries over the rows of a
+//! [`Source`](source::Source); [`change`] translates commands to changes of the configuration. The crate does
+//! no I/O and reads no clock.
 
 pub mod answer;
 pub mod change;
--- a/crates/language/src/print.rs
+++ b/crates/language/src/print.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// Formats a part of a condition, with parentheses only if it would parse differently without them. The printed
-/// nesting thus never exceeds the parsed one.
+/// Formats a part of a condition, with parentheses only if it would parse differently without them. The
+/// printed nesting thus never exceeds the parsed one.
 fn parenthesized(part: &Expression, binds_tightly: bool) -> String {
     match part {
         Expression::Or(_) => format!("({part})"),
--- a/crates/language/src/rfc3339.rs
+++ b/crates/language/src/rfc3339.rs
@@ -65,8 +65,8 @@
     digits(&format!("{fraction:0<6}"))
 }
 
-/// Converts days since the Unix epoch to year, month and day of the Gregorian calendar. Years are counted from March,
-/// so that the leap day is the last day of its year.
+/// Converts days since the Unix epoch to year, month and day of the Gregorian calendar. Years are counted
+/// from March, so that the leap day is the last day of its year.
 fn date_of(epoch_day: u64) -> (u64, u64, u64) {
     let days = epoch_day + DAYS_BEFORE_EPOCH;
     let (era, day_of_era) = (days / DAYS_PER_ERA, days % DAYS_PER_ERA);
--- a/crates/language/src/schema.rs
+++ b/crates/language/src/schema.rs
@@ -18,8 +18,8 @@
 pub enum Merge {
     /// Each node has its own rows; all are part of the answer.
     PerNode,
-    /// Nodes report on the same objects; of rows with equal keys, the one with the smallest `age` is kept. The
-    /// value is the number of leading fields that form the key.
+    /// Nodes report on the same objects; of rows with equal keys, the one with the smallest `age` is kept.
+    /// The value is the number of leading fields that form the key.
     Freshest(usize),
 }
 
--- a/crates/node/src/admin/change.rs
+++ b/crates/node/src/admin/change.rs
@@ -50,7 +50,7 @@
         based_on,
         outcome: outcome.clone(),
     });
-    Answer::alone(Body::Change { change: id, outcome, sentence })
+    Answer::from_single_node(Body::Change { change: id, outcome, sentence })
 }
 
 fn change_request(
--- a/crates/node/src/admin/execute.rs
+++ b/crates/node/src/admin/execute.rs
@@ -37,12 +37,14 @@
     deadline: Duration,
 ) -> Result<Answer, Refusal> {
     match statement {
-        Statement::Help(word) => Ok(Answer::alone(Body::Text { text: help::text(word.as_deref()) })),
+        Statement::Help(word) => {
+            Ok(Answer::from_single_node(Body::Text { text: help::text(word.as_deref()) }))
+        }
         Statement::Show(query) => Ok(show(state, &query, deadline).await),
         Statement::Explain(Explain::Request(request)) => explain_request(state, &request, deadline).await,
         Statement::Explain(Explain::Route(question)) => {
             let explanation = explain::route(state, &question)?;
-            Ok(Answer::alone(Body::Explanation { explanation }))
+            Ok(Answer::from_single_node(Body::Explanation { explanation }))
         }
         Statement::Change(command) => Ok(change::submit(state, operator, command).await),
         Statement::Watch(_) => {
@@ -90,7 +92,7 @@
     deadline: Duration,
 ) -> Result<Answer, Refusal> {
     if let Some(explanation) = explain::request(state, request) {
-        return Ok(Answer::alone(Body::Explanation { explanation }));
+        return Ok(Answer::from_single_node(Body::Explanation { explanation }));
     }
     let statement = Statement::Explain(Explain::Request(request.clone())).to_string();
     let question = |_: &_| MemberQuery { statement: statement.clone(), max_rows: 0, after: None };
--- a/specs/src/claims.rs
+++ b/specs/src/claims.rs
@@ -1,11 +1,12 @@
 //! Claims: a request runs at most once, and "not run" is reported only if it did not run.
 //!
-//! The model has one key, two attempts of the caller at two nodes, and three replicas. Messages are reordered, delayed
-//! or lost, and so are replies. Replicas restart without memory, with a clock that is behind that of their first
-//! incarnation by the maximum skew. Coordinators crash or pause at any point: a timer may fire late or never.
+//! The model has one key, two attempts of the caller at two nodes, and three replicas. Messages are
+//! reordered, delayed or lost, and so are replies. Replicas restart without memory, with a clock that is
+//! behind that of their first incarnation by the maximum skew. Coordinators crash or pause at any point: a
+//! timer may fire late or never.
 //!
-//! A run begins with the first attempt; the time since the key was issued is a bound. Replicas are symmetric, so
-//! they restart in order of their number, and only if they hold an entry.
+//! A run begins with the first attempt; the time since the key was issued is a bound. Replicas are symmetric,
+//! so they restart in order of their number, and only if they hold an entry.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -46,8 +47,8 @@
     pub fault: ClaimsFault,
     /// The maximum number of replica restarts.
     pub restarts: u8,
-    /// Whether records and releases may be delayed; otherwise each arrives at once or never. Claims may always be
-    /// delayed.
+    /// Whether records and releases may be delayed; otherwise each arrives at once or never. Claims may
+    /// always be delayed.
     pub late_outcomes: bool,
     /// Whether "not run" and the answers are checked, in addition to the number of runs.
     pub check_outcomes: bool,
--- a/specs/src/configuration.rs
+++ b/specs/src/configuration.rs
@@ -1,8 +1,9 @@
-//! Configuration: one of two conflicting changes wins, reported outcomes are true, and no node's revision decreases.
+//! Configuration: one of two conflicting changes wins, reported outcomes are true, and no node's revision
+//! decreases.
 //!
-//! Two operators change the same object, based on the same revision, through two nodes. A call to the store may take
-//! effect after its sender has timed out, its reply may be lost, and it may never arrive. Any version of the document
-//! may reach any node at any later time.
+//! Two operators change the same object, based on the same revision, through two nodes. A call to the store
+//! may take effect after its sender has timed out, its reply may be lost, and it may never arrive. Any
+//! version of the document may reach any node at any later time.
 
 use std::time::Duration;
 
--- a/specs/src/lease.rs
+++ b/specs/src/lease.rs
@@ -1,8 +1,8 @@
 //! Lease and fence: once an engine has obeyed a lease holder, no order of an earlier holder takes effect.
 //!
-//! Two nodes request one lease from the store and send orders to one engine. Calls and orders are delayed, replies are
-//! lost, and nodes pause, which equals a delay of their messages. The engine may restart and lose its fence. The store
-//! may be restored from an older backup, without the lease, and then reuses revisions.
+//! Two nodes request one lease from the store and send orders to one engine. Calls and orders are delayed,
+//! replies are lost, and nodes pause, which equals a delay of their messages. The engine may restart and lose
+//! its fence. The store may be restored from an older backup, without the lease, and then reuses revisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/specs/src/relay.rs
+++ b/specs/src/relay.rs
@@ -1,7 +1,8 @@
-//! Relaying of the store's state between nodes: what a node knows was the latest state at the time of its proof.
+//! Relaying of the store's state between nodes: what a node knows was the latest state at the time of its
+//! proof.
 //!
-//! The store changes at any time. The root watches it; a leaf reports to the root and may also watch the store. Calls
-//! and answers are delayed or lost; a pause of a node equals a delay.
+//! The store changes at any time. The root watches it; a leaf reports to the root and may also watch the
+//! store. Calls and answers are delayed or lost; a pause of a node equals a delay.
 
 use std::{collections::BTreeSet, time::Duration};
 
