--- a/crates/forward/src/account.rs
+++ b/crates/forward/src/access_log.rs
@@ -36,7 +36,7 @@
 
 /// What is told of a request when it has ended.
 #[derive(Debug, Default)]
-pub struct Account {
+pub struct RequestRecord {
     pub(crate) id: Option<String>,
     pub(crate) route: Option<Arc<Route>>,
     pub(crate) tenant: Option<Arc<Tenant>>,
@@ -56,17 +56,22 @@
     pub(crate) resumed: u32,
 }
 
-impl Account {
+impl RequestRecord {
     /// The node itself refuses the request before any back end is chosen.
-    pub(crate) fn refuse(&mut self, node: &Node, arrived: Timestamp, Refusal { reason, come_back }: Refusal) {
+    pub(crate) fn refuse(
+        &mut self,
+        node: &Node,
+        arrived: Timestamp,
+        Refusal { reason, retry_after }: Refusal,
+    ) {
         self.reason = Some(reason);
         self.status = Some(reason.status().as_u16());
-        self.outcome = Some(match (reason, come_back) {
+        self.outcome = Some(match (reason, retry_after) {
             (Reason::QuotaExceeded, _) => OVER_QUOTA,
             (_, Some(_)) => REFUSED,
             (_, None) => "rejected",
         });
-        self.tell(node, arrived, AttemptHistory::default());
+        self.log(node, arrived, AttemptHistory::default());
     }
 
     /// Whether the caller got a whole answer of a back end.
@@ -75,7 +80,7 @@
     }
 
     /// Tells how the request ended.
-    pub(crate) fn tell(&self, node: &Node, arrived: Timestamp, spent: AttemptHistory) {
+    pub(crate) fn log(&self, node: &Node, arrived: Timestamp, spent: AttemptHistory) {
         // Nothing was concluded: the connection has gone, by the caller's will or with the process.
         let unconcluded = if node.grace_is_over.get() { CUT_BY_STOP } else { CALLER_LEFT };
         let outcome = self.outcome.unwrap_or(unconcluded);
@@ -111,6 +116,6 @@
             total_ms: since(node.now()),
             resumed: self.resumed,
         };
-        node.journal.tell(&Event::Request(Box::new(line)));
+        node.journal.log(&Event::Request(Box::new(line)));
     }
 }
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -13,7 +13,7 @@
 use paddlemount_protocol::identity::ServiceId;
 
 use crate::{
-    account::Account,
+    access_log::RequestRecord,
     answers::{Reason, Refusal},
     node::Node,
     ports::RequestHead,
@@ -32,15 +32,15 @@
     node: &Node,
     parts: &request::Parts,
     head: &RequestHead,
-    account: &mut Account,
+    account: &mut RequestRecord,
 ) -> Result<Admitted, Refusal> {
     let now = node.now();
     let bounds = node.settings().bounds;
     let (table, age) = {
-        let beliefs = node.beliefs.borrow();
+        let state = node.state.borrow();
         // What was listed without proof may be old: nobody is served by it.
-        let age = beliefs.freshness.age(now).ok_or(Reason::NoConfiguration)?;
-        (beliefs.table.clone().ok_or(Reason::NoConfiguration)?, age)
+        let age = state.freshness.age(now).ok_or(Reason::NoConfiguration)?;
+        (state.table.clone().ok_or(Reason::NoConfiguration)?, age)
     };
     account.configuration = Some(table.version());
     account.configuration_age = Some(age);
@@ -48,7 +48,7 @@
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     // What is unknown to old knowledge may only be unknown yet.
-    let doubtful = !is_within(bounds.doubtful_after());
+    let doubtful = !is_within(bounds.unverified_after());
     match table.admit(host, parts.uri.path(), head.key.as_deref()) {
         Admission::NoRoute | Admission::UnknownKey if doubtful => Err(Reason::ConfigurationTooOld.into()),
         Admission::NoRoute => Err(Reason::NoRoute.into()),
@@ -74,14 +74,14 @@
     node: &Node,
     tenant: &Tenant,
     head: &RequestHead,
-    account: &mut Account,
+    account: &mut RequestRecord,
 ) -> Result<Option<QuotaGrant>, Refusal> {
     let Some(quota) = &tenant.quota else { return Ok(None) };
     let units = quota.units(head.usage).ok_or(Reason::UsageMalformed)?;
     let now = node.now();
-    let mut beliefs = node.beliefs.borrow_mut();
-    beliefs.quotas.admit(&tenant.name, units, rand::random(), now).map_err(|refusal| {
-        account.quota = beliefs.quotas.view(&tenant.name, now);
-        Refusal { reason: Reason::QuotaExceeded, come_back: Some(refusal.retry_after) }
+    let mut state = node.state.borrow_mut();
+    state.quotas.admit(&tenant.name, units, rand::random(), now).map_err(|refusal| {
+        account.quota = state.quotas.view(&tenant.name, now);
+        Refusal { reason: Reason::QuotaExceeded, retry_after: Some(refusal.retry_after) }
     })
 }
--- a/crates/forward/src/announced.rs
+++ b/crates/forward/src/announcements.rs
@@ -23,14 +23,14 @@
 
 /// How it was heard what a process announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HeardBy {
+pub(crate) enum AnnouncementSource {
     /// An answer of the process says so.
     Answer,
     /// Another node has told it.
     Told,
 }
 
-impl HeardBy {
+impl AnnouncementSource {
     /// Its name in log lines.
     pub(crate) const fn name(self) -> &'static str {
         match self {
@@ -48,7 +48,7 @@
 impl Node {
     /// The process of a back end that something is being sent to. What its answer announces holds for that one.
     pub(crate) fn process_of(&self, id: &BackendId) -> BackendProcess {
-        self.beliefs.borrow().backends.process_of(id)
+        self.state.borrow().backends.process_of(id)
     }
 
     /// Takes in what an answer of one of a back end's own interfaces announces, whose body may say as well that it leaves. Where
@@ -61,11 +61,11 @@
     ) -> Option<Duration> {
         let says = self.platform.read_answer(answer.status(), answer.headers());
         let leaving = says.leaving || body_says_leaving;
-        let rest = match says.rest {
+        let rest = match says.back_off {
             Some(RequestedBackOff::For(time)) => Some(time.min(MAX_BACK_OFF)),
             Some(RequestedBackOff::Unreadable(_)) | None => None,
         };
-        self.observe_answer(asked, &AnswerHead { leaving, rest: None, ..says }, None);
+        self.observe_answer(asked, &AnswerHead { leaving, back_off: None, ..says }, None);
         rest
     }
 
@@ -87,12 +87,12 @@
             return;
         }
         if says.leaving {
-            self.observe_draining(asked, HeardBy::Answer);
+            self.observe_draining(asked, AnnouncementSource::Answer);
         }
-        match &says.rest {
+        match &says.back_off {
             Some(RequestedBackOff::For(time)) => self.observe_back_off(asked, *time),
             Some(RequestedBackOff::Unreadable(value)) => {
-                self.journal.tell(&Event::RestUnreadable { backend: asked.id.as_str(), value });
+                self.journal.log(&Event::RestUnreadable { backend: asked.id.as_str(), value });
             }
             None => {}
         }
@@ -102,64 +102,64 @@
     /// Other nodes have heard that these processes leave.
     pub(crate) fn merge_draining_gossip(&self, processes: &[BackendProcess]) {
         for process in processes {
-            self.observe_draining(process, HeardBy::Told);
+            self.observe_draining(process, AnnouncementSource::Told);
         }
     }
 
-    fn observe_draining(&self, process: &BackendProcess, heard: HeardBy) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        let service = beliefs.backends.get(&process.id).map(|known| known.entry.service.clone());
-        match beliefs.backends.observe_draining(process, self.now()) {
+    fn observe_draining(&self, process: &BackendProcess, heard: AnnouncementSource) {
+        let mut state = self.state.borrow_mut();
+        let service = state.backends.get(&process.id).map(|known| known.entry.service.clone());
+        match state.backends.observe_draining(process, self.now()) {
             Departure::Known => return,
             Departure::Leaves => {}
             Departure::Dropped => {
-                beliefs.forget(&process.id);
+                state.forget(&process.id);
                 self.pool.borrow_mut().close(&process.id);
             }
         }
-        drop(beliefs);
+        drop(state);
         let service = service.as_ref().map(ServiceId::as_str);
         let backend = process.id.as_str();
-        self.journal.tell(&Event::BackendLeaving { backend, service, heard: heard.name() });
+        self.journal.log(&Event::BackendLeaving { backend, service, heard: heard.name() });
     }
 
     fn observe_back_off(&self, process: &BackendProcess, asked: Duration) {
         let now = self.now();
-        let rest = self.beliefs.borrow_mut().backends.announcements.observe_back_off(process, asked, now);
+        let rest = self.state.borrow_mut().backends.announcements.observe_back_off(process, asked, now);
         let Some(BackOff { until, begins, is_cut }) = rest else { return };
-        self.metrics.count(Counter::RestsAsked);
+        self.metrics.count(Counter::BackOffsRequested);
         if begins || is_cut {
             let for_ms = until.saturating_since(now).as_millis() as u64;
-            self.journal.tell(&Event::BackendRests { backend: process.id.as_str(), for_ms, is_cut });
+            self.journal.log(&Event::BackendRests { backend: process.id.as_str(), for_ms, is_cut });
         }
     }
 
     /// Whether a back end that was chosen may still be sent the request: it may have spoken while a connection came up.
     pub(crate) fn still_takes(&self, choice: &Choice) -> bool {
-        let beliefs = self.beliefs.borrow();
-        let known = beliefs.backends.get(&choice.backend);
-        known.is_some_and(|backend| beliefs.takes_requests(backend, self.now()))
+        let state = self.state.borrow();
+        let known = state.backends.get(&choice.backend);
+        known.is_some_and(|backend| state.takes_requests(backend, self.now()))
     }
 
     /// Forgets what no longer holds, and tells whose rest is over.
     pub(crate) fn expire_announcements(&self) {
-        let rested = self.beliefs.borrow_mut().backends.announcements.expire(self.now());
+        let rested = self.state.borrow_mut().backends.announcements.expire(self.now());
         for backend in &rested {
-            self.journal.tell(&Event::BackendRested { backend: backend.as_str() });
+            self.journal.log(&Event::BackendRested { backend: backend.as_str() });
         }
     }
 
     /// How many back ends rest, leave and are limited now.
     pub(crate) fn announced_gauges(&self) -> [Gauge; 3] {
-        let beliefs = self.beliefs.borrow();
-        let resting = beliefs.backends.announcements.count_backed_off(self.now());
-        let leaving = beliefs.backends.iter().filter(|backend| backend.state.is_leaving()).count();
+        let state = self.state.borrow();
+        let resting = state.backends.announcements.count_backed_off(self.now());
+        let leaving = state.backends.iter().filter(|backend| backend.state.is_leaving()).count();
         [
             Gauge { name: "paddlemount_forward_backends_resting", value: resting as f64 },
             Gauge { name: "paddlemount_forward_backends_leaving", value: leaving as f64 },
             Gauge {
                 name: "paddlemount_forward_backends_limited",
-                value: beliefs.backends.announcements.count_limited() as f64,
+                value: state.backends.announcements.count_limited() as f64,
             },
         ]
     }
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -88,7 +88,7 @@
     }
 
     /// When a caller that is refused may come back.
-    pub const fn come_back(self) -> Option<Duration> {
+    pub const fn retry_after(self) -> Option<Duration> {
         match self {
             // The least of their times, where that is known.
             Self::NoConfiguration | Self::NoBackend | Self::BackendsRest | Self::BackendsLimited => {
@@ -147,23 +147,23 @@
     /// Why.
     pub reason: Reason,
     /// When to come back; none where coming back is of no use.
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl From<Reason> for Refusal {
     fn from(reason: Reason) -> Self {
-        Self { reason, come_back: reason.come_back() }
+        Self { reason, retry_after: reason.retry_after() }
     }
 }
 
 /// The node's own answer to a request that it does not serve.
-pub fn own_answer(refusal: impl Into<Refusal>) -> Response<AnswerBody> {
-    let Refusal { reason, come_back } = refusal.into();
+pub fn error_answer(refusal: impl Into<Refusal>) -> Response<AnswerBody> {
+    let Refusal { reason, retry_after } = refusal.into();
     let body = serde_json::to_vec(&ErrorBody { error: reason.text(), reason }).unwrap_or_default();
     let mut answer = Response::new(whole(Bytes::from(body)));
     *answer.status_mut() = reason.status();
     answer.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(after) = come_back {
+    if let Some(after) = retry_after {
         let seconds = format!("{:.2}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             answer.headers_mut().insert(header::RETRY_AFTER, value);
@@ -178,7 +178,7 @@
 }
 
 /// An answer that keeps `guard` until its body has been handed over to its end, or is dropped.
-pub fn held_while_sent<T: Unpin + 'static>(answer: Response<AnswerBody>, guard: T) -> Response<AnswerBody> {
+pub fn with_guard<T: Unpin + 'static>(answer: Response<AnswerBody>, guard: T) -> Response<AnswerBody> {
     answer.map(|body| Box::pin(HeldBody { body, _guard: guard }) as AnswerBody)
 }
 
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -17,7 +17,7 @@
     metrics::Counter,
     node::Node,
     ports::AnswerHead,
-    waiting::{OUTDATED, Waited},
+    response_wait::{OUTDATED, Waited},
 };
 
 /// The time in which a connection must come up.
@@ -46,7 +46,7 @@
 
 /// Which run a try asks its back end for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Run {
+pub enum RunKind {
     /// One that begins there.
     New,
     /// One that another back end began, and that goes on there from a copy of its memory.
@@ -55,7 +55,7 @@
 
 /// Why a try has no answer to pass on.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptFailure {
     /// What is certain about it.
     pub end: AttemptEnd,
     /// What happened, for people.
@@ -70,7 +70,7 @@
     pub answered_by: Option<BackendId>,
 }
 
-impl Ended {
+impl AttemptFailure {
     /// The back end may have run the request, and will not be heard of it any more.
     pub fn unclear(detail: String) -> Self {
         Self {
@@ -91,7 +91,7 @@
 
 /// An answer that has begun.
 #[derive(Debug)]
-pub struct Begun {
+pub struct AttemptAnswer {
     /// Its head.
     pub head: response::Parts,
     /// What the head says.
@@ -101,13 +101,13 @@
     /// The connection it comes on.
     pub connection: Connection,
     /// The work that it is at the back end.
-    pub work: Work,
+    pub work: LoadGuard,
     /// Whether the body's end can be told from a broken connection.
     pub framed: bool,
 }
 
 /// The account of one request's work at a back end; ends with it.
-pub struct Work {
+pub struct LoadGuard {
     node: Rc<Node>,
     /// The back end.
     pub backend: BackendId,
@@ -115,16 +115,16 @@
     pending_prefill_tokens: Option<u64>,
 }
 
-impl std::fmt::Debug for Work {
+impl std::fmt::Debug for LoadGuard {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Work").field("backend", &self.backend).finish_non_exhaustive()
+        formatter.debug_struct("LoadGuard").field("backend", &self.backend).finish_non_exhaustive()
     }
 }
 
-impl Work {
+impl LoadGuard {
     fn begin(node: &Rc<Node>, choice: &Choice) -> Self {
         let began = node.now();
-        node.beliefs.borrow_mut().chooser.loads.record_start(&choice.backend, choice.expected_tokens, began);
+        node.state.borrow_mut().chooser.loads.record_start(&choice.backend, choice.expected_tokens, began);
         node.health(&choice.backend, HealthEvent::Dispatched, false);
         Self {
             node: Rc::clone(node),
@@ -139,20 +139,20 @@
         if let Some(tokens) = self.pending_prefill_tokens.take() {
             let now = self.node.now();
             let milliseconds = now.saturating_since(self.began).as_secs_f64() * 1_000.0;
-            let mut beliefs = self.node.beliefs.borrow_mut();
-            beliefs.chooser.loads.record_first_event(&self.backend, tokens, self.began);
-            beliefs.chooser.loads.record_latency(&self.backend, milliseconds, now);
+            let mut state = self.node.state.borrow_mut();
+            state.chooser.loads.record_first_event(&self.backend, tokens, self.began);
+            state.chooser.loads.record_latency(&self.backend, milliseconds, now);
         }
     }
 }
 
-impl Drop for Work {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
-        let mut beliefs = self.node.beliefs.borrow_mut();
+        let mut state = self.node.state.borrow_mut();
         if let Some(tokens) = self.pending_prefill_tokens.take() {
-            beliefs.chooser.loads.record_first_event(&self.backend, tokens, self.began);
+            state.chooser.loads.record_first_event(&self.backend, tokens, self.began);
         }
-        beliefs.chooser.loads.record_end(&self.backend);
+        state.chooser.loads.record_end(&self.backend);
     }
 }
 
@@ -162,12 +162,12 @@
     choice: &Choice,
     id: Option<&str>,
     request: Request<Full<Bytes>>,
-    run: Run,
+    run: RunKind,
     give_up_at: Timestamp,
-) -> Result<Begun, Ended> {
-    let work = Work::begin(node, choice);
+) -> Result<AttemptAnswer, AttemptFailure> {
+    let work = LoadGuard::begin(node, choice);
     // A run that goes on begins nothing: its weights were in time when it began.
-    let begins_at = (run == Run::New).then_some(choice);
+    let begins_at = (run == RunKind::New).then_some(choice);
     // Looked at before a connection is taken from the pool: one that is not used is closed.
     if let Some(why) = why_not_to_send(node, choice, begins_at) {
         return Err(not_sent(node, choice, why));
@@ -198,11 +198,11 @@
         Waited::Outdated => {
             // This says nothing against the back end: it was not given its time.
             node.health(&choice.backend, HealthEvent::Inconclusive, false);
-            return Err(Ended { reused, ..Ended::unclear(OUTDATED.into()) });
+            return Err(AttemptFailure { reused, ..AttemptFailure::unclear(OUTDATED.into()) });
         }
         Waited::TimeUp => {
             node.health(&choice.backend, HealthEvent::Failed, false);
-            return Err(Ended { reused, ..Ended::unclear("no answer in time".into()) });
+            return Err(AttemptFailure { reused, ..AttemptFailure::unclear("no answer in time".into()) });
         }
     };
     let (head, body) = answer.into_parts();
@@ -210,13 +210,16 @@
     connection.keep_alive = keep_alive(&head.headers);
     if says.request_id.as_deref() != id {
         node.pool.borrow_mut().distrust(&choice.backend, node.now());
-        return Err(Ended { reused, ..Ended::unclear("an answer to another request".into()) });
+        return Err(AttemptFailure {
+            reused,
+            ..AttemptFailure::unclear("an answer to another request".into())
+        });
     }
     // On whatever it says of the request: the registry may be away, or tell of it much later.
     node.observe_answer(&asked, &says, Some(sent_at));
     let framed = head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING);
-    let begun = Begun { head, says, body, connection, work, framed };
+    let begun = AttemptAnswer { head, says, body, connection, work, framed };
     judge(node, choice, begun, reused, give_up_at).await
 }
 
@@ -233,19 +236,23 @@
 }
 
 /// The back end's weights are too old, or it wants no requests. This says nothing against it, and it was not asked.
-fn not_sent(node: &Rc<Node>, choice: &Choice, why: &str) -> Ended {
+fn not_sent(node: &Rc<Node>, choice: &Choice, why: &str) -> AttemptFailure {
     node.health(&choice.backend, HealthEvent::Inconclusive, false);
-    Ended { end: AttemptEnd::NotSent, ..Ended::unclear(why.into()) }
+    AttemptFailure { end: AttemptEnd::NotSent, ..AttemptFailure::unclear(why.into()) }
 }
 
-async fn connect(node: &Rc<Node>, choice: &Choice, give_up_at: Timestamp) -> Result<Connection, Ended> {
+async fn connect(
+    node: &Rc<Node>,
+    choice: &Choice,
+    give_up_at: Timestamp,
+) -> Result<Connection, AttemptFailure> {
     node.metrics.count(Counter::Connections);
     let now = node.now();
     let patience = CONNECT.min(give_up_at.saturating_since(now));
     Connection::open(choice.address, patience, now).await.map_err(|error| broken(node, choice, &error, false))
 }
 
-fn broken(node: &Rc<Node>, choice: &Choice, error: &ConnectionError, reused: bool) -> Ended {
+fn broken(node: &Rc<Node>, choice: &Choice, error: &ConnectionError, reused: bool) -> AttemptFailure {
     let end = if error.is_before_sending() { AttemptEnd::NotSent } else { AttemptEnd::Unclear };
     // A kept connection that its peer closed says nothing of the back end.
     if error.is_refusal() {
@@ -254,17 +261,17 @@
         node.health(&choice.backend, HealthEvent::Failed, !reused && end == AttemptEnd::NotSent);
     }
     let broke = matches!(error, ConnectionError::Broken(_));
-    Ended { end, reused, broke, ..Ended::unclear(error.to_string()) }
+    AttemptFailure { end, reused, broke, ..AttemptFailure::unclear(error.to_string()) }
 }
 
 /// Sorts out answers that are not passed on as they come.
 async fn judge(
     node: &Rc<Node>,
     choice: &Choice,
-    begun: Begun,
+    begun: AttemptAnswer,
     reused: bool,
     give_up_at: Timestamp,
-) -> Result<Begun, Ended> {
+) -> Result<AttemptAnswer, AttemptFailure> {
     let backend = &choice.backend;
     let status = begun.head.status;
     if begun.says.not_run || begun.says.misdirected {
@@ -272,12 +279,12 @@
         let detail = format!("status {status}, not run");
         let answered_by = begun.says.backend.clone();
         let _ = tokio::time::timeout(REFUSAL_BODY, take_whole(node, begun)).await;
-        return Err(Ended { end, reused, answered_by, ..Ended::unclear(detail) });
+        return Err(AttemptFailure { end, reused, answered_by, ..AttemptFailure::unclear(detail) });
     }
     if begun.says.encoded || (status.is_success() && !begun.says.signed) {
         node.pool.borrow_mut().distrust(backend, node.now());
         let detail = format!("status {status}, not a back end's answer");
-        return Err(Ended { reused, ..Ended::unclear(detail) });
+        return Err(AttemptFailure { reused, ..AttemptFailure::unclear(detail) });
     }
     if status.is_server_error() {
         let event = HealthEvent::Failed;
@@ -287,10 +294,20 @@
         return match whole {
             Some(Ok(answer)) => {
                 let answer = Some(answer);
-                Err(Ended { end: AttemptEnd::FailedAnswer, answer, reused, ..Ended::unclear(detail) })
+                Err(AttemptFailure {
+                    end: AttemptEnd::FailedAnswer,
+                    answer,
+                    reused,
+                    ..AttemptFailure::unclear(detail)
+                })
+            }
+            Some(Err(_)) => {
+                Err(AttemptFailure { reused, ..AttemptFailure::broken(format!("{detail}, broken off")) })
             }
-            Some(Err(_)) => Err(Ended { reused, ..Ended::broken(format!("{detail}, broken off")) }),
-            None => Err(Ended { reused, ..Ended::unclear(format!("{detail}, not whole in time")) }),
+            None => Err(AttemptFailure {
+                reused,
+                ..AttemptFailure::unclear(format!("{detail}, not whole in time"))
+            }),
         };
     }
     node.health(backend, HealthEvent::Succeeded, false);
@@ -308,7 +325,7 @@
         return AttemptEnd::Misdirected;
     }
     if let (Some(scope), Some(version)) = (&choice.scope, says.weights) {
-        node.saw_weights(&choice.backend, &scope.model, version);
+        node.observe_weights(&choice.backend, &scope.model, version);
     }
     if !says.misdirected {
         node.refused(&choice.backend);
@@ -317,8 +334,8 @@
 }
 
 /// Takes an answer whole and gives its connection back.
-pub async fn take_whole(node: &Rc<Node>, begun: Begun) -> Result<Response<Bytes>, String> {
-    let Begun { head, body, connection, mut work, .. } = begun;
+pub async fn take_whole(node: &Rc<Node>, begun: AttemptAnswer) -> Result<Response<Bytes>, String> {
+    let AttemptAnswer { head, body, connection, mut work, .. } = begun;
     let body =
         Limited::new(body, LARGEST_ANSWER).collect().await.map_err(|error| error.to_string())?.to_bytes();
     work.first_part();
--- a/crates/forward/src/learned_backends.rs
+++ b/crates/forward/src/backend_updates.rs
@@ -10,60 +10,60 @@
 };
 use paddlemount_protocol::identity::{Incarnation, ModelId, PoolId, Revision, WeightsVersion};
 
-use crate::{beliefs::Beliefs, journal::Event, node::Node};
+use crate::{journal::Event, node::Node, node_state::NodeState};
 
 impl Node {
-    pub(crate) fn learn_backend(&self, entry: BackendEntry, revision: Revision, heard: EntrySource) {
-        let mut beliefs = self.beliefs.borrow_mut();
+    pub(crate) fn apply_backend(&self, entry: BackendEntry, revision: Revision, heard: EntrySource) {
+        let mut state = self.state.borrow_mut();
         let id = entry.id.clone();
-        let AppliedEntry { change, replaced } = beliefs.backends.apply_entry(entry, heard);
+        let AppliedEntry { change, replaced } = state.backends.apply_entry(entry, heard);
         if change == EntryChange::Restarted {
             // The process that was known has ended, with its connections and all that it kept.
-            beliefs.forget(&id);
+            state.forget(&id);
             self.pool.borrow_mut().close(&id);
         }
-        self.note_seen(&mut beliefs, &id);
-        self.note_reopened(&mut beliefs);
+        self.track_health(&mut state, &id);
+        self.track_reactivated(&mut state);
         for replacement in &replaced {
-            self.leave_replaced(&mut beliefs, replacement, "entry");
+            self.drop_replaced(&mut state, replacement, "entry");
         }
-        self.tell_backend(&beliefs, &id, change, revision);
+        self.tell_backend(&state, &id, change, revision);
     }
 
     /// The answer to a try named another back end in place of the one that was chosen.
     pub fn misdirected(&self, choice: &Choice, by: &BackendId) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        if beliefs.backends.observe_misdirected(&choice.backend, choice.address, by) {
+        let mut state = self.state.borrow_mut();
+        if state.backends.observe_misdirected(&choice.backend, choice.address, by) {
             let replacement = Replacement { backend: choice.backend.clone(), by: by.clone() };
-            self.leave_replaced(&mut beliefs, &replacement, "answer");
+            self.drop_replaced(&mut state, &replacement, "answer");
         }
         // It may have been taken to be replaced itself.
-        self.note_seen(&mut beliefs, by);
-        self.note_reopened(&mut beliefs);
+        self.track_health(&mut state, by);
+        self.track_reactivated(&mut state);
     }
 
     /// Follows the health of back ends again that have their address back.
-    pub(crate) fn note_reopened(&self, beliefs: &mut Beliefs) {
-        for id in beliefs.backends.take_reactivated() {
-            self.note_seen(beliefs, &id);
+    pub(crate) fn track_reactivated(&self, state: &mut NodeState) {
+        for id in state.backends.take_reactivated() {
+            self.track_health(state, &id);
         }
     }
 
     /// Follows the health of a back end from now on. Those that were replaced count for no share of their pool.
-    fn note_seen(&self, beliefs: &mut Beliefs, id: &BackendId) {
-        let Some(known) = beliefs.backends.get(id) else { return };
+    fn track_health(&self, state: &mut NodeState, id: &BackendId) {
+        let Some(known) = state.backends.get(id) else { return };
         if known.state != BackendState::Replaced {
             let pool = PoolId::from(known.entry.service.as_str());
             let seen = HealthEvent::Observed { pool: &pool, incarnation: Incarnation(1) };
-            beliefs.health.apply(id, seen, self.now());
+            state.health.apply(id, seen, self.now());
         }
     }
 
     /// Lets go of a back end whose address another process has.
-    fn leave_replaced(&self, beliefs: &mut Beliefs, replacement: &Replacement, shown_by: &'static str) {
-        beliefs.forget(&replacement.backend);
+    fn drop_replaced(&self, state: &mut NodeState, replacement: &Replacement, shown_by: &'static str) {
+        state.forget(&replacement.backend);
         self.pool.borrow_mut().close(&replacement.backend);
-        self.journal.tell(&Event::BackendReplaced {
+        self.journal.log(&Event::BackendReplaced {
             backend: replacement.backend.as_str(),
             by: replacement.by.as_str(),
             shown_by,
@@ -71,14 +71,14 @@
     }
 
     /// The registry holds no entry of a back end any more.
-    pub fn lose_backend(&self, id: &BackendId, revision: Revision) {
+    pub fn remove_backend(&self, id: &BackendId, revision: Revision) {
         let now = self.now();
-        let mut beliefs = self.beliefs.borrow_mut();
-        let service = beliefs.backends.get(id).map(|backend| backend.entry.service.clone());
-        let change = beliefs.backends.remove(id, now);
-        self.note_reopened(&mut beliefs);
+        let mut state = self.state.borrow_mut();
+        let service = state.backends.get(id).map(|backend| backend.entry.service.clone());
+        let change = state.backends.remove(id, now);
+        self.track_reactivated(&mut state);
         if let (EntryChange::Removed, Some(service)) = (change, service) {
-            beliefs.forget(id);
+            state.forget(id);
             self.pool.borrow_mut().close(id);
             let event = Event::BackendChanged {
                 backend: id.as_str(),
@@ -87,13 +87,13 @@
                 weights: None,
                 revision: revision.0,
             };
-            self.journal.tell(&event);
+            self.journal.log(&event);
         } else {
-            self.tell_backend(&beliefs, id, change, revision);
+            self.tell_backend(&state, id, change, revision);
         }
     }
 
-    fn tell_backend(&self, beliefs: &Beliefs, id: &BackendId, change: EntryChange, revision: Revision) {
+    fn tell_backend(&self, state: &NodeState, id: &BackendId, change: EntryChange, revision: Revision) {
         let change = match change {
             EntryChange::Appeared => "appeared",
             EntryChange::Leaving => "leaving",
@@ -103,11 +103,11 @@
             EntryChange::Removed | EntryChange::None => return,
         };
         // What only adds to a back end is told by the nodes that ask the store for others: hundreds would tell the same.
-        if matches!(change, "appeared" | "updated") && self.is_told_by_others() {
+        if matches!(change, "appeared" | "updated") && self.receives_relays() {
             return;
         }
-        let Some(backend) = beliefs.backends.get(id) else { return };
-        self.journal.tell(&Event::BackendChanged {
+        let Some(backend) = state.backends.get(id) else { return };
+        self.journal.log(&Event::BackendChanged {
             backend: id.as_str(),
             service: backend.entry.service.as_str(),
             change,
@@ -117,9 +117,9 @@
     }
 
     /// An answer, a report or a refusal showed the version that a back end runs on.
-    pub fn saw_weights(&self, id: &BackendId, model: &ModelId, version: WeightsVersion) {
+    pub fn observe_weights(&self, id: &BackendId, model: &ModelId, version: WeightsVersion) {
         // What is believed of its cache stays: the scope of cached parts names the version, so that nothing of the older
         // one is asked for, and what other nodes have told of the newer one may have come first.
-        self.beliefs.borrow_mut().backends.observe_weights(id, model, version);
+        self.state.borrow_mut().backends.observe_weights(id, model, version);
     }
 }
--- a/crates/forward/src/kept.rs
+++ b/crates/forward/src/cache_feed.rs
@@ -15,10 +15,10 @@
 use paddlemount_protocol::fleet::CachedSegmentUpdate;
 
 use crate::{
-    calls::Caller,
+    calls::Client,
     journal::Event,
     node::Node,
-    ports::{FeedAnswer, KeptPage},
+    ports::{CacheFeedPage, FeedAnswer},
 };
 
 /// How long a call waits for entries.
@@ -34,10 +34,10 @@
 /// The pause where too many read a feed already.
 const CROWDED_PAUSE: Duration = Duration::from_secs(5);
 /// The life of a process that was never heard of.
-const NO_LIFE: u64 = 0;
+const NO_INCARNATION: u64 = 0;
 
 /// Follows the feeds of engines and of the stores of kept parts, for as long as the process lives.
-pub async fn follow_all(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     let feeds: Rc<RefCell<Feeds>> = Rc::default();
     loop {
         feeds.borrow_mut().look(&node);
@@ -98,19 +98,19 @@
     let before = before.unwrap_or(!node.settings().first_start);
     let nodes = node.nodes().known().unwrap_or(1);
     let now = node.now();
-    let beliefs = node.beliefs.borrow();
-    let own = beliefs.chooser.prefixes.prompt_tokens_per_second(now);
-    should_follow_feeds(own * f64::from(nodes), beliefs.cache_room(), before)
+    let state = node.state.borrow();
+    let own = state.chooser.prefixes.prompt_tokens_per_second(now);
+    should_follow_feeds(own * f64::from(nodes), state.cache_room(), before)
 }
 
 /// The engines, where theirs are wanted, and the stores that have a feed.
 fn sources(node: &Node, of_engines: bool) -> BTreeMap<BackendId, SocketAddr> {
-    let beliefs = node.beliefs.borrow();
-    let stores = beliefs.stores().map(|store| (store.id, store.address));
+    let state = node.state.borrow();
+    let stores = state.stores().map(|store| (store.id, store.address));
     if !of_engines {
         return stores.collect();
     }
-    let engines = beliefs
+    let engines = state
         .backends
         .iter()
         .filter(|backend| backend.state != BackendState::Replaced && !backend.entry.weights.is_empty());
@@ -119,10 +119,11 @@
 
 /// Follows one feed for as long as it is this node's turn.
 async fn follow(node: Rc<Node>, source: &Source, feeds: &RefCell<Feeds>) {
-    let calls = Caller::new(source.1, node.clock);
-    let mut feed = Feed { node, backend: source.0.clone(), calls, life: NO_LIFE, next: 0, working: false };
+    let calls = Client::new(source.1, node.clock);
+    let mut feed =
+        Feed { node, backend: source.0.clone(), calls, incarnation: NO_INCARNATION, next: 0, working: false };
     while feeds.borrow().wanted.contains(source) {
-        let pause = if feed.life == NO_LIFE { feed.list().await } else { feed.turn().await };
+        let pause = if feed.incarnation == NO_INCARNATION { feed.list().await } else { feed.turn().await };
         tokio::time::sleep(pause).await;
     }
 }
@@ -130,8 +131,8 @@
 struct Feed {
     node: Rc<Node>,
     backend: BackendId,
-    calls: Caller,
-    life: u64,
+    calls: Client,
+    incarnation: u64,
     next: u64,
     working: bool,
 }
@@ -150,7 +151,7 @@
         };
         match answer {
             Ok(FeedAnswer::Page(page)) => self.take(page).await,
-            Ok(FeedAnswer::Crowded) => {
+            Ok(FeedAnswer::TooManyReaders) => {
                 self.note(false, "too many read it already".into());
                 let usual = || CROWDED_PAUSE.mul_f64(0.5 + rand::random::<f64>());
                 wanted_pause.map_or_else(usual, |wanted| wanted.max(PAUSE))
@@ -162,17 +163,17 @@
         }
     }
 
-    async fn take(&mut self, page: KeptPage) -> Duration {
-        let first = self.life == NO_LIFE;
-        let other_life = page.life != self.life;
+    async fn take(&mut self, page: CacheFeedPage) -> Duration {
+        let first = self.incarnation == NO_INCARNATION;
+        let restarted = page.incarnation != self.incarnation;
         self.note(true, String::new());
-        if other_life && !first {
-            self.node.beliefs.borrow_mut().chooser.prefixes.forget(&self.backend);
+        if restarted && !first {
+            self.node.state.borrow_mut().chooser.prefixes.forget(&self.backend);
         }
-        if page.gap || (other_life && !first) {
+        if page.gap || (restarted && !first) {
             return self.list().await;
         }
-        self.life = page.life;
+        self.incarnation = page.incarnation;
         self.next = page.next;
         self.learn(&page);
         GATHER
@@ -180,21 +181,21 @@
 
     /// Learns anew all that is kept, where entries were lost.
     async fn list(&mut self) -> Duration {
-        let answer = self.calls.call(self.node.platform.kept_request(), PATIENCE).await;
-        let page = answer.ok().and_then(|answer| self.node.platform.kept_answer(&answer).ok());
+        let answer = self.calls.call(self.node.platform.cache_list_request(), PATIENCE).await;
+        let page = answer.ok().and_then(|answer| self.node.platform.cache_list_answer(&answer).ok());
         let Some(page) = page else { return PAUSE };
-        self.node.beliefs.borrow_mut().chooser.prefixes.forget(&self.backend);
-        self.life = page.life;
+        self.node.state.borrow_mut().chooser.prefixes.forget(&self.backend);
+        self.incarnation = page.incarnation;
         self.next = page.next;
         self.learn(&page);
         GATHER
     }
 
-    fn learn(&self, page: &KeptPage) {
+    fn learn(&self, page: &CacheFeedPage) {
         let now = self.node.now();
-        let mut beliefs = self.node.beliefs.borrow_mut();
-        let prefixes = &beliefs.chooser.prefixes;
-        let gone = page.kept.iter().filter(|part| {
+        let mut state = self.node.state.borrow_mut();
+        let prefixes = &state.chooser.prefixes;
+        let gone = page.segments.iter().filter(|part| {
             part.tokens == 0 && prefixes.is_partly_cached(&self.backend, part.scope, part.segment)
         });
         let news = gone.map(|part| CachedSegmentUpdate {
@@ -204,8 +205,8 @@
             tokens: 0,
         });
         let news = news.collect();
-        beliefs.chooser.apply_feed(&self.backend, &page.kept, now);
-        drop(beliefs);
+        state.chooser.apply_feed(&self.backend, &page.segments, now);
+        drop(state);
         self.node.publish(news);
     }
 
@@ -213,7 +214,7 @@
         if self.working != working {
             self.working = working;
             let change = if working { "followed" } else { "lost" };
-            self.node.journal.tell(&Event::FeedChanged { backend: self.backend.as_str(), change, detail });
+            self.node.journal.log(&Event::FeedChanged { backend: self.backend.as_str(), change, detail });
         }
     }
 }
--- a/crates/forward/src/caller_close.rs
+++ b/crates/forward/src/caller_close.rs
@@ -6,30 +6,30 @@
 use paddlemount_protocol::time::Timestamp;
 use tokio::sync::watch;
 
-use crate::caller_stream::{CallerSocket, Host};
+use crate::caller_stream::{CallerSocket, ConnectionHost};
 
 /// How a connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closes {
+pub enum CloseMode {
     /// The HTTP library ends it, after what it may have begun meanwhile.
-    Gently,
+    Graceful,
     /// The library is left: it would wait for the rest of a head, or for what runs at the end of the process.
-    AtOnce,
+    Immediate,
 }
 
-impl<H: Host> CallerSocket<H> {
+impl<H: ConnectionHost> CallerSocket<H> {
     /// Waits until the connection is to close, in a planned stop that `stage` tells of.
-    pub async fn until_judged(&self, mut stage: watch::Receiver<StopStage>) -> Closes {
+    pub async fn until_close(&self, mut stage: watch::Receiver<StopStage>) -> CloseMode {
         loop {
             let present = *stage.borrow_and_update();
             let look_again = match self.judge(present) {
-                ConnectionAction::Close => return Closes::Gently,
-                ConnectionAction::Abort => return Closes::AtOnce,
+                ConnectionAction::Close => return CloseMode::Graceful,
+                ConnectionAction::Abort => return CloseMode::Immediate,
                 ConnectionAction::KeepOpen(look_again) => look_again,
             };
             tokio::select! {
                 Ok(()) = stage.changed() => {}
-                () = self.freed.notified() => {}
+                () = self.request_ended.notified() => {}
                 () = self.wait_until(look_again) => {}
             }
         }
@@ -37,7 +37,7 @@
 
     /// Decides on the connection. The system is asked for unread bytes only where nothing else keeps it open.
     fn judge(&self, stage: StopStage) -> ConnectionAction {
-        let (seen, idle_timeout, now) = (self.seen(), self.host().idle_timeout(), self.now());
+        let (seen, idle_timeout, now) = (self.state(), self.host().idle_timeout(), self.now());
         match next_action(seen, stage, idle_timeout, now) {
             ConnectionAction::KeepOpen(look_again) => ConnectionAction::KeepOpen(look_again),
             ConnectionAction::Close | ConnectionAction::Abort => next_action(
--- a/crates/forward/src/caller_stream.rs
+++ b/crates/forward/src/caller_stream.rs
@@ -29,7 +29,7 @@
 const LINGER_READ: usize = 4 << 10;
 
 /// What a caller's connection asks of the process that serves it.
-pub trait Host {
+pub trait ConnectionHost {
     /// The clock by which connections count their rest.
     fn clock(&self) -> SteadyClock;
 
@@ -40,7 +40,7 @@
     fn is_stopping(&self) -> bool;
 
     /// Bytes came after a connection had closed, and were not read.
-    fn tell_closed_unread(&self, closed: &ClosedUnread);
+    fn report_closed_unread(&self, closed: &ClosedUnread);
 }
 
 /// A connection on which bytes came after it had closed.
@@ -68,10 +68,10 @@
     /// When the connection opened, or the last answer on it ended.
     free_since: Cell<Timestamp>,
     /// Told when an answer has ended.
-    pub freed: Notify,
+    pub request_ended: Notify,
 }
 
-impl<H: Host> CallerSocket<H> {
+impl<H: ConnectionHost> CallerSocket<H> {
     /// Takes an accepted connection over.
     pub fn new(stream: TcpStream, host: Rc<H>) -> Rc<Self> {
         // Without it small events wait for acknowledgements: slower, not wrong.
@@ -85,7 +85,7 @@
             unparsed: Cell::new(0),
             used_at: Cell::new(now),
             free_since: Cell::new(now),
-            freed: Notify::new(),
+            request_ended: Notify::new(),
         })
     }
 
@@ -95,14 +95,14 @@
     }
 
     /// A whole head is here. What is given holds the connection for served until it is dropped.
-    pub fn begin(self: &Rc<Self>) -> Served<H> {
+    pub fn begin(self: &Rc<Self>) -> ActiveRequest<H> {
         self.unparsed.set(0);
         self.served.set(self.served.get() + 1);
-        Served(Rc::clone(self))
+        ActiveRequest(Rc::clone(self))
     }
 
     /// What this process has seen on it; what lies unread in the socket is not looked at.
-    pub fn seen(&self) -> ConnectionState {
+    pub fn state(&self) -> ConnectionState {
         let is_serving = self.served.get() > 0;
         ConnectionState {
             is_serving,
@@ -119,9 +119,9 @@
         matches!(socket2::SockRef::from(&self.stream).peek(&mut byte), Ok(count) if count > 0)
     }
 
-    /// Closes the node's side and reads on until the caller has closed its own. Closing at once would reset the connection
+    /// CloseMode the node's side and reads on until the caller has closed its own. Closing at once would reset the connection
     /// where bytes are unread or still on their way, and the reset overtakes the end of an answer.
-    pub async fn close_gently(&self) {
+    pub async fn close_gracefully(&self) {
         // The caller may have closed already.
         let _ = self.shut_down();
         let linger = if self.host.is_stopping() { LINGER_AT_STOP } else { LINGER };
@@ -131,7 +131,7 @@
         if bytes > 0 {
             let open_ms = self.now().saturating_since(self.opened_at).as_millis() as u64;
             let stopping = self.host.is_stopping();
-            self.host.tell_closed_unread(&ClosedUnread { bytes, open_ms, stopping });
+            self.host.report_closed_unread(&ClosedUnread { bytes, open_ms, stopping });
         }
     }
 
@@ -219,9 +219,9 @@
 }
 
 /// A request that is being served on a connection.
-pub struct Served<H: Host>(Rc<CallerSocket<H>>);
+pub struct ActiveRequest<H: ConnectionHost>(Rc<CallerSocket<H>>);
 
-impl<H: Host> Drop for Served<H> {
+impl<H: ConnectionHost> Drop for ActiveRequest<H> {
     fn drop(&mut self) {
         let socket = &self.0;
         let now = socket.now();
@@ -230,14 +230,14 @@
         socket.unparsed.set(0);
         socket.used_at.set(now);
         socket.free_since.set(now);
-        socket.freed.notify_one();
+        socket.request_ended.notify_one();
     }
 }
 
 /// A caller's connection as a stream of bytes.
 pub struct CallerStream<H>(Rc<CallerSocket<H>>);
 
-impl<H: Host> AsyncRead for CallerStream<H> {
+impl<H: ConnectionHost> AsyncRead for CallerStream<H> {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -255,7 +255,7 @@
     }
 }
 
-impl<H: Host> CallerStream<H> {
+impl<H: ConnectionHost> CallerStream<H> {
     /// Writes once the socket takes bytes.
     fn poll_once_writable(
         &self,
@@ -272,7 +272,7 @@
     }
 }
 
-impl<H: Host> AsyncWrite for CallerStream<H> {
+impl<H: ConnectionHost> AsyncWrite for CallerStream<H> {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_once_writable(context, |stream| stream.try_write(bytes))
     }
--- a/crates/forward/src/callers.rs
+++ b/crates/forward/src/callers.rs
@@ -13,9 +13,9 @@
 };
 
 use crate::{
-    answers::{AnswerBody, held_while_sent},
-    caller_close::Closes,
-    caller_stream::{CallerSocket, ClosedUnread, Host},
+    answers::{AnswerBody, with_guard},
+    caller_close::CloseMode,
+    caller_stream::{CallerSocket, ClosedUnread, ConnectionHost},
     exchange,
     journal::Event,
     metrics::Counter,
@@ -46,7 +46,7 @@
     }
 
     /// Whether no connection is open and none will be taken any more.
-    pub fn are_gone(&self) -> bool {
+    pub fn are_drained(&self) -> bool {
         !self.taking.get() && self.open.get() == 0
     }
 
@@ -66,13 +66,13 @@
             match accepted {
                 Ok((stream, _)) => self.take(stream),
                 Err(error) => {
-                    self.node.journal.tell(&Event::CallerNotTaken { problem: error.to_string() });
+                    self.node.journal.log(&Event::CallerNotTaken { problem: error.to_string() });
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
         if let Err(error) = self.take_waiting(listener) {
-            self.node.journal.tell(&Event::CallerNotTaken { problem: error.to_string() });
+            self.node.journal.log(&Event::CallerNotTaken { problem: error.to_string() });
         }
         self.taking.set(false);
     }
@@ -103,7 +103,7 @@
         let socket = CallerSocket::new(stream, Rc::clone(&self.node));
         self.serve_requests(&socket).await;
         tokio::select! {
-            () = socket.close_gently() => {}
+            () = socket.close_gracefully() => {}
             _ = self.stage.wait_for(|stage| *stage == StopStage::Ended) => {}
         }
     }
@@ -124,9 +124,9 @@
         let closes = tokio::select! {
             biased;
             _ = connection.as_mut() => return,
-            closes = socket.until_judged(self.stage.clone()) => closes,
+            closes = socket.until_close(self.stage.clone()) => closes,
         };
-        if closes == Closes::AtOnce {
+        if closes == CloseMode::Immediate {
             return;
         }
         connection.as_mut().graceful_shutdown();
@@ -137,12 +137,12 @@
     }
 
     fn header_bytes(&self) -> usize {
-        let beliefs = self.node.beliefs.borrow();
-        beliefs.table.as_ref().map(|table| table.limits()).unwrap_or_default().header_bytes
+        let state = self.node.state.borrow();
+        state.table.as_ref().map(|table| table.limits()).unwrap_or_default().header_bytes
     }
 }
 
-impl Host for Node {
+impl ConnectionHost for Node {
     fn clock(&self) -> SteadyClock {
         self.clock
     }
@@ -150,18 +150,18 @@
     /// By the configuration now in force: a caller goes by the newest one, not by the one under which its connection
     /// opened.
     fn idle_timeout(&self) -> Duration {
-        let beliefs = self.beliefs.borrow();
-        beliefs.table.as_ref().map(|table| table.limits()).unwrap_or_default().idle_timeout
+        let state = self.state.borrow();
+        state.table.as_ref().map(|table| table.limits()).unwrap_or_default().idle_timeout
     }
 
     fn is_stopping(&self) -> bool {
         self.is_stopping()
     }
 
-    fn tell_closed_unread(&self, closed: &ClosedUnread) {
+    fn report_closed_unread(&self, closed: &ClosedUnread) {
         let ClosedUnread { bytes, open_ms, stopping } = *closed;
         self.metrics.count(Counter::ClosedUnread);
-        self.journal.tell(&Event::ClosedUnread { bytes, open_ms, stopping });
+        self.journal.log(&Event::ClosedUnread { bytes, open_ms, stopping });
     }
 }
 
@@ -182,5 +182,5 @@
         let told = HeaderValue::from_str(&format!("timeout={seconds}"));
         answer.headers_mut().insert(KEEP_ALIVE, told.unwrap_or(HeaderValue::from_static("timeout=1")));
     }
-    Ok(held_while_sent(answer, served))
+    Ok(with_guard(answer, served))
 }
--- a/crates/forward/src/calls.rs
+++ b/crates/forward/src/calls.rs
@@ -34,13 +34,13 @@
 
 /// Calls to one address, over few kept connections.
 #[derive(Debug)]
-pub struct Caller {
+pub struct Client {
     address: SocketAddr,
     clock: SteadyClock,
     idle: RefCell<Vec<Connection>>,
 }
 
-impl Caller {
+impl Client {
     /// Calls to `address`.
     pub const fn new(address: SocketAddr, clock: SteadyClock) -> Self {
         Self { address, clock, idle: RefCell::new(Vec::new()) }
--- a/crates/forward/src/placing.rs
+++ b/crates/forward/src/candidates.rs
@@ -18,7 +18,7 @@
     time::Timestamp,
 };
 
-use crate::beliefs::{Beliefs, KNOWING_NODES, Nodes};
+use crate::node_state::{FULL_SCAN_MAX_NODES, NodeCount, NodeState};
 
 /// Connections to a back end that a node may have at least while it does not know how many nodes there are.
 const LEAST_CONNECTIONS_UNCOUNTED: u32 = 6;
@@ -50,7 +50,7 @@
 /// The back ends of a service, as they look to one request.
 #[derive(Clone, Copy)]
 struct View<'a> {
-    beliefs: &'a Beliefs,
+    state: &'a NodeState,
     pool: &'a Pool,
     ask: RouteRequest<'a>,
     now: Timestamp,
@@ -65,16 +65,16 @@
     /// Connections that a back end takes from all nodes together; none where there is no limit.
     max_connections: Option<u32>,
     /// The nodes that share them.
-    nodes: Nodes,
+    nodes: NodeCount,
 }
 
-impl Beliefs {
+impl NodeState {
     /// Chooses the back end for a request.
     pub(crate) fn place(
         &self,
         ask: RouteRequest<'_>,
         zone: &ZoneId,
-        nodes: Nodes,
+        nodes: NodeCount,
         now: Timestamp,
     ) -> Option<Choice> {
         let pool = self.backends.pool(ask.service)?;
@@ -109,10 +109,16 @@
         self.chooser.choose(placement, &View { strict: false, ..strict })
     }
 
-    fn view<'a>(&'a self, pool: &'a Pool, ask: RouteRequest<'a>, nodes: Nodes, now: Timestamp) -> View<'a> {
+    fn view<'a>(
+        &'a self,
+        pool: &'a Pool,
+        ask: RouteRequest<'a>,
+        nodes: NodeCount,
+        now: Timestamp,
+    ) -> View<'a> {
         let required = ask.prompt.and_then(|prompt| self.required(&prompt.model, now));
         View {
-            beliefs: self,
+            state: self,
             pool,
             ask,
             now,
@@ -143,7 +149,7 @@
 
     /// Whether a back end's own words allow that it is sent a request now.
     pub(crate) fn takes_requests(&self, backend: &Backend, now: Timestamp) -> bool {
-        self.backends.takes_requests(backend, self.parting, now)
+        self.backends.takes_requests(backend, self.departing_use, now)
     }
 
     /// When the first back end takes requests again that could serve a request of `service`, for `model` where it has a prompt; nothing
@@ -203,30 +209,30 @@
             && !self.ask.tried.contains(id)
             && weights >= self.required
             && (!self.strict || self.is_healthy(backend))
-            && self.beliefs.takes_requests(backend, self.now)
+            && self.state.takes_requests(backend, self.now)
             && self.has_room(id)
     }
 
     /// Whether nothing speaks against a back end for the moment.
     fn is_healthy(&self, backend: &Backend) -> bool {
-        let (beliefs, now, id) = (self.beliefs, self.now, &backend.entry.id);
+        let (state, now, id) = (self.state, self.now, &backend.entry.id);
         let loading = self.ask.prompt.is_some() && backend.is_loading(now);
-        let refused = beliefs.refused_until.get(id).is_some_and(|until| now < *until);
+        let refused = state.refused_until.get(id).is_some_and(|until| now < *until);
         backend.state == BackendState::Ready
             && !loading
             && !refused
-            && !matches!(beliefs.health.availability(id, 0.0, now), Availability::Ejected { .. })
-            && !beliefs.chooser.loads.is_suspect(id, now)
+            && !matches!(state.health.availability(id, 0.0, now), Availability::Ejected { .. })
+            && !state.chooser.loads.is_suspect(id, now)
     }
 
     /// Whether this node has connections left of its part of those that a back end takes.
     fn has_room(&self, id: &BackendId) -> bool {
         self.max_connections.is_none_or(|most| {
             let part = match self.nodes.known() {
-                Some(nodes) => even_share(most, nodes, self.beliefs.draw_for(id)),
+                Some(nodes) => even_share(most, nodes, self.state.draw_for(id)),
                 None => (most / self.nodes.most()).max(LEAST_CONNECTIONS_UNCOUNTED),
             };
-            self.beliefs.chooser.load(id).requests < part
+            self.state.chooser.load(id).requests < part
         })
     }
 }
@@ -242,11 +248,11 @@
 
     fn candidate(&self, index: usize) -> Option<Candidate<'_>> {
         let ranked = self.pool.get(index)?;
-        Some(self.describe(self.beliefs.backends.get(&ranked.id)?))
+        Some(self.describe(self.state.backends.get(&ranked.id)?))
     }
 
     fn find(&self, id: &BackendId) -> Option<Candidate<'_>> {
-        let backend = self.beliefs.backends.get(id)?;
+        let backend = self.state.backends.get(id)?;
         let in_use = match backend.state {
             BackendState::Ready => true,
             BackendState::Suspect { .. } => self.pool.uses_suspect(),
@@ -259,8 +265,8 @@
 }
 
 /// How many back ends a node weighs for a request: fewer, the more nodes choose among them.
-fn considered(backends: usize, nodes: Nodes) -> Option<usize> {
+fn considered(backends: usize, nodes: NodeCount) -> Option<usize> {
     let known = nodes.known()? as usize;
-    let part = backends * KNOWING_NODES / known.max(1);
-    (known > KNOWING_NODES).then(|| part.clamp(LEAST_CONSIDERED, MOST_CONSIDERED))
+    let part = backends * FULL_SCAN_MAX_NODES / known.max(1);
+    (known > FULL_SCAN_MAX_NODES).then(|| part.clamp(LEAST_CONSIDERED, MOST_CONSIDERED))
 }
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -19,14 +19,14 @@
 use paddlemount_protocol::{identity::ServiceId, time::Timestamp};
 
 use crate::{
-    account::{ANSWERED, Account, HELD_BACK, REFUSED},
+    access_log::{ANSWERED, HELD_BACK, REFUSED, RequestRecord},
     admission::{Admitted, admit},
-    answers::{AnswerBody, Reason, own_answer},
-    attempts::{self, Begun, Ended, Run, strip_connection_headers, take_whole},
+    answers::{AnswerBody, Reason, error_answer},
+    attempts::{self, AttemptAnswer, AttemptFailure, RunKind, strip_connection_headers, take_whole},
+    candidates::RouteRequest,
     dispatch::Resume,
     metrics::{Counter, Distribution, kind_label},
     node::Node,
-    placing::RouteRequest,
     ports::{CopiedRun, RequestHead},
     relay::Relay,
 };
@@ -50,7 +50,7 @@
     pub give_up_at: Timestamp,
     /// What it has behind it.
     pub spent: AttemptHistory,
-    pub(crate) account: Account,
+    pub(crate) account: RequestRecord,
     pub(crate) arrived: Timestamp,
     pub(crate) head: RequestHead,
     pub(crate) parts: request::Parts,
@@ -59,8 +59,8 @@
     grant: Option<QuotaGrant>,
     tried: Vec<BackendId>,
     draw: u64,
-    /// When a stray was drawn for the next try, which follows one that met a wrong address.
-    pub(crate) stray: Option<Timestamp>,
+    /// When a misdirected_retry was drawn for the next try, which follows one that met a wrong address.
+    pub(crate) misdirected_retry: Option<Timestamp>,
     /// When the last try was sent.
     pub(crate) sent_at: Option<Timestamp>,
 }
@@ -70,17 +70,17 @@
     let arrived = node.now();
     let (parts, body) = request.into_parts();
     let head = node.platform.read_request(&parts.headers);
-    let mut account = Account {
+    let mut account = RequestRecord {
         id: head.id.clone(),
         guessed_tokens: head.prompt.as_ref().map(|prompt| prompt.output_tokens),
-        ..Account::default()
+        ..RequestRecord::default()
     };
     let admitted = admit(&node, &parts, &head, &mut account);
     let Admitted { route, service, grant } = match admitted {
         Ok(admitted) => admitted,
         Err(refusal) => {
             account.refuse(&node, arrived, refusal);
-            return own_answer(refusal);
+            return error_answer(refusal);
         }
     };
     let waits = head.deadline.unwrap_or(LONGEST).saturating_sub(DEADLINE_MARGIN);
@@ -88,10 +88,10 @@
     if !node.has_time_for(&route, account.guessed_tokens, give_up_at) {
         account.refuse(&node, arrived, Reason::Stopping.into());
         node.give_back(grant);
-        return own_answer(Reason::Stopping);
+        return error_answer(Reason::Stopping);
     }
     node.running.set(node.running.get() + 1);
-    node.beliefs.borrow_mut().asked.add(1.0, arrived);
+    node.state.borrow_mut().asked.add(1.0, arrived);
     let mut exchange = Exchange {
         node,
         route,
@@ -106,7 +106,7 @@
         grant,
         tried: Vec::new(),
         draw: rand::random(),
-        stray: None,
+        misdirected_retry: None,
         sent_at: None,
     };
     match exchange.read_body(body).await {
@@ -117,7 +117,7 @@
 
 impl Exchange {
     async fn read_body(&mut self, body: Incoming) -> Result<(), Reason> {
-        let most = self.node.beliefs.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
+        let most = self.node.state.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
         let reading = Limited::new(body, most).collect();
         match self.node.clock.timeout_at(self.give_up_at, reading).await {
             Some(Ok(whole)) => {
@@ -179,13 +179,17 @@
     }
 
     /// One try at the chosen back end.
-    pub async fn attempt(&mut self, choice: &Choice, resume: Resume) -> Result<Begun, Ended> {
+    pub async fn attempt(
+        &mut self,
+        choice: &Choice,
+        resume: Resume,
+    ) -> Result<AttemptAnswer, AttemptFailure> {
         let now = self.node.now();
         if self.sent_at.is_none() {
             self.node.metrics.observe(Distribution::Added, now.saturating_since(self.arrived));
             // Once a request, however many connections do not come up, and when it comes: earned with their answers, the
             // shares of requests that an engine kept waiting would all fall into one window.
-            self.node.earned_retry(&self.service);
+            self.node.record_first_attempt(&self.service);
         }
         if choice.import_from.is_some() {
             self.node.metrics.count(Counter::Imports);
@@ -194,15 +198,15 @@
         let request = self.request(choice, &resume, now);
         let patience = self.patience(choice, now);
         let node = Rc::clone(&self.node);
-        let run = if resume.continues.is_some() { Run::Continued } else { Run::New };
+        let run = if resume.continues.is_some() { RunKind::Continued } else { RunKind::New };
         let result = attempts::send(&node, choice, self.head.id.as_deref(), request, run, patience).await;
         let end = result.as_ref().err().map(|ended| ended.end);
-        self.node.note_taken(&self.service, end);
+        self.node.record_attempt_end(&self.service, end);
         if self.spent.sent > 0 && end != Some(AttemptEnd::NotSent) {
-            self.node.settle_stray(self.stray.take(), end);
+            self.node.settle_misdirected_retry(self.misdirected_retry.take(), end);
         }
         match &result {
-            Err(Ended { end: AttemptEnd::NotSent, reused, .. }) => {
+            Err(AttemptFailure { end: AttemptEnd::NotSent, reused, .. }) => {
                 self.spent.not_sent += 1;
                 if !reused {
                     self.tried.push(choice.backend.clone());
@@ -213,10 +217,10 @@
                 self.tried.push(choice.backend.clone());
             }
         }
-        if let Err(Ended { end: AttemptEnd::Misdirected, .. }) = &result {
+        if let Err(AttemptFailure { end: AttemptEnd::Misdirected, .. }) = &result {
             self.spent.misdirected += 1;
         }
-        if let Err(Ended { end: AttemptEnd::Unclear | AttemptEnd::FailedAnswer, .. }) = &result {
+        if let Err(AttemptFailure { end: AttemptEnd::Unclear | AttemptEnd::FailedAnswer, .. }) = &result {
             self.spent.may_have_run = true;
         }
         result
@@ -242,12 +246,12 @@
     /// the run, and so had the one that broke off.
     pub fn copy_of(&self, choice: &Choice) -> Option<(Choice, CopiedRun)> {
         let (holder, scope) = (choice.copy_to.as_ref()?, choice.scope.as_ref()?);
-        let beliefs = self.node.beliefs.borrow();
-        let changed = beliefs
+        let state = self.node.state.borrow();
+        let changed = state
             .backends
             .get(&choice.backend)
             .is_some_and(|backend| backend.entry.weights.get(&scope.model) != Some(&scope.weights));
-        if changed || !beliefs.has_weights(&holder.backend, &scope.model, scope.weights) {
+        if changed || !state.has_weights(&holder.backend, &scope.model, scope.weights) {
             return None;
         }
         let next = Choice {
@@ -276,22 +280,22 @@
         found
     }
 
-    async fn finish_whole(&mut self, begun: Begun) -> Result<Response<Bytes>, Ended> {
+    async fn finish_whole(&mut self, begun: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
         match self.node.clock.timeout_at(self.give_up_at, take_whole(&self.node, begun)).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(detail)) => {
                 self.spent.may_have_run = true;
-                Err(Ended::broken(detail))
+                Err(AttemptFailure::broken(detail))
             }
             None => {
                 self.spent.may_have_run = true;
-                Err(Ended::unclear("the answer did not end in time".into()))
+                Err(AttemptFailure::unclear("the answer did not end in time".into()))
             }
         }
     }
 
     /// Passes a stream on. Its head waits for the first event: until then what goes wrong has a whole answer of its own.
-    async fn relay(mut self, choice: Choice, begun: Begun) -> Response<AnswerBody> {
+    async fn relay(mut self, choice: Choice, begun: AttemptAnswer) -> Response<AnswerBody> {
         self.account.status = Some(begun.head.status.as_u16());
         let last_event = self.head.last_event;
         let relay = match Relay::open(self, choice, begun, last_event).await {
@@ -318,10 +322,10 @@
         self.note_source(choice, now);
         if let (Some(prompt), Some(scope)) = (&self.head.prompt, &choice.scope) {
             let mut news =
-                self.node.beliefs.borrow_mut().chooser.record_prefill(&choice.backend, scope, prompt, now);
+                self.node.state.borrow_mut().chooser.record_prefill(&choice.backend, scope, prompt, now);
             if let Some(store) = &choice.save_to {
-                let mut beliefs = self.node.beliefs.borrow_mut();
-                news.extend(beliefs.chooser.record_prefill(&store.id, scope, prompt, now));
+                let mut state = self.node.state.borrow_mut();
+                news.extend(state.chooser.record_prefill(&store.id, scope, prompt, now));
             }
             self.node.publish(news);
         }
@@ -330,8 +334,8 @@
     /// Compares sources of prefixes by how soon answers begin.
     fn note_source(&self, choice: &Choice, now: Timestamp) {
         let (Some(kind), Some(sent_at)) = (choice.import_source, self.sent_at) else { return };
-        let mut beliefs = self.node.beliefs.borrow_mut();
-        beliefs.chooser.source_times.record(kind, now.saturating_since(sent_at));
+        let mut state = self.node.state.borrow_mut();
+        state.chooser.source_times.record(kind, now.saturating_since(sent_at));
     }
 
     /// A further part of a stream is here.
@@ -370,8 +374,8 @@
         self.node.running.set(self.node.running.get().saturating_sub(1));
         let grant = self.grant.take().filter(|_| self.has_not_run());
         self.node.give_back(grant);
-        if let Some(drawn_at) = self.stray.take() {
-            self.node.settle_stray(Some(drawn_at), None);
+        if let Some(drawn_at) = self.misdirected_retry.take() {
+            self.node.settle_misdirected_retry(Some(drawn_at), None);
         }
         if self.account.is_served() {
             let now = self.node.now();
@@ -380,7 +384,7 @@
             let time = AnswerTime { first_chunk, total, estimated_tokens: self.account.guessed_tokens };
             self.node.answer_times.borrow_mut().record(&self.route.name, time, now);
         }
-        self.account.tell(&self.node, self.arrived, self.spent);
+        self.account.log(&self.node, self.arrived, self.spent);
     }
 }
 
--- a/crates/forward/src/learning.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -12,7 +12,7 @@
     time::Timestamp,
 };
 
-use crate::{beliefs::Leader, journal::Event, named::proofs, node::Node, ports::Fact};
+use crate::{journal::Event, node::Node, node_state::Leader, ports::Fact, recent_targets::proofs};
 
 /// What is known of how facts came here.
 struct Telling {
@@ -32,7 +32,7 @@
     /// A listing that began at `listed_at` shows the records that are there.
     fn by_a_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
         let record = |fact: &Fact| match fact {
-            Fact::NamingRecord(named) => Some(named.clone()),
+            Fact::TargetRecord(named) => Some(named.clone()),
             _ => None,
         };
         let records: Vec<RecentTargetVersion> = facts.iter().filter_map(record).collect();
@@ -47,12 +47,12 @@
 impl Node {
     /// Takes in what has changed up to `revision`, as the store told it in answer to a call sent at `sent_at`.
     pub fn learn(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        self.learn_changes(facts, revision, sent_at, &Telling::by_a_watch());
+        self.apply_changes_from(facts, revision, sent_at, &Telling::by_a_watch());
     }
 
     /// Takes in what has changed up to `revision`, as another node passed it on with a proof that counts from
     /// `proved_at`, and how lately versions of weights were named.
-    pub fn learn_relayed(
+    pub fn apply_relayed_changes(
         &self,
         facts: Vec<Fact>,
         revision: Revision,
@@ -60,55 +60,61 @@
         named: &[RecentTargetVersion],
     ) {
         let telling = Telling::by_another(EntrySource::Update, proofs(named, proved_at));
-        self.learn_changes(facts, revision, proved_at, &telling);
+        self.apply_changes_from(facts, revision, proved_at, &telling);
     }
 
-    fn learn_changes(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, telling: &Telling) {
+    fn apply_changes_from(
+        &self,
+        facts: Vec<Fact>,
+        revision: Revision,
+        proved_at: Timestamp,
+        telling: &Telling,
+    ) {
         for fact in facts {
             let subject = fact.subject();
-            self.learn_one(fact, revision, telling);
+            self.apply_fact(fact, revision, telling);
             self.note_change(subject, revision);
         }
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.revision = Some(revision);
-        beliefs.freshness.prove(proved_at);
-        beliefs.know_namings(proved_at, &telling.named);
+        let mut state = self.state.borrow_mut();
+        state.revision = Some(revision);
+        state.freshness.prove(proved_at);
+        state.confirm_targets(proved_at, &telling.named);
     }
 
     /// Takes in what another node goes by that only rises, whatever this one has read of the store.
-    pub(crate) fn learn_rising(&self, facts: Vec<Fact>, revision: Revision) {
+    pub(crate) fn apply_newer_facts(&self, facts: Vec<Fact>, revision: Revision) {
         let telling = Telling::by_another(EntrySource::Update, Vec::new());
         let rising =
-            facts.into_iter().filter(|fact| matches!(fact, Fact::Document(_) | Fact::WeightsNamed { .. }));
-        rising.for_each(|fact| self.learn_one(fact, revision, &telling));
+            facts.into_iter().filter(|fact| matches!(fact, Fact::Document(_) | Fact::TargetVersion { .. }));
+        rising.for_each(|fact| self.apply_fact(fact, revision, &telling));
     }
 
     /// Takes in a part of what the store holds, which it told in answer to a call sent at `sent_at`: enough to serve by,
     /// until the rest is known.
-    pub fn learn_part(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
+    pub fn apply_partial_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         let telling = Telling::by_a_listing(LearnedFrom::FirstRead, &facts, sent_at);
         for fact in facts {
-            self.learn_one(fact, revision, &telling);
+            self.apply_fact(fact, revision, &telling);
         }
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.leader_looked_for = true;
-        beliefs.freshness.prove(sent_at);
-        beliefs.take_naming_proofs(&telling.named);
-        drop(beliefs);
+        let mut state = self.state.borrow_mut();
+        state.leader_checked = true;
+        state.freshness.prove(sent_at);
+        state.merge_target_proofs(&telling.named);
+        drop(state);
         self.leader_known.notify_one();
     }
 
     /// Takes in all that the store held at `revision`, as a listing told that began at `sent_at`: what is not among
     /// `facts` is gone. The nodes below are told what that has changed.
-    pub fn learn_all(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        let first = self.beliefs.borrow().revision.is_none();
+    pub fn apply_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
+        let first = self.state.borrow().revision.is_none();
         let learned = if first { LearnedFrom::FirstRead } else { LearnedFrom::Watch };
         let telling = Telling::by_a_listing(learned, &facts, sent_at);
-        self.learn_whole(facts, revision, sent_at, &telling);
+        self.apply_complete(facts, revision, sent_at, &telling);
     }
 
     /// The same, as another node gave it with a proof that counts from `proved_at`.
-    pub fn learn_snapshot(
+    pub fn apply_snapshot(
         &self,
         facts: Vec<Fact>,
         revision: Revision,
@@ -116,11 +122,11 @@
         named: &[RecentTargetVersion],
     ) {
         let telling = Telling::by_another(EntrySource::Listing, proofs(named, proved_at));
-        self.learn_whole(facts, revision, proved_at, &telling);
+        self.apply_complete(facts, revision, proved_at, &telling);
     }
 
-    fn learn_whole(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, telling: &Telling) {
-        let known = self.beliefs.borrow().revision;
+    fn apply_complete(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, telling: &Telling) {
+        let known = self.state.borrow().revision;
         let first = known.is_none();
         let restored = known.is_some_and(|known| known.era() < revision.era()) || self.is_restored_lately();
         for subject in self.missing_among(&facts) {
@@ -132,22 +138,22 @@
             self.note_change(Some(subject), revision);
         }
         if restored && !facts.iter().any(|fact| matches!(fact, Fact::FleetSize(_))) {
-            self.beliefs.borrow_mut().fleet_size = None;
+            self.state.borrow_mut().fleet_size = None;
         }
         for fact in facts {
             let subject = fact.subject().filter(|_| self.is_news(&fact));
-            self.learn_one(fact, revision, telling);
+            self.apply_fact(fact, revision, telling);
             self.note_change(subject, revision);
         }
         {
-            let mut beliefs = self.beliefs.borrow_mut();
+            let mut state = self.state.borrow_mut();
             if first {
-                beliefs.changes.reset(revision);
+                state.changes.reset(revision);
             }
-            beliefs.revision = Some(revision);
-            beliefs.leader_looked_for = true;
-            beliefs.freshness.prove(proved_at);
-            beliefs.know_namings(proved_at, &telling.named);
+            state.revision = Some(revision);
+            state.leader_checked = true;
+            state.freshness.prove(proved_at);
+            state.confirm_targets(proved_at, &telling.named);
         }
         self.history_lost.set(false);
         self.store_known.notify_one();
@@ -157,28 +163,28 @@
 
     fn note_change(&self, subject: Option<EntryKey>, revision: Revision) {
         if let Some(subject) = subject.filter(|_| self.peers.is_some()) {
-            self.beliefs.borrow_mut().changes.record(subject, revision);
+            self.state.borrow_mut().changes.record(subject, revision);
         }
     }
 
     /// What is known of and not told by `facts`, which tell all that the store holds.
     fn missing_among(&self, facts: &[Fact]) -> Vec<EntryKey> {
         let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::subject).collect();
-        let beliefs = self.beliefs.borrow();
-        let backends = beliefs.backends.iter().map(|backend| EntryKey::Backend(backend.entry.id.clone()));
-        let held = beliefs.quarantine.stored_holds().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
-        let leader = beliefs.leader.iter().map(|_| EntryKey::Leader);
+        let state = self.state.borrow();
+        let backends = state.backends.iter().map(|backend| EntryKey::Backend(backend.entry.id.clone()));
+        let held = state.quarantine.stored_holds().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
+        let leader = state.leader.iter().map(|_| EntryKey::Leader);
         backends.chain(held).chain(leader).filter(|subject| !present.contains(subject)).collect()
     }
 
     /// The store holds nothing of this any more.
     fn lose(&self, subject: &EntryKey, revision: Revision, telling: &Telling) {
         match subject {
-            EntryKey::Backend(id) => self.lose_backend(id, revision),
+            EntryKey::Backend(id) => self.remove_backend(id, revision),
             EntryKey::Quarantined(fingerprint) => {
-                self.learn_one(Fact::Released(*fingerprint), revision, telling)
+                self.apply_fact(Fact::Released(*fingerprint), revision, telling)
             }
-            EntryKey::Leader => self.learn_one(Fact::NoLeader, revision, telling),
+            EntryKey::Leader => self.apply_fact(Fact::NoLeader, revision, telling),
             // These stay once they are there.
             EntryKey::Document | EntryKey::FleetSize | EntryKey::TargetWeights(_) => {}
         }
@@ -187,60 +193,66 @@
     /// Whether the nodes below may not know a fact of a listing, as far as this node can tell.
     fn is_news(&self, fact: &Fact) -> bool {
         let Fact::Backend(entry) = fact else { return true };
-        let beliefs = self.beliefs.borrow();
-        beliefs.backends.get(&entry.id).is_none_or(|known| known.entry != *entry || known.weights_observed)
+        let state = self.state.borrow();
+        state.backends.get(&entry.id).is_none_or(|known| known.entry != *entry || known.weights_observed)
     }
 
     /// Takes in who leads, as a read told that may be old: only a leadership that began after all that is known is
     /// news, since the end of an older one may be known already.
-    pub fn learn_leader(&self, facts: Vec<Fact>) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.leader_looked_for = true;
+    pub fn apply_leader(&self, facts: Vec<Fact>) {
+        let mut state = self.state.borrow_mut();
+        state.leader_checked = true;
         for fact in facts {
             let Fact::Leader { holder, token, peers } = fact else { continue };
-            if beliefs.revision.is_none_or(|known| token.0 > known.0) {
-                beliefs.leader = Some(Leader { holder, token, peers });
+            if state.revision.is_none_or(|known| token.0 > known.0) {
+                state.leader = Some(Leader { holder, token, peers });
                 self.leader_known.notify_one();
             }
         }
     }
 
-    fn learn_one(&self, fact: Fact, revision: Revision, telling: &Telling) {
+    fn apply_fact(&self, fact: Fact, revision: Revision, telling: &Telling) {
         match fact {
-            Fact::Document(document) => self.learn_document(*document, revision),
-            Fact::Backend(entry) => self.learn_backend(entry, revision, telling.heard),
-            Fact::BackendGone(id) => self.lose_backend(&id, revision),
-            Fact::WeightsNamed { model, version } => {
-                self.learn_weights(&model, version, revision, telling);
+            Fact::Document(document) => self.apply_document(*document, revision),
+            Fact::Backend(entry) => self.apply_backend(entry, revision, telling.heard),
+            Fact::BackendGone(id) => self.remove_backend(&id, revision),
+            Fact::TargetVersion { model, version } => {
+                self.apply_target_version(&model, version, revision, telling);
             }
             Fact::Leader { holder, token, peers } => {
-                self.beliefs.borrow_mut().leader = Some(Leader { holder, token, peers });
+                self.state.borrow_mut().leader = Some(Leader { holder, token, peers });
                 self.leader_known.notify_one();
             }
-            Fact::NoLeader => self.beliefs.borrow_mut().leader = None,
-            Fact::FleetSize(nodes) => self.beliefs.borrow_mut().fleet_size = Some(nodes),
+            Fact::NoLeader => self.state.borrow_mut().leader = None,
+            Fact::FleetSize(nodes) => self.state.borrow_mut().fleet_size = Some(nodes),
             // What it proves is part of how the facts came here.
-            Fact::NamingRecord(_) => {}
-            Fact::Held(request) => {
-                self.quarantine_stored(&request);
-                self.beliefs.borrow_mut().held.insert(request.fingerprint, *request);
+            Fact::TargetRecord(_) => {}
+            Fact::Quarantined(request) => {
+                self.apply_stored_hold(&request);
+                self.state.borrow_mut().held.insert(request.fingerprint, *request);
             }
             Fact::Released(fingerprint) => {
-                self.quarantine_released(&fingerprint);
-                self.beliefs.borrow_mut().held.remove(&fingerprint);
+                self.apply_stored_release(&fingerprint);
+                self.state.borrow_mut().held.remove(&fingerprint);
             }
             Fact::Unreadable { key, problem, backend } => {
-                self.journal.tell(&Event::ItemUnreadable { key: &key, problem: &problem });
+                self.journal.log(&Event::ItemUnreadable { key: &key, problem: &problem });
                 if let Some(backend) = backend {
-                    self.lose_backend(&backend, revision);
+                    self.remove_backend(&backend, revision);
                 }
             }
         }
     }
 
-    fn learn_weights(&self, model: &ModelId, version: WeightsVersion, revision: Revision, telling: &Telling) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        let target_versions = &mut beliefs.rollout.target_versions;
+    fn apply_target_version(
+        &self,
+        model: &ModelId,
+        version: WeightsVersion,
+        revision: Revision,
+        telling: &Telling,
+    ) {
+        let mut state = self.state.borrow_mut();
+        let target_versions = &mut state.rollout.target_versions;
         if !target_versions.record(model.clone(), version) {
             return;
         }
@@ -248,7 +260,7 @@
         let now = self.now();
         let age = target_versions.newest(model).and_then(|naming| naming.age(now));
         // Requests that wait at back ends may have to be taken back.
-        self.weights_named.notify_waiters();
+        self.target_announced.notify_waiters();
         let event = Event::WeightsNamed {
             model: model.as_str(),
             version: version.0,
@@ -256,16 +268,16 @@
             learned: telling.learned.name(),
             at_most_ms: age.map(|age| age.as_millis() as u64),
         };
-        self.journal.tell(&event);
+        self.journal.log(&event);
     }
 
-    fn learn_document(&self, document: Document, revision: Revision) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        let before = beliefs.table.as_ref().map(|table| table.version());
+    fn apply_document(&self, document: Document, revision: Revision) {
+        let mut state = self.state.borrow_mut();
+        let before = state.table.as_ref().map(|table| table.version());
         if let Some(in_force) = before.filter(|in_force| *in_force >= document.version) {
             if in_force > document.version {
                 let event = Event::ConfigurationPassedOver { version: document.version, in_force };
-                self.journal.tell(&event);
+                self.journal.log(&event);
             }
             return;
         }
@@ -273,12 +285,12 @@
         let routes = document.routes.len();
         let quotas =
             document.tenants.iter().filter_map(|tenant| Some((&tenant.name, tenant.quota.as_ref()?)));
-        beliefs.quotas.configure(quotas, self.now());
-        beliefs.table = Some(Rc::new(RouteTable::new(document)));
-        beliefs.wheel.clear();
+        state.quotas.configure(quotas, self.now());
+        state.table = Some(Rc::new(RouteTable::new(document)));
+        state.wheel.clear();
         if let Some(peers) = &self.peers {
-            peers.borrow_mut().news.set_stores(beliefs.stores().map(|store| store.id).collect());
+            peers.borrow_mut().gossip.set_stores(state.stores().map(|store| store.id).collect());
         }
-        self.journal.tell(&Event::ConfigurationApplied { version, before, routes, revision: revision.0 });
+        self.journal.log(&Event::ConfigurationApplied { version, before, routes, revision: revision.0 });
     }
 }
--- a/crates/forward/src/facts.rs
+++ b/crates/forward/src/facts.rs
@@ -40,14 +40,14 @@
         let read = match read_facts(json) {
             Ok(read) => read,
             Err(error) => {
-                self.journal.tell(&Event::ChangesUnreadable { problem: error.to_string() });
+                self.journal.log(&Event::ChangesUnreadable { problem: error.to_string() });
                 return None;
             }
         };
         for kind in &read.unknown {
             self.metrics.count(Counter::UnknownFacts);
             if self.unknown_facts.is_first(kind) {
-                self.journal.tell(&Event::FactUnknown { kind });
+                self.journal.log(&Event::FactUnknown { kind });
             }
         }
         Some(read)
--- a/crates/forward/src/journal.rs
+++ b/crates/forward/src/journal.rs
@@ -312,7 +312,7 @@
     }
 
     /// Tells an event.
-    pub fn tell(&self, event: &Event<'_>) {
+    pub fn log(&self, event: &Event<'_>) {
         let dropped = self.dropped.load(Ordering::Relaxed);
         if dropped > 0 && self.offer(&Event::LinesDropped { count: dropped }) {
             self.dropped.fetch_sub(dropped, Ordering::Relaxed);
--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -9,12 +9,12 @@
 use paddlemount_protocol::{identity::FencingToken, platform::LeaseResult, time::Timestamp};
 
 use crate::{
-    beliefs::Leader,
-    feed::{StoreError, ask_store, find_leader},
     journal::Event,
     node::Node,
+    node_state::Leader,
     orders,
     ports::{StoreAnswer, StoreCall, StoreLease},
+    store_feed::{StoreError, call_store, find_leader},
 };
 
 /// The pause between two looks at what is to be done.
@@ -36,7 +36,7 @@
 const SMALL_SPREAD: Duration = Duration::from_millis(1_000);
 
 /// Leads where nobody else does, for as long as the process lives.
-pub async fn lead(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     let settings = node.settings();
     let ttl = Duration::from_millis(settings.bounds.lease_ms.max(settings.store.shortest_lease_ms));
     let lease_settings = LeaseSettings { name: LEASE_NAME.into(), holder: settings.node.clone(), ttl };
@@ -98,7 +98,7 @@
         let now = self.node.now();
         self.publish(now);
         if self.node.token().is_some() {
-            orders::give(&self.node);
+            orders::start_updates(&self.node);
         }
     }
 
@@ -125,7 +125,7 @@
 
     async fn stand_down(&mut self, why: &'static str, now: Timestamp) {
         if let Some((token, _)) = self.node.leading.take() {
-            self.node.journal.tell(&Event::LeadershipLost { token: token.0, why });
+            self.node.journal.log(&Event::LeadershipLost { token: token.0, why });
         }
         if let Some(request) = self.holder.handle(LeaseEvent::Stop, now) {
             let event = self.perform(request).await;
@@ -144,14 +144,14 @@
     fn own_token(&self) -> Option<FencingToken> {
         let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.local_member().address);
         let node = self.node.settings().node.clone();
-        self.node.beliefs.borrow().leader.as_ref().and_then(|leader| leader.token_of(&node, peers))
+        self.node.state.borrow().leader.as_ref().and_then(|leader| leader.token_of(&node, peers))
     }
 
     /// Whether the store has told that nobody else leads, and this node's turn to ask has come.
     fn may_ask(&mut self, now: Timestamp) -> bool {
-        let beliefs = self.node.beliefs.borrow();
-        let (looked, led) = (beliefs.leader_looked_for, beliefs.leader.is_some());
-        drop(beliefs);
+        let state = self.node.state.borrow();
+        let (looked, led) = (state.leader_checked, state.leader.is_some());
+        drop(state);
         let free = looked && (!led || self.own_token().is_some());
         if !free {
             self.free_since = None;
@@ -170,7 +170,7 @@
     async fn is_led_meanwhile(&self) -> bool {
         // A look that fails is counted with the calls; whether the lease is free the store's own condition decides.
         let _ = find_leader(&self.node).await;
-        self.node.beliefs.borrow().leader.is_some() && self.own_token().is_none()
+        self.node.state.borrow().leader.is_some() && self.own_token().is_none()
     }
 
     async fn perform(&mut self, request: LeaseRequest) -> LeaseEvent {
@@ -183,24 +183,24 @@
     }
 
     async fn acquire(&mut self) -> Result<LeaseResult, StoreError> {
-        let granted = ask_store(&self.node, &StoreCall::Grant { ttl: self.ttl }, PATIENCE).await?;
+        let granted = call_store(&self.node, &StoreCall::Grant { ttl: self.ttl }, PATIENCE).await?;
         let StoreAnswer::Lease { lease, ttl } = granted else { return Err(StoreError::Unexpected) };
         let holder = self.node.settings().node.clone();
         let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.local_member().address);
         // Another node may have begun to lead since this one's turn to ask came: that one is never replaced.
         let replaces = self.own_token();
         let call = StoreCall::Lead { replaces, holder: holder.clone(), peers, lease };
-        let taken = ask_store(&self.node, &call, PATIENCE).await;
+        let taken = call_store(&self.node, &call, PATIENCE).await;
         match taken {
             Ok(StoreAnswer::Done { revision }) => {
                 let token = FencingToken::from(revision);
                 self.lease = Some(lease);
-                self.node.beliefs.borrow_mut().leader = Some(Leader { holder, token, peers });
+                self.node.state.borrow_mut().leader = Some(Leader { holder, token, peers });
                 Ok(LeaseResult::Held { token, ttl_ms: ttl.as_millis() as u64 })
             }
             other => {
                 // It may have been taken, its answer lost: whatever hangs on this lease ends with it.
-                let _ = ask_store(&self.node, &StoreCall::End(lease), PATIENCE).await;
+                let _ = call_store(&self.node, &StoreCall::End(lease), PATIENCE).await;
                 other?;
                 Ok(LeaseResult::NotHeld)
             }
@@ -211,7 +211,7 @@
         let Some(lease) = self.lease else { return Ok(LeaseResult::NotHeld) };
         let now = self.node.now();
         let Some(token) = self.holder.token(now) else { return Ok(LeaseResult::NotHeld) };
-        match ask_store(&self.node, &StoreCall::Renew(lease), PATIENCE).await? {
+        match call_store(&self.node, &StoreCall::Renew(lease), PATIENCE).await? {
             StoreAnswer::Lease { ttl, .. } => Ok(LeaseResult::Held { token, ttl_ms: ttl.as_millis() as u64 }),
             StoreAnswer::NoLease => Ok(LeaseResult::NotHeld),
             _ => Err(StoreError::Unexpected),
@@ -220,7 +220,7 @@
 
     async fn release(&mut self) -> Result<LeaseResult, StoreError> {
         if let Some(lease) = self.lease.take() {
-            ask_store(&self.node, &StoreCall::End(lease), PATIENCE).await?;
+            call_store(&self.node, &StoreCall::End(lease), PATIENCE).await?;
         }
         Ok(LeaseResult::NotHeld)
     }
@@ -233,14 +233,14 @@
         self.node.leading.set(token.map(|token| (token, until)));
         match (before, token) {
             (None, Some(token)) => {
-                self.node.journal.tell(&Event::LeadershipGained { token: token.0 });
+                self.node.journal.log(&Event::LeadershipGained { token: token.0 });
                 if self.restored_at.is_some() {
-                    self.node.write_holds_again();
+                    self.node.rewrite_holds();
                 }
             }
             (Some((token, _)), None) => {
                 let event = Event::LeadershipLost { token: token.0, why: "lease not renewed in time" };
-                self.node.journal.tell(&event);
+                self.node.journal.log(&event);
             }
             _ => {}
         }
@@ -255,7 +255,7 @@
 
     async fn stop(&mut self) {
         if let Some((token, _)) = self.node.leading.take() {
-            self.node.journal.tell(&Event::LeadershipLost { token: token.0, why: "stopping" });
+            self.node.journal.log(&Event::LeadershipLost { token: token.0, why: "stopping" });
         }
         if let Some(request) = self.holder.handle(LeaseEvent::Stop, self.node.now()) {
             self.perform(request).await;
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -12,9 +12,12 @@
     time::Timestamp,
 };
 
-use crate::{announced::HeardBy, beliefs::Beliefs, journal::Event, node::Node, ports::AdvertisedLimit};
+use crate::{
+    announcements::AnnouncementSource, journal::Event, node::Node, node_state::NodeState,
+    ports::AdvertisedLimit,
+};
 
-impl Beliefs {
+impl NodeState {
     /// Requests a second that this node has lately sent to a back end like this one: the mean of its service, as one node of many
     /// meets each back end too seldom.
     fn mean_rate_per_backend(&self, id: &BackendId, now: Timestamp) -> f64 {
@@ -40,7 +43,7 @@
             (Some(AdvertisedLimit::Unreadable(value)), _) => {
                 let backend = process.id.as_str();
                 if self.unreadable_limits.is_first(&format!("{backend} {value}")) {
-                    self.journal.tell(&Event::LimitUnreadable { backend, value });
+                    self.journal.log(&Event::LimitUnreadable { backend, value });
                 }
                 return;
             }
@@ -50,15 +53,14 @@
         };
         let change = {
             let nodes = self.nodes().most();
-            let mut beliefs = self.beliefs.borrow_mut();
-            let begins =
-                advertised.per_second.is_some() && !beliefs.backends.announcements.is_limited(process);
+            let mut state = self.state.borrow_mut();
+            let begins = advertised.per_second.is_some() && !state.backends.announcements.is_limited(process);
             let sent_per_second =
-                if begins { beliefs.mean_rate_per_backend(&process.id, now) * f64::from(nodes) } else { 0.0 };
-            beliefs.backends.announcements.observe_limit(process, advertised, sent_per_second, now)
+                if begins { state.mean_rate_per_backend(&process.id, now) * f64::from(nodes) } else { 0.0 };
+            state.backends.announcements.observe_limit(process, advertised, sent_per_second, now)
         };
         if let Some(change) = change {
-            self.log_limit_change(process, change, HeardBy::Answer);
+            self.log_limit_change(process, change, AnnouncementSource::Answer);
             if !matches!(change, LimitChange::Changed(_)) {
                 // The others send to it by what they know until they hear.
                 self.leader_known.notify_one();
@@ -69,32 +71,31 @@
     /// A node below has told what it has heard of limits.
     pub(crate) fn merge_limit_gossip(&self, gossip: &[LimitGossip]) {
         let now = self.now();
-        let changes = self.beliefs.borrow_mut().backends.announcements.merge_limit_gossip(gossip, now);
+        let changes = self.state.borrow_mut().backends.announcements.merge_limit_gossip(gossip, now);
         for (process, change) in &changes {
-            self.log_limit_change(process, *change, HeardBy::Told);
+            self.log_limit_change(process, *change, AnnouncementSource::Told);
         }
     }
 
     /// The node above has answered a report that was sent at `sent_at` with what it knows of limits, and this node's part of them.
     pub(crate) fn apply_limit_grants(&self, grants: &[LimitGrant], sent_at: Timestamp) {
         let now = self.now();
-        let changes =
-            self.beliefs.borrow_mut().backends.announcements.apply_limit_grants(grants, sent_at, now);
+        let changes = self.state.borrow_mut().backends.announcements.apply_limit_grants(grants, sent_at, now);
         for (process, change) in &changes {
-            self.log_limit_change(process, *change, HeardBy::Told);
+            self.log_limit_change(process, *change, AnnouncementSource::Told);
         }
     }
 
-    fn log_limit_change(&self, process: &BackendProcess, change: LimitChange, heard: HeardBy) {
+    fn log_limit_change(&self, process: &BackendProcess, change: LimitChange, heard: AnnouncementSource) {
         let (backend, heard) = (process.id.as_str(), heard.name());
         let event = match change {
             LimitChange::Began(per_second) | LimitChange::Changed(per_second) => {
-                let own = self.beliefs.borrow().backends.announcements.own_rate(process);
+                let own = self.state.borrow().backends.announcements.own_rate(process);
                 Event::BackendLimited { backend, per_second, own_per_second: own, heard }
             }
             LimitChange::Ended => Event::BackendUnlimited { backend, heard },
         };
-        self.journal.tell(&event);
+        self.journal.log(&event);
     }
 
     /// Divides limits anew by this node's place in the tree; to be called several times a second.
@@ -102,23 +103,23 @@
         let now = self.now();
         let nodes = self.nodes().most();
         let settings = self.settings();
-        let mut beliefs = self.beliefs.borrow_mut();
-        let asked = beliefs.asked.per_second(now);
+        let mut state = self.state.borrow_mut();
+        let asked = state.asked.per_second(now);
         let mut members = vec![Member::new(settings.node.clone(), asked)];
         if let Some(peers) = &self.peers {
             let peers = peers.borrow();
             let below = peers.fleet.children.offered_load(now);
             members.extend(below.map(|(node, asked)| Member::new(node.clone(), asked)));
         }
-        let root_share = beliefs.quotas.root_share();
+        let root_share = state.quotas.root_share();
         let place = TreePosition { node: settings.node.clone(), root_share, nodes, members };
-        beliefs.backends.announcements.divide_limits(place, now);
+        state.backends.announcements.divide_limits(place, now);
     }
 
     /// Requests a second that callers ask of this node and those below it.
     pub(crate) fn demand_per_second(&self) -> f64 {
         let now = self.now();
-        let own = self.beliefs.borrow().asked.per_second(now);
+        let own = self.state.borrow().asked.per_second(now);
         let below = self.peers.as_ref().map_or(0.0, |peers| {
             peers.borrow().fleet.children.offered_load(now).map(|(_, asked)| asked).sum()
         });
@@ -127,17 +128,17 @@
 
     /// Whether the limit of a back end was used up since it was chosen.
     pub(crate) fn lacks_permit(&self, backend: &BackendId) -> bool {
-        !self.beliefs.borrow().backends.has_permit(backend, self.now())
+        !self.state.borrow().backends.has_permit(backend, self.now())
     }
 
     /// A request is being sent to a back end.
     pub(crate) fn acquire_permit(&self, backend: &BackendId) {
         let now = self.now();
-        self.beliefs.borrow_mut().backends.acquire_permit(backend, now);
+        self.state.borrow_mut().backends.acquire_permit(backend, now);
     }
 
     /// A request was not sent to a back end after all.
     pub(crate) fn release_permit(&self, backend: &BackendId) {
-        self.beliefs.borrow_mut().backends.release_permit(backend);
+        self.state.borrow_mut().backends.release_permit(backend);
     }
 }
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -24,7 +24,7 @@
     /// Answers that another back end, or one with other weights, got the request.
     Misdirected,
     /// Refusals by which back ends asked for a time without requests.
-    RestsAsked,
+    BackOffsRequested,
     /// Requests that were refused since all back ends that could serve them are limited.
     RefusedForLimits,
     /// Requests that were not sent to the back end that was chosen: its limit had been used up meanwhile.
@@ -57,7 +57,7 @@
     /// Requests whose prefix was to be imported.
     Imports,
     /// Entries of reports on tenants' quotas that make no sense here: of unknown tenants, or with impossible figures.
-    SpendingPassedOver,
+    QuotaReportsIgnored,
     /// Runs of this node's requests under which back ends ended.
     RunsCrashed,
     /// Runs of suspected requests that came to their end, as nodes below tell.
@@ -75,7 +75,7 @@
             Self::Attempts(_) => "paddlemount_forward_attempts_failed_total",
             Self::Retries => "paddlemount_forward_retries_total",
             Self::Misdirected => "paddlemount_forward_misdirected_total",
-            Self::RestsAsked => "paddlemount_forward_rests_asked_total",
+            Self::BackOffsRequested => "paddlemount_forward_rests_asked_total",
             Self::RefusedForLimits => "paddlemount_forward_refused_for_limits_total",
             Self::DeferredForLimits => "paddlemount_forward_deferred_for_limits_total",
             Self::UnknownFacts => "paddlemount_forward_unknown_facts_total",
@@ -89,7 +89,7 @@
             Self::StoreRestores => "paddlemount_forward_store_restores_total",
             Self::Connections => "paddlemount_forward_connections_opened_total",
             Self::Imports => "paddlemount_forward_imports_total",
-            Self::SpendingPassedOver => "paddlemount_forward_spending_passed_over_total",
+            Self::QuotaReportsIgnored => "paddlemount_forward_spending_passed_over_total",
             Self::RunsCrashed => "paddlemount_forward_runs_crashed_total",
             Self::RunsCleared => "paddlemount_forward_runs_cleared_total",
             Self::RequestsHeld => "paddlemount_forward_requests_held_total",
@@ -111,7 +111,7 @@
             | Self::SnapshotsGiven
             | Self::SnapshotsTaken
             | Self::Misdirected
-            | Self::RestsAsked
+            | Self::BackOffsRequested
             | Self::RefusedForLimits
             | Self::DeferredForLimits
             | Self::UnknownFacts
@@ -120,7 +120,7 @@
             | Self::StoreRestores
             | Self::Connections
             | Self::Imports
-            | Self::SpendingPassedOver
+            | Self::QuotaReportsIgnored
             | Self::RunsCrashed
             | Self::RunsCleared
             | Self::RequestsHeld
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -24,17 +24,17 @@
 use tokio::sync::Notify;
 
 use crate::{
-    beliefs::{Beliefs, KNOWING_NODES, Nodes, health_settings},
-    calls::Caller,
+    calls::Client,
+    candidates::RouteRequest,
     clock::SteadyClock,
     journal::Journal,
     logged_once::LoggedOnce,
     metrics::{Gauge, Metrics},
+    node_state::{FULL_SCAN_MAX_NODES, NodeCount, NodeState, health_settings},
     peers::Peers,
-    placing::RouteRequest,
     pool::Pool,
     ports::Platform,
-    quarantine::UnderWay,
+    quarantine::PendingWork,
     settings::ForwardSettings,
 };
 
@@ -54,13 +54,13 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// What it believes.
-    pub beliefs: RefCell<Beliefs>,
+    pub state: RefCell<NodeState>,
     /// Idle connections to back ends.
     pub pool: RefCell<Pool>,
     /// What is known of other nodes, where nodes talk to each other.
     pub peers: Option<RefCell<Peers>>,
     /// Calls to the metadata store.
-    pub store: Caller,
+    pub store: Client,
     /// The planned stop, once it has been told to stop.
     pub planned_stop: Cell<Option<PlannedStop>>,
     /// How long answers have lately taken.
@@ -86,7 +86,7 @@
     /// Told where something was learned of who leads.
     pub leader_known: Notify,
     /// Told where a version of weights was named: requests that wait may have to be taken back.
-    pub weights_named: Notify,
+    pub target_announced: Notify,
     /// Told where an order has ended.
     pub order_ended: Notify,
     /// Headers of back ends' answers that nothing reads.
@@ -96,7 +96,7 @@
     /// Limits that back ends name in words that mean nothing.
     pub unreadable_limits: LoggedOnce,
     /// What is under way about requests under which back ends ended.
-    pub quarantine_work: UnderWay,
+    pub quarantine_work: PendingWork,
     /// The fencing token while this node leads, with the time until which its lease certainly holds.
     pub leading: Cell<Option<(FencingToken, Timestamp)>>,
 }
@@ -110,8 +110,8 @@
         journal: Journal,
         peers: Option<SocketAddr>,
     ) -> Self {
-        let store = Caller::new(settings.store.address, clock);
-        let beliefs = Beliefs::new(&settings);
+        let store = Client::new(settings.store.address, clock);
+        let state = NodeState::new(&settings);
         let me = |address| Member {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
@@ -126,7 +126,7 @@
             clock,
             journal,
             metrics: Metrics::default(),
-            beliefs: RefCell::new(beliefs),
+            state: RefCell::new(state),
             pool: RefCell::default(),
             peers,
             store,
@@ -142,12 +142,12 @@
             store_known: Notify::new(),
             feeds_known: Notify::new(),
             leader_known: Notify::new(),
-            weights_named: Notify::new(),
+            target_announced: Notify::new(),
             order_ended: Notify::new(),
             unknown_headers: LoggedOnce::default(),
             unknown_facts: LoggedOnce::default(),
             unreadable_limits: LoggedOnce::default(),
-            quarantine_work: UnderWay::default(),
+            quarantine_work: PendingWork::default(),
             leading: Cell::new(None),
         }
     }
@@ -184,21 +184,21 @@
     /// Gives back what was granted of a quota to a request that has not run.
     pub fn give_back(&self, grant: Option<QuotaGrant>) {
         if let Some(grant) = grant {
-            self.beliefs.borrow_mut().quotas.refund(&grant);
+            self.state.borrow_mut().quotas.refund(&grant);
         }
     }
 
     /// Whether callers should be sent here, and why not.
     pub fn readiness(&self) -> Result<(), &'static str> {
-        let beliefs = self.beliefs.borrow();
+        let state = self.state.borrow();
         if self.is_stopping() {
             return Err("stopping");
         }
-        if beliefs.table.is_none() || beliefs.freshness.age(self.now()).is_none() {
+        if state.table.is_none() || state.freshness.age(self.now()).is_none() {
             return Err("no_configuration");
         }
         let bounds = self.settings().bounds;
-        if bounds.revocation_fails_closed && !beliefs.freshness.is_within(bounds.stale_after(), self.now()) {
+        if bounds.revocation_fails_closed && !state.freshness.is_within(bounds.stale_after(), self.now()) {
             return Err("configuration_too_old");
         }
         Ok(())
@@ -206,34 +206,34 @@
 
     /// The store did not answer, or refused.
     pub fn store_failed(&self) {
-        self.beliefs.borrow_mut().backends.registry.failed();
+        self.state.borrow_mut().backends.registry.failed();
     }
 
     /// The store answered.
     pub fn store_answered(&self) {
         let now = self.now();
-        self.beliefs.borrow_mut().backends.registry.answered(now);
+        self.state.borrow_mut().backends.registry.answered(now);
     }
 
     /// A back end refused a request: it is full, or it loads weights.
     pub fn refused(&self, id: &BackendId) {
         let until = self.now() + REFUSED_PAUSE;
-        self.beliefs.borrow_mut().refused_until.insert(id.clone(), until);
+        self.state.borrow_mut().refused_until.insert(id.clone(), until);
     }
 
     /// Something learned of a back end's health. `certain` ejects it at once.
     pub fn health(&self, id: &BackendId, event: HealthEvent<'_>, certain: bool) {
         let now = self.now();
-        let mut beliefs = self.beliefs.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let times = if certain { health_settings().consecutive_failures } else { 1 };
         for _ in 0..times {
-            beliefs.health.apply(id, event, now);
+            state.health.apply(id, event, now);
         }
     }
 
     /// Whether a back end is left alone for what it has failed at.
     pub fn is_ejected(&self, id: &BackendId) -> bool {
-        let verdict = self.beliefs.borrow().health.availability(id, 0.0, self.now());
+        let verdict = self.state.borrow().health.availability(id, 0.0, self.now());
         matches!(verdict, Availability::Ejected { .. })
     }
 
@@ -243,9 +243,9 @@
     }
 
     /// The number of nodes, by all that is known of it.
-    pub fn nodes(&self) -> Nodes {
-        let recorded = self.peers.as_ref().and_then(|_| self.beliefs.borrow().fleet_size);
-        Nodes { counted: self.counted(), recorded, assumed: self.settings().limits.most_nodes }
+    pub fn nodes(&self) -> NodeCount {
+        let recorded = self.peers.as_ref().and_then(|_| self.state.borrow().fleet_size);
+        NodeCount { counted: self.counted(), recorded, assumed: self.settings().limits.most_nodes }
     }
 
     /// Something was learned of what engines keep, that other nodes should hear.
@@ -253,7 +253,7 @@
         let Some(peers) = &self.peers else { return };
         let mut peers = peers.borrow_mut();
         for one in news {
-            peers.news.enqueue(one);
+            peers.gossip.enqueue(one);
         }
     }
 
@@ -285,22 +285,22 @@
         let assumed = nodes.recorded.unwrap_or(nodes.assumed);
         let place = NodePosition { is_root: self.token().is_some(), counted: nodes.counted, assumed };
         let now = self.now();
-        self.beliefs.borrow_mut().quotas.tick(place, now);
+        self.state.borrow_mut().quotas.tick(place, now);
     }
 
     /// The time in which answers of a back end have lately begun, the slow ones included. A node of many meets each back
     /// end too seldom to know its own time, and takes that of any: a second try while all are busy makes them busier.
     pub fn slowest(&self, backend: &BackendId) -> Duration {
-        let (now, beliefs) = (self.now(), self.beliefs.borrow());
+        let (now, state) = (self.now(), self.state.borrow());
         match self.counted() {
-            Some(nodes) if nodes as usize > KNOWING_NODES => beliefs.chooser.loads.slowest(now),
-            _ => beliefs.chooser.load(backend).slowest(now),
+            Some(nodes) if nodes as usize > FULL_SCAN_MAX_NODES => state.chooser.loads.slowest(now),
+            _ => state.chooser.load(backend).slowest(now),
         }
     }
 
     /// The share of a route whose turn it is.
     pub fn share(&self, route: &Route) -> Option<ServiceId> {
-        let turn = self.beliefs.borrow_mut().wheel.pick(route)?;
+        let turn = self.state.borrow_mut().wheel.pick(route)?;
         route.split.get(turn).map(|share| share.service.clone())
     }
 
@@ -308,7 +308,7 @@
     pub fn place(&self, ask: RouteRequest<'_>) -> Option<Choice> {
         let settings = self.settings();
         let nodes = self.nodes();
-        self.beliefs.borrow().place(ask, &settings.zone, nodes, self.now())
+        self.state.borrow().place(ask, &settings.zone, nodes, self.now())
     }
 
     /// Drops what has grown old.
@@ -321,23 +321,23 @@
             self.divide_limits();
             self.conclude_quarantine();
         }
-        let mut beliefs = self.beliefs.borrow_mut();
-        for id in beliefs.backends.expire(now) {
-            beliefs.forget(&id);
+        let mut state = self.state.borrow_mut();
+        for id in state.backends.expire(now) {
+            state.forget(&id);
         }
-        self.note_reopened(&mut beliefs);
-        beliefs.refused_until.retain(|_, until| now < *until);
-        drop(beliefs);
+        self.track_reactivated(&mut state);
+        state.refused_until.retain(|_, until| now < *until);
+        drop(state);
         self.expire_announcements();
         self.sweep_quarantine();
     }
 
     /// Present values for the metrics.
     pub fn gauges(&self) -> Vec<Gauge> {
-        let beliefs = self.beliefs.borrow();
-        let age = beliefs.freshness.age(self.now()).map_or(f64::NAN, |age| age.as_secs_f64());
-        let version = beliefs.table.as_ref().map_or(0, |table| table.version());
-        let quarantine = &beliefs.quarantine;
+        let state = self.state.borrow();
+        let age = state.freshness.age(self.now()).map_or(f64::NAN, |age| age.as_secs_f64());
+        let version = state.table.as_ref().map_or(0, |table| table.version());
+        let quarantine = &state.quarantine;
         let gauge = |name, value| Gauge { name, value };
         let gauges = vec![
             gauge("paddlemount_forward_configuration_age_seconds", age),
@@ -352,7 +352,7 @@
             gauge("paddlemount_forward_held_requests", quarantine.count_held() as f64),
             gauge("paddlemount_forward_suspected_requests", quarantine.count_suspected() as f64),
             gauge("paddlemount_forward_oldest_hold_seconds", self.oldest_hold(self.now()).as_secs_f64()),
-            gauge("paddlemount_forward_named_age_seconds", named_age(&beliefs, self.now())),
+            gauge("paddlemount_forward_named_age_seconds", named_age(&state, self.now())),
             gauge("paddlemount_forward_log_lines_dropped", self.journal.dropped() as f64),
         ];
         gauges.into_iter().chain(self.announced_gauges()).collect()
@@ -361,7 +361,7 @@
 
 /// How long ago the oldest name of weights in force was given, at most, in seconds: infinite where nobody knows, and not a
 /// number where there is none.
-fn named_age(beliefs: &Beliefs, now: Timestamp) -> f64 {
-    let Some(naming) = beliefs.rollout.target_versions.oldest_in_force() else { return f64::NAN };
+fn named_age(state: &NodeState, now: Timestamp) -> f64 {
+    let Some(naming) = state.rollout.target_versions.oldest_in_force() else { return f64::NAN };
     naming.age(now).map_or(f64::INFINITY, |age| age.as_secs_f64())
 }
--- a/crates/forward/src/beliefs.rs
+++ b/crates/forward/src/node_state.rs
@@ -28,8 +28,8 @@
 
 use crate::settings::ForwardSettings;
 
-/// Nodes up to which each knows by itself enough of what is under way to weigh all back ends.
-pub(crate) const KNOWING_NODES: usize = 8;
+/// NodeCount up to which each knows by itself enough of what is under way to weigh all back ends.
+pub(crate) const FULL_SCAN_MAX_NODES: usize = 8;
 /// How long unused parts must be kept for copies of runs to be worth their room.
 const KEPT_LONG_ENOUGH: Duration = Duration::from_secs(14);
 /// The time in which the rate of callers' requests fades to a third.
@@ -38,7 +38,7 @@
 const WEIGHTS_MARGIN: Duration = Duration::from_millis(900);
 
 /// What a node believes.
-pub struct Beliefs {
+pub struct NodeState {
     /// The configuration in force.
     pub table: Option<Rc<RouteTable>>,
     /// How recent it is.
@@ -54,7 +54,7 @@
     /// Who leads, where it is known that somebody does.
     pub leader: Option<Leader>,
     /// Whether it has been looked who leads; until then nobody is known for another reason.
-    pub leader_looked_for: bool,
+    pub leader_checked: bool,
     /// The revision up to which all of the store is known; none as long as only a part of it is.
     pub revision: Option<Revision>,
     /// What has lately changed there.
@@ -72,7 +72,7 @@
     /// Whether services refuse everything.
     pub(crate) refusals: BTreeMap<ServiceId, Refusals>,
     /// Repeats that may reach wrong addresses.
-    strays: Option<WindowBudget>,
+    misdirected_budget: Option<WindowBudget>,
     pub(crate) refused_until: BTreeMap<BackendId, Timestamp>,
     /// Requests that callers ask of this node.
     pub(crate) asked: RecentRate,
@@ -81,7 +81,7 @@
     /// Drawn evenly from 0 to 1: which nodes have one more repeat, or connection to a back end, than others.
     pub(crate) share_draw: f64,
     /// How long a back end that has said itself that it leaves gets requests where nobody else is left.
-    pub(crate) parting: Duration,
+    pub(crate) departing_use: Duration,
 }
 
 /// The node that leads.
@@ -110,7 +110,7 @@
 
 /// How many nodes there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Nodes {
+pub struct NodeCount {
     /// As counted by the root, where this node has heard of it.
     pub counted: Option<u32>,
     /// As a root has recorded it in the store.
@@ -119,7 +119,7 @@
     pub assumed: u32,
 }
 
-impl Nodes {
+impl NodeCount {
     /// The number, as far as it is known: what a root counts, or had counted before all nodes started again.
     pub fn known(self) -> Option<u32> {
         self.counted.or(self.recorded)
@@ -131,7 +131,7 @@
     }
 }
 
-impl Beliefs {
+impl NodeState {
     /// Knows nothing yet.
     pub fn new(settings: &ForwardSettings) -> Self {
         let bound = settings.bounds.weights();
@@ -149,7 +149,7 @@
             health: Health::new(health_settings()),
             rollout,
             leader: None,
-            leader_looked_for: false,
+            leader_checked: false,
             revision: None,
             changes: ChangeLog::default(),
             fleet_size: None,
@@ -163,12 +163,12 @@
             wheel: WeightedRoundRobin::default(),
             budgets: BTreeMap::new(),
             refusals: BTreeMap::new(),
-            strays: None,
+            misdirected_budget: None,
             refused_until: BTreeMap::new(),
             asked: RecentRate::new(ASKED_FADES),
             returns: BTreeMap::new(),
             share_draw: rand::random(),
-            parting: settings.bounds.parting(),
+            departing_use: settings.bounds.departing_use(),
         }
     }
 
@@ -219,7 +219,7 @@
         &mut self,
         service: &ServiceId,
         settings: &ForwardSettings,
-        nodes: Nodes,
+        nodes: NodeCount,
     ) -> &mut WindowBudget {
         let reserve =
             node_reserve(settings.bounds.retry_slack, nodes.known(), nodes.assumed, self.share_draw);
@@ -235,18 +235,22 @@
     }
 
     /// The repeats that may reach wrong addresses, whatever service was asked for.
-    pub(crate) fn strays(&mut self, settings: &ForwardSettings, nodes: Nodes) -> &mut WindowBudget {
+    pub(crate) fn misdirected_budget(
+        &mut self,
+        settings: &ForwardSettings,
+        nodes: NodeCount,
+    ) -> &mut WindowBudget {
         let reserve =
             node_reserve(settings.bounds.retry_slack, nodes.known(), nodes.assumed, self.share_draw);
-        let strays = self.strays.get_or_insert_with(|| {
+        let misdirected_budget = self.misdirected_budget.get_or_insert_with(|| {
             WindowBudget::new(WindowBudgetSettings {
                 share_per_mille: 0,
                 reserve,
                 window: Duration::from_millis(settings.bounds.retry_window_ms),
             })
         });
-        strays.set_reserve(reserve);
-        strays
+        misdirected_budget.set_reserve(reserve);
+        misdirected_budget
     }
 }
 
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -9,7 +9,7 @@
 use paddlemount_protocol::{identity::FencingToken, time::Timestamp};
 
 use crate::{
-    calls::Caller,
+    calls::Client,
     journal::Event,
     metrics::Counter,
     node::Node,
@@ -28,16 +28,16 @@
 const LONGEST: Duration = Duration::from_secs(9);
 
 /// Begins with as many engines as may load at once.
-pub fn give(node: &Rc<Node>) {
+pub fn start_updates(node: &Rc<Node>) {
     let targets = {
-        let mut beliefs = node.beliefs.borrow_mut();
-        let beliefs = &mut *beliefs;
-        let chooser = &beliefs.chooser;
-        let (backends, now) = (&beliefs.backends, node.now());
+        let mut state = node.state.borrow_mut();
+        let state = &mut *state;
+        let chooser = &state.chooser;
+        let (backends, now) = (&state.backends, node.now());
         // One that wants nothing from this node gets no order either; it is looked at again when its rest is over.
         let awake =
             |backend: &&Backend| backends.announcements.backed_off_until(&backend.entry, now).is_none();
-        beliefs.rollout.begin(backends.iter().filter(awake), |id| chooser.loads.total_requests(id), now)
+        state.rollout.begin(backends.iter().filter(awake), |id| chooser.loads.total_requests(id), now)
     };
     let Some(token) = node.token().filter(|_| !targets.is_empty()) else {
         release(node, &targets);
@@ -46,7 +46,7 @@
     // Other nodes are told with the next answer to their reports; those that do not hear of it learn it from refusals.
     let until = node.now() + LONGEST;
     for target in &targets {
-        node.beliefs.borrow_mut().backends.set_loading_until(&target.backend, Some(until));
+        node.state.borrow_mut().backends.set_loading_until(&target.backend, Some(until));
     }
     for mut target in targets {
         let node = Rc::clone(node);
@@ -66,16 +66,16 @@
 /// An engine that did not answer, or refused: it is tried again after a pause, and gets no requests meanwhile either.
 fn set_aside(node: &Node, id: &BackendId) {
     let now = node.now();
-    let mut beliefs = node.beliefs.borrow_mut();
-    beliefs.rollout.postpone(id, now);
-    beliefs.backends.set_loading_until(id, Some(now + UPDATE_RETRY_INTERVAL));
+    let mut state = node.state.borrow_mut();
+    state.rollout.postpone(id, now);
+    state.backends.set_loading_until(id, Some(now + UPDATE_RETRY_INTERVAL));
 }
 
 fn release(node: &Node, targets: &[Target]) {
-    let mut beliefs = node.beliefs.borrow_mut();
+    let mut state = node.state.borrow_mut();
     for target in targets {
-        beliefs.rollout.ended(&target.backend);
-        beliefs.backends.set_loading_until(&target.backend, None);
+        state.rollout.ended(&target.backend);
+        state.backends.set_loading_until(&target.backend, None);
     }
 }
 
@@ -83,13 +83,13 @@
 async fn bring(node: &Node, target: &mut Target, token: FencingToken, began: Timestamp) -> &'static str {
     let address = address_of(node, &target.backend);
     let Some(address) = address else { return "gone" };
-    let engine = Caller::new(address, node.clock);
+    let engine = Client::new(address, node.clock);
     while node.now().saturating_since(began) < LONGEST {
         if node.token() != Some(token) {
             return "leadership lost";
         }
         // A newer version may have been named meanwhile: one load then serves both.
-        if let Some(newest) = node.beliefs.borrow().rollout.newest(&target.model) {
+        if let Some(newest) = node.state.borrow().rollout.newest(&target.model) {
             target.version = newest;
         }
         let Some(report) = report(node, &engine, &target.backend).await else {
@@ -98,7 +98,7 @@
         };
         match after_report(target, &report, node.now().saturating_since(began)) {
             Step::Done => {
-                node.saw_weights(&target.backend, &target.model, target.version);
+                node.observe_weights(&target.backend, &target.model, target.version);
                 return "done";
             }
             Step::Wait | Step::Drain => tokio::time::sleep(AGAIN).await,
@@ -122,8 +122,8 @@
 
 /// Where an engine is reached; nowhere once it is gone or leaves: weights would be loaded there for nobody.
 fn address_of(node: &Node, id: &BackendId) -> Option<SocketAddr> {
-    let beliefs = node.beliefs.borrow();
-    let backend = beliefs.backends.get(id)?;
+    let state = node.state.borrow();
+    let backend = state.backends.get(id)?;
     let stays = matches!(backend.state, BackendState::Ready | BackendState::Suspect { .. });
     stays.then_some(backend.entry.address)
 }
@@ -137,12 +137,12 @@
 }
 
 fn holds(node: &Node, target: &Target) -> bool {
-    let beliefs = node.beliefs.borrow();
-    let Some(backend) = beliefs.backends.get(&target.backend) else { return true };
+    let state = node.state.borrow();
+    let Some(backend) = state.backends.get(&target.backend) else { return true };
     backend.entry.weights.get(&target.model).is_some_and(|version| *version >= target.version)
 }
 
-async fn report(node: &Node, engine: &Caller, id: &BackendId) -> Option<EngineReport> {
+async fn report(node: &Node, engine: &Client, id: &BackendId) -> Option<EngineReport> {
     let asked = node.process_of(id);
     let answer = engine.call(node.platform.report_request(), PATIENCE).await.ok()?;
     let report = node.platform.report_answer(&answer).ok();
@@ -152,7 +152,7 @@
 
 async fn order(
     node: &Node,
-    engine: &Caller,
+    engine: &Client,
     target: &Target,
     token: FencingToken,
     sequence: u64,
@@ -217,12 +217,12 @@
 }
 
 fn most_loads(node: &Node) -> usize {
-    let beliefs = node.beliefs.borrow();
-    let engines = beliefs
+    let state = node.state.borrow();
+    let engines = state
         .backends
         .iter()
         .filter(|backend| backend.state == BackendState::Ready && !backend.entry.weights.is_empty());
-    beliefs.rollout.max_concurrent_loads(engines.count())
+    state.rollout.max_concurrent_loads(engines.count())
 }
 
 fn tell(
@@ -233,7 +233,7 @@
     outcome: &str,
     began: Timestamp,
 ) {
-    node.journal.tell(&Event::Order {
+    node.journal.log(&Event::Order {
         backend: target.backend.as_str(),
         model: target.model.as_str(),
         version: target.version.0,
--- a/crates/forward/src/verdicts.rs
+++ b/crates/forward/src/outcomes.rs
@@ -12,10 +12,10 @@
 };
 
 use crate::{
-    account::{HELD_BACK, REFUSED},
-    announced::spread,
-    answers::{AnswerBody, Reason, Refusal, own_answer, whole},
-    attempts::{Ended, strip_connection_headers},
+    access_log::{HELD_BACK, REFUSED},
+    announcements::spread,
+    answers::{AnswerBody, Reason, Refusal, error_answer, whole},
+    attempts::{AttemptFailure, strip_connection_headers},
     exchange::{Exchange, LEAST_TIME},
     journal::Event,
     metrics::Counter,
@@ -23,7 +23,7 @@
 
 impl Exchange {
     /// Decides what follows a try without answer; an answer where nothing does.
-    pub(crate) fn after(&mut self, choice: &Choice, ended: Ended) -> Option<Response<AnswerBody>> {
+    pub(crate) fn after(&mut self, choice: &Choice, ended: AttemptFailure) -> Option<Response<AnswerBody>> {
         let next = self.decide(choice, &ended);
         match next {
             NextAction::Retry => None,
@@ -37,32 +37,32 @@
     }
 
     /// Decides what follows a try without answer, and tells it.
-    pub fn decide(&mut self, choice: &Choice, ended: &Ended) -> NextAction {
+    pub fn decide(&mut self, choice: &Choice, ended: &AttemptFailure) -> NextAction {
         let now = self.node.now();
         let time_left = self.give_up_at.saturating_since(now) >= LEAST_TIME;
         let (node, service) = (Rc::clone(&self.node), self.service.clone());
-        let mut stray = None;
+        let mut misdirected_retry = None;
         let budget = || {
             // The others refuse as well: the caller is told so at once.
             if ended.end == AttemptEnd::NotRun && node.is_refused_by_all(&service) {
                 return false;
             }
             if ended.end == AttemptEnd::Misdirected {
-                stray = node.draw_stray();
-                if stray.is_none() {
+                misdirected_retry = node.draw_misdirected_retry();
+                if misdirected_retry.is_none() {
                     return false;
                 }
             }
             let granted = node.draw_retry(&service);
             if granted {
                 node.metrics.count(Counter::Retries);
-            } else if stray.is_some() {
-                node.settle_stray(stray.take(), None);
+            } else if misdirected_retry.is_some() {
+                node.settle_misdirected_retry(misdirected_retry.take(), None);
             }
             granted
         };
         if ended.broke {
-            self.run_broke(choice);
+            self.report_broken_run(choice);
         }
         let next = attempt::next_action(
             self.route.kind,
@@ -73,10 +73,10 @@
             budget,
         );
         // One that was drawn is kept until a try has arrived somewhere.
-        self.stray = stray.or(self.stray);
+        self.misdirected_retry = misdirected_retry.or(self.misdirected_retry);
         let end = end_label(ended.end);
         self.node.metrics.count(Counter::Attempts(end));
-        self.node.journal.tell(&Event::AttemptEnded {
+        self.node.journal.log(&Event::AttemptEnded {
             request: self.id(),
             attempt: self.spent.sent + self.spent.not_sent,
             backend: choice.backend.as_str(),
@@ -97,24 +97,24 @@
     pub(crate) fn why_none(&self, otherwise: Reason) -> Refusal {
         let model = self.head.prompt.as_ref().map(|prompt| &prompt.model);
         let now = self.node.now();
-        let mut beliefs = self.node.beliefs.borrow_mut();
-        if model.is_some_and(|model| beliefs.has_only_older_weights(&self.service, model, now)) {
+        let mut state = self.node.state.borrow_mut();
+        if model.is_some_and(|model| state.has_only_older_weights(&self.service, model, now)) {
             return Reason::OlderWeights.into();
         }
-        match beliefs.next_opening(&self.service, model, now) {
+        match state.next_opening(&self.service, model, now) {
             Some(Opening { at, per_second: Some(per_second) }) => {
                 self.node.metrics.count(Counter::RefusedForLimits);
-                let schedule = beliefs.returns.entry(self.service.clone()).or_default();
-                let come_back = Some(spread(schedule.next(at, per_second, now)));
-                Refusal { reason: Reason::BackendsLimited, come_back }
+                let schedule = state.returns.entry(self.service.clone()).or_default();
+                let retry_after = Some(spread(schedule.next(at, per_second, now)));
+                Refusal { reason: Reason::BackendsLimited, retry_after }
             }
             Some(Opening { at, per_second: None }) => {
-                Refusal { reason: Reason::BackendsRest, come_back: Some(spread(at.saturating_since(now))) }
+                Refusal { reason: Reason::BackendsRest, retry_after: Some(spread(at.saturating_since(now))) }
             }
-            None => match beliefs.refusals.get(&self.service) {
+            None => match state.refusals.get(&self.service) {
                 Some(refusals) if otherwise == Reason::NotTaken => {
-                    let come_back = Some(spread(refusals.retry_after(now)));
-                    Refusal { reason: otherwise, come_back }
+                    let retry_after = Some(spread(refusals.retry_after(now)));
+                    Refusal { reason: otherwise, retry_after }
                 }
                 _ => otherwise.into(),
             },
@@ -128,7 +128,7 @@
         {
             return self.refuse(Reason::AnswerLost);
         }
-        self.refuse(Refusal { reason: Reason::HeldBack, come_back: Some(held_for) })
+        self.refuse(Refusal { reason: Reason::HeldBack, retry_after: Some(held_for) })
     }
 
     /// The answer for a request that is given up, as far as what may have happened allows it.
@@ -149,9 +149,9 @@
     pub(crate) fn refuse(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
         let refusal = refusal.into();
         self.account.reason = Some(refusal.reason);
-        let answer = own_answer(refusal);
+        let answer = error_answer(refusal);
         self.account.status = Some(answer.status().as_u16());
-        self.account.outcome = Some(match (refusal.reason, refusal.come_back) {
+        self.account.outcome = Some(match (refusal.reason, refusal.retry_after) {
             (Reason::HeldBack, _) => HELD_BACK,
             (_, Some(_)) => REFUSED,
             (_, None) => "failed",
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -14,12 +14,12 @@
 
 use super::snapshot;
 use crate::{
-    calls::Caller,
-    feed::ask_store,
+    calls::Client,
     journal::Event,
     metrics::{Counter, Distribution},
     node::Node,
     ports::StoreCall,
+    store_feed::call_store,
 };
 
 /// The pause between two reports.
@@ -30,7 +30,7 @@
 const PATIENCE: Duration = Duration::from_millis(600);
 /// How long a node may take to take this one in, or to refer it: all nodes may ask the root at the same moment.
 const JOIN_PATIENCE: Duration = Duration::from_millis(1_500);
-/// What a root of half a processor needs to answer one node that asks to be taken in. Nodes that start spread out by it,
+/// What a root of half a processor needs to answer one node that asks to be taken in. NodeCount that start spread out by it,
 /// for as many as are recorded.
 const JOIN_TIME: Duration = Duration::from_micros(500);
 /// How long a call to record the number of nodes may take.
@@ -54,9 +54,9 @@
         node.divide_limits();
         let before = std::mem::replace(&mut counted, node.counted());
         if counted != before {
-            node.journal.tell(&Event::NodesCounted { nodes: counted, before });
+            node.journal.log(&Event::NodesCounted { nodes: counted, before });
         }
-        let root = node.beliefs.borrow().leader.as_ref().and_then(crate::beliefs::Leader::contact);
+        let root = node.state.borrow().leader.as_ref().and_then(crate::node_state::Leader::contact);
         let turn = peers.borrow_mut().fleet.uplink.next_step(root.as_ref(), leads, now);
         match turn {
             NextStep::Wait => {
@@ -75,7 +75,7 @@
             NextStep::Report(parent) => {
                 if link.as_ref().is_none_or(|link| link.parent != parent) {
                     let level = peers.borrow().fleet.uplink.depth();
-                    node.journal.tell(&Event::ParentChanged { parent: parent.node.as_str(), level });
+                    node.journal.log(&Event::ParentChanged { parent: parent.node.as_str(), level });
                     link = Some(Link::to(parent, &node));
                 }
                 if let Some(link) = link.as_ref().filter(|link| link.is_due(&node, now)) {
@@ -92,12 +92,12 @@
     if leads {
         // What was learned anywhere becomes news for all.
         let mut peers = peers.borrow_mut();
-        let learned = peers.news.drain();
-        peers.news.append(learned);
+        let learned = peers.gossip.drain();
+        peers.gossip.append(learned);
         let work = peers.fleet.work_of_others(now);
-        node.beliefs.borrow_mut().chooser.loads.set_others(work);
+        node.state.borrow_mut().chooser.loads.set_others(work);
     } else {
-        node.beliefs.borrow_mut().chooser.loads.set_others(Vec::new());
+        node.state.borrow_mut().chooser.loads.set_others(Vec::new());
     }
     node.conclude_quarantine();
     record_size(node, leads);
@@ -112,18 +112,18 @@
         return;
     }
     // It counts as recorded at once: a call that failed is not made again before more nodes are counted.
-    node.beliefs.borrow_mut().fleet_size = Some(counted);
+    node.state.borrow_mut().fleet_size = Some(counted);
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         // Calls are counted with how they ended; without the record nodes that start assume fewer.
-        let _ = ask_store(&node, &StoreCall::RecordFleetSize { nodes: counted }, RECORD_PATIENCE).await;
+        let _ = call_store(&node, &StoreCall::RecordFleetSize { nodes: counted }, RECORD_PATIENCE).await;
     });
 }
 
 /// Asks a node to take this one in.
 async fn join(node: &Node, contact: Contact) {
     let Some(peers) = &node.peers else { return };
-    let calls = Caller::new(contact.address, node.clock);
+    let calls = Client::new(contact.address, node.clock);
     let request = peers.borrow().fleet.join_request(node.now());
     let answer: Result<JoinAnswer, String> = ask(&calls, JOIN_PATH, &request, JOIN_PATIENCE).await;
     let now = node.now();
@@ -134,7 +134,7 @@
         Ok(JoinAnswer::Referred { to }) => uplink.referred(to),
         Ok(JoinAnswer::Refused) => uplink.failed(&contact.node, now),
         Err(problem) => {
-            node.journal.tell(&Event::ParentFailed { parent: contact.node.as_str(), problem });
+            node.journal.log(&Event::ParentFailed { parent: contact.node.as_str(), problem });
             uplink.failed(&contact.node, now);
         }
     }
@@ -145,7 +145,7 @@
 /// The way to the node above.
 struct Link {
     parent: Contact,
-    calls: Caller,
+    calls: Client,
     /// The log of the node above, and the number of the last news taken from it.
     cursor: Cell<(u64, u64)>,
     /// The last news of runs that the node above has taken; another node above is told all that is remembered.
@@ -158,7 +158,7 @@
 
 impl Link {
     fn to(parent: Contact, node: &Node) -> Self {
-        let calls = Caller::new(parent.address, node.clock);
+        let calls = Client::new(parent.address, node.clock);
         Self {
             parent,
             calls,
@@ -175,12 +175,12 @@
         let Some((sent_at, was_busy)) = self.sent.get() else { return true };
         let tells = node.peers.as_ref().is_some_and(|peers| {
             let peers = peers.borrow();
-            peers.news.has_pending() || !peers.fleet.children.is_empty()
+            peers.gossip.has_pending() || !peers.fleet.children.is_empty()
         });
-        let tells = tells || node.beliefs.borrow().backends.announcements.has_pending_gossip(now);
-        let lacks = node.beliefs.borrow().revision.is_none() || node.history_lost.get();
+        let tells = tells || node.state.borrow().backends.announcements.has_pending_gossip(now);
+        let lacks = node.state.borrow().revision.is_none() || node.history_lost.get();
         let busy = was_busy || node.running.get() > 0;
-        let idle = now.saturating_since(sent_at) < node.settings().bounds.idle_report();
+        let idle = now.saturating_since(sent_at) < node.settings().bounds.idle_report_interval();
         tells || lacks || busy || !idle
     }
 
@@ -195,11 +195,11 @@
             Ok(digest) => digest,
             Err(problem) => return self.failed(node, problem),
         };
-        let lacks = digest.snapshot || node.beliefs.borrow().revision.is_none();
+        let lacks = digest.snapshot || node.state.borrow().revision.is_none();
         self.take(node, digest, revision, sent_at);
         self.runs_told.set(runs_upto);
         if let Some(peers) = node.peers.as_ref().filter(|_| told_news) {
-            peers.borrow_mut().news.acknowledge();
+            peers.borrow_mut().gossip.acknowledge();
         }
         if lacks || node.history_lost.get() {
             snapshot::take(node, &self.calls).await;
@@ -210,26 +210,26 @@
     fn report_of(&self, node: &Node) -> Option<(Report, u64)> {
         let now = node.now();
         let offered_load = node.demand_per_second();
-        let newer_facts = self.in_force.get().map(|theirs| node.rising_for(theirs)).unwrap_or_default();
-        let mut beliefs = node.beliefs.borrow_mut();
+        let newer_facts = self.in_force.get().map(|theirs| node.newer_facts_for(theirs)).unwrap_or_default();
+        let mut state = node.state.borrow_mut();
         let mut peers = node.peers.as_ref()?.borrow_mut();
         let (log, cursor) = self.cursor.get();
-        let runs = beliefs.quarantine.report(self.runs_told.get(), MAX_REPORTED_EVENTS, now);
+        let runs = state.quarantine.report(self.runs_told.get(), MAX_REPORTED_EVENTS, now);
         let report = Report {
             runs: runs.report,
             sender: peers.fleet.local_member().clone(),
             join_capacity: peers.fleet.children.join_capacity(now),
-            work: peers.fleet.subtree_work(&beliefs.chooser.loads.own_work(), now),
+            work: peers.fleet.subtree_work(&state.chooser.loads.own_work(), now),
             reporting_nodes: peers.fleet.children.subtree_size(),
-            spending: beliefs.quotas.report(now),
-            leaving: beliefs.backends.announcements.pending_draining_gossip(now),
-            limits: beliefs.backends.announcements.pending_limit_gossip(now),
+            spending: state.quotas.report(now),
+            leaving: state.backends.announcements.pending_draining_gossip(now),
+            limits: state.backends.announcements.pending_limit_gossip(now),
             offered_load,
-            cache_updates: if log == NO_LOG { Vec::new() } else { peers.news.next_batch() },
+            cache_updates: if log == NO_LOG { Vec::new() } else { peers.gossip.next_batch() },
             log,
             cursor,
-            revision: beliefs.revision,
-            applied: beliefs.in_force(),
+            revision: state.revision,
+            applied: state.applied_versions(),
             newer_facts,
         };
         Some((report, runs.last_event))
@@ -247,19 +247,19 @@
             let rooted_before = digest.root_age_ms.map(|age| Duration::from_millis(age) + under_way);
             if !uplink.update_path(digest.path.clone(), rooted_before, now) {
                 let problem = "it stands below this node".to_owned();
-                node.journal.tell(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
+                node.journal.log(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
             } else if let Some(to) = digest.refer.clone() {
                 uplink.referred(to);
                 node.leader_known.notify_one();
             }
         }
-        node.take_digest(digest, revision, sent_at);
+        node.apply_digest(digest, revision, sent_at);
     }
 
     fn failed(&self, node: &Node, problem: String) {
         node.metrics.count(Counter::PeerCalls("failed"));
-        node.beliefs.borrow_mut().quotas.report_failed();
-        node.journal.tell(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
+        node.state.borrow_mut().quotas.report_failed();
+        node.journal.log(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
         if let Some(peers) = &node.peers {
             peers.borrow_mut().fleet.uplink.failed(&self.parent.node, node.now());
         }
@@ -268,7 +268,7 @@
 
 /// Sends a message and reads the answer.
 async fn ask<A: DeserializeOwned>(
-    calls: &Caller,
+    calls: &Client,
     path: &'static str,
     message: &impl Serialize,
     patience: Duration,
--- a/crates/forward/src/peers/intake.rs
+++ b/crates/forward/src/peers/digest_updates.rs
@@ -17,33 +17,33 @@
 impl Node {
     /// Takes in the answer to a report that was sent at `sent_at` and named `revision`. What it tells of load and quotas
     /// counts from then: the answer may have been long under way, or this process may have stood still.
-    pub fn take_digest(&self, digest: Digest, revision: Option<Revision>, sent_at: Timestamp) {
+    pub fn apply_digest(&self, digest: Digest, revision: Option<Revision>, sent_at: Timestamp) {
         let now = self.now();
         let Some(peers) = &self.peers else { return };
         {
-            let mut beliefs = self.beliefs.borrow_mut();
+            let mut state = self.state.borrow_mut();
             for news in &digest.cache_updates {
-                beliefs.chooser.apply_gossip(news, now);
+                state.chooser.apply_gossip(news, now);
             }
-            beliefs.chooser.loads.set_others(digest.work.clone());
+            state.chooser.loads.set_others(digest.work.clone());
             match &digest.quotas {
-                Some(quotas) => beliefs.quotas.report_answered(quotas, sent_at, now),
-                None => beliefs.quotas.report_failed(),
+                Some(quotas) => state.quotas.report_answered(quotas, sent_at, now),
+                None => state.quotas.report_failed(),
             }
-            beliefs.backends.set_loading(&digest.loading, sent_at + LOADING);
+            state.backends.set_loading(&digest.loading, sent_at + LOADING);
         }
         {
             let mut peers = peers.borrow_mut();
-            peers.news.append(digest.cache_updates);
+            peers.gossip.append(digest.cache_updates);
             peers.fleet.record_update(digest.work, digest.nodes, sent_at);
         }
         self.merge_draining_gossip(&digest.leaving);
         self.apply_limit_grants(&digest.limits, sent_at);
-        self.quarantine_told(digest.quarantine);
+        self.apply_quarantine_digest(digest.quarantine);
         if let Some(relay) = digest.store {
             self.take_relay(relay, revision, sent_at);
         }
-        self.hear_rising(&digest.newer_facts);
+        self.receive_newer_facts(&digest.newer_facts);
     }
 
     /// Takes in what the store has told another node. It counts from when the report was sent, less the age that the
@@ -51,8 +51,8 @@
     fn take_relay(&self, relay: StoreRelay, revision: Option<Revision>, sent_at: Timestamp) {
         let age = Duration::from_millis(relay.age_ms);
         // A node that is cut off from the store itself tells nothing that this one may act on.
-        let is_old = age >= self.settings().bounds.relayed_within();
-        if is_old || !is_still_applicable(revision, self.beliefs.borrow().revision) {
+        let is_old = age >= self.settings().bounds.max_relay_age();
+        if is_old || !is_still_applicable(revision, self.state.borrow().revision) {
             return;
         }
         let facts = match relay.changes.as_str() {
@@ -63,7 +63,12 @@
             },
         };
         self.follow_registry(relay.registry);
-        self.learn_relayed(facts, relay.upto, relayed_proof_time(sent_at, age), &relay.recent_targets);
+        self.apply_relayed_changes(
+            facts,
+            relay.upto,
+            relayed_proof_time(sent_at, age),
+            &relay.recent_targets,
+        );
         self.history_lost.set(false);
         if let Some(peers) = &self.peers {
             peers.borrow_mut().relayed_at = Some(sent_at);
@@ -73,18 +78,18 @@
     /// Goes by what another node has told of the registry, where this one does not ask it itself.
     pub(crate) fn follow_registry(&self, told: RegistryState) {
         let now = self.now();
-        self.beliefs.borrow_mut().backends.registry.follow(told, now);
+        self.state.borrow_mut().backends.registry.follow(told, now);
     }
 
     /// Whether another node has lately passed on what the store told, and recently enough proved.
-    pub fn is_relayed_to(&self) -> bool {
-        let within = self.settings().bounds.relayed_within();
-        self.is_told_by_others() && self.beliefs.borrow().freshness.is_within(within, self.now())
+    pub fn has_recent_relay(&self) -> bool {
+        let within = self.settings().bounds.max_relay_age();
+        self.receives_relays() && self.state.borrow().freshness.is_within(within, self.now())
     }
 
     /// Whether another node has lately passed on what the store told, however old that was.
-    pub fn is_told_by_others(&self) -> bool {
-        let lately = self.settings().bounds.relayed_lately();
+    pub fn receives_relays(&self) -> bool {
+        let lately = self.settings().bounds.relay_timeout();
         let Some(peers) = &self.peers else { return false };
         let told_at = peers.borrow().relayed_at;
         told_at.is_some_and(|at| self.now().saturating_since(at) < lately)
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -5,16 +5,16 @@
 //! |---|---|
 //! | [`client`] | finds a place in the tree of nodes, and reports several times a second |
 //! | [`server`] | takes nodes in, takes their reports, and answers them |
-//! | [`intake`] | takes in what the node above has told |
-//! | [`rising`] | what neighbours tell each other after the store has come back from an older copy |
+//! | [`digest_updates`] | takes in what the node above has told |
+//! | [`newer_facts`] | what neighbours tell each other after the store has come back from an older copy |
 //! | [`snapshot`] | gives and takes all that is known of the store |
 //!
 //! What the store has told is passed on as facts, with the age of its proof. A node that hears of nobody, or of nothing
 //! recent, asks the store itself.
 
 pub mod client;
-pub mod intake;
-mod rising;
+pub mod digest_updates;
+mod newer_facts;
 pub mod server;
 pub mod snapshot;
 
@@ -29,7 +29,7 @@
     /// The others.
     pub fleet: Fleet,
     /// News of what engines keep.
-    pub news: GossipLog,
+    pub gossip: GossipLog,
     /// When the last report was sent whose answer told what the store has told.
     pub relayed_at: Option<Timestamp>,
     /// The last snapshot that was made for other nodes.
@@ -39,7 +39,7 @@
 impl Peers {
     /// A node that knows nobody yet and takes in `fan_in` others; `log` is a number drawn for this process.
     pub fn new(me: Member, fan_in: usize, log: u64) -> Self {
-        Self { fleet: Fleet::new(me, fan_in), news: GossipLog::new(log), relayed_at: None, snapshot: None }
+        Self { fleet: Fleet::new(me, fan_in), gossip: GossipLog::new(log), relayed_at: None, snapshot: None }
     }
 }
 
--- a/crates/forward/src/peers/rising.rs
+++ b/crates/forward/src/peers/newer_facts.rs
@@ -9,11 +9,11 @@
 use paddlemount_protocol::fleet::AppliedVersions;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::{beliefs::Beliefs, node::Node, ports::Fact};
+use crate::{node::Node, node_state::NodeState, ports::Fact};
 
-impl Beliefs {
+impl NodeState {
     /// What this node goes by that only rises.
-    pub(crate) fn in_force(&self) -> AppliedVersions {
+    pub(crate) fn applied_versions(&self) -> AppliedVersions {
         let mut hash = Xxh3::new();
         for model in self.rollout.target_versions.models() {
             let version = self.rollout.newest(model).map_or(0, |version| version.0);
@@ -24,8 +24,8 @@
     }
 
     /// What a neighbour that goes by `theirs` may lack, as a JSON list of facts; empty where it lacks nothing.
-    pub(crate) fn lacked_by(&self, theirs: AppliedVersions) -> String {
-        let known = self.in_force();
+    pub(crate) fn missing_facts(&self, theirs: AppliedVersions) -> String {
+        let known = self.applied_versions();
         let document = self.document_fact().filter(|_| theirs.document < known.document);
         let weights = self.weights_facts().filter(|_| theirs.weights != known.weights);
         let lacked: Vec<Fact> = document.into_iter().chain(weights).collect();
@@ -36,16 +36,20 @@
 impl Node {
     /// What a neighbour that goes by `theirs` is told. Only a node that has seen the store come back knows more than any listing
     /// tells.
-    pub(super) fn rising_for(&self, theirs: AppliedVersions) -> String {
-        if self.restored_at.get().is_some() { self.beliefs.borrow().lacked_by(theirs) } else { String::new() }
+    pub(super) fn newer_facts_for(&self, theirs: AppliedVersions) -> String {
+        if self.restored_at.get().is_some() {
+            self.state.borrow().missing_facts(theirs)
+        } else {
+            String::new()
+        }
     }
 
     /// Takes in what a neighbour went by when the store came back. What is older than what this node goes by changes nothing.
-    pub(super) fn hear_rising(&self, rising: &str) {
-        let known = self.beliefs.borrow().revision;
+    pub(super) fn receive_newer_facts(&self, rising: &str) {
+        let known = self.state.borrow().revision;
         let (Some(revision), false) = (known, rising.is_empty()) else { return };
         if let Some(read) = self.read_facts(rising.as_bytes()) {
-            self.learn_rising(read.facts, revision);
+            self.apply_newer_facts(read.facts, revision);
         }
     }
 }
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -21,10 +21,10 @@
 use super::{Peers, snapshot};
 use crate::{
     answers::{AnswerBody, whole},
-    beliefs::Beliefs,
     journal::Event,
     metrics::Counter,
     node::Node,
+    node_state::NodeState,
 };
 
 /// The largest report that is read, in bytes.
@@ -84,7 +84,7 @@
     let leads = node.token().is_some();
     let Some(peers) = &node.peers else { return JoinAnswer::Refused };
     let mut peers = peers.borrow_mut();
-    let knows = leads || peers.fleet.uplink.parent().is_some() || node.beliefs.borrow().revision.is_some();
+    let knows = leads || peers.fleet.uplink.parent().is_some() || node.state.borrow().revision.is_some();
     if !knows || node.is_stopping() || peers.fleet.uplink.is_self_or_ancestor(&request.sender.node) {
         return JoinAnswer::Refused;
     }
@@ -127,68 +127,68 @@
         refer = peers.borrow().fleet.uplink.parent().cloned();
     }
     if let Some(to) = &refer {
-        node.journal.tell(&Event::ChildReferred { child: report.sender.node.as_str(), to: to.node.as_str() });
+        node.journal.log(&Event::ChildReferred { child: report.sender.node.as_str(), to: to.node.as_str() });
     }
-    node.hear_rising(&report.newer_facts);
+    node.receive_newer_facts(&report.newer_facts);
     Some(digest(node, &mut peers.borrow_mut(), report, refer, now))
 }
 
 fn digest(node: &Node, peers: &mut Peers, report: Report, refer: Option<Contact>, now: Timestamp) -> Digest {
     let leads = node.token().is_some();
-    node.runs_reported(report.runs);
+    node.receive_run_report(report.runs);
     node.merge_draining_gossip(&report.leaving);
     node.merge_limit_gossip(&report.limits);
-    let newer_facts = node.rising_for(report.applied);
-    let mut beliefs = node.beliefs.borrow_mut();
+    let newer_facts = node.newer_facts_for(report.applied);
+    let mut state = node.state.borrow_mut();
     for news in &report.cache_updates {
-        beliefs.chooser.apply_gossip(news, now);
-        peers.news.enqueue(news.clone());
+        state.chooser.apply_gossip(news, now);
+        peers.gossip.enqueue(news.clone());
     }
     let child = report.sender.node;
     let passed_over =
-        beliefs.quotas.receive_report(child.clone(), report.reporting_nodes, report.spending, now);
+        state.quotas.receive_report(child.clone(), report.reporting_nodes, report.spending, now);
     if passed_over > 0 {
-        node.metrics.add(Counter::SpendingPassedOver, passed_over as u64);
+        node.metrics.add(Counter::QuotaReportsIgnored, passed_over as u64);
     }
-    let own = beliefs.chooser.loads.own_work();
-    let (cache_updates, cursor) = peers.news.since(report.log, report.cursor, peers.fleet.children.len());
+    let own = state.chooser.loads.own_work();
+    let (cache_updates, cursor) = peers.gossip.since(report.log, report.cursor, peers.fleet.children.len());
     let bound = node.settings().bounds.weights();
-    let store = store_relay(&beliefs, report.revision, bound, now).filter(|_| !node.history_lost.get());
-    let knows_more = beliefs.revision.is_some() && beliefs.revision > report.revision;
+    let store = store_relay(&state, report.revision, bound, now).filter(|_| !node.history_lost.get());
+    let knows_more = state.revision.is_some() && state.revision > report.revision;
     Digest {
         path: peers.fleet.uplink.path(),
         root_age_ms: peers.fleet.uplink.root_age(leads, now).map(|age| age.as_millis() as u64),
         refer,
-        leaving: beliefs.backends.announcements.pending_draining_gossip(now),
-        limits: beliefs.backends.announcements.limit_grants_for(&child, now),
-        log: peers.news.id(),
+        leaving: state.backends.announcements.pending_draining_gossip(now),
+        limits: state.backends.announcements.limit_grants_for(&child, now),
+        log: peers.gossip.id(),
         cursor,
         nodes: peers.fleet.node_count(now),
         work: peers.fleet.work_excluding(&child, &own, now),
-        quotas: Some(beliefs.quotas.digest(now)),
-        quarantine: beliefs.quarantine.digest(now),
-        loading: beliefs.backends.loading(now),
+        quotas: Some(state.quotas.digest(now)),
+        quarantine: state.quarantine.digest(now),
+        loading: state.backends.loading(now),
         cache_updates,
         snapshot: store.is_none() && knows_more,
         store,
-        applied: beliefs.in_force(),
+        applied: state.applied_versions(),
         newer_facts,
     }
 }
 
 fn store_relay(
-    beliefs: &Beliefs,
+    state: &NodeState,
     known: Option<Revision>,
     bound: Duration,
     now: Timestamp,
 ) -> Option<StoreRelay> {
-    let age = beliefs.freshness.age(now)?;
-    let upto = beliefs.revision?;
-    let changed = beliefs.changes.since(known?, upto)?;
-    let facts = beliefs.facts_about(&changed);
+    let age = state.freshness.age(now)?;
+    let upto = state.revision?;
+    let changed = state.changes.since(known?, upto)?;
+    let facts = state.facts_about(&changed);
     let changes = if facts.is_empty() { String::new() } else { serde_json::to_string(&facts).ok()? };
-    let registry = beliefs.backends.registry.report(now);
-    let recent_targets = beliefs.named_lately(bound, now - age, now);
+    let registry = state.backends.registry.report(now);
+    let recent_targets = state.recent_targets(bound, now - age, now);
     Some(StoreRelay { age_ms: age.as_millis() as u64 + 1, upto, registry, changes, recent_targets })
 }
 
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -17,8 +17,8 @@
 use serde_json::value::RawValue;
 
 use crate::{
-    answers::{AnswerBody, held_while_sent, whole},
-    calls::Caller,
+    answers::{AnswerBody, whole, with_guard},
+    calls::Client,
     journal::Event,
     metrics::Counter,
     node::Node,
@@ -78,7 +78,7 @@
     let age = now.saturating_since(snapshot.proved_at).as_millis() as u64 + 1;
     let mut answer = Response::new(whole(snapshot.body));
     answer.headers_mut().insert(AGE_MS, HeaderValue::from(age));
-    held_while_sent(answer, Given(Rc::clone(node)))
+    with_guard(answer, Given(Rc::clone(node)))
 }
 
 /// The last snapshot, or a new one where that is old.
@@ -94,20 +94,20 @@
 }
 
 fn make(node: &Node, now: Timestamp) -> Option<Snapshot> {
-    let beliefs = node.beliefs.borrow();
-    let revision = beliefs.revision.filter(|_| !node.history_lost.get())?;
-    let within = node.settings().bounds.relayed_within();
-    let age = beliefs.freshness.age(now).filter(|age| *age < within)?;
-    let registry = beliefs.backends.registry.report(now);
+    let state = node.state.borrow();
+    let revision = state.revision.filter(|_| !node.history_lost.get())?;
+    let within = node.settings().bounds.max_relay_age();
+    let age = state.freshness.age(now).filter(|age| *age < within)?;
+    let registry = state.backends.registry.report(now);
     let proved_at = now - age;
-    let named = beliefs.named_lately(node.settings().bounds.weights(), proved_at, now);
-    let content = Content { revision, registry, facts: beliefs.all_facts(), named };
+    let named = state.recent_targets(node.settings().bounds.weights(), proved_at, now);
+    let content = Content { revision, registry, facts: state.all_facts(), named };
     let body = serde_json::to_vec(&content).ok()?;
     Some(Snapshot { body: Bytes::from(body), proved_at, made_at: now })
 }
 
 /// Asks the node above for a snapshot, and takes it in where nothing newer is known by then.
-pub(super) async fn take(node: &Node, calls: &Caller) {
+pub(super) async fn take(node: &Node, calls: &Client) {
     let sent_at = node.now();
     let mut request = Request::new(Bytes::new());
     *request.uri_mut() = http::Uri::from_static(SNAPSHOT_PATH);
@@ -118,10 +118,10 @@
     let age = answer.headers().get(AGE_MS).and_then(|age| age.to_str().ok()?.parse().ok());
     let content: Option<Content<Box<RawValue>>> = serde_json::from_slice(answer.body()).ok();
     let (Some(age), Some(content)) = (age, content) else {
-        node.journal.tell(&Event::SnapshotUnreadable { bytes: answer.body().len() });
+        node.journal.log(&Event::SnapshotUnreadable { bytes: answer.body().len() });
         return;
     };
-    let known = node.beliefs.borrow().revision;
+    let known = node.state.borrow().revision;
     if !is_newer(content.revision, known) {
         return;
     }
@@ -129,9 +129,9 @@
     let (items, revision) = (facts.len(), content.revision);
     node.follow_registry(content.registry);
     let proved_at = relayed_proof_time(sent_at, Duration::from_millis(age));
-    node.learn_snapshot(facts, revision, proved_at, &content.named);
+    node.apply_snapshot(facts, revision, proved_at, &content.named);
     node.metrics.count(Counter::SnapshotsTaken);
-    node.journal.tell(&Event::SnapshotTaken { items, revision: revision.0, age_ms: age });
+    node.journal.log(&Event::SnapshotTaken { items, revision: revision.0, age_ms: age });
     if let Some(peers) = &node.peers {
         peers.borrow_mut().relayed_at = Some(sent_at);
     }
--- a/crates/forward/src/ports/heads.rs
+++ b/crates/forward/src/ports/heads.rs
@@ -81,7 +81,7 @@
     /// Whether the back end says that it is leaving.
     pub leaving: bool,
     /// For how long the back end wants no requests, where it refuses this one and says so.
-    pub rest: Option<RequestedBackOff>,
+    pub back_off: Option<RequestedBackOff>,
     /// The requests a second that the back end takes from all nodes together, where it names them.
     pub limit: Option<AdvertisedLimit>,
     /// Headers that the translation does not understand.
--- a/crates/forward/src/ports/mod.rs
+++ b/crates/forward/src/ports/mod.rs
@@ -73,9 +73,9 @@
         nodes: u32,
     },
     /// Records how lately a version of weights was named, bound to a lease.
-    RecordNaming {
+    RecordTarget {
         /// The version, and how long ago it was named at most when the lease is over.
-        named: RecentTargetVersion,
+        target: RecentTargetVersion,
         /// The lease.
         lease: StoreLease,
     },
@@ -102,7 +102,7 @@
             Self::End(_) => "end",
             Self::Lead { .. } => "lead",
             Self::RecordFleetSize { .. } => "record_fleet_size",
-            Self::RecordNaming { .. } => "record_naming",
+            Self::RecordTarget { .. } => "record_naming",
             Self::Hold { .. } => "hold",
             Self::Release(_) => "release",
         }
@@ -143,7 +143,7 @@
     Refused(StatusCode),
 }
 
-/// A fact that the store told. Nodes pass facts on to each other as JSON.
+/// A fact that the store told. NodeCount pass facts on to each other as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fact {
@@ -154,7 +154,8 @@
     /// A back end's entry is gone.
     BackendGone(BackendId),
     /// The operator has named a version of a model's weights.
-    WeightsNamed {
+    #[serde(rename = "weights_named")]
+    TargetVersion {
         /// The model.
         model: ModelId,
         /// The version.
@@ -174,9 +175,11 @@
     /// A root has counted so many nodes.
     FleetSize(u32),
     /// A leader has recorded how lately a version of weights was named: before what a listing proves that shows the record.
-    NamingRecord(RecentTargetVersion),
+    #[serde(rename = "naming_record")]
+    TargetRecord(RecentTargetVersion),
     /// A request is held back.
-    Held(Box<QuarantinedRequest>),
+    #[serde(rename = "held")]
+    Quarantined(Box<QuarantinedRequest>),
     /// A request is no longer held back.
     Released(RequestFingerprint),
     /// An item could not be understood. What was known of it before still holds, unless it is a back end's entry: that
@@ -198,13 +201,13 @@
             Self::Document(_) => EntryKey::Document,
             Self::Backend(entry) => EntryKey::Backend(entry.id.clone()),
             Self::BackendGone(id) => EntryKey::Backend(id.clone()),
-            Self::WeightsNamed { model, .. } => EntryKey::TargetWeights(model.clone()),
+            Self::TargetVersion { model, .. } => EntryKey::TargetWeights(model.clone()),
             Self::Leader { .. } | Self::NoLeader => EntryKey::Leader,
             Self::FleetSize(_) => EntryKey::FleetSize,
-            Self::Held(request) => EntryKey::Quarantined(request.fingerprint),
+            Self::Quarantined(request) => EntryKey::Quarantined(request.fingerprint),
             Self::Released(fingerprint) => EntryKey::Quarantined(*fingerprint),
-            // Nodes tell each other what follows from it.
-            Self::NamingRecord(_) => return None,
+            // NodeCount tell each other what follows from it.
+            Self::TargetRecord(_) => return None,
             Self::Unreadable { backend, .. } => EntryKey::Backend(backend.clone()?),
         })
     }
@@ -213,7 +216,7 @@
 /// An answer that could not be understood.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Misread(pub String);
+pub struct InvalidAnswer(pub String);
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -253,24 +256,24 @@
 
 /// Entries of a feed of kept parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KeptPage {
+pub struct CacheFeedPage {
     /// The life of the process that keeps them; another one keeps nothing of what was told before.
-    pub life: u64,
+    pub incarnation: u64,
     /// From where to read on.
     pub next: u64,
     /// Entries were lost before these.
     pub gap: bool,
     /// What is kept now, in order.
-    pub kept: Vec<CachedSegment>,
+    pub segments: Vec<CachedSegment>,
 }
 
 /// An answer of a feed of kept parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedAnswer {
     /// Entries.
-    Page(KeptPage),
+    Page(CacheFeedPage),
     /// Too many read the feed already.
-    Crowded,
+    TooManyReaders,
 }
 
 /// A platform's translation.
@@ -282,13 +285,13 @@
     fn store_era(&self, answer: &Response<Bytes>) -> Option<StoreEra>;
 
     /// The store's answer to `call`.
-    fn store_answer(&self, call: &StoreCall, answer: &Response<Bytes>) -> Result<StoreAnswer, Misread>;
+    fn store_answer(&self, call: &StoreCall, answer: &Response<Bytes>) -> Result<StoreAnswer, InvalidAnswer>;
 
     /// A request for an engine's report.
     fn report_request(&self) -> Request<Bytes>;
 
     /// An engine's report.
-    fn report_answer(&self, answer: &Response<Bytes>) -> Result<EngineReport, Misread>;
+    fn report_answer(&self, answer: &Response<Bytes>) -> Result<EngineReport, InvalidAnswer>;
 
     /// An order to an engine.
     fn order_request(&self, order: &WeightsOrder) -> Request<Bytes>;
@@ -300,13 +303,13 @@
     fn feed_request(&self, after: u64, wait: Duration) -> Request<Bytes>;
 
     /// A feed's entries.
-    fn feed_answer(&self, answer: &Response<Bytes>) -> Result<FeedAnswer, Misread>;
+    fn feed_answer(&self, answer: &Response<Bytes>) -> Result<FeedAnswer, InvalidAnswer>;
 
     /// A request for all that is kept.
-    fn kept_request(&self) -> Request<Bytes>;
+    fn cache_list_request(&self) -> Request<Bytes>;
 
     /// All that is kept.
-    fn kept_answer(&self, answer: &Response<Bytes>) -> Result<KeptPage, Misread>;
+    fn cache_list_answer(&self, answer: &Response<Bytes>) -> Result<CacheFeedPage, InvalidAnswer>;
 
     /// What a caller's head says.
     fn read_request(&self, headers: &HeaderMap) -> RequestHead;
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -10,15 +10,17 @@
 };
 
 use crate::{
+    cache_feed,
     callers::Callers,
-    clock, feed, ingress,
+    clock, ingress,
     journal::{Event, Journal},
-    kept, leadership, naming_record,
+    leadership,
     node::Node,
     peers,
     ports::Platform,
     quarantine,
     settings::{ForwardSettings, SettingsError},
+    store_feed, target_record,
 };
 
 /// The pause between two looks at the settings file, readiness and old connections.
@@ -78,16 +80,16 @@
     let addresses =
         Addresses::of(&callers, &readiness, metrics.as_ref(), peers_address).map_err(system("addresses"))?;
     tell_start(&node, addresses);
-    tokio::task::spawn_local(feed::follow(Rc::clone(&node)));
+    tokio::task::spawn_local(store_feed::run(Rc::clone(&node)));
     if let Some(peers) = peers {
         tokio::task::spawn_local(peers::server::serve(Rc::clone(&node), peers));
         tokio::task::spawn_local(peers::client::report(Rc::clone(&node)));
     }
-    tokio::task::spawn_local(kept::follow_all(Rc::clone(&node)));
-    tokio::task::spawn_local(quarantine::keep(Rc::clone(&node)));
-    tokio::task::spawn_local(naming_record::keep(Rc::clone(&node)));
+    tokio::task::spawn_local(cache_feed::run(Rc::clone(&node)));
+    tokio::task::spawn_local(quarantine::run(Rc::clone(&node)));
+    tokio::task::spawn_local(target_record::run(Rc::clone(&node)));
     tokio::task::spawn_local(keep_house(Rc::clone(&node), path, hangup));
-    let leading = tokio::task::spawn_local(leadership::lead(Rc::clone(&node)));
+    let leading = tokio::task::spawn_local(leadership::run(Rc::clone(&node)));
     tokio::task::spawn_local(doors.clone().serve(callers));
     let asked = Rc::clone(&node);
     tokio::task::spawn_local(ingress::serve_simple(readiness, move || ingress::readiness_answer(&asked)));
@@ -131,7 +133,7 @@
 }
 
 fn tell_start(node: &Node, addresses: Addresses) {
-    node.journal.tell(&Event::Started {
+    node.journal.log(&Event::Started {
         zone: node.settings().zone.as_str(),
         callers: addresses.callers,
         readiness: addresses.readiness,
@@ -146,16 +148,16 @@
     let began = node.now();
     let planned = PlannedStop::with_grace_period(began, node.settings().bounds.grace());
     node.planned_stop.set(Some(planned));
-    node.journal.tell(&Event::Stopping { running: node.running.get() });
+    node.journal.log(&Event::Stopping { running: node.running.get() });
     stage.send_replace(StopStage::Draining);
     node.clock.sleep_until(planned.accepts_until).await;
     stage.send_replace(StopStage::Closing);
-    node.journal.tell(&Event::CallersClosing { open: callers.open(), running: node.running.get() });
-    while !callers.are_gone() && node.now() < planned.ends_at {
+    node.journal.log(&Event::CallersClosing { open: callers.open(), running: node.running.get() });
+    while !callers.are_drained() && node.now() < planned.ends_at {
         tokio::time::sleep(END_PAUSE).await;
     }
     let after_ms = node.now().saturating_since(began).as_millis() as u64;
-    node.journal.tell(&Event::Stopped { running: node.running.get(), after_ms });
+    node.journal.log(&Event::Stopped { running: node.running.get(), after_ms });
     // Requests that are cut tell their own lines while lines are still written.
     node.grace_is_over.set(true);
     stage.send_replace(StopStage::Ended);
@@ -176,8 +178,8 @@
         let readiness = node.readiness();
         if ready != Some(readiness) {
             ready = Some(readiness);
-            let age = node.beliefs.borrow().freshness.age(node.now());
-            node.journal.tell(&Event::ReadinessChanged {
+            let age = node.state.borrow().freshness.age(node.now());
+            node.journal.log(&Event::ReadinessChanged {
                 ready: readiness.is_ok(),
                 why: readiness.err().unwrap_or("ready"),
                 age_ms: age.map(|age| age.as_millis() as u64),
@@ -202,10 +204,10 @@
     }
     match parsed {
         Ok(settings) => {
-            node.beliefs.borrow_mut().quotas.set_bounds(settings.bounds.quotas());
+            node.state.borrow_mut().quotas.set_bounds(settings.bounds.quotas());
             *node.settings.borrow_mut() = Rc::new(settings);
-            node.journal.tell(&Event::SettingsReloaded { changed });
+            node.journal.log(&Event::SettingsReloaded { changed });
         }
-        Err(problem) => node.journal.tell(&Event::SettingsRejected { problem }),
+        Err(problem) => node.journal.log(&Event::SettingsRejected { problem }),
     }
 }
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -26,11 +26,11 @@
 
 use crate::{
     connection::Connection,
-    feed::{StoreError, ask_store},
     journal::{Event, HeldLine},
     metrics::Counter,
     node::Node,
     ports::{StoreAnswer, StoreCall},
+    store_feed::{StoreError, call_store},
 };
 
 /// How long a back end that lives may need to take a connection.
@@ -54,7 +54,7 @@
 
 /// What is under way.
 #[derive(Debug, Default)]
-pub struct UnderWay {
+pub struct PendingWork {
     /// Runs that broke, by back ends that are being looked at.
     looked_at: RefCell<BTreeMap<BackendId, Vec<Crash>>>,
     changes: RefCell<VecDeque<Change>>,
@@ -63,7 +63,7 @@
 
 impl Node {
     /// The connection to a back end ended under a run.
-    pub fn run_broke(self: &Rc<Self>, crash: Crash, address: SocketAddr) {
+    pub fn report_broken_run(self: &Rc<Self>, crash: Crash, address: SocketAddr) {
         let mut looked_at = self.quarantine_work.looked_at.borrow_mut();
         if let Some(others) = looked_at.get_mut(&crash.engine) {
             others.push(crash);
@@ -76,7 +76,7 @@
 
     /// A run came to its end.
     pub fn run_completed(&self, fingerprint: RequestFingerprint) {
-        if self.beliefs.borrow_mut().quarantine.record_completion(fingerprint, self.now()) {
+        if self.state.borrow_mut().quarantine.record_completion(fingerprint, self.now()) {
             self.release(fingerprint);
         }
     }
@@ -87,23 +87,23 @@
     }
 
     /// A node below tells of runs.
-    pub fn runs_reported(&self, report: RunReport) {
+    pub fn receive_run_report(&self, report: RunReport) {
         let completed: Vec<RequestFingerprint> =
             report.completed.iter().map(|completed| completed.fingerprint).collect();
-        let released = self.beliefs.borrow_mut().quarantine.receive_report(report, self.now());
+        let released = self.state.borrow_mut().quarantine.receive_report(report, self.now());
         released.into_iter().for_each(|fingerprint| self.release(fingerprint));
         if self.token().is_some() {
             self.conclude_quarantine();
         }
         for fingerprint in completed {
             self.metrics.count(Counter::RunsCleared);
-            self.journal.tell(&Event::RunCleared { fingerprint: fingerprint.to_string() });
+            self.journal.log(&Event::RunCleared { fingerprint: fingerprint.to_string() });
         }
     }
 
     /// The node above tells what is held back.
-    pub fn quarantine_told(&self, digest: QuarantineDigest) {
-        let news = self.beliefs.borrow_mut().quarantine.receive_digest(digest, self.now());
+    pub fn apply_quarantine_digest(&self, digest: QuarantineDigest) {
+        let news = self.state.borrow_mut().quarantine.receive_digest(digest, self.now());
         for fingerprint in news {
             self.tell_hold(
                 &HeldLine { fingerprint: fingerprint.to_string(), ..HeldLine::default() },
@@ -113,49 +113,48 @@
     }
 
     /// The metadata store tells that a request is held back.
-    pub fn quarantine_stored(&self, request: &QuarantinedRequest) {
-        let news = self.beliefs.borrow_mut().quarantine.add_stored_hold(request.fingerprint, self.now());
+    pub fn apply_stored_hold(&self, request: &QuarantinedRequest) {
+        let news = self.state.borrow_mut().quarantine.add_stored_hold(request.fingerprint, self.now());
         if news {
             self.tell_hold(&HeldLine::from(request), HoldSource::Stored);
         }
     }
 
     /// The metadata store no longer holds a request back.
-    pub fn quarantine_released(&self, fingerprint: &RequestFingerprint) {
-        let known = self.beliefs.borrow_mut().quarantine.remove_stored_hold(fingerprint, self.now());
+    pub fn apply_stored_release(&self, fingerprint: &RequestFingerprint) {
+        let known = self.state.borrow_mut().quarantine.remove_stored_hold(fingerprint, self.now());
         if known {
             self.tell_release(fingerprint, "the store holds it no longer");
         }
     }
 
     /// The metadata store was listed anew and holds back only these.
-    pub fn quarantine_listed(&self, present: &[RequestFingerprint]) {
-        let known: Vec<RequestFingerprint> =
-            self.beliefs.borrow().quarantine.stored_holds().copied().collect();
+    pub fn apply_listed_holds(&self, present: &[RequestFingerprint]) {
+        let known: Vec<RequestFingerprint> = self.state.borrow().quarantine.stored_holds().copied().collect();
         for fingerprint in known.iter().filter(|fingerprint| !present.contains(fingerprint)) {
-            self.quarantine_released(fingerprint);
+            self.apply_stored_release(fingerprint);
         }
     }
 
     /// Forgets crashes and holds whose time is over.
     pub fn sweep_quarantine(&self) {
-        let ended = self.beliefs.borrow_mut().quarantine.sweep(self.now());
+        let ended = self.state.borrow_mut().quarantine.sweep(self.now());
         for fingerprint in ended {
-            self.beliefs.borrow_mut().held.remove(&fingerprint);
+            self.state.borrow_mut().held.remove(&fingerprint);
             self.tell_release(&fingerprint, "its time is over");
         }
     }
 
     fn crash_found(&self, crash: Crash) {
         self.metrics.count(Counter::RunsCrashed);
-        self.journal.tell(&Event::RunCrashed {
+        self.journal.log(&Event::RunCrashed {
             fingerprint: crash.fingerprint.to_string(),
             route: &crash.route,
             tenant: crash.tenant.as_ref().map(|tenant| tenant.as_str()),
             backend: crash.engine.as_str(),
             ran_ms: crash.ended.saturating_since(crash.began).as_millis() as u64,
         });
-        self.beliefs.borrow_mut().quarantine.record_crash(crash, self.now());
+        self.state.borrow_mut().quarantine.record_crash(crash, self.now());
         if self.token().is_some() {
             self.conclude_quarantine();
         }
@@ -164,11 +163,11 @@
     /// Concludes what is to be held back, where this node hears of all crashes that others hear of.
     pub(crate) fn conclude_quarantine(&self) {
         let me = self.settings().node.clone();
-        let held = self.beliefs.borrow_mut().quarantine.conclude(&me, self.now());
+        let held = self.state.borrow_mut().quarantine.conclude(&me, self.now());
         for request in held {
             self.tell_hold(&HeldLine::from(&request), HoldSource::Counted);
             // The store may come back from a copy without it before it has told that it keeps it.
-            self.beliefs.borrow_mut().held.insert(request.fingerprint, request.clone());
+            self.state.borrow_mut().held.insert(request.fingerprint, request.clone());
             self.change(Change::Keep(request));
         }
     }
@@ -184,7 +183,7 @@
 
     fn tell_hold(&self, line: &HeldLine, by: HoldSource) {
         self.metrics.count(Counter::RequestsHeld);
-        self.journal.tell(&Event::RequestHeld {
+        self.journal.log(&Event::RequestHeld {
             held: line,
             known_by: label(by),
             for_s: HOLD_DURATION.as_secs(),
@@ -192,19 +191,19 @@
     }
 
     fn tell_release(&self, fingerprint: &RequestFingerprint, why: &'static str) {
-        self.journal.tell(&Event::RequestReleased { fingerprint: fingerprint.to_string(), why });
+        self.journal.log(&Event::RequestReleased { fingerprint: fingerprint.to_string(), why });
     }
 
     /// How long a request is still held back; nothing where it is not.
     pub fn held_for(&self, fingerprint: &RequestFingerprint) -> Option<Duration> {
         let now = self.now();
-        let held = self.beliefs.borrow().quarantine.held(fingerprint, now)?;
+        let held = self.state.borrow().quarantine.held(fingerprint, now)?;
         Some(held.until.saturating_since(now))
     }
 
     /// For how long the oldest request has been held back.
     pub(crate) fn oldest_hold(&self, now: Timestamp) -> Duration {
-        let oldest = self.beliefs.borrow().quarantine.oldest_held();
+        let oldest = self.state.borrow().quarantine.oldest_held();
         oldest.map_or(Duration::ZERO, |since| now.saturating_since(since))
     }
 }
@@ -231,7 +230,7 @@
 }
 
 /// Writes conclusions to the metadata store, for as long as the process lives.
-pub async fn keep(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     loop {
         let next = node.quarantine_work.changes.borrow_mut().pop_front();
         let Some(change) = next else {
@@ -239,7 +238,7 @@
             continue;
         };
         if let Err(error) = write(&node, &change).await {
-            node.journal.tell(&Event::QuarantineNotWritten { problem: error.to_string() });
+            node.journal.log(&Event::QuarantineNotWritten { problem: error.to_string() });
             tokio::time::sleep(PAUSE).await;
             if is_wanted(&node, &change) {
                 node.quarantine_work.changes.borrow_mut().push_front(change);
@@ -260,18 +259,18 @@
     let request = match change {
         Change::Keep(request) => request.clone(),
         Change::Release(fingerprint) => {
-            ask_store(node, &StoreCall::Release(*fingerprint), PATIENCE).await?;
+            call_store(node, &StoreCall::Release(*fingerprint), PATIENCE).await?;
             return Ok(());
         }
     };
-    let granted = ask_store(node, &StoreCall::Grant { ttl: HOLD_DURATION }, PATIENCE).await?;
+    let granted = call_store(node, &StoreCall::Grant { ttl: HOLD_DURATION }, PATIENCE).await?;
     let StoreAnswer::Lease { lease, .. } = granted else { return Err(StoreError::Unexpected) };
     let hold = StoreCall::Hold { request: Box::new(request), lease };
     // Where no answer comes the hold may be kept: ending its lease would release the request at all nodes.
-    match ask_store(node, &hold, PATIENCE).await? {
+    match call_store(node, &hold, PATIENCE).await? {
         StoreAnswer::Done { .. } => Ok(()),
         // It is kept already, by this node's last call or another node: this lease binds nothing.
-        StoreAnswer::Conflict => ask_store(node, &StoreCall::End(lease), PATIENCE).await.map(|_| ()),
+        StoreAnswer::Conflict => call_store(node, &StoreCall::End(lease), PATIENCE).await.map(|_| ()),
         _ => Err(StoreError::Unexpected),
     }
 }
--- a/crates/forward/src/named.rs
+++ b/crates/forward/src/recent_targets.rs
@@ -5,24 +5,24 @@
 use paddlemount_core::forwarding::target_versions::TargetVersionProof;
 use paddlemount_protocol::{fleet::RecentTargetVersion, time::Timestamp};
 
-use crate::beliefs::Beliefs;
+use crate::node_state::NodeState;
 
-impl Beliefs {
+impl NodeState {
     /// All that had been named up to `proved_at` is known, and what another node has proof of.
-    pub(crate) fn know_namings(&mut self, proved_at: Timestamp, proofs: &[TargetVersionProof]) {
+    pub(crate) fn confirm_targets(&mut self, proved_at: Timestamp, proofs: &[TargetVersionProof]) {
         self.rollout.target_versions.confirm_complete(proved_at);
-        self.take_naming_proofs(proofs);
+        self.merge_target_proofs(proofs);
     }
 
     /// What others have proof of, where it is not certain that all that had been named is known.
-    pub(crate) fn take_naming_proofs(&mut self, proofs: &[TargetVersionProof]) {
+    pub(crate) fn merge_target_proofs(&mut self, proofs: &[TargetVersionProof]) {
         let target_versions = &mut self.rollout.target_versions;
         proofs.iter().for_each(|proof| target_versions.merge_proof(proof));
     }
 
     /// How lately versions of weights were named, for another node that is told what is known with the proof of
     /// `proved_at`. Of those that were named longer ago than `bound` it makes no difference.
-    pub(crate) fn named_lately(
+    pub(crate) fn recent_targets(
         &self,
         bound: Duration,
         proved_at: Timestamp,
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -15,12 +15,12 @@
 use paddlemount_protocol::time::Timestamp;
 
 use crate::{
-    account::STREAMED,
+    access_log::STREAMED,
     answers::AnswerBody,
-    attempts::{Begun, Ended},
+    attempts::{AttemptAnswer, AttemptFailure},
     dispatch::Resume,
     exchange::{Exchange, is_resumable},
-    waiting::{OUTDATED, Waited},
+    response_wait::{OUTDATED, Waited},
 };
 
 /// How long a resumable stream may be silent, in multiples of the pause that its route calls good.
@@ -45,7 +45,7 @@
 pub struct Relay {
     exchange: Exchange,
     choice: Choice,
-    begun: Option<Begun>,
+    begun: Option<AttemptAnswer>,
     /// The head of the answer: that of the run whose events come first.
     head: response::Parts,
     /// Events that came before the head was passed on.
@@ -83,7 +83,7 @@
     pub async fn open(
         exchange: Exchange,
         choice: Choice,
-        begun: Begun,
+        begun: AttemptAnswer,
         last_event: Option<u64>,
     ) -> Result<Self, Box<Exchange>> {
         let mut relay = Self::new(exchange, choice, begun, last_event);
@@ -100,7 +100,7 @@
         }
     }
 
-    fn new(exchange: Exchange, choice: Choice, begun: Begun, last_event: Option<u64>) -> Self {
+    fn new(exchange: Exchange, choice: Choice, begun: AttemptAnswer, last_event: Option<u64>) -> Self {
         let splitter = EventSplitter::resuming_after(last_event);
         let heard_at = exchange.node.now();
         Self {
@@ -154,13 +154,13 @@
                     if let Some(result) = self.end() {
                         return result;
                     }
-                    let ended = Ended::broken("ended in the middle of an event".into());
+                    let ended = AttemptFailure::broken("ended in the middle of an event".into());
                     if !self.resume_without_run(ended).await {
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
                 Heard::Broken(detail) => {
-                    if !self.resume_without_run(Ended::broken(detail)).await {
+                    if !self.resume_without_run(AttemptFailure::broken(detail)).await {
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
@@ -168,12 +168,12 @@
                 // Silence alone ends nothing: without another back end the stream is waited for to its end.
                 Heard::Silent | Heard::Pause if !self.exchange.has_another() => self.waits_on = true,
                 Heard::Silent | Heard::Pause => {
-                    if !self.resume(Ended::unclear("silent".into())).await {
+                    if !self.resume(AttemptFailure::unclear("silent".into())).await {
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
                 Heard::Outdated => {
-                    if !self.resume_without_run(Ended::unclear(OUTDATED.into())).await {
+                    if !self.resume_without_run(AttemptFailure::unclear(OUTDATED.into())).await {
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
@@ -253,14 +253,14 @@
     }
 
     /// Lets another back end go on; the run before has ended, or must not begin any more.
-    async fn resume_without_run(&mut self, ended: Ended) -> bool {
+    async fn resume_without_run(&mut self, ended: AttemptFailure) -> bool {
         self.let_go();
         self.resume(ended).await
     }
 
     /// Lets another back end go on behind the last whole event. A run that is only silent is kept until the other may have
     /// begun: where that one refuses, the stream goes on as it was. Whether the stream goes on at all.
-    async fn resume(&mut self, ended: Ended) -> bool {
+    async fn resume(&mut self, ended: AttemptFailure) -> bool {
         self.exchange.spent.may_have_run = true;
         let known = self.exchange.account.choice.clone();
         let resumed = if is_resumable(self.exchange.route.kind) {
@@ -277,7 +277,7 @@
         self.begun.is_some()
     }
 
-    async fn go_on_elsewhere(&mut self, mut ended: Ended) -> bool {
+    async fn go_on_elsewhere(&mut self, mut ended: AttemptFailure) -> bool {
         let mut asked = self.choice.clone();
         loop {
             if self.exchange.decide(&asked, &ended) != NextAction::Retry {
@@ -297,12 +297,12 @@
     }
 
     /// Goes on where a copy of the run's memory is: that is the same run, and no second one.
-    async fn go_on_from_copy(&mut self, ended: Ended) -> bool {
+    async fn go_on_from_copy(&mut self, ended: AttemptFailure) -> bool {
         let Some((next, run)) = self.exchange.copy_of(&self.choice).filter(|_| self.has_event) else {
             self.exchange.decide(&self.choice, &ended);
             return false;
         };
-        let ended = Ended { end: AttemptEnd::Copied, ..ended };
+        let ended = AttemptFailure { end: AttemptEnd::Copied, ..ended };
         let goes_on = self.exchange.decide(&self.choice, &ended) == NextAction::Retry;
         if !goes_on || self.exchange.held_for().is_some() {
             return false;
@@ -317,21 +317,21 @@
             }
             // The run before may have gone further than the caller has seen: nothing else may take it up.
             Err(ended) => {
-                self.exchange.decide(&holder, &Ended { end: AttemptEnd::Unclear, ..ended });
+                self.exchange.decide(&holder, &AttemptFailure { end: AttemptEnd::Unclear, ..ended });
                 false
             }
         }
     }
 
     /// Asks another back end to go on, and lets the run before go once that one has begun or may have.
-    async fn ask(&mut self, choice: Choice, resume: Resume) -> Result<(), Ended> {
+    async fn ask(&mut self, choice: Choice, resume: Resume) -> Result<(), AttemptFailure> {
         let node = Rc::clone(&self.exchange.node);
         let begins_at = (!self.has_event).then_some(&self.choice);
         let attempt = self.exchange.attempt(&choice, resume);
-        let result = node.keep_beside(&mut self.begun, begins_at, attempt).await;
+        let result = node.attempt_beside(&mut self.begun, begins_at, attempt).await;
         let result = match result {
             Ok(begun) if !begun.head.status.is_success() => {
-                Err(Ended::unclear(format!("status {}", begun.head.status)))
+                Err(AttemptFailure::unclear(format!("status {}", begun.head.status)))
             }
             result => result,
         };
@@ -357,7 +357,7 @@
         self.splitter.finish();
     }
 
-    fn take_over(&mut self, choice: Choice, begun: Begun) {
+    fn take_over(&mut self, choice: Choice, begun: AttemptAnswer) {
         self.exchange.resumed();
         // A copy goes on in the run that the caller has events of; any other run begins anew.
         self.has_event &= !is_resumable(self.exchange.route.kind);
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -8,9 +8,9 @@
 };
 use paddlemount_protocol::identity::ModelId;
 
-use crate::{beliefs::Beliefs, ports::Fact};
+use crate::{node_state::NodeState, ports::Fact};
 
-impl Beliefs {
+impl NodeState {
     /// The present state of some subjects.
     pub(crate) fn facts_about(&self, subjects: &BTreeSet<&EntryKey>) -> Vec<Fact> {
         subjects.iter().filter_map(|subject| self.fact_about(subject)).collect()
@@ -21,7 +21,7 @@
         let single = [self.document_fact(), self.fleet_size.map(Fact::FleetSize)].into_iter().flatten();
         let leader = self.leader.iter().map(|_| self.leader_fact());
         let weights = self.weights_facts();
-        let held = self.held.values().map(|request| Fact::Held(Box::new(request.clone())));
+        let held = self.held.values().map(|request| Fact::Quarantined(Box::new(request.clone())));
         let backends = self.backends.iter().filter_map(entry_fact);
         single.chain(leader).chain(weights).chain(held).chain(backends).collect()
     }
@@ -33,7 +33,7 @@
             EntryKey::Leader => Some(self.leader_fact()),
             EntryKey::TargetWeights(model) => self.weights_fact(model),
             EntryKey::Quarantined(fingerprint) => Some(match self.held.get(fingerprint) {
-                Some(request) => Fact::Held(Box::new(request.clone())),
+                Some(request) => Fact::Quarantined(Box::new(request.clone())),
                 None => Fact::Released(*fingerprint),
             }),
             EntryKey::Backend(id) => {
@@ -65,7 +65,7 @@
 
     fn weights_fact(&self, model: &ModelId) -> Option<Fact> {
         let version = self.rollout.newest(model)?;
-        Some(Fact::WeightsNamed { model: model.clone(), version })
+        Some(Fact::TargetVersion { model: model.clone(), version })
     }
 }
 
--- a/crates/forward/src/waiting.rs
+++ b/crates/forward/src/response_wait.rs
@@ -28,7 +28,7 @@
     /// Until when a request must have begun at its back end, whose weights may grow too old meanwhile.
     pub(crate) fn begin_by(&self, choice: &Choice) -> Option<Timestamp> {
         let scope = choice.scope.as_ref()?;
-        self.beliefs.borrow().rollout.begin_by(&scope.model, scope.weights)
+        self.state.borrow().rollout.begin_by(&scope.model, scope.weights)
     }
 
     /// Whether a request must not begin any more at the back end `begins_at`; never where it begins at none.
@@ -51,7 +51,7 @@
     ) -> Waited<T> {
         let mut awaited = std::pin::pin!(awaited);
         loop {
-            let named = self.weights_named.notified();
+            let named = self.target_announced.notified();
             let begin_by = begins_at.and_then(|choice| self.begin_by(choice));
             let look_at = begin_by.map_or(until, |at| at.min(until));
             tokio::select! {
@@ -71,7 +71,7 @@
 
     /// What comes of `attempt` at another back end. A silent run is kept meanwhile, for a short time and only while it may
     /// still begin at `begins_at`.
-    pub async fn keep_beside<K, T>(
+    pub async fn attempt_beside<K, T>(
         &self,
         kept: &mut Option<K>,
         begins_at: Option<&Choice>,
--- a/crates/forward/src/repeats.rs
+++ b/crates/forward/src/retries.rs
@@ -14,8 +14,8 @@
     pub fn draw_retry(&self, service: &ServiceId) -> bool {
         let settings = self.settings();
         let nodes = self.nodes();
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.budget(service, &settings, nodes).try_retry(self.now())
+        let mut state = self.state.borrow_mut();
+        state.budget(service, &settings, nodes).try_retry(self.now())
     }
 
     /// Retries that the budget of a service would still grant.
@@ -23,21 +23,21 @@
         let settings = self.settings();
         let nodes = self.nodes();
         // Also before any request of the service has arrived: the first one that meets a silent back end may leave it.
-        self.beliefs.borrow_mut().budget(service, &settings, nodes).remaining(self.now())
+        self.state.borrow_mut().budget(service, &settings, nodes).remaining(self.now())
     }
 
     /// A request for a service is being sent for the first time.
-    pub fn earned_retry(&self, service: &ServiceId) {
+    pub fn record_first_attempt(&self, service: &ServiceId) {
         let settings = self.settings();
         let nodes = self.nodes();
-        self.beliefs.borrow_mut().budget(service, &settings, nodes).record_request(self.now());
+        self.state.borrow_mut().budget(service, &settings, nodes).record_request(self.now());
     }
 
     /// A try of a request for a service has ended so; `end` is none where its answer has begun.
-    pub fn note_taken(&self, service: &ServiceId, end: Option<AttemptEnd>) {
+    pub fn record_attempt_end(&self, service: &ServiceId, end: Option<AttemptEnd>) {
         let now = self.now();
-        let mut beliefs = self.beliefs.borrow_mut();
-        let refusals = beliefs.refusals.entry(service.clone()).or_default();
+        let mut state = self.state.borrow_mut();
+        let refusals = state.refusals.entry(service.clone()).or_default();
         match end {
             Some(AttemptEnd::NotRun) => refusals.record_refusal(now),
             None | Some(AttemptEnd::FailedAnswer) => refusals.record_acceptance(),
@@ -49,29 +49,29 @@
 
     /// Whether all back ends of a service lately refuse.
     pub fn is_refused_by_all(&self, service: &ServiceId) -> bool {
-        let beliefs = self.beliefs.borrow();
-        beliefs.refusals.get(service).is_some_and(|refusals| refusals.all_refuse(self.now()))
+        let state = self.state.borrow();
+        state.refusals.get(service).is_some_and(|refusals| refusals.all_refuse(self.now()))
     }
 
     /// Draws on the repeats that may reach a wrong address; when that was, for giving it back.
-    pub fn draw_stray(&self) -> Option<Timestamp> {
+    pub fn draw_misdirected_retry(&self) -> Option<Timestamp> {
         let settings = self.settings();
         let nodes = self.nodes();
         let now = self.now();
-        let granted = self.beliefs.borrow_mut().strays(&settings, nodes).try_retry(now);
+        let granted = self.state.borrow_mut().misdirected_budget(&settings, nodes).try_retry(now);
         granted.then_some(now)
     }
 
-    /// A repeat has ended, for which a stray had been drawn or not.
-    pub fn settle_stray(&self, drawn_at: Option<Timestamp>, end: Option<AttemptEnd>) {
+    /// A repeat has ended, for which a misdirected_retry had been drawn or not.
+    pub fn settle_misdirected_retry(&self, drawn_at: Option<Timestamp>, end: Option<AttemptEnd>) {
         let settings = self.settings();
         let nodes = self.nodes();
         let now = self.now();
-        let mut beliefs = self.beliefs.borrow_mut();
-        let strays = beliefs.strays(&settings, nodes);
+        let mut state = self.state.borrow_mut();
+        let misdirected_budget = state.misdirected_budget(&settings, nodes);
         match (drawn_at, end == Some(AttemptEnd::Misdirected)) {
-            (None, true) => strays.record_retry(now),
-            (Some(at), false) => strays.refund(at),
+            (None, true) => misdirected_budget.record_retry(now),
+            (Some(at), false) => misdirected_budget.refund(at),
             (Some(_), true) | (None, false) => {}
         }
     }
