--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -14,7 +14,7 @@
 impl Exchange {
     /// How long what the caller asks for is still held back; nothing where it is not.
     pub(crate) fn held_for(&mut self) -> Option<Duration> {
-        if !self.node.beliefs.borrow().quarantine.may_be_held(self.origin().hash()) {
+        if !self.node.state.borrow().quarantine.may_be_held(self.origin().hash()) {
             return None;
         }
         let fingerprint = self.fingerprint();
@@ -29,9 +29,9 @@
     }
 
     /// The connection ended under the run.
-    pub(crate) fn run_broke(&self, choice: &Choice) {
+    pub(crate) fn report_broken_run(&self, choice: &Choice) {
         // The planned end of a back end, which cuts what lasts too long, is no crash: three in turn held ordinary requests back.
-        if self.node.beliefs.borrow().backends.is_leaving(&choice.backend) {
+        if self.node.state.borrow().backends.is_leaving(&choice.backend) {
             return;
         }
         let crash = Crash {
@@ -42,7 +42,7 @@
             began: self.sent_at.unwrap_or(self.arrived),
             ended: self.node.now(),
         };
-        self.node.run_broke(crash, choice.address);
+        self.node.report_broken_run(crash, choice.address);
     }
 
     /// What the caller asks for, the same each time it comes back.
--- a/crates/forward/src/settings/mod.rs
+++ b/crates/forward/src/settings/mod.rs
@@ -267,7 +267,7 @@
 
     /// How long a back end that is leaving may still be sent requests where nobody else is left. The other half of its time is
     /// for the answers.
-    pub fn parting(&self) -> Duration {
+    pub fn departing_use(&self) -> Duration {
         Duration::from_millis(self.drain_ms / 2)
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// The age at which an unknown route or key may only be unknown yet.
-    pub fn doubtful_after(&self) -> Duration {
+    pub fn unverified_after(&self) -> Duration {
         Duration::from_millis(self.configuration_ms * 3 / 2)
     }
 
@@ -297,7 +297,7 @@
 
     /// The age up to which what another node passes on of the store is enough: a node whose leader has lost the store
     /// must still hear of a change in time by asking the store itself.
-    pub fn relayed_within(&self) -> Duration {
+    pub fn max_relay_age(&self) -> Duration {
         Duration::from_millis(self.configuration_ms.min(self.revocation_ms) * 13 / 20)
     }
 
@@ -307,13 +307,13 @@
     }
 
     /// How long after a report a node waits for the next one's answer before it asks the store itself.
-    pub fn relayed_lately(&self) -> Duration {
+    pub fn relay_timeout(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 4).clamp(300, 900))
     }
 
     /// How long after its listing a node waits to be told by another node, before it watches the store itself. What it
     /// has listed is certain for as long; where nobody waits for it yet, it may wait for longer.
-    pub fn relay_awaited(&self, first_start: bool) -> Duration {
+    pub fn initial_relay_timeout(&self, first_start: bool) -> Duration {
         let bound = self.configuration_ms.min(self.revocation_ms);
         if first_start { Duration::from_millis(bound) } else { Duration::from_millis(bound * 3 / 10) }
     }
@@ -321,14 +321,14 @@
     /// How long a snapshot of another node is waited for, and at most as long again: some reports, and with the longer bounds
     /// of large fleets some tenths of a second for a megabyte on a link of 20 Mbit/s. A change must come in time where
     /// nobody gives one.
-    pub fn snapshot_awaited(&self) -> Duration {
+    pub fn snapshot_timeout(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 5).clamp(200, 1_500))
     }
 
     /// How long a node that has nothing to tell may leave the node above without a report. What is told to it grows older by
     /// as much: a tenth of the bound leaves time for it on each of four levels, and is less than half of the time after which
     /// a node that is told nothing asks the store itself.
-    pub fn idle_report(&self) -> Duration {
+    pub fn idle_report_interval(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 10).clamp(200, 500))
     }
 
--- a/crates/forward/src/feed.rs
+++ b/crates/forward/src/store_feed.rs
@@ -18,7 +18,7 @@
     journal::Event,
     metrics::{Counter, Distribution},
     node::Node,
-    ports::{Fact, Misread, StoreAnswer, StoreCall},
+    ports::{Fact, InvalidAnswer, StoreAnswer, StoreCall},
 };
 
 /// How long an answer may take beyond what was asked to wait.
@@ -53,7 +53,7 @@
     Call(#[from] CallError),
     /// The answer makes no sense.
     #[error("the answer makes no sense: {0}")]
-    Misread(#[from] Misread),
+    InvalidAnswer(#[from] InvalidAnswer),
     /// The store refused; nothing was done.
     #[error("refused with status {0}")]
     Refused(http::StatusCode),
@@ -66,13 +66,17 @@
 }
 
 /// Makes one call to the store.
-pub async fn ask_store(node: &Node, call: &StoreCall, patience: Duration) -> Result<StoreAnswer, StoreError> {
+pub async fn call_store(
+    node: &Node,
+    call: &StoreCall,
+    patience: Duration,
+) -> Result<StoreAnswer, StoreError> {
     let began = node.now();
     let answer: Result<Response<Bytes>, CallError> =
         node.store.call(node.platform.store_request(call), patience).await;
     node.metrics.observe(Distribution::StoreCall, node.now().saturating_since(began));
     let result = answer.map_err(StoreError::from).and_then(|answer| {
-        node.heard_era(node.platform.store_era(&answer));
+        node.observe_era(node.platform.store_era(&answer));
         match node.platform.store_answer(call, &answer)? {
             StoreAnswer::Refused(status) => Err(StoreError::Refused(status)),
             other => Ok(other),
@@ -81,7 +85,7 @@
     let outcome = match &result {
         Ok(_) => "answered",
         Err(StoreError::Call(_)) => "unclear",
-        Err(StoreError::Misread(_) | StoreError::Unexpected | StoreError::OlderCopy) => "misread",
+        Err(StoreError::InvalidAnswer(_) | StoreError::Unexpected | StoreError::OlderCopy) => "misread",
         Err(StoreError::Refused(_)) => "refused",
     };
     node.metrics.count(Counter::StoreCalls { purpose: call.purpose(), outcome });
@@ -94,9 +98,9 @@
 
 /// Looks who leads, by a read that may be old and costs little.
 pub async fn find_leader(node: &Node) -> Result<(), StoreError> {
-    match ask_store(node, &StoreCall::FindLeader, PATIENCE).await? {
+    match call_store(node, &StoreCall::FindLeader, PATIENCE).await? {
         StoreAnswer::Facts { facts, .. } => {
-            node.learn_leader(facts);
+            node.apply_leader(facts);
             Ok(())
         }
         _ => Err(StoreError::Unexpected),
@@ -104,7 +108,7 @@
 }
 
 /// Follows the store for as long as the process lives.
-pub async fn follow(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     let started_at = node.now();
     let mut feed = Feed {
         node,
@@ -152,14 +156,14 @@
 
 impl Feed {
     async fn turn(&mut self) -> Result<(), StoreError> {
-        let known = self.node.beliefs.borrow().revision;
+        let known = self.node.state.borrow().revision;
         let Some(known) = known else { return self.begin().await };
         self.await_others_first();
         if self.node.history_lost.get() {
             return self.learn_anew().await;
         }
         self.listing = None;
-        if self.node.is_relayed_to() {
+        if self.node.has_recent_relay() {
             return Ok(());
         }
         if self.awaits_others() {
@@ -172,7 +176,7 @@
     async fn begin(&mut self) -> Result<(), StoreError> {
         let settings = self.node.settings();
         let leads = self.node.token().is_some();
-        let told_by = self.started_at + settings.bounds.relay_awaited(true);
+        let told_by = self.started_at + settings.bounds.initial_relay_timeout(true);
         if settings.first_start && self.may_be_told(leads) && self.node.now() < told_by {
             return self.look_for_leader(settings.limits.is_small()).await;
         }
@@ -207,7 +211,7 @@
             let waits = (self.started_at + first_look).saturating_since(self.node.now());
             tokio::time::sleep(waits).await;
         }
-        if self.node.beliefs.borrow().leader.is_none() {
+        if self.node.state.borrow().leader.is_none() {
             find_leader(&self.node).await?;
         }
         let _ = tokio::time::timeout(LEADER_LOOK, self.node.store_known.notified()).await;
@@ -217,7 +221,8 @@
     /// Gives others, once, the time to tell what follows what this node has learned.
     fn await_others_first(&mut self) {
         if self.awaits_until.is_none() && self.node.peers.is_some() {
-            self.awaits_until = Some(self.node.now() + self.node.settings().bounds.relay_awaited(false));
+            self.awaits_until =
+                Some(self.node.now() + self.node.settings().bounds.initial_relay_timeout(false));
         }
     }
 
@@ -229,7 +234,7 @@
 
     /// Looks for the leader where none is known; whoever is known is reported to meanwhile.
     async fn await_others(&mut self) -> Result<(), StoreError> {
-        if self.node.beliefs.borrow().leader.is_none() {
+        if self.node.state.borrow().leader.is_none() {
             find_leader(&self.node).await?;
             tokio::time::sleep(LEADER_LOOK).await;
         }
@@ -239,10 +244,10 @@
     async fn watch(&mut self, after: Revision) -> Result<(), StoreError> {
         let wait = self.wait();
         let sent_at = self.node.now();
-        let answer = ask_store(&self.node, &StoreCall::Watch { after, wait }, wait + PATIENCE).await?;
+        let answer = call_store(&self.node, &StoreCall::Watch { after, wait }, wait + PATIENCE).await?;
         match answer {
             // Another node has passed on more meanwhile.
-            StoreAnswer::Facts { .. } if self.node.beliefs.borrow().revision != Some(after) => Ok(()),
+            StoreAnswer::Facts { .. } if self.node.state.borrow().revision != Some(after) => Ok(()),
             StoreAnswer::Facts { facts, revision, .. } => {
                 self.node.learn(facts, revision.max(after), sent_at);
                 Ok(())
@@ -270,7 +275,7 @@
         });
         loop {
             let call = StoreCall::List { after: listing.after.clone() };
-            match ask_store(&self.node, &call, PATIENCE).await? {
+            match call_store(&self.node, &call, PATIENCE).await? {
                 StoreAnswer::Facts { revision, .. } if listing.is_of_another_era(revision) => {
                     self.listing = None;
                     return Ok(());
@@ -287,7 +292,7 @@
                 break;
             }
             if may_be_told && listing.pages == PAGES_ALONE {
-                self.node.learn_part(
+                self.node.apply_partial_listing(
                     listing.facts.clone(),
                     listing.revision.unwrap_or_default(),
                     listing.sent_at,
@@ -304,26 +309,26 @@
 
     fn take_listing(&self, listing: Listing) -> Result<(), StoreError> {
         let revision = listing.revision.unwrap_or_default();
-        let known = self.node.beliefs.borrow().revision;
+        let known = self.node.state.borrow().revision;
         if known.is_some_and(|known| known.era() > revision.era()) {
             return Err(StoreError::OlderCopy);
         }
         // Another node may have passed on more meanwhile.
         if known.is_none_or(|known| known <= revision) {
             let items = listing.facts.len();
-            self.node.learn_all(listing.facts, revision, listing.sent_at);
-            self.node.journal.tell(&Event::StoreListed { items, revision: revision.0 });
+            self.node.apply_listing(listing.facts, revision, listing.sent_at);
+            self.node.journal.log(&Event::StoreListed { items, revision: revision.0 });
         }
         Ok(())
     }
 
     /// The least time between two watches, in which changes gather: each answer costs a call.
     fn gather(&self) -> Duration {
-        if self.node.beliefs.borrow().revision.is_none() || self.node.history_lost.get() {
+        if self.node.state.borrow().revision.is_none() || self.node.history_lost.get() {
             Duration::ZERO
         } else if self.proves_for_others() {
             LEADER_GATHER
-        } else if self.node.is_relayed_to() || self.awaits_others() {
+        } else if self.node.has_recent_relay() || self.awaits_others() {
             RELAYED_LOOK
         } else {
             self.node.settings().bounds.gather()
@@ -334,7 +339,7 @@
     fn proves_for_others(&self) -> bool {
         let Some(peers) = &self.node.peers else { return false };
         self.node.token().is_some()
-            || (!self.node.is_relayed_to() && !peers.borrow().fleet.children.is_empty())
+            || (!self.node.has_recent_relay() && !peers.borrow().fleet.children.is_empty())
     }
 
     /// How long one watch waits. A leader's answers are proof for others too, who hear of them a little later.
@@ -349,7 +354,7 @@
             Ok(()) => {
                 if let Some(since) = self.failing_since.take() {
                     let after_ms = now.saturating_since(since).as_millis() as u64;
-                    self.node.journal.tell(&Event::StoreRegained { after_ms });
+                    self.node.journal.log(&Event::StoreRegained { after_ms });
                 }
                 self.failures = 0;
                 tokio::time::sleep(self.gather()).await;
@@ -357,8 +362,8 @@
             Err(error) => {
                 if self.failing_since.is_none() {
                     self.failing_since = Some(now);
-                    let age = self.node.beliefs.borrow().freshness.age(now);
-                    self.node.journal.tell(&Event::StoreLost {
+                    let age = self.node.state.borrow().freshness.age(now);
+                    self.node.journal.log(&Event::StoreLost {
                         call: if self.listing.is_some() { "list" } else { "watch" },
                         problem: error.to_string(),
                         age_ms: age.map(|age| age.as_millis() as u64),
@@ -374,6 +379,6 @@
 
 /// Until when a snapshot is waited for from now on. Those that wait in vain spread out, not to list at the same moment.
 fn snapshot_deadline(node: &Node) -> Timestamp {
-    let awaited = node.settings().bounds.snapshot_awaited();
+    let awaited = node.settings().bounds.snapshot_timeout();
     node.now() + awaited.mul_f64(1.0 + rand::random::<f64>())
 }
--- a/crates/forward/src/restored.rs
+++ b/crates/forward/src/store_restore.rs
@@ -17,9 +17,9 @@
 
 impl Node {
     /// An answer of the store told its era, where it tells any. One of before is late, and no news.
-    pub(crate) fn heard_era(&self, era: Option<StoreEra>) {
+    pub(crate) fn observe_era(&self, era: Option<StoreEra>) {
         let Some(era) = era else { return };
-        let known = self.beliefs.borrow().revision;
+        let known = self.state.borrow().revision;
         let before = self.store_era.get().or(known.map(|known| known.era()));
         if before.is_some_and(|before| era <= before) {
             return;
@@ -29,15 +29,15 @@
         let now = self.now();
         self.restored_at.set(Some(now));
         {
-            let mut beliefs = self.beliefs.borrow_mut();
+            let mut state = self.state.borrow_mut();
             // Entries that the copy lacks are written again within seconds.
-            beliefs.backends.registry.failed();
-            beliefs.leader = None;
-            beliefs.leader_looked_for = false;
+            state.backends.registry.failed();
+            state.leader = None;
+            state.leader_checked = false;
         }
         self.metrics.count(Counter::StoreRestores);
         let revision = known.map(|known| known.number());
-        self.journal.tell(&Event::StoreRestored { era: era.0, before: before.0, revision });
+        self.journal.log(&Event::StoreRestored { era: era.0, before: before.0, revision });
         self.order_ended.notify_one();
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// Writes again what is held back, where a copy of the store may lack it. What is there already stays as it is.
-    pub(crate) fn write_holds_again(&self) {
-        let held: Vec<_> = self.beliefs.borrow().held.values().cloned().collect();
+    pub(crate) fn rewrite_holds(&self) {
+        let held: Vec<_> = self.state.borrow().held.values().cloned().collect();
         held.into_iter().for_each(|request| self.change(Change::Keep(request)));
     }
 }
--- a/crates/forward/src/naming_record.rs
+++ b/crates/forward/src/target_record.rs
@@ -15,9 +15,9 @@
 };
 
 use crate::{
-    feed::{StoreError, ask_store},
     node::Node,
     ports::{StoreAnswer, StoreCall},
+    store_feed::{StoreError, call_store},
 };
 
 /// The lease of a record, as a part of the bound of older weights.
@@ -29,7 +29,7 @@
 const LOOK: Duration = Duration::from_millis(500);
 
 /// Records names for as long as the process lives.
-pub async fn keep(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     let mut recorded = BTreeMap::new();
     let mut restored_at = None;
     loop {
@@ -38,7 +38,7 @@
             restored_at = node.restored_at.get();
             recorded.clear();
         }
-        let named = node.weights_named.notified();
+        let named = node.target_announced.notified();
         for proof in to_record(&node, &recorded) {
             let (model, version) = (proof.model.clone(), proof.version);
             // A call that failed is counted with how it ended, and made again while the name is young enough.
@@ -59,8 +59,8 @@
     if node.token().is_none() {
         return Vec::new();
     }
-    let beliefs = node.beliefs.borrow();
-    let target_versions = &beliefs.rollout.target_versions;
+    let state = node.state.borrow();
+    let target_versions = &state.rollout.target_versions;
     let is_newest = |proof: &TargetVersionProof| {
         target_versions.newest(&proof.model).is_some_and(|newest| newest.version == proof.version)
     };
@@ -71,17 +71,17 @@
 
 /// Writes one record. A record that comes late, after that of a newer version, ends with its own lease.
 async fn record(node: &Node, proof: TargetVersionProof) -> Result<(), StoreError> {
-    let granted = ask_store(node, &StoreCall::Grant { ttl: lease_time(node) }, PATIENCE).await?;
+    let granted = call_store(node, &StoreCall::Grant { ttl: lease_time(node) }, PATIENCE).await?;
     let StoreAnswer::Lease { lease, ttl } = granted else { return Err(StoreError::Unexpected) };
     // The lease runs from before this moment, so that the name was no older when it was granted.
     let age = node.now().saturating_since(proof.at);
-    let named = RecentTargetVersion {
+    let target = RecentTargetVersion {
         model: proof.model,
         previous: proof.above,
         version: proof.version,
         before_ms: (ttl + age).as_millis() as u64 + 1,
     };
-    match ask_store(node, &StoreCall::RecordNaming { named, lease }, PATIENCE).await? {
+    match call_store(node, &StoreCall::RecordTarget { target, lease }, PATIENCE).await? {
         StoreAnswer::Done { .. } => Ok(()),
         _ => Err(StoreError::Unexpected),
     }
--- a/crates/forward/src/unknown_headers.rs
+++ b/crates/forward/src/unknown_headers.rs
@@ -13,7 +13,7 @@
             self.metrics.count(Counter::UnknownAnswerHeaders);
             if self.unknown_headers.is_first(name.as_str()) {
                 self.journal
-                    .tell(&Event::AnswerHeaderUnknown { name: name.as_str(), backend: backend.as_str() });
+                    .log(&Event::AnswerHeaderUnknown { name: name.as_str(), backend: backend.as_str() });
             }
         }
     }
--- a/crates/forward/tests/journal.rs
+++ b/crates/forward/tests/journal.rs
@@ -59,13 +59,13 @@
     let journal = Journal::to("n", clock::start(), output.clone());
     let mut told = 0;
     while told < 20_000 || journal.dropped() == 0 {
-        journal.tell(&Event::Stopping { running: 0 });
+        journal.log(&Event::Stopping { running: 0 });
         told += 1;
     }
     output.let_go();
     // Once there is room again, the next line is preceded by the count.
     while journal.dropped() > 0 {
-        journal.tell(&Event::Stopping { running: 0 });
+        journal.log(&Event::Stopping { running: 0 });
         told += 1;
         std::thread::yield_now();
     }
--- a/crates/forward/tests/leader.rs
+++ b/crates/forward/tests/leader.rs
@@ -1,6 +1,6 @@
 //! Whose leadership a node may take over.
 
-use paddlemount_forward::beliefs::Leader;
+use paddlemount_forward::node_state::Leader;
 use paddlemount_protocol::identity::{FencingToken, NodeId};
 
 fn leader(node: &str, port: u16) -> Leader {
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -20,7 +20,7 @@
 use bytes::Bytes;
 use paddlemount_clock::SteadyClock;
 use paddlemount_core::forwarding::caller_connection::StopStage;
-use paddlemount_forward::caller_stream::{CallerSocket, ClosedUnread, Host, Served};
+use paddlemount_forward::caller_stream::{ActiveRequest, CallerSocket, ClosedUnread, ConnectionHost};
 use tokio::sync::watch;
 use xitca_io::{
     io::{AsyncBufRead, AsyncBufWrite, BoundedBuf, BoundedBufMut},
@@ -65,7 +65,7 @@
     }
 }
 
-impl Host for ServingHost {
+impl ConnectionHost for ServingHost {
     fn clock(&self) -> SteadyClock {
         self.clock.steady()
     }
@@ -78,7 +78,7 @@
         self.active.is_draining()
     }
 
-    fn tell_closed_unread(&self, closed: &ClosedUnread) {
+    fn report_closed_unread(&self, closed: &ClosedUnread) {
         self.metrics.counter(CLOSED_UNREAD, &[]).increment(1);
         let ClosedUnread { bytes, open_ms, stopping } = *closed;
         log::info!(
@@ -168,8 +168,8 @@
     /// and from the second time on the system is asked too.
     async fn come(&self) -> io::Result<Come> {
         let mut readable = pin!(self.socket.readable());
-        let mut closes = pin!(self.socket.until_judged(self.stage.clone()));
-        let mut asks_system = self.socket.seen().has_partial_head;
+        let mut closes = pin!(self.socket.until_close(self.stage.clone()));
+        let mut asks_system = self.socket.state().has_partial_head;
         poll_fn(|context| {
             if let Poll::Ready(result) = readable.as_mut().poll(context) {
                 return Poll::Ready(result.map(|()| Come::Readable));
@@ -212,7 +212,7 @@
     }
 
     async fn shutdown(self, _: Shutdown) -> io::Result<()> {
-        self.socket.close_gently().await;
+        self.socket.close_gracefully().await;
         Ok(())
     }
 }
@@ -304,7 +304,7 @@
 /// A body that holds its connection for served until it is dropped.
 pub struct HeldBody<B> {
     body: Pin<Box<B>>,
-    _served: Option<Served<ServingHost>>,
+    _served: Option<ActiveRequest<ServingHost>>,
 }
 
 impl<B: Body<Data = Bytes>> Body for HeldBody<B> {
