--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -7,7 +7,7 @@
 
 use std::{ffi::OsString, net::SocketAddr, path::PathBuf, process::ExitCode};
 
-use paddlemount_node::settings::Mistake;
+use paddlemount_node::settings::SettingsError;
 
 use crate::ctl;
 
@@ -50,7 +50,7 @@
         /// The file.
         path: PathBuf,
         /// All mistakes.
-        mistakes: Vec<Mistake>,
+        mistakes: Vec<SettingsError>,
     },
     /// A stand-in's settings file has a mistake.
     #[error("{path}: {message}")]
@@ -93,7 +93,7 @@
     }
 }
 
-fn list_mistakes(path: &std::path::Path, mistakes: &[Mistake]) -> String {
+fn list_mistakes(path: &std::path::Path, mistakes: &[SettingsError]) -> String {
     let lines: Vec<String> =
         mistakes.iter().map(|mistake| format!("{}: {mistake}", path.display())).collect();
     lines.join("\n")
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -12,7 +12,7 @@
     parse,
     tree::Statement,
 };
-use paddlemount_node::admin::client::{AdminClient, AskError};
+use paddlemount_node::admin::client::{AdminClient, AdminClientError};
 use paddlemount_protocol::{configuration::ChangeOutcome, refusal::RefusalCode};
 
 /// How to call it.
@@ -49,7 +49,7 @@
     Syntax(#[from] paddlemount_language::SyntaxError),
     /// The node refused or did not answer.
     #[error(transparent)]
-    Ask(#[from] AskError),
+    Ask(#[from] AdminClientError),
     /// The terminal or standard output failed.
     #[error("{0}")]
     Terminal(String),
@@ -60,10 +60,12 @@
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Usage(_) | Self::KeyFile { .. } | Self::Syntax(_) => ExitCode::from(2),
-            Self::Ask(AskError::Refused(problem)) if problem.error.code == RefusalCode::InvalidRequest => {
+            Self::Ask(AdminClientError::Refused(problem))
+                if problem.error.code == RefusalCode::InvalidRequest =>
+            {
                 ExitCode::from(2)
             }
-            Self::Ask(AskError::Refused(_)) => ExitCode::from(1),
+            Self::Ask(AdminClientError::Refused(_)) => ExitCode::from(1),
             Self::Ask(_) | Self::Terminal(_) => ExitCode::from(3),
         }
     }
@@ -161,12 +163,12 @@
     if let Statement::Watch(_) = parse(query)? {
         let mut stream = client.watch(query).await?;
         let mut printer = output::WatchPrinter::new(format);
-        while let Some(line) = stream.line().await.map_err(AskError::from)? {
+        while let Some(line) = stream.line().await.map_err(AdminClientError::from)? {
             printer.print(&line)?;
         }
         return Ok(ExitCode::SUCCESS);
     }
-    let answer = client.ask(query).await?;
+    let answer = client.query(query).await?;
     output::print(&answer, format)?;
     Ok(exit_code(&answer))
 }
--- a/crates/node/src/admin/client.rs
+++ b/crates/node/src/admin/client.rs
@@ -18,7 +18,7 @@
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum AdminClientError {
     /// The node refused the statement.
     #[error("{}", .0.error)]
     Refused(Box<QueryError>),
@@ -49,8 +49,8 @@
     ///
     /// # Errors
     ///
-    /// Any [`AskError`].
-    pub async fn ask(&self, statement: &str) -> Result<Answer, AskError> {
+    /// Any [`AdminClientError`].
+    pub async fn query(&self, statement: &str) -> Result<Answer, AdminClientError> {
         let response = self.open(statement).await?;
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
         let address = self.node;
@@ -66,8 +66,8 @@
     ///
     /// # Errors
     ///
-    /// Any [`AskError`].
-    pub async fn watch(&self, statement: &str) -> Result<WatchStream, AskError> {
+    /// Any [`AdminClientError`].
+    pub async fn watch(&self, statement: &str) -> Result<WatchStream, AdminClientError> {
         let response = self.open(statement).await?;
         Ok(WatchStream { address: self.node, body: response.into_body(), buffer: Vec::new() })
     }
@@ -76,18 +76,18 @@
         self.deadline + ANSWER_SLACK
     }
 
-    async fn open(&self, statement: &str) -> Result<Response<Incoming>, AskError> {
+    async fn open(&self, statement: &str) -> Result<Response<Incoming>, AdminClientError> {
         let address = self.node;
         let request = Request::post(format!("http://{address}/admin/query"))
             .header(header::AUTHORIZATION, format!("Bearer {}", self.key))
             .header(header::CONTENT_TYPE, "text/plain; charset=utf-8")
             .header(DEADLINE_MS, self.deadline.as_millis().to_string())
             .body(Full::new(Bytes::from(statement.to_owned())))
-            .map_err(|_| AskError::Key)?;
+            .map_err(|_| AdminClientError::Key)?;
         match self.client.open(address, request, self.patience()).await {
             Ok(response) => Ok(response),
             Err(ClientError::Status { address, status, body }) => match serde_json::from_slice(&body) {
-                Ok(problem) => Err(AskError::Refused(Box::new(problem))),
+                Ok(problem) => Err(AdminClientError::Refused(Box::new(problem))),
                 Err(_) => Err(ClientError::Status { address, status, body }.into()),
             },
             Err(error) => Err(error.into()),
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -9,7 +9,7 @@
 use paddlemount_protocol::identity::{NodeId, OperatorId, RegionId, ZoneId};
 use toml::de::DeTable;
 
-pub use mistake::Mistake;
+pub use mistake::SettingsError;
 use mistake::line_of;
 pub use overload::OverloadSettings;
 use reader::{Document, Section};
@@ -187,7 +187,7 @@
     /// # Errors
     ///
     /// All mistakes that were found, in the order of their lines.
-    pub fn parse(text: &str) -> Result<Self, Vec<Mistake>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<SettingsError>> {
         let (settings, mistakes, _) = read(text);
         if mistakes.is_empty() { Ok(settings) } else { Err(mistakes) }
     }
@@ -201,7 +201,7 @@
     }
 }
 
-fn read(text: &str) -> (NodeSettings, Vec<Mistake>, Vec<String>) {
+fn read(text: &str) -> (NodeSettings, Vec<SettingsError>, Vec<String>) {
     let (table, errors) = DeTable::parse_recoverable(text);
     let mut document = Document::new(text);
     for error in &errors {
--- a/crates/node/src/settings/mistake.rs
+++ b/crates/node/src/settings/mistake.rs
@@ -4,7 +4,7 @@
 
 /// One mistake, with what to do about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct SettingsError {
     /// The line, counted from 1.
     pub line: usize,
     /// The key with its tables, or empty for a syntax error.
@@ -15,7 +15,7 @@
     pub remedy: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.key.is_empty() {
             return write!(formatter, "line {}: {}; {}", self.line, self.problem, self.remedy);
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -4,12 +4,12 @@
 
 use toml::de::{DeTable, DeValue};
 
-use super::mistake::{Mistake, line_of};
+use super::mistake::{SettingsError, line_of};
 
 /// A document that is being read.
 pub struct Document<'a> {
     text: &'a str,
-    mistakes: Vec<Mistake>,
+    mistakes: Vec<SettingsError>,
     known: Vec<String>,
 }
 
@@ -28,14 +28,19 @@
     }
 
     /// Mistakes found, in the order of their lines, and all keys that were asked for.
-    pub fn into_parts(mut self) -> (Vec<Mistake>, Vec<String>) {
+    pub fn into_parts(mut self) -> (Vec<SettingsError>, Vec<String>) {
         self.mistakes.sort_by_key(|mistake| mistake.line);
         (self.mistakes, self.known)
     }
 
     /// Records a mistake.
     pub fn report(&mut self, line: usize, key: &str, problem: impl Into<String>, remedy: impl Into<String>) {
-        self.mistakes.push(Mistake { line, key: key.into(), problem: problem.into(), remedy: remedy.into() });
+        self.mistakes.push(SettingsError {
+            line,
+            key: key.into(),
+            problem: problem.into(),
+            remedy: remedy.into(),
+        });
     }
 
     /// The line of a byte offset.
--- a/crates/node/tests/admin/support.rs
+++ b/crates/node/tests/admin/support.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full};
 use paddlemount_language::answer::{Answer, Body, Explanation, QueryError, Table, WatchLine};
 use paddlemount_node::{
-    admin::client::{AdminClient, AskError, WatchStream},
+    admin::client::{AdminClient, AdminClientError, WatchStream},
     client::HttpClient,
     node::{Node, RunningNode},
     settings::NodeSettings,
@@ -149,9 +149,9 @@
         statement: &str,
         deadline: Duration,
     ) -> Result<Answer, QueryError> {
-        match self.operator(node, key, deadline).ask(statement).await {
+        match self.operator(node, key, deadline).query(statement).await {
             Ok(answer) => Ok(answer),
-            Err(AskError::Refused(problem)) => Err(*problem),
+            Err(AdminClientError::Refused(problem)) => Err(*problem),
             Err(error) => panic!("{statement}: {error}"),
         }
     }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,10 +1,10 @@
 //! Settings files: every mistake is named with its line, key and remedy, and no text stops the reader.
 
-use paddlemount_node::settings::{Mistake, NodeSettings};
+use paddlemount_node::settings::{NodeSettings, SettingsError};
 
 const CORRECT: &str = include_str!("../../../settings/node-regina.toml");
 
-fn mistakes(text: &str) -> Vec<Mistake> {
+fn mistakes(text: &str) -> Vec<SettingsError> {
     NodeSettings::parse(text).expect_err("the settings have mistakes")
 }
 
