--- a/crates/bench/src/demo/cluster.rs
+++ b/crates/bench/src/demo/cluster.rs
@@ -21,7 +21,7 @@
     booking::model::LedgerEntry,
     server::{self, RunningStandin},
     settings::{
-        BookingSettings, EngineSettings, KeptCacheStoreSettings, MachineListSettings, StandinSettings,
+        BookingSettings, CacheStoreSettings, EngineSettings, MachineListSettings, StandinSettings,
         WeightStoreSettings,
     },
 };
@@ -89,8 +89,7 @@
     pub async fn start() -> Result<Self, ClusterError> {
         let weight_store =
             start_standin(StandinSettings::WeightStore(WeightStoreSettings::default())).await?;
-        let kept_cache =
-            start_standin(StandinSettings::KeptCacheStore(KeptCacheStoreSettings::default())).await?;
+        let kept_cache = start_standin(StandinSettings::CacheStore(CacheStoreSettings::default())).await?;
         let engines = start_engines(weight_store.address()).await?;
         let bookings = start_bookings().await?;
         let addresses = (0..ZONES.len()).map(|_| NodeAddresses::reserve()).collect::<Result<Vec<_>, _>>()?;
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -7,7 +7,7 @@
 };
 
 use hdrhistogram::Histogram;
-use paddlemount_standins::booking::model::{LedgerEntry, keys_run_twice};
+use paddlemount_standins::booking::model::{LedgerEntry, duplicate_runs};
 use serde::Serialize;
 
 use super::record::{BookingEnd, ChatEnd, Content, Records};
@@ -71,7 +71,7 @@
             complete,
             incomplete: requests - complete,
             wrong: wrong_chats + wrong_bookings(&content.bookings, ledgers),
-            ran_twice: ledgers.map_or(0, |ledgers| keys_run_twice(ledgers.iter().map(Vec::as_slice)).len()),
+            ran_twice: ledgers.map_or(0, |ledgers| duplicate_runs(ledgers.iter().map(Vec::as_slice)).len()),
             prefix_hit_rate: hit_rate(content.chats.iter()),
             ttft_ms: first_token(content.chats.iter()),
             bookings: content.bookings.len(),
--- a/crates/bench/src/drill/engines.rs
+++ b/crates/bench/src/drill/engines.rs
@@ -105,9 +105,9 @@
             prompt_tokens: paddlemount_protocol::prefix::prompt_tokens(prompt.len()),
             answer_tokens: tokens,
             reason: FinishReason::Length,
-            already_tokens: dispatch.already,
+            answer_prefix_tokens: dispatch.already,
             priority: Priority::Normal,
-            gives_up_at: now + Duration::from_secs(60),
+            deadline: now + Duration::from_secs(60),
             import: None,
         };
         let event = match engine.model.submit(request, now) {
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -88,7 +88,7 @@
 fn behaviour(scenario: &Scenario, truthful: bool) -> EngineBehaviour {
     let reports = &scenario.reports;
     let (lag, feed) = if truthful {
-        (0, FeedSettings { delay_ms: 0, loss: 0.0, kept_events: usize::MAX })
+        (0, FeedSettings { delay_ms: 0, loss: 0.0, retained_events: usize::MAX })
     } else {
         let feed = FeedSettings {
             delay_ms: reports.event_delay_ms as u64,
@@ -127,9 +127,9 @@
             prompt_tokens: open.workload.prompt_tokens,
             answer_tokens: open.workload.answer_tokens,
             reason: FinishReason::Stop,
-            already_tokens: 0,
+            answer_prefix_tokens: 0,
             priority: sent.priority,
-            gives_up_at: now + Duration::from_secs_f64(self.scenario.nodes.deadline_s),
+            deadline: now + Duration::from_secs_f64(self.scenario.nodes.deadline_s),
             import: sent.import,
         };
         self.note_import(key.request, engine, &request);
--- a/crates/bench/src/experiment/observation.rs
+++ b/crates/bench/src/experiment/observation.rs
@@ -169,7 +169,7 @@
 
     fn true_status(&self, engine: usize, now: Timestamp) -> EngineStatus {
         let state = &self.engines[engine];
-        let present = state.model.present_load(now);
+        let present = state.model.current_load(now);
         let on_the_way: u32 = state.in_transit.iter().map(|it| it.missing_tokens).sum();
         let load = LoadReport {
             waiting: present.waiting + state.in_transit.len() as u32,
--- a/crates/standins/src/booking/model.rs
+++ b/crates/standins/src/booking/model.rs
@@ -83,7 +83,7 @@
 }
 
 /// Keys under which an operation ran more than once, over the ledgers of all instances.
-pub fn keys_run_twice<'a>(
+pub fn duplicate_runs<'a>(
     ledgers: impl IntoIterator<Item = &'a [LedgerEntry]>,
 ) -> Vec<(TenantId, IdempotencyKey, usize)> {
     let mut runs: BTreeMap<(TenantId, IdempotencyKey), usize> = BTreeMap::new();
--- a/crates/standins/src/kept_cache_store/model.rs
+++ b/crates/standins/src/cache_store/model.rs
@@ -1,4 +1,4 @@
-//! The kept-cache store as a state machine.
+//! The cache store as a state machine.
 //!
 //! A copy names the life of the engine that computed it. The store gives out no copy whose origin it
 //! knows to have ended, because it was told so or has seen a later life of the same engine, and none
@@ -18,26 +18,27 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::origins::Origins;
+use crate::incarnations::LatestIncarnations;
 
 /// How much the store keeps, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct KeptCacheLimits {
+pub struct CacheStoreLimits {
     /// Bytes at most; the oldest copies go first.
     pub capacity_bytes: u64,
     /// Milliseconds after which a copy is dropped.
-    pub longest_age_ms: u64,
+    #[serde(rename = "longest_age_ms")]
+    pub max_age_ms: u64,
 }
 
-impl Default for KeptCacheLimits {
+impl Default for CacheStoreLimits {
     fn default() -> Self {
-        Self { capacity_bytes: 256 * 1024 * 1024 * 1024, longest_age_ms: 600_000 }
+        Self { capacity_bytes: 256 * 1024 * 1024 * 1024, max_age_ms: 600_000 }
     }
 }
 
 /// The number of a copy, in order of arrival.
-type CopyNumber = u64;
+type CopyId = u64;
 
 #[derive(Clone, Debug, Serialize)]
 struct Copy {
@@ -47,25 +48,25 @@
 
 /// Copies of cached prefixes.
 #[derive(Clone, Debug, Serialize)]
-pub struct KeptCacheModel {
-    limits: KeptCacheLimits,
-    origins: Origins,
+pub struct CacheStoreModel {
+    limits: CacheStoreLimits,
+    origins: LatestIncarnations,
     bytes: u64,
-    next_copy: CopyNumber,
-    copies: BTreeMap<CopyNumber, Copy>,
+    next_copy: CopyId,
+    copies: BTreeMap<CopyId, Copy>,
     /// For each prefix the newest copy that holds it.
     #[serde(skip)]
-    holders: BTreeMap<(CacheScope, BlockHash), CopyNumber>,
+    holders: BTreeMap<(CacheScope, BlockHash), CopyId>,
     #[serde(skip)]
-    order: VecDeque<CopyNumber>,
+    order: VecDeque<CopyId>,
 }
 
-impl KeptCacheModel {
+impl CacheStoreModel {
     /// An empty store.
-    pub fn new(limits: KeptCacheLimits) -> Self {
+    pub fn new(limits: CacheStoreLimits) -> Self {
         Self {
             limits,
-            origins: Origins::default(),
+            origins: LatestIncarnations::default(),
             bytes: 0,
             next_copy: 0,
             copies: BTreeMap::new(),
@@ -130,7 +131,7 @@
 
     fn drop_ended(&mut self) {
         let origins = &self.origins;
-        let ended: Vec<CopyNumber> = self
+        let ended: Vec<CopyId> = self
             .copies
             .iter()
             .filter(|(_, copy)| !origins.is_live(&copy.transfer.origin, copy.transfer.origin_incarnation))
@@ -142,12 +143,10 @@
     }
 
     fn drop_old(&mut self, now: Timestamp) {
-        let longest_age = Duration::from_millis(self.limits.longest_age_ms);
+        let max_age = Duration::from_millis(self.limits.max_age_ms);
         while let Some(number) = self.order.front().copied() {
-            let is_old = self
-                .copies
-                .get(&number)
-                .is_none_or(|copy| now.saturating_since(copy.arrived_at) > longest_age);
+            let is_old =
+                self.copies.get(&number).is_none_or(|copy| now.saturating_since(copy.arrived_at) > max_age);
             if !is_old && self.bytes <= self.limits.capacity_bytes {
                 return;
             }
@@ -156,7 +155,7 @@
         }
     }
 
-    fn remove(&mut self, number: CopyNumber) {
+    fn remove(&mut self, number: CopyId) {
         let Some(copy) = self.copies.remove(&number) else { return };
         self.bytes -= copy.transfer.bytes;
         for hash in copy.transfer.blocks {
--- a/crates/standins/src/kept_cache_store/server.rs
+++ b/crates/standins/src/cache_store/server.rs
@@ -1,4 +1,4 @@
-//! Serves the kept-cache store over TCP.
+//! Serves the cache store over TCP.
 //!
 //! Besides the store's own paths, `POST /control/faults` takes
 //! [`ServiceFaults`](crate::faults::ServiceFaults) and `GET /control/state` shows everything.
@@ -17,20 +17,20 @@
     service::ServiceExt,
 };
 
-use super::model::KeptCacheModel;
+use super::model::CacheStoreModel;
 use crate::{
     http::{self, BodyBytes, Empty, Shared},
     model_state::{HasModel, ModelState, show_state},
     server::{self, RunningStandin, StartError},
-    settings::KeptCacheStoreSettings,
+    settings::CacheStoreSettings,
 };
 
-type KeptCacheServer = ModelState<KeptCacheModel>;
+type CacheStoreServer = ModelState<CacheStoreModel>;
 
-/// Starts a kept-cache store.
-pub fn start(settings: KeptCacheStoreSettings) -> Result<RunningStandin, StartError> {
+/// Starts a cache store.
+pub fn start(settings: CacheStoreSettings) -> Result<RunningStandin, StartError> {
     let listener = server::listen(settings.listen)?;
-    let standin = Arc::new(KeptCacheServer::new(KeptCacheModel::new(settings.limits)));
+    let standin = Arc::new(CacheStoreServer::new(CacheStoreModel::new(settings.limits)));
     let shared = Shared::new(standin, settings.faults);
     let activity = shared.activity.clone();
     let app = App::new()
@@ -38,15 +38,15 @@
         .at("/put", post(handler_service(put)))
         .at("/find", post(handler_service(find)))
         .at("/ended", post(handler_service(ended)))
-        .at("/control/faults", post(handler_service(http::set_faults::<KeptCacheServer>)))
-        .at("/control/state", get(handler_service(show_state::<KeptCacheServer>)))
+        .at("/control/faults", post(handler_service(http::set_faults::<CacheStoreServer>)))
+        .at("/control/state", get(handler_service(show_state::<CacheStoreServer>)))
         .enclosed_fn(http::guard)
         .finish()
         .enclosed_fn(http::drop_lost_replies);
     server::launch(HttpServer::serve(app), listener, settings.threads, activity, None)
 }
 
-type State<'a> = StateRef<'a, Shared<KeptCacheServer>>;
+type State<'a> = StateRef<'a, Shared<CacheStoreServer>>;
 
 async fn put(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
     let kept = http::parse::<KvTransfer>(&body)
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -12,10 +12,10 @@
 use xxhash_rust::xxh3::{xxh3_64_with_seed, xxh3_128_with_seed};
 
 /// Tokens of the shortest answer that is not cut by `max_tokens`.
-pub const SHORTEST_ANSWER_TOKENS: u32 = 24;
+pub const MIN_ANSWER_TOKENS: u32 = 24;
 
-/// Answers have between [`SHORTEST_ANSWER_TOKENS`] and this many tokens less one.
-pub const LONGEST_ANSWER_TOKENS: u32 = 152;
+/// Answers have between [`MIN_ANSWER_TOKENS`] and this many tokens less one.
+pub const MAX_ANSWER_TOKENS: u32 = 152;
 
 const ANSWER_SEED: u64 = 0x616e_7377_6572_0001;
 const CONSONANTS: &[u8; 16] = b"bcdfghjklmnprstv";
@@ -48,8 +48,8 @@
         let identity_seed = xxh3_64_with_seed(&identity, ANSWER_SEED);
         let hash = xxh3_128_with_seed(prompt.as_bytes(), identity_seed);
         let seed = (hash >> 64) as u64;
-        let range = u64::from(LONGEST_ANSWER_TOKENS - SHORTEST_ANSWER_TOKENS);
-        let natural = SHORTEST_ANSWER_TOKENS + (hash as u64 % range) as u32;
+        let range = u64::from(MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS);
+        let natural = MIN_ANSWER_TOKENS + (hash as u64 % range) as u32;
         if natural > max_tokens {
             Self { seed, tokens: max_tokens, reason: FinishReason::Length }
         } else {
--- a/crates/standins/src/engine/model/batch.rs
+++ b/crates/standins/src/engine/model/batch.rs
@@ -33,7 +33,7 @@
 
 impl Running {
     const fn prefill_target(&self) -> u32 {
-        self.request.prompt_tokens.saturating_add(self.request.already_tokens)
+        self.request.prompt_tokens.saturating_add(self.request.answer_prefix_tokens)
     }
 
     const fn missing_tokens(&self) -> u32 {
@@ -56,7 +56,7 @@
 
 /// Blocks of memory that a request stands on while it runs: prompt and answer.
 pub(super) fn blocks_needed(request: &ModelRequest) -> u32 {
-    let answer = request.answer_tokens.max(request.already_tokens);
+    let answer = request.answer_tokens.max(request.answer_prefix_tokens);
     checks::blocks_of(request.prompt_tokens.saturating_add(answer))
 }
 
@@ -101,7 +101,7 @@
         let slots = self.settings.behaviour.speed.batch_slots.max(1) as usize;
         while self.running.len() < slots {
             let Some((key, waiting)) = self.waiting.pop_first() else { return };
-            if waiting.request.gives_up_at <= now {
+            if waiting.request.deadline <= now {
                 let attempt = waiting.request.attempt;
                 self.output(
                     now,
@@ -150,7 +150,7 @@
     }
 
     fn enter_batch(&mut self, request: ModelRequest, cached_blocks: usize, reserved: u32, now: Timestamp) {
-        let next_index = request.already_tokens;
+        let next_index = request.answer_prefix_tokens;
         let mut running = Running { request, cached_blocks, prefilled: 0, chunk: 0, reserved, next_index };
         // The last token is always computed: its output is the first token of the answer.
         running.prefilled = tokens_of(cached_blocks).min(running.prefill_target().saturating_sub(1));
@@ -159,7 +159,7 @@
         let cached_tokens = running.prefilled.min(prompt_tokens);
         let ended = next_index >= running.request.answer_tokens;
         self.running.push(running);
-        let load = self.present_load(now);
+        let load = self.current_load(now);
         self.output(now, EngineEvent::Started { attempt, prompt_tokens, cached_tokens, load });
         if ended {
             let index = self.running.len() - 1;
@@ -230,7 +230,7 @@
         let running = &mut self.running[index];
         let token = running.next_index;
         running.next_index += 1;
-        let is_first = token == running.request.already_tokens;
+        let is_first = token == running.request.answer_prefix_tokens;
         if is_first || self.settings.token_outputs == TokenOutputs::All {
             let attempt = running.request.attempt.clone();
             self.output(now, EngineEvent::Token { attempt, index: token });
@@ -245,7 +245,7 @@
         let grace = Duration::from_millis(self.settings.behaviour.service.resume_grace_ms);
         self.ended.insert(attempt.clone(), tokens);
         self.ended_order.push_back((now + grace, attempt.clone()));
-        let load = self.present_load(now);
+        let load = self.current_load(now);
         self.output(now, EngineEvent::Ended { attempt, tokens, reason, load });
     }
 
@@ -279,7 +279,7 @@
     }
 
     /// The true load at this moment.
-    pub fn present_load(&self, now: Timestamp) -> LoadReport {
+    pub fn current_load(&self, now: Timestamp) -> LoadReport {
         let running: u32 = self.running.iter().map(Running::missing_tokens).sum();
         let queued: u32 = self.queued().map(|waiting| waiting.missing_tokens).sum();
         LoadReport {
@@ -292,7 +292,7 @@
     }
 
     pub(super) fn record_load(&mut self, now: Timestamp) {
-        let load = self.present_load(now);
+        let load = self.current_load(now);
         self.history.record(load);
     }
 }
--- a/crates/standins/src/engine/model/feed.rs
+++ b/crates/standins/src/engine/model/feed.rs
@@ -60,7 +60,7 @@
         let change = if self.is_lost() { None } else { Some(change) };
         let visible_at = now + Duration::from_millis(self.settings.delay_ms);
         self.recorded.push_back(Recorded { visible_at, sequence: self.last, change });
-        while self.recorded.len() > self.settings.kept_events {
+        while self.recorded.len() > self.settings.retained_events {
             self.recorded.pop_front();
         }
     }
--- a/crates/standins/src/engine/model/messages.rs
+++ b/crates/standins/src/engine/model/messages.rs
@@ -58,11 +58,11 @@
     /// Why the answer ends.
     pub reason: FinishReason,
     /// Tokens of the answer that the caller already has.
-    pub already_tokens: u32,
+    pub answer_prefix_tokens: u32,
     /// How urgent it is.
     pub priority: Priority,
     /// When the sender gives up.
-    pub gives_up_at: Timestamp,
+    pub deadline: Timestamp,
     /// Kept cache to import first.
     pub import: Option<KvTransfer>,
 }
--- a/crates/standins/src/engine/model/mod.rs
+++ b/crates/standins/src/engine/model/mod.rs
@@ -44,7 +44,7 @@
     AttemptProgress, EngineEvent, EngineModelSettings, EngineOutput, ModelRequest, TokenOutputs,
 };
 use self::{batch::Running, cache::BlockCache, feed::EventFeed, load::LoadHistory, orders::Loading};
-use crate::{engine::settings::FeedSettings, origins::Origins};
+use crate::{engine::settings::FeedSettings, incarnations::LatestIncarnations};
 
 struct Waiting {
     request: ModelRequest,
@@ -63,7 +63,7 @@
     draining: bool,
     fence: FencingToken,
     obeyed: VecDeque<String>,
-    origins: Origins,
+    origins: LatestIncarnations,
     cache: BlockCache,
     feed: EventFeed,
     history: LoadHistory,
@@ -83,7 +83,7 @@
     /// An idle engine with an empty cache.
     pub fn new(settings: EngineModelSettings, incarnation: Incarnation, seed: u64) -> Self {
         let behaviour = settings.behaviour;
-        let mut origins = Origins::default();
+        let mut origins = LatestIncarnations::default();
         origins.observe(&settings.engine, incarnation);
         let lag = Duration::from_millis(behaviour.service.load_report_lag_ms);
         Self {
@@ -218,7 +218,7 @@
         }
         self.queued()
             .find(|waiting| waiting.request.attempt == *attempt)
-            .map(|waiting| AttemptProgress { next_index: waiting.request.already_tokens, ended: false })
+            .map(|waiting| AttemptProgress { next_index: waiting.request.answer_prefix_tokens, ended: false })
             .ok_or_else(|| self.refusal(RefusalCode::NotFound, "no such stream"))
     }
 
--- a/crates/standins/src/engine/server/handlers.rs
+++ b/crates/standins/src/engine/server/handlers.rs
@@ -89,7 +89,7 @@
     let is_foreign = is_foreign(&plan, &request.answer_prefix);
     let attempt = request.attempt.clone();
     let submitted = model_request(request, &plan);
-    let first_index = submitted.already_tokens;
+    let first_index = submitted.answer_prefix_tokens;
     let mut state = server.state();
     if let Some(code) = state.faults.refuse {
         return Err(state.model.refusal(code, "a configured fault refuses every request"));
@@ -114,9 +114,9 @@
         prompt_tokens: prompt_tokens(request.prompt.len()),
         answer_tokens: plan.tokens,
         reason: plan.reason,
-        already_tokens: u32::try_from(request.answer_prefix.len()).unwrap_or(u32::MAX),
+        answer_prefix_tokens: u32::try_from(request.answer_prefix.len()).unwrap_or(u32::MAX),
         priority: request.priority,
-        gives_up_at: http::now() + Duration::from_millis(request.deadline_ms),
+        deadline: http::now() + Duration::from_millis(request.deadline_ms),
         import: request.import,
     }
 }
--- a/crates/standins/src/engine/settings.rs
+++ b/crates/standins/src/engine/settings.rs
@@ -59,12 +59,13 @@
     /// The chance that an event is lost, from 0.0 to 1.0.
     pub loss: f64,
     /// Events that are kept for readers; older ones are a gap.
-    pub kept_events: usize,
+    #[serde(rename = "kept_events")]
+    pub retained_events: usize,
 }
 
 impl Default for FeedSettings {
     fn default() -> Self {
-        Self { delay_ms: 50, loss: 0.0, kept_events: 16_384 }
+        Self { delay_ms: 50, loss: 0.0, retained_events: 16_384 }
     }
 }
 
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -35,7 +35,7 @@
 
 /// Why a request is refused before it has any effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GateRefusal {
+pub enum InjectedRefusal {
     /// The service is out.
     Outage,
     /// Too many requests; one more fits after this time.
@@ -44,7 +44,7 @@
 
 /// What happens to a reply after its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplyFate {
+pub enum ReplyOutcome {
     /// It is sent.
     Sent,
     /// The connection is closed in its place.
@@ -60,28 +60,28 @@
 
 /// Decides on each request and reply which fault it meets.
 #[derive(Debug)]
-pub struct FaultGate {
-    state: Mutex<GateState>,
+pub struct FaultInjector {
+    state: Mutex<InjectorState>,
 }
 
 #[derive(Debug)]
-struct GateState {
+struct InjectorState {
     faults: ServiceFaults,
     allowance: f64,
     refilled_at: Timestamp,
     random: SmallRng,
 }
 
-impl FaultGate {
+impl FaultInjector {
     /// A gate with these faults.
     pub fn new(faults: ServiceFaults) -> Self {
         let random = SmallRng::seed_from_u64(LOSS_SEED);
         let allowance = burst(faults);
-        let state = GateState { faults, allowance, refilled_at: Timestamp::ZERO, random };
+        let state = InjectorState { faults, allowance, refilled_at: Timestamp::ZERO, random };
         Self { state: Mutex::new(state) }
     }
 
-    fn state(&self) -> MutexGuard<'_, GateState> {
+    fn state(&self) -> MutexGuard<'_, InjectorState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -98,10 +98,10 @@
     }
 
     /// Lets a request through to its effect, or refuses it.
-    pub fn admit(&self, now: Timestamp) -> Result<(), GateRefusal> {
+    pub fn admit(&self, now: Timestamp) -> Result<(), InjectedRefusal> {
         let mut state = self.state();
         if state.faults.outage {
-            return Err(GateRefusal::Outage);
+            return Err(InjectedRefusal::Outage);
         }
         let Some(rate) = state.faults.requests_per_second else { return Ok(()) };
         let passed = now.saturating_since(state.refilled_at).as_secs_f64();
@@ -112,21 +112,25 @@
             return Ok(());
         }
         let wait = (1.0 - state.allowance) / rate.max(f64::MIN_POSITIVE);
-        Err(GateRefusal::RateLimited(Duration::from_secs_f64(wait.min(3_600.0))))
+        Err(InjectedRefusal::RateLimited(Duration::from_secs_f64(wait.min(3_600.0))))
     }
 
     /// Decides what happens to the reply of a request that has taken effect.
-    pub fn reply_fate(&self) -> ReplyFate {
+    pub fn reply_outcome(&self) -> ReplyOutcome {
         let mut state = self.state();
         if state.faults.lose_next_replies > 0 {
             state.faults.lose_next_replies -= 1;
-            return ReplyFate::Lost;
+            return ReplyOutcome::Lost;
         }
         if state.faults.fail_next_after_effect > 0 {
             state.faults.fail_next_after_effect -= 1;
-            return ReplyFate::Failed;
+            return ReplyOutcome::Failed;
         }
         let loss = state.faults.reply_loss;
-        if loss > 0.0 && state.random.random::<f64>() < loss { ReplyFate::Lost } else { ReplyFate::Sent }
+        if loss > 0.0 && state.random.random::<f64>() < loss {
+            ReplyOutcome::Lost
+        } else {
+            ReplyOutcome::Sent
+        }
     }
 }
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -26,7 +26,7 @@
     service::Service,
 };
 
-use crate::faults::{FaultGate, GateRefusal, ReplyFate, ServiceFaults};
+use crate::faults::{FaultInjector, InjectedRefusal, ReplyOutcome, ServiceFaults};
 
 /// Largest request body that a stand-in reads, in bytes.
 pub(crate) const MAXIMUM_BODY_BYTES: usize = 16 * 1024 * 1024;
@@ -40,13 +40,13 @@
 /// What the handlers of one stand-in share: its state, its faults and the count of requests in flight.
 pub(crate) struct Shared<T> {
     pub(crate) activity: Arc<Activity>,
-    pub(crate) gate: Arc<FaultGate>,
+    pub(crate) gate: Arc<FaultInjector>,
     pub(crate) standin: Arc<T>,
 }
 
 impl<T> Shared<T> {
     pub(crate) fn new(standin: Arc<T>, faults: ServiceFaults) -> Self {
-        Self { activity: Arc::new(Activity::default()), gate: Arc::new(FaultGate::new(faults)), standin }
+        Self { activity: Arc::new(Activity::default()), gate: Arc::new(FaultInjector::new(faults)), standin }
     }
 }
 
@@ -144,7 +144,7 @@
 async fn call_with_faults<S, T, E>(
     service: &S,
     context: WebContext<'_, Shared<T>>,
-    gate: &FaultGate,
+    gate: &FaultInjector,
 ) -> Result<WebResponse, E>
 where
     S: for<'r> Service<WebContext<'r, Shared<T>>, Response = WebResponse, Error = E>,
@@ -155,10 +155,10 @@
     sleep_ms(gate.faults().delay_before_ms).await;
     let response = service.call(context).await?;
     sleep_ms(gate.faults().delay_after_ms).await;
-    Ok(match gate.reply_fate() {
-        ReplyFate::Sent => response,
-        ReplyFate::Lost => lost_reply(),
-        ReplyFate::Failed => refuse(&Refusal::unknown(RefusalCode::Internal, "failed after the effect")),
+    Ok(match gate.reply_outcome() {
+        ReplyOutcome::Sent => response,
+        ReplyOutcome::Lost => lost_reply(),
+        ReplyOutcome::Failed => refuse(&Refusal::unknown(RefusalCode::Internal, "failed after the effect")),
     })
 }
 
@@ -168,10 +168,10 @@
     }
 }
 
-fn gate_refusal(refusal: GateRefusal) -> Refusal {
+fn gate_refusal(refusal: InjectedRefusal) -> Refusal {
     match refusal {
-        GateRefusal::Outage => Refusal::not_run(RefusalCode::Unavailable, "the service is out"),
-        GateRefusal::RateLimited(wait) => {
+        InjectedRefusal::Outage => Refusal::not_run(RefusalCode::Unavailable, "the service is out"),
+        InjectedRefusal::RateLimited(wait) => {
             Refusal::not_run(RefusalCode::QuotaExceeded, "too many requests").with_retry_after(wait)
         }
     }
--- a/crates/standins/src/origins.rs
+++ b/crates/standins/src/incarnations.rs
@@ -7,7 +7,7 @@
 
 /// The latest known life of each engine. Cached state that an earlier life computed is not used.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Origins {
+pub struct LatestIncarnations {
     latest: BTreeMap<EngineId, Life>,
 }
 
@@ -17,7 +17,7 @@
     ended: bool,
 }
 
-impl Origins {
+impl LatestIncarnations {
     /// Notes that a life exists or existed; earlier lives of the engine have then ended.
     pub fn observe(&mut self, engine: &EngineId, incarnation: Incarnation) {
         self.raise(engine, Life { incarnation, ended: false });
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -8,21 +8,21 @@
 //! | [`engine`] | a model engine |
 //! | [`configuration_store`] | the platform's configuration store |
 //! | [`weight_store`] | the platform's weight store |
-//! | [`kept_cache_store`] | the store of kept cache |
+//! | [`cache_store`] | the cache store |
 //! | [`booking`] | the booking service |
 //! | [`machine_list`] | the platform's machine list |
 //!
 //! [`settings`] describes a stand-in, [`server::start`] runs one.
 
 pub mod booking;
+pub mod cache_store;
 pub mod configuration_store;
 pub mod engine;
 pub mod faults;
 mod http;
-pub mod kept_cache_store;
+pub mod incarnations;
 pub mod machine_list;
 mod model_state;
-pub mod origins;
 pub mod server;
 pub mod settings;
 pub mod weight_store;
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    booking, configuration_store, engine, http::Activity, kept_cache_store, machine_list,
+    booking, cache_store, configuration_store, engine, http::Activity, machine_list,
     settings::StandinSettings, weight_store,
 };
 
@@ -131,7 +131,7 @@
         StandinSettings::Engine(settings) => engine::server::start(settings),
         StandinSettings::ConfigurationStore(settings) => configuration_store::server::start(settings),
         StandinSettings::WeightStore(settings) => weight_store::server::start(settings),
-        StandinSettings::KeptCacheStore(settings) => kept_cache_store::server::start(settings),
+        StandinSettings::CacheStore(settings) => cache_store::server::start(settings),
         StandinSettings::Booking(settings) => booking::server::start(settings),
         StandinSettings::MachineList(settings) => machine_list::server::start(settings),
     }
--- a/crates/standins/src/settings.rs
+++ b/crates/standins/src/settings.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    engine::settings::EngineBehaviour, faults::ServiceFaults, kept_cache_store::model::KeptCacheLimits,
+    cache_store::model::CacheStoreLimits, engine::settings::EngineBehaviour, faults::ServiceFaults,
     weight_store::model::WeightStoreSpeed,
 };
 
@@ -25,8 +25,9 @@
     ConfigurationStore(ConfigurationStoreSettings),
     /// The weight store.
     WeightStore(WeightStoreSettings),
-    /// The kept-cache store.
-    KeptCacheStore(KeptCacheStoreSettings),
+    /// The cache store.
+    #[serde(rename = "kept-cache-store")]
+    CacheStore(CacheStoreSettings),
     /// The machine list.
     MachineList(MachineListSettings),
     /// An instance of the booking service.
@@ -45,7 +46,7 @@
             Self::Engine(_) => "engine",
             Self::ConfigurationStore(_) => "configuration-store",
             Self::WeightStore(_) => "weight-store",
-            Self::KeptCacheStore(_) => "kept-cache-store",
+            Self::CacheStore(_) => "kept-cache-store",
             Self::MachineList(_) => "machine-list",
             Self::Booking(_) => "booking",
         }
@@ -57,7 +58,7 @@
             Self::Engine(settings) => &mut settings.listen,
             Self::ConfigurationStore(settings) => &mut settings.listen,
             Self::WeightStore(settings) => &mut settings.listen,
-            Self::KeptCacheStore(settings) => &mut settings.listen,
+            Self::CacheStore(settings) => &mut settings.listen,
             Self::MachineList(settings) => &mut settings.listen,
             Self::Booking(settings) => &mut settings.listen,
         }
@@ -193,10 +194,10 @@
     }
 }
 
-/// Settings of the kept-cache store.
+/// Settings of the cache store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct KeptCacheStoreSettings {
+pub struct CacheStoreSettings {
     /// Address to listen on; port 0 lets the system choose.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
@@ -205,18 +206,18 @@
     pub threads: usize,
     /// How much it keeps.
     #[serde(default)]
-    pub limits: KeptCacheLimits,
+    pub limits: CacheStoreLimits,
     /// Faults of its replies.
     #[serde(default)]
     pub faults: ServiceFaults,
 }
 
-impl Default for KeptCacheStoreSettings {
+impl Default for CacheStoreSettings {
     fn default() -> Self {
         Self {
             listen: default_listen(),
             threads: default_threads(),
-            limits: KeptCacheLimits::default(),
+            limits: CacheStoreLimits::default(),
             faults: ServiceFaults::default(),
         }
     }
--- a/crates/standins/src/weight_store/model.rs
+++ b/crates/standins/src/weight_store/model.rs
@@ -30,7 +30,7 @@
 
 /// Identifies a load that is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct LoadNumber(u64);
+pub struct LoadId(u64);
 
 #[derive(Clone, Debug, Serialize)]
 struct Load {
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct WeightStoreModel {
     speed: WeightStoreSpeed,
-    loads: BTreeMap<LoadNumber, Load>,
+    loads: BTreeMap<LoadId, Load>,
     started: u64,
     finished: u64,
     most_at_once: usize,
@@ -66,10 +66,10 @@
     }
 
     /// Begins a load.
-    pub fn begin(&mut self, load: &WeightLoad, now: Timestamp) -> LoadNumber {
+    pub fn begin(&mut self, load: &WeightLoad, now: Timestamp) -> LoadId {
         self.advance(now);
         self.started += 1;
-        let number = LoadNumber(self.started);
+        let number = LoadId(self.started);
         let load = Load {
             engine: load.engine.clone(),
             model: load.model.clone(),
@@ -82,13 +82,13 @@
     }
 
     /// Whether a load has ended by `now`.
-    pub fn is_done(&mut self, number: LoadNumber, now: Timestamp) -> bool {
+    pub fn is_done(&mut self, number: LoadId, now: Timestamp) -> bool {
         self.advance(now);
         !self.loads.contains_key(&number)
     }
 
     /// Gives a load up.
-    pub fn abandon(&mut self, number: LoadNumber, now: Timestamp) {
+    pub fn abandon(&mut self, number: LoadId, now: Timestamp) {
         self.advance(now);
         self.loads.remove(&number);
     }
--- a/crates/standins/src/weight_store/server.rs
+++ b/crates/standins/src/weight_store/server.rs
@@ -18,7 +18,7 @@
     service::ServiceExt,
 };
 
-use super::model::{LoadNumber, WeightStoreModel};
+use super::model::{LoadId, WeightStoreModel};
 use crate::{
     http::{self, BodyBytes, Shared},
     model_state::{HasModel, ModelState, show_state},
@@ -52,7 +52,7 @@
         WeightLoaded { took_ms: u64::try_from(took.as_millis()).unwrap_or(u64::MAX) }
     }
 
-    fn remaining(&self, number: LoadNumber) -> Option<Duration> {
+    fn remaining(&self, number: LoadId) -> Option<Duration> {
         let now = http::now();
         let mut model = self.model();
         if model.is_done(number, now) {
@@ -65,7 +65,7 @@
 /// Gives the load up where its handler is dropped.
 struct RunningLoad<'a> {
     server: &'a WeightStoreServer,
-    number: LoadNumber,
+    number: LoadId,
 }
 
 impl Drop for RunningLoad<'_> {
--- a/crates/standins/tests/engine_model.rs
+++ b/crates/standins/tests/engine_model.rs
@@ -70,7 +70,7 @@
     engine.submit(request("running", 1, 2), Timestamp(0)).unwrap();
     engine.submit(request("normal", 2, 2), Timestamp(1)).unwrap();
     engine.submit(ModelRequest { priority: Priority::High, ..request("high", 3, 2) }, Timestamp(2)).unwrap();
-    assert_eq!(engine.present_load(Timestamp(2)).waiting, 2);
+    assert_eq!(engine.current_load(Timestamp(2)).waiting, 2);
     let outputs = run(&mut engine, END);
     assert!(first_token_at(&outputs, "running") < first_token_at(&outputs, "high"));
     assert!(first_token_at(&outputs, "high") < first_token_at(&outputs, "normal"));
@@ -166,7 +166,7 @@
         behaviour.speed.batch_slots = 1;
     });
     engine.submit(request("a", 1, 100), Timestamp(0)).unwrap();
-    let late = ModelRequest { gives_up_at: Timestamp::from_millis(10), ..request("late", 2, 2) };
+    let late = ModelRequest { deadline: Timestamp::from_millis(10), ..request("late", 2, 2) };
     engine.submit(late, Timestamp(1)).unwrap();
     let outputs = run(&mut engine, END);
     let of_late: Vec<_> = outputs.iter().filter(|output| matches!(&output.event,
@@ -190,7 +190,7 @@
 #[test]
 fn a_continuation_counts_on_from_what_the_caller_has() {
     let mut engine = engine();
-    engine.submit(ModelRequest { already_tokens: 3, ..request("a", 1, 2) }, Timestamp(0)).unwrap();
+    engine.submit(ModelRequest { answer_prefix_tokens: 3, ..request("a", 1, 2) }, Timestamp(0)).unwrap();
     let outputs = run(&mut engine, END);
     assert_eq!(token_indexes(&outputs), vec![3, 4]);
 }
--- a/crates/standins/tests/model_support/mod.rs
+++ b/crates/standins/tests/model_support/mod.rs
@@ -64,9 +64,9 @@
         prompt_tokens: count * BLOCK_TOKENS + 10,
         answer_tokens: 5,
         reason: FinishReason::Stop,
-        already_tokens: 0,
+        answer_prefix_tokens: 0,
         priority: Priority::Normal,
-        gives_up_at: Timestamp::from_millis(60_000_000),
+        deadline: Timestamp::from_millis(60_000_000),
         import: None,
     }
 }
--- a/crates/standins/tests/service_servers.rs
+++ b/crates/standins/tests/service_servers.rs
@@ -19,8 +19,7 @@
     booking::model::LedgerEntry,
     faults::ServiceFaults,
     settings::{
-        BookingSettings, ConfigurationStoreSettings, KeptCacheStoreSettings, StandinSettings,
-        WeightStoreSettings,
+        BookingSettings, CacheStoreSettings, ConfigurationStoreSettings, StandinSettings, WeightStoreSettings,
     },
     weight_store::model::WeightStoreSpeed,
 };
@@ -92,7 +91,7 @@
 
 #[tokio::test]
 async fn kept_copies_go_when_their_origin_ends() {
-    let store = start(StandinSettings::KeptCacheStore(KeptCacheStoreSettings::default()));
+    let store = start(StandinSettings::CacheStore(CacheStoreSettings::default()));
     let address = store.address();
     let blocks: Vec<BlockHash> = (0..4).map(BlockHash).collect();
     let transfer = KvTransfer {
--- a/crates/standins/tests/services.rs
+++ b/crates/standins/tests/services.rs
@@ -15,12 +15,12 @@
     time::Timestamp,
 };
 use paddlemount_standins::{
-    booking::model::{BookingModel, keys_run_twice},
+    booking::model::{BookingModel, duplicate_runs},
+    cache_store::model::{CacheStoreLimits, CacheStoreModel},
     configuration_store::model::ConfigurationStoreModel,
-    faults::{FaultGate, GateRefusal, ReplyFate, ServiceFaults},
-    kept_cache_store::model::{KeptCacheLimits, KeptCacheModel},
+    faults::{FaultInjector, InjectedRefusal, ReplyOutcome, ServiceFaults},
+    incarnations::LatestIncarnations,
     machine_list::model::{MachineChange, MachineListModel},
-    origins::Origins,
     weight_store::model::{WeightStoreModel, WeightStoreSpeed},
 };
 
@@ -146,13 +146,13 @@
     CacheLookup { scope: CacheScope(scope), blocks: blocks.map(BlockHash).collect() }
 }
 
-fn kept_blocks(store: &mut KeptCacheModel, ask: &CacheLookup, now: Timestamp) -> usize {
+fn kept_blocks(store: &mut CacheStoreModel, ask: &CacheLookup, now: Timestamp) -> usize {
     store.find(ask, now).transfer.map_or(0, |transfer| transfer.blocks.len())
 }
 
 #[test]
 fn the_longest_kept_part_is_found_within_its_scope_only() {
-    let mut store = KeptCacheModel::new(KeptCacheLimits::default());
+    let mut store = CacheStoreModel::new(CacheStoreLimits::default());
     store.put(transfer("engine-1", 1, 0..8), at(0)).unwrap();
     let found = store.find(&find(1, 0..5), at(1)).transfer.unwrap();
     assert_eq!((found.blocks.len(), found.bytes), (5, 50));
@@ -162,7 +162,7 @@
 
 #[test]
 fn copies_of_ended_lives_are_dropped_and_refused() {
-    let mut store = KeptCacheModel::new(KeptCacheLimits::default());
+    let mut store = CacheStoreModel::new(CacheStoreLimits::default());
     store.put(transfer("engine-1", 1, 0..8), at(0)).unwrap();
     store.put(transfer("engine-2", 1, 100..108), at(0)).unwrap();
     store.end(&EndedIncarnation { engine: "engine-1".into(), incarnation: Incarnation(1) });
@@ -177,7 +177,7 @@
 
 #[test]
 fn the_kept_cache_is_bounded_in_bytes_and_age() {
-    let mut store = KeptCacheModel::new(KeptCacheLimits { capacity_bytes: 100, longest_age_ms: 1_000 });
+    let mut store = CacheStoreModel::new(CacheStoreLimits { capacity_bytes: 100, max_age_ms: 1_000 });
     store.put(transfer("engine-1", 1, 0..6), at(0)).unwrap();
     store.put(transfer("engine-1", 1, 100..106), at(1)).unwrap();
     assert_eq!(kept_blocks(&mut store, &find(1, 0..6), at(2)), 0);
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_life_once_ended_stays_ended() {
-    let mut origins = Origins::default();
+    let mut origins = LatestIncarnations::default();
     let engine = "engine-1".into();
     origins.end(&engine, Incarnation(3));
     origins.observe(&engine, Incarnation(3));
@@ -218,7 +218,7 @@
     second.run(booking("b", "key-1"), at(1)).unwrap();
     second.run(booking("c", "key-2"), at(2)).unwrap();
     assert_eq!(first.ledger().len() + second.ledger().len(), 3);
-    assert_eq!(keys_run_twice([first.ledger(), second.ledger()]), vec![("tenant".into(), "key-1".into(), 2)]);
+    assert_eq!(duplicate_runs([first.ledger(), second.ledger()]), vec![("tenant".into(), "key-1".into(), 2)]);
     let unknown = ServiceRequest { operation: "cancel".into(), ..booking("d", "key-3") };
     assert_eq!(first.run(unknown, at(3)).unwrap_err().code, RefusalCode::NotFound);
     assert_eq!(first.ledger().len(), 1);
@@ -226,24 +226,25 @@
 
 #[test]
 fn a_gate_limits_the_rate_and_says_when_to_come_back() {
-    let gate = FaultGate::new(ServiceFaults { requests_per_second: Some(10.0), ..ServiceFaults::default() });
+    let gate =
+        FaultInjector::new(ServiceFaults { requests_per_second: Some(10.0), ..ServiceFaults::default() });
     let admitted = (0..20).filter(|_| gate.admit(at(1_000)).is_ok()).count();
     assert_eq!(admitted, 10);
-    assert_eq!(gate.admit(at(1_000)), Err(GateRefusal::RateLimited(Duration::from_millis(100))));
+    assert_eq!(gate.admit(at(1_000)), Err(InjectedRefusal::RateLimited(Duration::from_millis(100))));
     assert_eq!(gate.admit(at(1_100)), Ok(()));
     assert!(gate.admit(at(1_100)).is_err());
 }
 
 #[test]
 fn a_gate_shows_outages_and_loses_or_fails_as_many_replies_as_asked() {
-    let gate = FaultGate::new(ServiceFaults::default());
+    let gate = FaultInjector::new(ServiceFaults::default());
     gate.set_faults(ServiceFaults {
         lose_next_replies: 2,
         fail_next_after_effect: 1,
         ..ServiceFaults::default()
     });
-    let fates: Vec<ReplyFate> = (0..4).map(|_| gate.reply_fate()).collect();
-    assert_eq!(fates, vec![ReplyFate::Lost, ReplyFate::Lost, ReplyFate::Failed, ReplyFate::Sent]);
+    let fates: Vec<ReplyOutcome> = (0..4).map(|_| gate.reply_outcome()).collect();
+    assert_eq!(fates, vec![ReplyOutcome::Lost, ReplyOutcome::Lost, ReplyOutcome::Failed, ReplyOutcome::Sent]);
     gate.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() });
-    assert_eq!(gate.admit(at(0)), Err(GateRefusal::Outage));
+    assert_eq!(gate.admit(at(0)), Err(InjectedRefusal::Outage));
 }
--- a/crates/standins/tests/settings.rs
+++ b/crates/standins/tests/settings.rs
@@ -59,7 +59,7 @@
         StandinSettings::from_toml(ENGINE).unwrap(),
         StandinSettings::ConfigurationStore(ConfigurationStoreSettings::default()),
         StandinSettings::WeightStore(Default::default()),
-        StandinSettings::KeptCacheStore(Default::default()),
+        StandinSettings::CacheStore(Default::default()),
         StandinSettings::MachineList(Default::default()),
         StandinSettings::Booking(BookingSettings::new("booking-1".into())),
     ];
