--- a/crates/bench/src/drill.rs
+++ b/crates/bench/src/drill.rs
@@ -7,20 +7,20 @@
 
 mod bookings;
 mod callers;
+mod cluster;
 pub mod command;
 mod delivery;
 mod engines;
 mod event;
 mod faults;
 mod history;
-mod judge;
+mod invariants;
 mod models;
 mod node;
 mod peers;
-mod placing;
+mod placement;
 mod settings;
 mod store;
-mod world;
 
 use std::{
     ops::Range,
@@ -33,7 +33,7 @@
 
 use serde::Serialize;
 
-pub use history::{History, Promise, Violation};
+pub use history::{History, Invariant, Violation};
 pub use settings::{Breakage, Drill, Fault, RunSettings, UnknownDrill};
 
 /// A broken promise of one run.
@@ -44,7 +44,8 @@
     /// The seed.
     pub seed: u64,
     /// The promise.
-    pub promise: Promise,
+    #[serde(rename = "promise")]
+    pub invariant: Invariant,
     /// What was seen.
     pub what: String,
     /// The events that explain it.
@@ -68,10 +69,10 @@
 
 /// Runs one drill under one seed; at most one failure for each promise.
 pub fn run(settings: &RunSettings) -> Vec<Failure> {
-    let history = world::World::new(settings.clone()).run();
+    let history = cluster::SimCluster::new(settings.clone()).run();
     let mut failures: Vec<Failure> = Vec::new();
     for violation in &history.violations {
-        if failures.iter().all(|failure| failure.promise != violation.promise) {
+        if failures.iter().all(|failure| failure.invariant != violation.invariant) {
             failures.push(failure(settings, &history, violation));
         }
     }
@@ -81,8 +82,8 @@
 fn failure(settings: &RunSettings, history: &History, violation: &Violation) -> Failure {
     let (drill, seed) = (settings.drill.name.clone(), settings.seed);
     let repeat = format!("paddlemount bench drill {drill} --seeds {seed}..{}", seed + 1);
-    let (promise, what) = (violation.promise, violation.what.clone());
-    Failure { drill, seed, promise, what, trace: history.explain(violation), repeat }
+    let (invariant, what) = (violation.invariant, violation.what.clone());
+    Failure { drill, seed, invariant, what, trace: history.explain(violation), repeat }
 }
 
 /// Runs drills under all seeds on some threads; failures come in the order of drills and seeds.
--- a/crates/bench/src/drill/bookings.rs
+++ b/crates/bench/src/drill/bookings.rs
@@ -16,29 +16,29 @@
 use rand::RngExt;
 
 use super::{
-    event::{Event, NodeLife},
+    cluster::SimCluster,
+    event::{Event, NodeIncarnation},
     node::ActiveClaim,
     settings::Breakage,
-    world::World,
 };
 
 const DEADLINE: Duration = Duration::from_secs(5);
 const DISPATCH_TIMEOUT: Duration = Duration::from_secs(2);
-const DISPATCHES: u32 = 3;
-const LOST_SHARE: f64 = 0.4;
+const MAX_DISPATCHES: u32 = 3;
+const REPLY_LOSS: f64 = 0.4;
 const BUSY_SHARE: f64 = 0.1;
 const CALLER_DELAY: Duration = Duration::from_millis(1);
 
-impl World {
+impl SimCluster {
     /// A node takes a booking, or refuses it.
-    pub fn serve_booking(&mut self, at: NodeLife, key: &str, attempt: usize, now: Timestamp) {
+    pub fn serve_booking(&mut self, at: NodeIncarnation, key: &str, attempt: usize, now: Timestamp) {
         let stopping = self.nodes[at.node].stopping;
-        let unguarded = self.is_broken(Breakage::ServesUnconfirmed);
+        let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
         let own = self.nodes[at.node].name.clone();
-        let without_claims = self.is_broken(Breakage::NoClaims);
+        let without_claims = self.has_breakage(Breakage::NoClaims);
         let Some(memory) = self.memory(at) else { return };
         let document = memory.peers.configuration().cloned();
-        let may_serve = unguarded || memory.peers.may_serve(now);
+        let may_serve = serves_unconfirmed || memory.peers.may_serve(now);
         let Some(document) = document.filter(|_| may_serve && !stopping) else {
             let refusal = Refusal::unknown(RefusalCode::Unavailable, "the node cannot serve now");
             return self.end_booking(key, attempt, ClaimOutcome::Refused(refusal), now);
@@ -46,7 +46,7 @@
         let placement = &document.configuration.claims;
         let claim = claim_key(&TenantId::from("kestrel"), &IdempotencyKey::from(key));
         let replicas = if without_claims { vec![own] } else { replicas_of(placement, &claim) };
-        let owner = AttemptId::from(format!("{}.{}.{key}.{attempt}", at.node, at.life));
+        let owner = AttemptId::from(format!("{}.{}.{key}.{attempt}", at.node, at.incarnation));
         let request = ClaimedRequest {
             key: claim,
             owner: owner.clone(),
@@ -61,7 +61,13 @@
         self.claim_actions(at, &owner, actions, now);
     }
 
-    fn claim_actions(&mut self, at: NodeLife, owner: &AttemptId, actions: Vec<ClaimAction>, now: Timestamp) {
+    fn claim_actions(
+        &mut self,
+        at: NodeIncarnation,
+        owner: &AttemptId,
+        actions: Vec<ClaimAction>,
+        now: Timestamp,
+    ) {
         for action in actions {
             match action {
                 ClaimAction::Send { to, message } => self.send_claim(at, owner, &to, message),
@@ -81,16 +87,20 @@
         }
     }
 
-    fn claim_event(&mut self, at: NodeLife, owner: &AttemptId, event: ClaimEvent, now: Timestamp) {
+    fn claim_event(&mut self, at: NodeIncarnation, owner: &AttemptId, event: ClaimEvent, now: Timestamp) {
         let Some(active) = self.memory(at).and_then(|memory| memory.claims.get_mut(owner)) else { return };
         let actions = active.coordinator.handle(event, now);
         self.claim_actions(at, owner, actions, now);
     }
 
-    fn send_claim(&mut self, at: NodeLife, owner: &AttemptId, to: &NodeId, message: ClaimMessage) {
+    fn send_claim(&mut self, at: NodeIncarnation, owner: &AttemptId, to: &NodeId, message: ClaimMessage) {
         let Some(number) = self.nodes.iter().position(|node| node.name == *to) else { return };
-        let event =
-            Event::Claim { to: self.nodes[number].life_of(number), from: at, owner: owner.clone(), message };
+        let event = Event::Claim {
+            to: self.nodes[number].incarnation_of(number),
+            from: at,
+            owner: owner.clone(),
+            message,
+        };
         let (from, target) = (self.nodes[at.node].endpoint, self.nodes[number].endpoint);
         self.send(from, target, event);
     }
@@ -98,8 +108,8 @@
     /// A claim message arrives at a replica.
     pub fn claim_message(
         &mut self,
-        to: NodeLife,
-        from: NodeLife,
+        to: NodeIncarnation,
+        from: NodeIncarnation,
         owner: AttemptId,
         message: &ClaimMessage,
         now: Timestamp,
@@ -109,7 +119,7 @@
         let is_claim = matches!(message, ClaimMessage::Claim { .. });
         if is_claim {
             let key = owner.as_str().split('.').nth(2).unwrap_or_default().to_owned();
-            self.history.note(now, key, format!("node-{} answers {owner}: {reply:?}", to.node));
+            self.history.record(now, key, format!("node-{} answers {owner}: {reply:?}", to.node));
         }
         let (replica, target) = (self.nodes[to.node].endpoint, self.nodes[from.node].endpoint);
         let event = Event::ClaimReply { to: from, replica: to.node, owner, is_claim, reply };
@@ -119,7 +129,7 @@
     /// A replica's answer arrives.
     pub fn claim_reply(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         replica: usize,
         owner: &AttemptId,
         is_claim: bool,
@@ -133,18 +143,18 @@
     }
 
     /// A timer of a claimed request fires.
-    pub fn claim_timer(&mut self, at: NodeLife, owner: &AttemptId, now: Timestamp) {
+    pub fn claim_timer(&mut self, at: NodeIncarnation, owner: &AttemptId, now: Timestamp) {
         self.claim_event(at, owner, ClaimEvent::Tick, now);
     }
 
-    fn dispatch_booking(&mut self, at: NodeLife, owner: &AttemptId, now: Timestamp) {
+    fn dispatch_booking(&mut self, at: NodeIncarnation, owner: &AttemptId, now: Timestamp) {
         let instances = self.bookings.len();
         let Some(active) = self.memory(at).and_then(|memory| memory.claims.get_mut(owner)) else { return };
         active.dispatches += 1;
         let number = active.dispatches;
         let key = active.key.clone();
         let instance = (key.len() + usize::from(key.as_bytes()[key.len() - 1]) + number as usize) % instances;
-        self.history.note(now, key, format!("node-{} sends dispatch {number} of {owner}", at.node));
+        self.history.record(now, key, format!("node-{} sends dispatch {number} of {owner}", at.node));
         let timeout = Event::BookingTimeout { to: at, owner: owner.clone(), number };
         self.queue.schedule_after(DISPATCH_TIMEOUT, timeout);
         let event = Event::Booking { instance, from: at, owner: owner.clone(), number };
@@ -153,9 +163,9 @@
         }
     }
 
-    fn not_run(&mut self, at: NodeLife, owner: &AttemptId, code: RefusalCode, now: Timestamp) {
+    fn not_run(&mut self, at: NodeIncarnation, owner: &AttemptId, code: RefusalCode, now: Timestamp) {
         let Some(active) = self.memory(at).and_then(|memory| memory.claims.get(owner)) else { return };
-        let others_left = active.dispatches < DISPATCHES;
+        let others_left = active.dispatches < MAX_DISPATCHES;
         let message = "the service did not take it".to_owned();
         let result = RunResult::NotRun { code, message, others_left };
         self.claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
@@ -165,7 +175,7 @@
     pub fn booking(
         &mut self,
         instance: usize,
-        from: NodeLife,
+        from: NodeIncarnation,
         owner: AttemptId,
         number: u32,
         now: Timestamp,
@@ -182,22 +192,22 @@
                 operation: "charge".to_owned(),
                 body: serde_json::json!({ "key": key }),
             };
-            self.history.note(now, key.as_str(), format!("booking-{instance} runs {owner}"));
+            self.history.record(now, key.as_str(), format!("booking-{instance} runs {owner}"));
             self.history.bookings.entry(key).or_default().runs.push((instance, now));
             let result = self.bookings[instance].model.run(request, now);
             result.map(|response| response.body.to_string()).map_err(|refusal| refusal.message)
         };
-        if self.loses_replies && self.random.random_bool(LOST_SHARE) {
+        if self.loses_replies && self.random.random_bool(REPLY_LOSS) {
             return;
         }
         let (back_end, node) = (self.bookings[instance].endpoint, self.nodes[from.node].endpoint);
-        self.send(back_end, node, Event::Booked { to: from, owner, answer });
+        self.send(back_end, node, Event::BookingReply { to: from, owner, answer });
     }
 
     /// A back end's answer arrives.
-    pub fn booked(
+    pub fn booking_reply(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         owner: &AttemptId,
         answer: Result<String, String>,
         now: Timestamp,
@@ -211,8 +221,8 @@
     }
 
     /// A dispatch has waited long enough; ignored where it was answered.
-    pub fn booking_timeout(&mut self, at: NodeLife, owner: &AttemptId, number: u32, now: Timestamp) {
-        let unclear_is_not_run = self.is_broken(Breakage::UnclearIsNotRun);
+    pub fn booking_timeout(&mut self, at: NodeIncarnation, owner: &AttemptId, number: u32, now: Timestamp) {
+        let unclear_is_not_run = self.has_breakage(Breakage::UnclearIsNotRun);
         let Some(active) = self.memory(at).and_then(|memory| memory.claims.get(owner)) else { return };
         if active.dispatches != number {
             return;
@@ -227,7 +237,7 @@
     }
 
     fn end_booking(&mut self, key: &str, attempt: usize, ending: ClaimOutcome, now: Timestamp) {
-        self.history.note(now, key, format!("try {attempt} ends: {ending:?}"));
+        self.history.record(now, key, format!("try {attempt} ends: {ending:?}"));
         if let ClaimOutcome::Refused(refusal) = &ending
             && refusal.outcome == Outcome::NotRun
         {
--- a/crates/bench/src/drill/callers.rs
+++ b/crates/bench/src/drill/callers.rs
@@ -16,10 +16,10 @@
 use rand::{RngExt, seq::IndexedRandom};
 
 use super::{
+    cluster::{SimCluster, model_name, pool_name},
     event::Event,
     history::Answer,
-    node::HOME_NODES,
-    world::{World, model_name, pool_name},
+    node::PRIMARY_NODES,
 };
 
 const FIRST_REQUEST_MS: u64 = 6_000;
@@ -27,12 +27,12 @@
 const MODEL_REQUESTS: u32 = 36;
 const BOOKINGS: u32 = 30;
 const CHANGES: u64 = 4;
-const CALLER_PATIENCE: Duration = Duration::from_secs(7);
-const TRIES: usize = 5;
+const CALLER_TIMEOUT: Duration = Duration::from_secs(7);
+const MAX_ATTEMPTS: usize = 5;
 const HEDGED_SHARE: f64 = 0.25;
 
 /// The document at the start.
-pub fn first_document() -> Configuration {
+pub fn initial_document() -> Configuration {
     let mut configuration = Configuration::default();
     for tenant in ["kestrel", "benoni"] {
         configuration.tenants.insert(TenantId::from(tenant), Tenant::default());
@@ -51,7 +51,7 @@
         zone: ZoneId::from(format!("zone-{}", number % 3)),
         region: RegionId::from("region-0"),
     };
-    let members = (0..HOME_NODES).map(member).collect();
+    let members = (0..PRIMARY_NODES).map(member).collect();
     configuration.claims = ClaimPlacement { epoch: PlacementEpoch(1), members, next: None };
     configuration
 }
@@ -71,31 +71,31 @@
     }
 }
 
-impl World {
+impl SimCluster {
     /// Plans what callers and operators ask.
     pub fn schedule_callers(&mut self) {
         let any_time = FIRST_REQUEST_MS..LAST_REQUEST_MS;
         for number in 0..MODEL_REQUESTS {
             let at = Timestamp::from_millis(self.random.random_range(any_time.clone()));
-            self.queue.schedule_at(at, Event::AskModel { number, node: None });
+            self.queue.schedule_at(at, Event::SendModelRequest { number, node: None });
         }
         for number in 0..BOOKINGS {
             let at = self.random.random_range(any_time.clone());
             let key = format!("{:08x}-{:04x}-7000-8000-{number:012x}", at >> 16, at & 0xffff);
-            self.queue.schedule_at(Timestamp::from_millis(at), Event::AskBooking { key, attempt: 0 });
+            self.queue.schedule_at(Timestamp::from_millis(at), Event::SendBooking { key, attempt: 0 });
         }
         for number in 0..CHANGES {
             let at = Timestamp::from_millis(self.random.random_range(any_time.clone()));
-            let node = self.random.random_range(0..HOME_NODES);
+            let node = self.random.random_range(0..PRIMARY_NODES);
             let weight = u32::try_from(number).unwrap_or_default() + 10;
             let request = Box::new(weight_change(&format!("change-{number}"), weight, None));
-            self.queue.schedule_at(at, Event::AskChange { node, request });
+            self.queue.schedule_at(at, Event::SubmitChange { node, request });
         }
     }
 
     /// A caller sends a model request, to `node` where one is given.
-    pub fn ask_model(&mut self, number: u32, node: Option<usize>, now: Timestamp) {
-        let open: Vec<usize> = self.open_nodes(now).into_iter().collect();
+    pub fn send_model_request(&mut self, number: u32, node: Option<usize>, now: Timestamp) {
+        let open: Vec<usize> = self.available_nodes(now).into_iter().collect();
         let chosen = node.or_else(|| open.choose(&mut self.random).copied());
         let Some(node) = chosen else { return };
         let request = RequestId::from(format!("request-{number}"));
@@ -108,27 +108,27 @@
             ..Answer::default()
         };
         self.history.answers.insert(request.clone(), answer);
-        self.history.note(now, request.as_str(), format!("sent to node-{node}, {tokens} tokens"));
-        self.serve_model(self.nodes[node].life_of(node), &request, now);
+        self.history.record(now, request.as_str(), format!("sent to node-{node}, {tokens} tokens"));
+        self.serve_model(self.nodes[node].incarnation_of(node), &request, now);
     }
 
     /// The number of a request that the drill itself adds.
-    pub const fn added_request(node: usize) -> u32 {
+    pub const fn restart_probe_number(node: usize) -> u32 {
         MODEL_REQUESTS + node as u32
     }
 
     /// A caller sends a booking, sometimes to two nodes at once.
-    pub fn ask_booking(&mut self, key: &str, attempt: usize, now: Timestamp) {
-        let open: Vec<usize> = self.open_nodes(now).into_iter().collect();
+    pub fn send_booking(&mut self, key: &str, attempt: usize, now: Timestamp) {
+        let open: Vec<usize> = self.available_nodes(now).into_iter().collect();
         let hedged = self.random.random_bool(HEDGED_SHARE);
         let nodes: Vec<usize> = open.sample(&mut self.random, if hedged { 2 } else { 1 }).copied().collect();
         let booking = self.history.bookings.entry(key.to_owned()).or_default();
         booking.endings.push(None);
-        let waited = Event::BookingEnded { key: key.to_owned(), attempt, ending: None };
-        self.queue.schedule_after(CALLER_PATIENCE, waited);
+        let timeout = Event::BookingEnded { key: key.to_owned(), attempt, ending: None };
+        self.queue.schedule_after(CALLER_TIMEOUT, timeout);
         for node in nodes {
-            self.history.note(now, key, format!("try {attempt} sent to node-{node}"));
-            self.serve_booking(self.nodes[node].life_of(node), key, attempt, now);
+            self.history.record(now, key, format!("try {attempt} sent to node-{node}"));
+            self.serve_booking(self.nodes[node].incarnation_of(node), key, attempt, now);
         }
     }
 
@@ -151,22 +151,22 @@
             }
             None => true,
         };
-        if !first || !again || attempt + 1 >= TRIES || booking.endings.len() > attempt + 1 {
+        if !first || !again || attempt + 1 >= MAX_ATTEMPTS || booking.endings.len() > attempt + 1 {
             return;
         }
         let pause = Duration::from_millis(self.random.random_range(50..1_500));
-        let next = Event::AskBooking { key: key.to_owned(), attempt: attempt + 1 };
+        let next = Event::SendBooking { key: key.to_owned(), attempt: attempt + 1 };
         self.queue.schedule_at(now + pause, next);
     }
 
     /// Two operators change the same object by way of two nodes, based on the same revision.
-    pub fn operators_race(&mut self, fault: usize, now: Timestamp) {
+    pub fn race_operators(&mut self, fault: usize, now: Timestamp) {
         let revision = Some(self.store.present().revision);
         for (operator, node) in [(0_u32, 1), (1, 3)] {
             let id = format!("race-{fault}-{operator}");
             let request = Box::new(weight_change(&id, 100 + operator, revision));
             let pause = Duration::from_millis(self.random.random_range(0..5));
-            self.queue.schedule_at(now + pause, Event::AskChange { node, request });
+            self.queue.schedule_at(now + pause, Event::SubmitChange { node, request });
         }
     }
 
@@ -180,6 +180,6 @@
             command: "roll out weights 2".to_owned(),
             dry_run: false,
         };
-        self.queue.schedule_at(now, Event::AskChange { node: 2, request: Box::new(request) });
+        self.queue.schedule_at(now, Event::SubmitChange { node: 2, request: Box::new(request) });
     }
 }
--- a/crates/bench/src/drill/world.rs
+++ b/crates/bench/src/drill/cluster.rs
@@ -13,23 +13,23 @@
 
 use super::{
     engines::SimEngine,
-    event::{Event, NodeLife},
-    history::{History, Promise},
-    judge,
-    node::{HOME_NODES, HOME_ZONES, NodeMemory, SimNode},
+    event::{Event, NodeIncarnation},
+    history::{History, Invariant},
+    invariants,
+    node::{NodeMemory, PRIMARY_NODES, PRIMARY_ZONES, SimNode},
     settings::{Breakage, FaultWindow, RunSettings},
     store::SimStore,
 };
 use crate::simulation::{Endpoint, EventQueue, LinkQuality, LinkSettings, Links, Region, Zone, derived_seed};
 
-const ALL_NODES: usize = 7;
+const NODES: usize = 7;
 const ENGINES: usize = 4;
 const BOOKINGS: usize = 2;
 /// The zone of the platform's services, which is never cut.
 const PLATFORM_ZONE: Zone = Zone(9);
 /// The run's length.
-pub const RUN: Duration = Duration::from_secs(60);
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+pub const RUN_DURATION: Duration = Duration::from_secs(60);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A booking instance.
 pub struct SimBooking {
@@ -40,7 +40,7 @@
 }
 
 /// The cluster and everything around it.
-pub struct World {
+pub struct SimCluster {
     /// What is run.
     pub settings: RunSettings,
     /// Faults and their times.
@@ -79,20 +79,20 @@
     ModelId::from("model")
 }
 
-impl World {
+impl SimCluster {
     /// A cluster whose processes are about to start.
     pub fn new(settings: RunSettings) -> Self {
         let seed = settings.seed;
-        let mut links = Links::new(distances(), seed);
+        let mut links = Links::new(link_settings(), seed);
         let store = SimStore::new(links.add(PLATFORM_ZONE, Region(0)));
-        let nodes = (0..ALL_NODES).map(|number| SimNode::new(number, &mut links)).collect();
+        let nodes = (0..NODES).map(|number| SimNode::new(number, &mut links)).collect();
         let engines = (0..ENGINES)
-            .map(|number| SimEngine::new(number, links.add(Zone(number % HOME_ZONES), Region(0)), seed))
+            .map(|number| SimEngine::new(number, links.add(Zone(number % PRIMARY_ZONES), Region(0)), seed))
             .collect();
         let booking = |number: usize| {
             let name = format!("booking-{number}");
             SimBooking {
-                endpoint: links.add(Zone(number % HOME_ZONES), Region(0)),
+                endpoint: links.add(Zone(number % PRIMARY_ZONES), Region(0)),
                 model: BookingModel::new(name.as_str().into()),
             }
         };
@@ -119,20 +119,20 @@
         (0..self.nodes.len()).for_each(|node| self.queue.schedule_at(Timestamp::ZERO, Event::Start(node)));
         self.schedule_callers();
         for (number, window) in self.windows.clone().iter().enumerate() {
-            self.queue.schedule_at(window.begin, Event::FaultBegins(number));
-            self.queue.schedule_at(window.end, Event::FaultEnds(number));
+            self.queue.schedule_at(window.begin, Event::FaultBegin(number));
+            self.queue.schedule_at(window.end, Event::FaultEnd(number));
         }
-        self.queue.schedule_after(LOOK_PERIOD, Event::Look);
-        let end = Timestamp::ZERO + RUN;
+        self.queue.schedule_after(CHECK_INTERVAL, Event::CheckNodes);
+        let end = Timestamp::ZERO + RUN_DURATION;
         while let Some((now, event)) = self.queue.pop_until(end) {
-            self.take(event, now);
+            self.handle_event(event, now);
         }
-        judge::judge(&mut self.history, &self.store.documents, end);
+        invariants::check_all(&mut self.history, &self.store.documents, end);
         self.history
     }
 
     /// Whether a mechanism is switched off.
-    pub fn is_broken(&self, breakage: Breakage) -> bool {
+    pub fn has_breakage(&self, breakage: Breakage) -> bool {
         self.settings.breakage == breakage
     }
 
@@ -146,9 +146,9 @@
     }
 
     /// The memory of a node's life that still runs.
-    pub fn memory(&mut self, at: NodeLife) -> Option<&mut NodeMemory> {
+    pub fn memory(&mut self, at: NodeIncarnation) -> Option<&mut NodeMemory> {
         let node = &mut self.nodes[at.node];
-        if node.life == at.life { node.memory.as_mut() } else { None }
+        if node.incarnation == at.incarnation { node.memory.as_mut() } else { None }
     }
 
     /// Starts a node without memory.
@@ -158,58 +158,58 @@
         if node.memory.is_some() {
             return;
         }
-        node.life += 1;
+        node.incarnation += 1;
         node.stopping = false;
         node.started_at = now;
         node.revision = Revision(0);
         node.paused_until = Timestamp::ZERO;
         node.memory = Some(NodeMemory::new(node, seeds, &self.settings, now));
-        let at = node.life_of(number);
-        self.history.note(now, format!("node-{number}"), "starts");
+        let at = node.incarnation_of(number);
+        self.history.record(now, format!("node-{number}"), "starts");
         self.queue.schedule_at(now, Event::Wake(at));
-        self.queue.schedule_at(now, Event::Second(at));
+        self.queue.schedule_at(now, Event::PeriodicTick(at));
     }
 
     /// The judge looks at what each node holds and whether it serves.
-    pub(super) fn look(&mut self, now: Timestamp) {
-        self.queue.schedule_after(LOOK_PERIOD, Event::Look);
-        let due = judge::due_revision(&self.history, now);
-        let unguarded = self.is_broken(Breakage::ServesUnconfirmed);
+    pub(super) fn check_nodes(&mut self, now: Timestamp) {
+        self.queue.schedule_after(CHECK_INTERVAL, Event::CheckNodes);
+        let due = invariants::required_revision(&self.history, now);
+        let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
             let Some(memory) = node.memory.as_ref().filter(|_| node.paused_until <= now) else { continue };
             let held = memory.peers.configuration().map_or(Revision(0), |document| document.revision);
-            let serves = held > Revision(0) && (unguarded || memory.peers.may_serve(now));
+            let serves = held > Revision(0) && (serves_unconfirmed || memory.peers.may_serve(now));
             let before = std::mem::replace(&mut node.revision, held);
             let name = format!("node-{number}");
             if held < before {
                 let what = format!("{name} went from revision {before} to {held}");
-                self.history.broken(Promise::ConfigurationStays, now, what, &[&name]);
+                self.history.record_violation(Invariant::ConfigurationStays, now, what, &[&name]);
             }
             if serves && held < due {
                 let what = format!("{name} serves under revision {held}; {due} was accepted 9 s ago");
-                self.history.broken(Promise::ConfigurationStays, now, what, &[&name, "store"]);
+                self.history.record_violation(Invariant::ConfigurationStays, now, what, &[&name, "store"]);
             }
         }
     }
 
     /// The configuration in force at a node.
-    pub fn configuration(&mut self, at: NodeLife) -> Option<std::sync::Arc<RevisedConfiguration>> {
+    pub fn configuration(&mut self, at: NodeIncarnation) -> Option<std::sync::Arc<RevisedConfiguration>> {
         self.memory(at)?.peers.configuration().cloned()
     }
 
     /// Nodes that callers can reach: they run, are not paused, and are in the engines' region.
-    pub fn open_nodes(&self, now: Timestamp) -> BTreeSet<usize> {
+    pub fn available_nodes(&self, now: Timestamp) -> BTreeSet<usize> {
         let open = |number: &usize| {
             let node = &self.nodes[*number];
             node.memory.is_some() && node.paused_until <= now && !node.stopping
         };
-        (0..HOME_NODES).filter(open).collect()
+        (0..PRIMARY_NODES).filter(open).collect()
     }
 }
 
 /// Links without faults.
-fn distances() -> LinkSettings {
+fn link_settings() -> LinkSettings {
     let quality = |delay_us, jitter_us| LinkQuality {
         delay: Duration::from_micros(delay_us),
         jitter: Duration::from_micros(jitter_us),
--- a/crates/bench/src/drill/command.rs
+++ b/crates/bench/src/drill/command.rs
@@ -54,8 +54,10 @@
             continue;
         }
         let trace = failure.trace.join("\n  ");
-        let Failure { drill, seed, promise, what, repeat, .. } = failure;
-        print(&format!("{drill}, seed {seed}: {promise:?} broken: {what}\n  {trace}\nrepeat: {repeat}\n\n"))?;
+        let Failure { drill, seed, invariant, what, repeat, .. } = failure;
+        print(&format!(
+            "{drill}, seed {seed}: {invariant:?} broken: {what}\n  {trace}\nrepeat: {repeat}\n\n"
+        ))?;
     }
     Ok(())
 }
--- a/crates/bench/src/drill/delivery.rs
+++ b/crates/bench/src/drill/delivery.rs
@@ -2,14 +2,14 @@
 
 use paddlemount_protocol::time::Timestamp;
 
-use super::{event::Event, world::World};
+use super::{cluster::SimCluster, event::Event};
 
-impl World {
+impl SimCluster {
     /// Lets an event happen, unless it was meant for a life that has ended; a paused node gets it later.
-    pub(super) fn take(&mut self, event: Event, now: Timestamp) {
+    pub(super) fn handle_event(&mut self, event: Event, now: Timestamp) {
         if let Some(at) = event.target() {
             let node = &self.nodes[at.node];
-            if node.life != at.life || node.memory.is_none() {
+            if node.incarnation != at.incarnation || node.memory.is_none() {
                 return;
             }
             if node.paused_until > now {
@@ -18,13 +18,13 @@
                 return;
             }
         }
-        self.happen(event, now);
+        self.deliver(event, now);
     }
 
-    fn happen(&mut self, event: Event, now: Timestamp) {
+    fn deliver(&mut self, event: Event, now: Timestamp) {
         match event {
             Event::Wake(at) => self.wake(at, now),
-            Event::Second(at) => self.second(at, now),
+            Event::PeriodicTick(at) => self.periodic_tick(at, now),
             Event::PeerRequest { to, from, call, request } => {
                 self.peer_request(to, from, call, &request, now)
             }
@@ -33,16 +33,18 @@
             Event::StoreCall { from, call } => self.store_call(from, call, now),
             Event::StoreAnswer { to, answer } => self.store_answer(to, answer, now),
             Event::WatchExpires { from, call, after } => self.watch_expires(from, call, after),
-            Event::EngineDue(engine) => self.engine_due(engine, now),
-            Event::StatusAsked { engine, from, asked_at } => self.status_asked(engine, from, asked_at, now),
-            Event::Status { to, status, asked_at } => self.status(to, &status, asked_at, now),
+            Event::EngineStep(engine) => self.step_engine(engine, now),
+            Event::StatusRequested { engine, from, requested_at } => {
+                self.status_requested(engine, from, requested_at, now)
+            }
+            Event::Status { to, status, requested_at } => self.status(to, &status, requested_at, now),
             Event::Machines { to, leaving } => self.machines(to, &leaving, now),
             Event::Submit { engine, dispatch } => self.submit(engine, *dispatch, now),
             Event::Resume { engine, from, request, attempt, incarnation, next } => {
                 self.resume(engine, from, &request, &attempt, incarnation, next, now);
             }
             Event::Cancel { engine, attempt } => self.cancel(engine, &attempt, now),
-            Event::Request { to, request, event } => self.drive(to, &request, *event, now),
+            Event::Request { to, request, event } => self.handle_request_event(to, &request, *event, now),
             Event::RequestTimer { to, request } => self.request_timer(to, &request, now),
             Event::Order { engine, from, order } => self.order(engine, from, &order, now),
             Event::OrderDone { to, engine, order, result } => {
@@ -56,19 +58,19 @@
             Event::Booking { instance, from, owner, number } => {
                 self.booking(instance, from, owner, number, now)
             }
-            Event::Booked { to, owner, answer } => self.booked(to, &owner, answer, now),
+            Event::BookingReply { to, owner, answer } => self.booking_reply(to, &owner, answer, now),
             Event::BookingTimeout { to, owner, number } => self.booking_timeout(to, &owner, number, now),
-            Event::AskModel { number, node } => self.ask_model(number, node, now),
-            Event::AskBooking { key, attempt } => self.ask_booking(&key, attempt, now),
+            Event::SendModelRequest { number, node } => self.send_model_request(number, node, now),
+            Event::SendBooking { key, attempt } => self.send_booking(&key, attempt, now),
             Event::BookingEnded { key, attempt, ending } => self.booking_ended(&key, attempt, ending, now),
-            Event::AskChange { node, request } => self.ask_change(node, *request, now),
-            Event::AskRace { fault } => self.operators_race(fault, now),
+            Event::SubmitChange { node, request } => self.submit_change(node, *request, now),
+            Event::RaceOperators { fault } => self.race_operators(fault, now),
             Event::EndWhenIdle(node) => self.end_when_idle(node, now),
-            Event::FaultBegins(number) => self.fault_begins(number, now),
-            Event::FaultEnds(number) => self.fault_ends(number, now),
+            Event::FaultBegin(number) => self.begin_fault(number, now),
+            Event::FaultEnd(number) => self.end_fault(number, now),
             Event::Start(node) => self.start(node, now),
-            Event::EngineStarts(engine) => self.engine_starts(engine, now),
-            Event::Look => self.look(now),
+            Event::EngineStart(engine) => self.restart_engine(engine, now),
+            Event::CheckNodes => self.check_nodes(now),
         }
     }
 }
--- a/crates/bench/src/drill/engines.rs
+++ b/crates/bench/src/drill/engines.rs
@@ -16,12 +16,12 @@
 use rand::RngExt;
 
 use super::{
-    event::{Dispatch, Event, NodeLife},
-    history::Promise,
-    judge,
-    models::ModelAsk,
+    cluster::{SimCluster, model_name, pool_name},
+    event::{Dispatch, Event, NodeIncarnation},
+    history::Invariant,
+    invariants,
+    models::ModelRequestSpec,
     settings::Breakage,
-    world::{World, model_name, pool_name},
 };
 use crate::simulation::Endpoint;
 
@@ -29,11 +29,11 @@
 /// The share of frames after which a stream stalls, where answers are late.
 const STALL_SHARE: f64 = 0.06;
 /// Time in which a leaving back end may still get new work.
-const LEAVING_GRACE: Duration = Duration::from_secs(3);
+const DRAINING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Where a try's frames go.
 struct Stream {
-    to: NodeLife,
+    to: NodeIncarnation,
     request: RequestId,
     /// The last frame's arrival; a connection keeps its order.
     last_at: Timestamp,
@@ -80,10 +80,12 @@
     format!("{request}/{}/{index}", attempt_number(attempt))
 }
 
-impl World {
+impl SimCluster {
     /// A try arrives at an engine.
     pub fn submit(&mut self, number: usize, dispatch: Dispatch, now: Timestamp) {
-        let Some(ModelAsk { tenant, prompt, tokens }) = self.ask_of(&dispatch.request) else { return };
+        let Some(ModelRequestSpec { tenant, prompt, tokens }) = self.request_spec(&dispatch.request) else {
+            return;
+        };
         let engine = &mut self.engines[number];
         if !engine.model.is_up() {
             let event = RequestEvent::NotSent { attempt: dispatch.attempt };
@@ -114,7 +116,7 @@
             Err(refusal) => RequestEvent::Refused { attempt: dispatch.attempt.clone(), refusal },
             Ok(()) => {
                 self.accepted(number, &dispatch, now);
-                return self.after_engine(number, now);
+                return self.advance_engine(number, now);
             }
         };
         self.reply_request(number, dispatch.from, &dispatch.request, event);
@@ -127,26 +129,33 @@
             Stream { to: dispatch.from, request: dispatch.request.clone(), last_at: now, broken: false };
         engine.streams.insert(dispatch.attempt.clone(), stream);
         let (request, name) = (dispatch.request.as_str(), format!("engine-{number}"));
-        let meant = &dispatch.precondition;
+        let expected = &dispatch.precondition;
         let weights = engine.model.loaded().map(|loaded| loaded.weights);
-        let same = meant.incarnation == engine.model.incarnation() && Some(meant.weights) == weights;
-        self.history.note(now, request, format!("{name} takes try {}", attempt_number(&dispatch.attempt)));
+        let same = expected.incarnation == engine.model.incarnation() && Some(expected.weights) == weights;
+        self.history.record(now, request, format!("{name} takes try {}", attempt_number(&dispatch.attempt)));
         if !same {
             let what = format!("{name} ran {request}, which was meant for another life or other weights");
-            self.history.broken(Promise::CacheBoundary, now, what, &[request, &name]);
+            self.history.record_violation(Invariant::CacheBoundary, now, what, &[request, &name]);
         }
         if let Some(answer) = self.history.answers.get_mut(&dispatch.request) {
             answer.ran = true;
         }
         let engine = EngineId::from(name.as_str());
-        let late = self.history.leaving_since.get(&engine).is_some_and(|since| now > *since + LEAVING_GRACE);
+        let late =
+            self.history.leaving_since.get(&engine).is_some_and(|since| now > *since + DRAINING_TIMEOUT);
         if late {
             let what = format!("{name} was leaving for more than 3 s and got {request}");
-            self.history.broken(Promise::LeavingGetsNothing, now, what, &[request, &name]);
+            self.history.record_violation(Invariant::LeavingGetsNothing, now, what, &[request, &name]);
         }
     }
 
-    fn reply_request(&mut self, engine: usize, to: NodeLife, request: &RequestId, event: RequestEvent) {
+    fn reply_request(
+        &mut self,
+        engine: usize,
+        to: NodeIncarnation,
+        request: &RequestId,
+        event: RequestEvent,
+    ) {
         let (from, target) = (self.engines[engine].endpoint, self.nodes[to.node].endpoint);
         self.send(from, target, Event::Request { to, request: request.clone(), event: Box::new(event) });
     }
@@ -156,7 +165,7 @@
     pub fn resume(
         &mut self,
         number: usize,
-        from: NodeLife,
+        from: NodeIncarnation,
         request: &RequestId,
         attempt: &AttemptId,
         incarnation: Incarnation,
@@ -193,17 +202,17 @@
     /// A node gives a try up.
     pub fn cancel(&mut self, number: usize, attempt: &AttemptId, now: Timestamp) {
         self.engines[number].model.cancel(attempt, now);
-        self.after_engine(number, now);
+        self.advance_engine(number, now);
     }
 
     /// An engine has something to do.
-    pub fn engine_due(&mut self, number: usize, now: Timestamp) {
+    pub fn step_engine(&mut self, number: usize, now: Timestamp) {
         self.engines[number].due = None;
-        self.after_engine(number, now);
+        self.advance_engine(number, now);
     }
 
     /// Sends what the engine has put out, and plans when it is due next.
-    pub fn after_engine(&mut self, number: usize, now: Timestamp) {
+    pub fn advance_engine(&mut self, number: usize, now: Timestamp) {
         for output in self.engines[number].model.advance(now) {
             self.output(number, output, now);
         }
@@ -211,7 +220,7 @@
         let Some(next) = engine.model.next_event_at() else { return };
         if engine.due.is_none_or(|due| due > next) {
             engine.due = Some(next);
-            self.queue.schedule_at(next, Event::EngineDue(number));
+            self.queue.schedule_at(next, Event::EngineStep(number));
         }
     }
 
@@ -241,13 +250,13 @@
     /// A pool's version never goes back once a newer one was accepted for it.
     fn load_started(&mut self, number: usize, weights: WeightsVersion, now: Timestamp) {
         let name = format!("engine-{number}");
-        self.history.note(now, name.as_str(), format!("loads weights {weights}"));
-        let due = judge::due_revision(&self.history, now);
+        self.history.record(now, name.as_str(), format!("loads weights {weights}"));
+        let due = invariants::required_revision(&self.history, now);
         let document = self.store.documents.iter().rev().find(|document| document.revision <= due);
         let pool = document.and_then(|document| document.configuration.pools.get(&pool_name()));
         if pool.is_some_and(|pool| weights < pool.weights) {
             let what = format!("{name} goes back to weights {weights}");
-            self.history.broken(Promise::ConfigurationStays, now, what, &[&name]);
+            self.history.record_violation(Invariant::ConfigurationStays, now, what, &[&name]);
         }
     }
 
@@ -274,7 +283,7 @@
     }
 
     /// An order arrives at an engine.
-    pub fn order(&mut self, number: usize, from: NodeLife, order: &Order, now: Timestamp) {
+    pub fn order(&mut self, number: usize, from: NodeIncarnation, order: &Order, now: Timestamp) {
         if !self.engines[number].model.is_up() {
             return;
         }
@@ -282,15 +291,15 @@
         let name = format!("engine-{number}");
         let verdict = if result.is_ok() { "obeys" } else { "refuses" };
         let what = format!("{verdict} {:?} under token {} of node-{}", order.command, order.token, from.node);
-        self.history.note(now, name, what);
+        self.history.record(now, name, what);
         let event = Event::OrderDone { to: from, engine: number, order: order.id.clone(), result };
         let (engine, node) = (self.engines[number].endpoint, self.nodes[from.node].endpoint);
         self.send(engine, node, event);
-        self.after_engine(number, now);
+        self.advance_engine(number, now);
     }
 
     /// An engine crashes; the connections of its streams break.
-    pub fn engine_crashes(&mut self, number: usize) {
+    pub fn drop_engine(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         engine.model.crash();
         engine.due = None;
@@ -302,10 +311,10 @@
     }
 
     /// An engine comes back empty.
-    pub fn engine_starts(&mut self, number: usize, now: Timestamp) {
-        let life = self.engines[number].model.incarnation().next();
-        self.engines[number].model.restart(life, self.settings.seed ^ life.0);
-        self.history.note(now, format!("engine-{number}"), format!("starts life {life}"));
-        self.after_engine(number, now);
+    pub fn restart_engine(&mut self, number: usize, now: Timestamp) {
+        let incarnation = self.engines[number].model.incarnation().next();
+        self.engines[number].model.restart(incarnation, self.settings.seed ^ incarnation.0);
+        self.history.record(now, format!("engine-{number}"), format!("starts life {incarnation}"));
+        self.advance_engine(number, now);
     }
 }
--- a/crates/bench/src/drill/event.rs
+++ b/crates/bench/src/drill/event.rs
@@ -19,17 +19,17 @@
 
 /// One life of one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct NodeLife {
+pub struct NodeIncarnation {
     /// The node.
     pub node: usize,
     /// Its life, from 1.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// A try on its way to an engine.
 pub struct Dispatch {
     /// Whose try it is.
-    pub from: NodeLife,
+    pub from: NodeIncarnation,
     /// The request.
     pub request: RequestId,
     /// The try.
@@ -61,35 +61,35 @@
 /// An event of the simulation.
 pub enum Event {
     /// A node's membership and configuration have something to do.
-    Wake(NodeLife),
+    Wake(NodeIncarnation),
     /// A node asks engines, the machine list and the lease.
-    Second(NodeLife),
+    PeriodicTick(NodeIncarnation),
     /// A peer's call arrives.
-    PeerRequest { to: NodeLife, from: NodeLife, call: CallId, request: PeerRequest },
+    PeerRequest { to: NodeIncarnation, from: NodeIncarnation, call: CallId, request: PeerRequest },
     /// A peer's answer arrives.
-    PeerAnswer { to: NodeLife, call: CallId, answer: PeerAnswer },
+    PeerAnswer { to: NodeIncarnation, call: CallId, answer: PeerAnswer },
     /// A call to a peer has waited long enough.
-    PeerTimeout { to: NodeLife, call: CallId },
+    PeerTimeout { to: NodeIncarnation, call: CallId },
     /// A call arrives at the store.
-    StoreCall { from: NodeLife, call: StoreCall },
+    StoreCall { from: NodeIncarnation, call: StoreCall },
     /// The store's answer, or the end of the wait for it.
-    StoreAnswer { to: NodeLife, answer: StoreAnswer },
+    StoreAnswer { to: NodeIncarnation, answer: StoreAnswer },
     /// A watch of the store has waited long enough.
-    WatchExpires { from: NodeLife, call: CallId, after: Revision },
+    WatchExpires { from: NodeIncarnation, call: CallId, after: Revision },
     /// An engine has something to do.
-    EngineDue(usize),
+    EngineStep(usize),
     /// A node asks an engine for its status.
-    StatusAsked { engine: usize, from: NodeLife, asked_at: Timestamp },
+    StatusRequested { engine: usize, from: NodeIncarnation, requested_at: Timestamp },
     /// An engine's status arrives.
-    Status { to: NodeLife, status: Box<EngineStatus>, asked_at: Timestamp },
+    Status { to: NodeIncarnation, status: Box<EngineStatus>, requested_at: Timestamp },
     /// The machine list arrives.
-    Machines { to: NodeLife, leaving: Vec<usize> },
+    Machines { to: NodeIncarnation, leaving: Vec<usize> },
     /// A try arrives at an engine.
     Submit { engine: usize, dispatch: Box<Dispatch> },
     /// A node wants the rest of a stream.
     Resume {
         engine: usize,
-        from: NodeLife,
+        from: NodeIncarnation,
         request: RequestId,
         attempt: AttemptId,
         incarnation: Incarnation,
@@ -98,55 +98,60 @@
     /// A node gives a try up.
     Cancel { engine: usize, attempt: AttemptId },
     /// Something arrives for a model request.
-    Request { to: NodeLife, request: RequestId, event: Box<RequestEvent> },
+    Request { to: NodeIncarnation, request: RequestId, event: Box<RequestEvent> },
     /// A model request's timer.
-    RequestTimer { to: NodeLife, request: RequestId },
+    RequestTimer { to: NodeIncarnation, request: RequestId },
     /// An order arrives at an engine.
-    Order { engine: usize, from: NodeLife, order: Order },
+    Order { engine: usize, from: NodeIncarnation, order: Order },
     /// An engine's answer to an order arrives.
-    OrderDone { to: NodeLife, engine: usize, order: String, result: Result<OrderResult, EngineRefusal> },
+    OrderDone {
+        to: NodeIncarnation,
+        engine: usize,
+        order: String,
+        result: Result<OrderResult, EngineRefusal>,
+    },
     /// A claim message arrives at a replica.
-    Claim { to: NodeLife, from: NodeLife, owner: AttemptId, message: ClaimMessage },
+    Claim { to: NodeIncarnation, from: NodeIncarnation, owner: AttemptId, message: ClaimMessage },
     /// A replica's answer arrives.
-    ClaimReply { to: NodeLife, replica: usize, owner: AttemptId, is_claim: bool, reply: ClaimReply },
+    ClaimReply { to: NodeIncarnation, replica: usize, owner: AttemptId, is_claim: bool, reply: ClaimReply },
     /// A claimed request's timer.
-    ClaimTimer { to: NodeLife, owner: AttemptId },
+    ClaimTimer { to: NodeIncarnation, owner: AttemptId },
     /// A booking arrives at its back end.
-    Booking { instance: usize, from: NodeLife, owner: AttemptId, number: u32 },
+    Booking { instance: usize, from: NodeIncarnation, owner: AttemptId, number: u32 },
     /// A back end's answer arrives.
-    Booked { to: NodeLife, owner: AttemptId, answer: Result<String, String> },
+    BookingReply { to: NodeIncarnation, owner: AttemptId, answer: Result<String, String> },
     /// A dispatch has waited long enough.
-    BookingTimeout { to: NodeLife, owner: AttemptId, number: u32 },
+    BookingTimeout { to: NodeIncarnation, owner: AttemptId, number: u32 },
     /// A caller sends a model request.
-    AskModel { number: u32, node: Option<usize> },
+    SendModelRequest { number: u32, node: Option<usize> },
     /// A caller sends a booking, for the first time or again.
-    AskBooking { key: String, attempt: usize },
+    SendBooking { key: String, attempt: usize },
     /// A caller has its answer, or has waited long enough.
     BookingEnded { key: String, attempt: usize, ending: Option<ClaimOutcome> },
     /// An operator asks for a change.
-    AskChange { node: usize, request: Box<ChangeRequest> },
+    SubmitChange { node: usize, request: Box<ChangeRequest> },
     /// Two operators race.
-    AskRace { fault: usize },
+    RaceOperators { fault: usize },
     /// A stopping node ends if nothing runs there.
     EndWhenIdle(usize),
     /// A fault begins.
-    FaultBegins(usize),
+    FaultBegin(usize),
     /// A fault ends.
-    FaultEnds(usize),
+    FaultEnd(usize),
     /// A node starts.
     Start(usize),
     /// An engine comes back.
-    EngineStarts(usize),
+    EngineStart(usize),
     /// The judge looks at all nodes.
-    Look,
+    CheckNodes,
 }
 
 impl Event {
     /// The node that the event happens at.
-    pub const fn target(&self) -> Option<NodeLife> {
+    pub const fn target(&self) -> Option<NodeIncarnation> {
         match self {
             Self::Wake(to)
-            | Self::Second(to)
+            | Self::PeriodicTick(to)
             | Self::PeerRequest { to, .. }
             | Self::PeerAnswer { to, .. }
             | Self::PeerTimeout { to, .. }
@@ -159,7 +164,7 @@
             | Self::Claim { to, .. }
             | Self::ClaimReply { to, .. }
             | Self::ClaimTimer { to, .. }
-            | Self::Booked { to, .. }
+            | Self::BookingReply { to, .. }
             | Self::BookingTimeout { to, .. } => Some(*to),
             _ => None,
         }
--- a/crates/bench/src/drill/faults.rs
+++ b/crates/bench/src/drill/faults.rs
@@ -7,38 +7,40 @@
 use paddlemount_standins::engine::settings::FeedSettings;
 
 use super::{
+    cluster::SimCluster,
     event::Event,
     history::{AnswerEnding, FAULT},
-    node::HOME_NODES,
+    node::PRIMARY_NODES,
     settings::{Breakage, Fault},
-    world::World,
 };
 use crate::simulation::{Region, Scope, Zone};
 
 /// Time after its start at which a node must serve.
-const SERVES_AFTER: Duration = Duration::from_millis(1_500);
+const RESTART_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time in which a caller notices a broken connection.
-const BREAK_NOTICED: Duration = Duration::from_millis(10);
+const BREAK_DETECTION_DELAY: Duration = Duration::from_millis(10);
 const RACES: u64 = 4;
 const RACE_PERIOD: Duration = Duration::from_millis(1_500);
 const LEAVING_ENGINE: usize = 3;
 const CRASHING_ENGINES: [usize; 2] = [0, 1];
 const CUT_ZONE: usize = 2;
-const HERD: [usize; 3] = [0, 1, 2];
+const RESTARTED_NODES: [usize; 3] = [0, 1, 2];
 const CRASHING_NODE: usize = 4;
 const STOPPED_NODE: usize = 3;
 
-impl World {
+impl SimCluster {
     /// A fault begins.
-    pub fn fault_begins(&mut self, number: usize, now: Timestamp) {
+    pub fn begin_fault(&mut self, number: usize, now: Timestamp) {
         let fault = self.windows[number].fault;
-        self.history.note(now, FAULT, format!("{fault:?} begins"));
+        self.history.record(now, FAULT, format!("{fault:?} begins"));
         match fault {
             Fault::EngineCrash => CRASHING_ENGINES.iter().for_each(|engine| self.crash_engine(*engine, now)),
-            Fault::EventLoss => self.lose_events(0.5),
+            Fault::EventLoss => self.set_event_loss(0.5),
             Fault::NodeCrash => self.crash_node(CRASHING_NODE, AnswerEnding::NodeCrashed, now),
             Fault::HerdRestart => {
-                HERD.iter().for_each(|node| self.crash_node(*node, AnswerEnding::NodeCrashed, now));
+                RESTARTED_NODES
+                    .iter()
+                    .for_each(|node| self.crash_node(*node, AnswerEnding::NodeCrashed, now));
             }
             Fault::ZoneCut => self.cut_zone(true),
             Fault::RegionCut => {
@@ -51,7 +53,7 @@
             Fault::RacingOperators => {
                 for race in 0..RACES {
                     let at = now + RACE_PERIOD * u32::try_from(race).unwrap_or_default();
-                    self.queue.schedule_at(at, Event::AskRace { fault: number * 100 + race as usize });
+                    self.queue.schedule_at(at, Event::RaceOperators { fault: number * 100 + race as usize });
                 }
             }
             Fault::LeavingEngine => {
@@ -66,18 +68,18 @@
     }
 
     /// A fault ends.
-    pub fn fault_ends(&mut self, number: usize, now: Timestamp) {
+    pub fn end_fault(&mut self, number: usize, now: Timestamp) {
         let fault = self.windows[number].fault;
-        self.history.note(now, FAULT, format!("{fault:?} ends"));
+        self.history.record(now, FAULT, format!("{fault:?} ends"));
         match fault {
             Fault::EngineCrash => {
                 CRASHING_ENGINES
                     .iter()
-                    .for_each(|engine| self.queue.schedule_at(now, Event::EngineStarts(*engine)));
+                    .for_each(|engine| self.queue.schedule_at(now, Event::EngineStart(*engine)));
             }
-            Fault::EventLoss => self.lose_events(0.0),
+            Fault::EventLoss => self.set_event_loss(0.0),
             Fault::NodeCrash => self.restart_node(CRASHING_NODE, now),
-            Fault::HerdRestart => HERD.iter().for_each(|node| self.restart_node(*node, now)),
+            Fault::HerdRestart => RESTARTED_NODES.iter().for_each(|node| self.restart_node(*node, now)),
             Fault::ZoneCut => self.cut_zone(false),
             Fault::RegionCut => {
                 self.links.heal_between(Scope::Region(Region(0)), Scope::Region(Region(1)));
@@ -92,11 +94,11 @@
     }
 
     fn crash_engine(&mut self, engine: usize, now: Timestamp) {
-        self.history.note(now, format!("engine-{engine}"), "crashes");
-        self.engine_crashes(engine);
+        self.history.record(now, format!("engine-{engine}"), "crashes");
+        self.drop_engine(engine);
     }
 
-    fn lose_events(&mut self, loss: f64) {
+    fn set_event_loss(&mut self, loss: f64) {
         for engine in &mut self.engines {
             engine.model.configure_feed(FeedSettings { loss, ..FeedSettings::default() });
         }
@@ -105,14 +107,14 @@
     /// A node ends at once; the connections of its callers break.
     pub fn crash_node(&mut self, number: usize, ending: AnswerEnding, now: Timestamp) {
         let Some(memory) = self.nodes[number].memory.take() else { return };
-        self.history.note(now, format!("node-{number}"), "ends");
+        self.history.record(now, format!("node-{number}"), "ends");
         for request in memory.requests.into_keys() {
-            self.answer_ends(&request, ending.clone(), now);
+            self.end_answer(&request, ending.clone(), now);
         }
         let open = memory.claims.into_values().filter(|claim| !claim.coordinator.has_ended());
         for claim in open {
             let event = Event::BookingEnded { key: claim.key, attempt: claim.attempt, ending: None };
-            self.queue.schedule_after(BREAK_NOTICED, event);
+            self.queue.schedule_after(BREAK_DETECTION_DELAY, event);
         }
     }
 
@@ -122,8 +124,9 @@
             return;
         }
         self.queue.schedule_at(now, Event::Start(number));
-        let request = Event::AskModel { number: Self::added_request(number), node: Some(number) };
-        self.queue.schedule_at(now + SERVES_AFTER, request);
+        let request =
+            Event::SendModelRequest { number: Self::restart_probe_number(number), node: Some(number) };
+        self.queue.schedule_at(now + RESTART_TIMEOUT, request);
     }
 
     fn cut_zone(&mut self, cut: bool) {
@@ -143,22 +146,22 @@
         let holds = |node: &usize| {
             self.nodes[*node].memory.as_ref().is_some_and(|memory| memory.lease.token(now).is_some())
         };
-        let Some(node) = (0..HOME_NODES).find(holds) else { return };
+        let Some(node) = (0..PRIMARY_NODES).find(holds) else { return };
         self.nodes[node].paused_until = self.windows[number].end;
-        self.history.note(now, FAULT, format!("node-{node} is paused"));
+        self.history.record(now, FAULT, format!("node-{node} is paused"));
     }
 
     /// A planned stop: no new work, tell the peers, end when all requests have ended.
     fn stop_node(&mut self, now: Timestamp) {
-        let at = self.nodes[STOPPED_NODE].life_of(STOPPED_NODE);
+        let at = self.nodes[STOPPED_NODE].incarnation_of(STOPPED_NODE);
         self.nodes[STOPPED_NODE].stopping = true;
-        self.feed(at, PeerEvent::Stop, now);
+        self.handle_peer_event(at, PeerEvent::Stop, now);
         self.end_when_idle(STOPPED_NODE, now);
     }
 
     /// Ends a stopping node once nothing runs there; asked again until then.
     pub fn end_when_idle(&mut self, number: usize, now: Timestamp) {
-        let waits = !self.is_broken(Breakage::StopDoesNotWait);
+        let waits = !self.has_breakage(Breakage::StopDoesNotWait);
         let node = &self.nodes[number];
         let Some(memory) = node.memory.as_ref().filter(|_| node.stopping) else { return };
         let claims = memory.claims.values().any(|claim| !claim.coordinator.has_ended());
--- a/crates/bench/src/drill/history.rs
+++ b/crates/bench/src/drill/history.rs
@@ -12,7 +12,7 @@
 /// What must always hold, in the order of the users' list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Promise {
+pub enum Invariant {
     /// No cached state of a dead engine, another tenant or older weights is used.
     CacheBoundary,
     /// Every streamed answer arrives complete and in order.
@@ -33,7 +33,7 @@
     ConfigurationStays,
 }
 
-impl Promise {
+impl Invariant {
     /// All promises.
     pub const ALL: [Self; 9] = [
         Self::CacheBoundary,
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The promise.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// When it was seen.
     pub at: Timestamp,
     /// What was seen, for people.
@@ -119,7 +119,7 @@
 
 /// A change that an operator asked for.
 #[derive(Clone, Debug)]
-pub struct AskedChange {
+pub struct RequestedChange {
     /// The node.
     pub node: usize,
     /// When.
@@ -136,7 +136,7 @@
     /// Bookings by key.
     pub bookings: BTreeMap<String, Booking>,
     /// Changes.
-    pub changes: BTreeMap<ChangeId, AskedChange>,
+    pub changes: BTreeMap<ChangeId, RequestedChange>,
     /// When an engine's leaving was published.
     pub leaving_since: BTreeMap<EngineId, Timestamp>,
     /// When an operator was told that a revision is accepted.
@@ -149,14 +149,20 @@
 
 impl History {
     /// Notes an event.
-    pub fn note(&mut self, at: Timestamp, subject: impl Into<String>, what: impl Into<String>) {
+    pub fn record(&mut self, at: Timestamp, subject: impl Into<String>, what: impl Into<String>) {
         self.trace.push(TraceEntry { at, subject: subject.into(), what: what.into() });
     }
 
     /// Notes a broken promise.
-    pub fn broken(&mut self, promise: Promise, at: Timestamp, what: impl Into<String>, subjects: &[&str]) {
+    pub fn record_violation(
+        &mut self,
+        invariant: Invariant,
+        at: Timestamp,
+        what: impl Into<String>,
+        subjects: &[&str],
+    ) {
         let subjects = subjects.iter().map(|subject| (*subject).to_owned()).collect();
-        self.violations.push(Violation { promise, at, what: what.into(), subjects });
+        self.violations.push(Violation { invariant, at, what: what.into(), subjects });
     }
 
     /// The events that explain a violation: those of its subjects and all faults, up to its time.
--- a/crates/bench/src/drill/models.rs
+++ b/crates/bench/src/drill/models.rs
@@ -16,17 +16,17 @@
 };
 
 use super::{
-    event::{Dispatch, Event, NodeLife},
+    cluster::{SimCluster, model_name, pool_name},
+    event::{Dispatch, Event, NodeIncarnation},
     history::AnswerEnding,
     node::{ActiveRequest, NodeMemory},
     settings::Breakage,
-    world::{World, model_name, pool_name},
 };
 
 const DEADLINE: Duration = Duration::from_secs(25);
 
 /// What a caller asks a model for.
-pub struct ModelAsk {
+pub struct ModelRequestSpec {
     /// In whose name.
     pub tenant: TenantId,
     /// The whole prompt.
@@ -39,36 +39,36 @@
     engine.as_str().rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or_default()
 }
 
-impl World {
+impl SimCluster {
     /// A node takes a model request, or refuses it.
-    pub fn serve_model(&mut self, at: NodeLife, request: &RequestId, now: Timestamp) {
-        let Some(ModelAsk { tenant, prompt, tokens }) = self.ask_of(request) else { return };
-        let unguarded = self.is_broken(Breakage::ServesUnconfirmed);
+    pub fn serve_model(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
+        let Some(ModelRequestSpec { tenant, prompt, tokens }) = self.request_spec(request) else { return };
+        let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
         let stopping = self.nodes[at.node].stopping;
         let Some(memory) = self.memory(at) else {
-            return self.answer_ends(request, AnswerEnding::NodeCrashed, now);
+            return self.end_answer(request, AnswerEnding::NodeCrashed, now);
         };
         let refuse = |code, message: &str| AnswerEnding::Refused(Refusal::not_run(code, message));
         if stopping {
-            return self.answer_ends(request, refuse(RefusalCode::Draining, "the node stops"), now);
+            return self.end_answer(request, refuse(RefusalCode::Draining, "the node stops"), now);
         }
         let document = memory.peers.configuration().cloned();
         let pool = document.as_ref().and_then(|document| document.configuration.pools.get(&pool_name()));
-        let Some(pool) = pool.filter(|_| unguarded || memory.peers.may_serve(now)) else {
+        let Some(pool) = pool.filter(|_| serves_unconfirmed || memory.peers.may_serve(now)) else {
             let message = "the configuration is not known or not confirmed";
-            return self.answer_ends(request, refuse(RefusalCode::Unavailable, message), now);
+            return self.end_answer(request, refuse(RefusalCode::Unavailable, message), now);
         };
         let share = version_counts(&pool_name(), pool, memory.statuses.values());
         let weights = choose_version(pool, share, request);
         let scope = CacheScope::new(&tenant, &model_name(), weights, None);
-        let terms = RequestSpec {
+        let spec = RequestSpec {
             request: request.clone(),
             repeatable: true,
             max_tokens: tokens,
             deadline: now + DEADLINE,
         };
         let active = ActiveRequest {
-            machine: ModelRequest::new(RequestSettings::default(), terms),
+            machine: ModelRequest::new(RequestSettings::default(), spec),
             tenant,
             weights,
             scope,
@@ -77,12 +77,18 @@
             timer: None,
         };
         memory.requests.insert(request.clone(), active);
-        self.drive(at, request, RequestEvent::Arrived, now);
+        self.handle_request_event(at, request, RequestEvent::Arrived, now);
     }
 
     /// Lets a request's state machine take an event, and carries out what follows.
-    pub fn drive(&mut self, at: NodeLife, request: &RequestId, event: RequestEvent, now: Timestamp) {
-        let Some(event) = self.altered(at, request, event, now) else { return };
+    pub fn handle_request_event(
+        &mut self,
+        at: NodeIncarnation,
+        request: &RequestId,
+        event: RequestEvent,
+        now: Timestamp,
+    ) {
+        let Some(event) = self.apply_breakage(at, request, event, now) else { return };
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let Some(active) = self.memory(at).and_then(|memory| memory.requests.get_mut(request)) else {
@@ -92,13 +98,13 @@
                 events.extend(self.request_action(at, request, action, now));
             }
         }
-        self.plan_timer(at, request, now);
+        self.schedule_timer(at, request, now);
     }
 
     /// What a broken node makes of an event.
-    fn altered(
+    fn apply_breakage(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         request: &RequestId,
         event: RequestEvent,
         now: Timestamp,
@@ -110,10 +116,10 @@
                 Some(RequestEvent::Frame(Frame { attempt, ..frame }))
             }
             (Breakage::BreakIsEnd, RequestEvent::ConnectionLost { attempt, resumable }) => {
-                let begun =
+                let has_started =
                     self.history.answers.get(request).is_some_and(|answer| !answer.received.is_empty());
-                if begun {
-                    self.request_ends(at, request, AnswerEnding::Finished, now)?;
+                if has_started {
+                    self.end_request(at, request, AnswerEnding::Finished, now)?;
                     return None;
                 }
                 Some(RequestEvent::ConnectionLost { attempt, resumable })
@@ -124,7 +130,7 @@
 
     fn request_action(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         request: &RequestId,
         action: RequestAction,
         now: Timestamp,
@@ -153,7 +159,7 @@
                 let engine = engine_number(&engine);
                 self.send_to_engine(at, engine, Event::Cancel { engine, attempt });
             }
-            RequestAction::RefreshStatus { engine } => self.ask_status(at, engine_number(&engine), now),
+            RequestAction::RefreshStatus { engine } => self.request_status(at, engine_number(&engine), now),
             RequestAction::Ended { attempt, ending } => {
                 let event = RouterEvent::Ended { attempt: &attempt, ending };
                 self.memory(at)?.router.apply(event, now);
@@ -167,36 +173,36 @@
                     answer.received.push(text);
                 }
             }
-            RequestAction::Finish { .. } => self.request_ends(at, request, AnswerEnding::Finished, now)?,
+            RequestAction::Finish { .. } => self.end_request(at, request, AnswerEnding::Finished, now)?,
             RequestAction::Refuse { refusal } => {
-                self.request_ends(at, request, AnswerEnding::Refused(refusal), now)?;
+                self.end_request(at, request, AnswerEnding::Refused(refusal), now)?;
             }
         }
         None
     }
 
     /// Tells whether the event was sent at all.
-    fn send_to_engine(&mut self, at: NodeLife, engine: usize, event: Event) -> bool {
+    fn send_to_engine(&mut self, at: NodeIncarnation, engine: usize, event: Event) -> bool {
         self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event)
     }
 
     /// A node has given a request its ending; nothing where the node's life has ended.
-    fn request_ends(
+    fn end_request(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         request: &RequestId,
         ending: AnswerEnding,
         now: Timestamp,
     ) -> Option<()> {
         self.memory(at)?.requests.remove(request);
-        self.answer_ends(request, ending, now);
+        self.end_answer(request, ending, now);
         Some(())
     }
 
     /// Chooses an engine; during a rollout also one with the other version, as long as nothing was sent.
     fn choose(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         request: &RequestId,
         excluded: &[EngineId],
         continuation: Option<Continuation>,
@@ -223,13 +229,13 @@
     /// Chooses an engine that serves a version; nothing where the node or the request has ended.
     fn choose_version_of(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         request: &RequestId,
         excluded: &[EngineId],
         weights: WeightsVersion,
         now: Timestamp,
     ) -> Option<RequestEvent> {
-        let prompt = self.ask_of(request)?.prompt;
+        let prompt = self.request_spec(request)?.prompt;
         let memory = self.memory(at)?;
         let NodeMemory { router, requests, .. } = memory;
         let active = requests.get_mut(request)?;
@@ -265,7 +271,7 @@
         Some(RequestEvent::EngineChosen(precondition))
     }
 
-    fn plan_timer(&mut self, at: NodeLife, request: &RequestId, now: Timestamp) {
+    fn schedule_timer(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
         let Some(active) = self.memory(at).and_then(|memory| memory.requests.get_mut(request)) else {
             return;
         };
@@ -277,32 +283,32 @@
     }
 
     /// A timer fires; it may have been put off meanwhile.
-    pub fn request_timer(&mut self, at: NodeLife, request: &RequestId, now: Timestamp) {
+    pub fn request_timer(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
         let Some(active) = self.memory(at).and_then(|memory| memory.requests.get_mut(request)) else {
             return;
         };
         active.timer = None;
         if active.machine.next_timer() <= now {
-            self.drive(at, request, RequestEvent::Tick, now);
+            self.handle_request_event(at, request, RequestEvent::Tick, now);
         } else {
-            self.plan_timer(at, request, now);
+            self.schedule_timer(at, request, now);
         }
     }
 
     /// The caller's answer has ended.
-    pub fn answer_ends(&mut self, request: &RequestId, ending: AnswerEnding, now: Timestamp) {
-        self.history.note(now, request.as_str(), format!("ends: {ending:?}"));
+    pub fn end_answer(&mut self, request: &RequestId, ending: AnswerEnding, now: Timestamp) {
+        self.history.record(now, request.as_str(), format!("ends: {ending:?}"));
         if let Some(answer) = self.history.answers.get_mut(request) {
             answer.ending.get_or_insert(ending);
         }
     }
 
     /// What the caller of a request asks for.
-    pub fn ask_of(&self, request: &RequestId) -> Option<ModelAsk> {
+    pub fn request_spec(&self, request: &RequestId) -> Option<ModelRequestSpec> {
         let number: usize = request.as_str().rsplit('-').next()?.parse().ok()?;
         let tenant = TenantId::from(["kestrel", "benoni"][number % 2]);
         let prompt = ["contract ", "hire terms ", "permit "][number % 3].repeat(130);
         let tokens = self.history.answers.get(request)?.tokens;
-        Some(ModelAsk { tenant, prompt, tokens })
+        Some(ModelRequestSpec { tenant, prompt, tokens })
     }
 }
--- a/crates/bench/src/drill/node.rs
+++ b/crates/bench/src/drill/node.rs
@@ -27,15 +27,15 @@
 };
 
 use super::{
-    event::NodeLife,
+    event::NodeIncarnation,
     settings::{Breakage, RunSettings},
 };
 use crate::simulation::{Endpoint, Links, Region, Zone, derived_seed};
 
 /// Nodes in the region of the engines.
-pub const HOME_NODES: usize = 5;
+pub const PRIMARY_NODES: usize = 5;
 /// Zones of that region.
-pub const HOME_ZONES: usize = 3;
+pub const PRIMARY_ZONES: usize = 3;
 
 /// A model request that a node serves.
 pub struct ActiveRequest {
@@ -72,7 +72,7 @@
     /// Membership and configuration.
     pub peers: Peers,
     /// Peers' calls that are still to be answered.
-    pub served: BTreeMap<CallId, (NodeLife, CallId)>,
+    pub served: BTreeMap<CallId, (NodeIncarnation, CallId)>,
     /// Operators' changes under way.
     pub changes: BTreeMap<CallId, ChangeId>,
     /// Numbers the two above.
@@ -108,7 +108,7 @@
     /// Its region.
     pub region: usize,
     /// Lives so far.
-    pub life: u32,
+    pub incarnation: u32,
     /// Whether it takes no new work.
     pub stopping: bool,
     /// Until when it is paused.
@@ -122,11 +122,11 @@
 }
 
 impl SimNode {
-    /// A node that has never run. The first [`HOME_NODES`] stand in the region of the engines.
+    /// A node that has never run. The first [`PRIMARY_NODES`] stand in the region of the engines.
     pub fn new(number: usize, links: &mut Links) -> Self {
-        let home = number < HOME_NODES;
-        let zone = if home { number % HOME_ZONES } else { HOME_ZONES };
-        let region = usize::from(!home);
+        let is_primary = number < PRIMARY_NODES;
+        let zone = if is_primary { number % PRIMARY_ZONES } else { PRIMARY_ZONES };
+        let region = usize::from(!is_primary);
         let last = u8::try_from(number).unwrap_or(u8::MAX);
         Self {
             name: NodeId::from(format!("node-{number}")),
@@ -134,7 +134,7 @@
             endpoint: links.add(Zone(zone), Region(region)),
             zone,
             region,
-            life: 0,
+            incarnation: 0,
             stopping: false,
             paused_until: Timestamp::ZERO,
             started_at: Timestamp::ZERO,
@@ -144,12 +144,12 @@
     }
 
     /// Its present life.
-    pub const fn life_of(&self, node: usize) -> NodeLife {
-        NodeLife { node, life: self.life }
+    pub const fn incarnation_of(&self, node: usize) -> NodeIncarnation {
+        NodeIncarnation { node, incarnation: self.incarnation }
     }
 
-    const fn is_in_first_life(&self) -> bool {
-        self.life == 1
+    const fn is_first_incarnation(&self) -> bool {
+        self.incarnation == 1
     }
 }
 
@@ -157,7 +157,7 @@
     /// What a node holds that has just started its present life.
     pub fn new(node: &SimNode, seeds: Vec<SocketAddr>, settings: &RunSettings, now: Timestamp) -> Self {
         let zone = ZoneId::from(format!("zone-{}", node.zone));
-        let seed = derived_seed(settings.seed + u64::from(node.life), node.name.as_str());
+        let seed = derived_seed(settings.seed + u64::from(node.incarnation), node.name.as_str());
         let lease = LeaseSettings {
             name: LEASE_NAME.to_owned(),
             holder: node.name.clone(),
@@ -197,7 +197,7 @@
         address: node.address,
         zone,
         region: RegionId::from(format!("region-{}", node.region)),
-        incarnation: Incarnation(now.0 + u64::from(node.life)),
+        incarnation: Incarnation(now.0 + u64::from(node.incarnation)),
         seeds,
         seed,
         timing: MembershipTiming::default(),
@@ -205,8 +205,8 @@
 }
 
 fn claim_replica(node: &SimNode, breakage: Breakage, now: Timestamp) -> ClaimReplica {
-    let forgetful = breakage == Breakage::FreshReplicaGrantsOldKeys && !node.is_in_first_life();
-    if forgetful {
+    let grants_old_keys = breakage == Breakage::FreshReplicaGrantsOldKeys && !node.is_first_incarnation();
+    if grants_old_keys {
         ClaimReplica::with_floor(ClaimSettings::default(), PlacementEpoch(1), Timestamp::ZERO)
     } else {
         ClaimReplica::new(ClaimSettings::default(), PlacementEpoch(0), now)
--- a/crates/bench/src/drill/peers.rs
+++ b/crates/bench/src/drill/peers.rs
@@ -14,14 +14,14 @@
 };
 
 use super::{
-    event::{Event, NodeLife, StoreCall},
+    cluster::SimCluster,
+    event::{Event, NodeIncarnation, StoreCall},
     settings::Breakage,
-    world::World,
 };
 
-impl World {
+impl SimCluster {
     /// Lets a node's membership and configuration take an event.
-    pub fn feed(&mut self, at: NodeLife, event: PeerEvent<'_>, now: Timestamp) {
+    pub fn handle_peer_event(&mut self, at: NodeIncarnation, event: PeerEvent<'_>, now: Timestamp) {
         let Some(memory) = self.memory(at) else { return };
         let actions = memory.peers.handle(event, now);
         for action in actions {
@@ -36,24 +36,24 @@
     }
 
     /// A wake-up is due.
-    pub fn wake(&mut self, at: NodeLife, now: Timestamp) {
+    pub fn wake(&mut self, at: NodeIncarnation, now: Timestamp) {
         if let Some(memory) = self.memory(at) {
             memory.wakeup = None;
         }
-        self.feed(at, PeerEvent::Tick, now);
+        self.handle_peer_event(at, PeerEvent::Tick, now);
     }
 
-    fn peer_action(&mut self, at: NodeLife, action: PeerAction, now: Timestamp) {
+    fn peer_action(&mut self, at: NodeIncarnation, action: PeerAction, now: Timestamp) {
         match action {
             PeerAction::Call { call, address, request, timeout } => {
                 self.queue.schedule_after(timeout, Event::PeerTimeout { to: at, call });
                 let pull = matches!(request, PeerRequest::Configuration(ConfigurationRequest::Pull { .. }));
-                if pull && self.is_broken(Breakage::NoLearningFromPeers) {
+                if pull && self.has_breakage(Breakage::NoLearningFromPeers) {
                     return;
                 }
                 let Some(to) = self.nodes.iter().position(|node| node.address == address) else { return };
                 let (from, target) = (self.nodes[at.node].endpoint, self.nodes[to].endpoint);
-                let to = self.nodes[to].life_of(to);
+                let to = self.nodes[to].incarnation_of(to);
                 self.send(from, target, Event::PeerRequest { to, from: at, call, request });
             }
             PeerAction::Answer { call, answer } => {
@@ -74,9 +74,9 @@
                 memory.replica.adopt(epoch, sealed, now);
                 let pools = &document.configuration.pools;
                 let actions = memory.placer.handle(PlacementEvent::Pools(pools), now);
-                self.place(at, actions, now);
+                self.apply_placement(at, actions, now);
                 let name = format!("node-{}", at.node);
-                self.history.note(now, name, format!("holds revision {}", document.revision));
+                self.history.record(now, name, format!("holds revision {}", document.revision));
             }
             PeerAction::MemberChanged(_) | PeerAction::Item { .. } | PeerAction::Superseded => {}
         }
@@ -85,8 +85,8 @@
     /// A peer's call arrives.
     pub fn peer_request(
         &mut self,
-        to: NodeLife,
-        from: NodeLife,
+        to: NodeIncarnation,
+        from: NodeIncarnation,
         call: CallId,
         request: &PeerRequest,
         now: Timestamp,
@@ -95,35 +95,35 @@
         let served = CallId(memory.next_call);
         memory.next_call += 1;
         memory.served.insert(served, (from, call));
-        self.feed(to, PeerEvent::Request { call: served, request }, now);
+        self.handle_peer_event(to, PeerEvent::Request { call: served, request }, now);
     }
 
     /// A peer's answer arrives.
-    pub fn peer_answer(&mut self, to: NodeLife, call: CallId, answer: &PeerAnswer, now: Timestamp) {
-        self.feed(to, PeerEvent::Answer { call, answer }, now);
+    pub fn peer_answer(&mut self, to: NodeIncarnation, call: CallId, answer: &PeerAnswer, now: Timestamp) {
+        self.handle_peer_event(to, PeerEvent::Answer { call, answer }, now);
     }
 
     /// A call to a peer has waited long enough.
-    pub fn peer_timeout(&mut self, to: NodeLife, call: CallId, now: Timestamp) {
-        self.feed(to, PeerEvent::Failed { call }, now);
+    pub fn peer_timeout(&mut self, to: NodeIncarnation, call: CallId, now: Timestamp) {
+        self.handle_peer_event(to, PeerEvent::Failed { call }, now);
     }
 
     /// An operator, or a rollout that is complete, asks a node for a change.
-    pub fn ask_change(&mut self, node: usize, request: ChangeRequest, now: Timestamp) {
-        let at = self.nodes[node].life_of(node);
+    pub fn submit_change(&mut self, node: usize, request: ChangeRequest, now: Timestamp) {
+        let at = self.nodes[node].incarnation_of(node);
         let Some(memory) = self.memory(at) else { return };
         let call = CallId(memory.next_call);
         memory.next_call += 1;
         memory.changes.insert(call, request.id.clone());
-        let asked = super::history::AskedChange { node, at: now, ended: None };
-        self.history.changes.insert(request.id.clone(), asked);
-        self.history.note(now, request.id.as_str(), format!("asked of node-{node}: {}", request.command));
-        self.feed(at, PeerEvent::Change { call, request: Box::new(request) }, now);
+        let change = super::history::RequestedChange { node, at: now, ended: None };
+        self.history.changes.insert(request.id.clone(), change);
+        self.history.record(now, request.id.as_str(), format!("asked of node-{node}: {}", request.command));
+        self.handle_peer_event(at, PeerEvent::Change { call, request: Box::new(request) }, now);
     }
 
-    fn change_ended(&mut self, at: NodeLife, call: CallId, outcome: ChangeOutcome, now: Timestamp) {
+    fn change_ended(&mut self, at: NodeIncarnation, call: CallId, outcome: ChangeOutcome, now: Timestamp) {
         let Some(id) = self.memory(at).and_then(|memory| memory.changes.remove(&call)) else { return };
-        self.history.note(now, id.as_str(), format!("{outcome:?}"));
+        self.history.record(now, id.as_str(), format!("{outcome:?}"));
         if let ChangeOutcome::InForce { revision, .. } | ChangeOutcome::Accepted { revision, .. } = &outcome {
             self.history.accepted_at.entry(*revision).or_insert(now);
         }
--- a/crates/bench/src/drill/placing.rs
+++ b/crates/bench/src/drill/placement.rs
@@ -16,60 +16,72 @@
 };
 
 use super::{
-    event::{Event, NodeLife, StoreAnswer, StoreCall},
-    node::HOME_NODES,
+    cluster::SimCluster,
+    event::{Event, NodeIncarnation, StoreAnswer, StoreCall},
+    node::PRIMARY_NODES,
     settings::Breakage,
-    world::World,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 const LEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl World {
+impl SimCluster {
     /// What a node does every second.
-    pub fn second(&mut self, at: NodeLife, now: Timestamp) {
-        self.queue.schedule_after(SECOND, Event::Second(at));
-        (0..self.engines.len()).for_each(|engine| self.ask_status(at, engine, now));
+    pub fn periodic_tick(&mut self, at: NodeIncarnation, now: Timestamp) {
+        self.queue.schedule_after(SECOND, Event::PeriodicTick(at));
+        (0..self.engines.len()).for_each(|engine| self.request_status(at, engine, now));
         let (platform, node) = (self.store.endpoint, self.nodes[at.node].endpoint);
         let leaving = self.leaving.clone();
         self.send(platform, node, Event::Machines { to: at, leaving });
-        if at.node < HOME_NODES {
+        if at.node < PRIMARY_NODES {
             self.lease_event(at, LeaseEvent::Tick, now);
             let Some(memory) = self.memory(at) else { return };
             let actions = memory.placer.handle(PlacementEvent::Tick, now);
-            self.place(at, actions, now);
+            self.apply_placement(at, actions, now);
         }
     }
 
     /// Asks an engine for its status.
-    pub fn ask_status(&mut self, at: NodeLife, engine: usize, now: Timestamp) {
-        let event = Event::StatusAsked { engine, from: at, asked_at: now };
+    pub fn request_status(&mut self, at: NodeIncarnation, engine: usize, now: Timestamp) {
+        let event = Event::StatusRequested { engine, from: at, requested_at: now };
         self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event);
     }
 
     /// The question arrives.
-    pub fn status_asked(&mut self, engine: usize, from: NodeLife, asked_at: Timestamp, now: Timestamp) {
-        self.after_engine(engine, now);
-        let asked = &self.engines[engine];
-        if asked.model.is_up() {
-            let status = Box::new(asked.model.status(now));
-            let event = Event::Status { to: from, status, asked_at };
+    pub fn status_requested(
+        &mut self,
+        engine: usize,
+        from: NodeIncarnation,
+        requested_at: Timestamp,
+        now: Timestamp,
+    ) {
+        self.advance_engine(engine, now);
+        let target = &self.engines[engine];
+        if target.model.is_up() {
+            let status = Box::new(target.model.status(now));
+            let event = Event::Status { to: from, status, requested_at };
             self.send(self.engines[engine].endpoint, self.nodes[from.node].endpoint, event);
         }
     }
 
     /// An engine's status arrives.
-    pub fn status(&mut self, at: NodeLife, status: &EngineStatus, requested_at: Timestamp, now: Timestamp) {
+    pub fn status(
+        &mut self,
+        at: NodeIncarnation,
+        status: &EngineStatus,
+        requested_at: Timestamp,
+        now: Timestamp,
+    ) {
         let Some(memory) = self.memory(at) else { return };
         memory.router.apply(RouterEvent::Status(status), now);
         memory.statuses.insert(status.engine.clone(), status.clone());
         let actions = memory.placer.handle(PlacementEvent::Status { status, requested_at }, now);
-        self.place(at, actions, now);
+        self.apply_placement(at, actions, now);
     }
 
     /// The machine list arrives.
-    pub fn machines(&mut self, at: NodeLife, leaving: &[usize], now: Timestamp) {
-        if self.is_broken(Breakage::LeavingIgnored) {
+    pub fn machines(&mut self, at: NodeIncarnation, leaving: &[usize], now: Timestamp) {
+        if self.has_breakage(Breakage::LeavingIgnored) {
             return;
         }
         let Some(memory) = self.memory(at) else { return };
@@ -79,7 +91,7 @@
         }
     }
 
-    fn lease_event(&mut self, at: NodeLife, event: LeaseEvent, now: Timestamp) {
+    fn lease_event(&mut self, at: NodeIncarnation, event: LeaseEvent, now: Timestamp) {
         let Some(memory) = self.memory(at) else { return };
         let request = memory.lease.handle(event, now);
         let token = memory.lease.token(now);
@@ -87,20 +99,22 @@
         if let Some(request) = request {
             self.call_store(at, StoreCall::Lease(request), LEASE_TIMEOUT);
         }
-        self.place(at, actions, now);
+        self.apply_placement(at, actions, now);
     }
 
     /// The store's answer, or the end of the wait for it.
-    pub fn store_answer(&mut self, at: NodeLife, answer: StoreAnswer, now: Timestamp) {
+    pub fn store_answer(&mut self, at: NodeIncarnation, answer: StoreAnswer, now: Timestamp) {
         match answer {
-            StoreAnswer::Peers(call, result) => self.feed(at, PeerEvent::Store { call, result }, now),
+            StoreAnswer::Peers(call, result) => {
+                self.handle_peer_event(at, PeerEvent::Store { call, result }, now)
+            }
             StoreAnswer::Lease(Some(result)) => self.lease_event(at, LeaseEvent::Answered(result), now),
             StoreAnswer::Lease(None) => self.lease_event(at, LeaseEvent::Failed, now),
         }
     }
 
     /// Carries out what placement asks for.
-    pub fn place(&mut self, at: NodeLife, actions: Vec<PlacementAction>, now: Timestamp) {
+    pub fn apply_placement(&mut self, at: NodeIncarnation, actions: Vec<PlacementAction>, now: Timestamp) {
         for action in actions {
             match action {
                 PlacementAction::Order { engine, order } => {
@@ -117,12 +131,18 @@
         }
     }
 
-    fn complete_rollout(&mut self, at: NodeLife, pool: PoolId, weights: WeightsVersion, now: Timestamp) {
+    fn complete_rollout(
+        &mut self,
+        at: NodeIncarnation,
+        pool: PoolId,
+        weights: WeightsVersion,
+        now: Timestamp,
+    ) {
         let Some(document) = self.configuration(at) else { return };
         let Some(settings) = document.configuration.pools.get(&pool) else { return };
         let id = ChangeId::from(format!("complete {pool} {weights}"));
-        let asked = self.history.changes.get(&id);
-        if asked.is_some_and(|asked| asked.ended.is_none() && now < asked.at + SECOND * 20) {
+        let previous = self.history.changes.get(&id);
+        if previous.is_some_and(|previous| previous.ended.is_none() && now < previous.at + SECOND * 20) {
             return;
         }
         let request = ChangeRequest {
@@ -133,13 +153,13 @@
             command: format!("complete the rollout of weights {weights}"),
             dry_run: false,
         };
-        self.ask_change(at.node, request, now);
+        self.submit_change(at.node, request, now);
     }
 
     /// An engine's answer to an order arrives.
     pub fn order_done(
         &mut self,
-        at: NodeLife,
+        at: NodeIncarnation,
         engine: usize,
         order: &str,
         result: &Result<OrderResult, EngineRefusal>,
@@ -152,6 +172,6 @@
         };
         let Some(memory) = self.memory(at) else { return };
         let actions = memory.placer.handle(event, now);
-        self.place(at, actions, now);
+        self.apply_placement(at, actions, now);
     }
 }
--- a/crates/bench/src/drill/store.rs
+++ b/crates/bench/src/drill/store.rs
@@ -18,14 +18,14 @@
 use rand::RngExt;
 
 use super::{
-    event::{Event, NodeLife, StoreAnswer, StoreCall},
+    cluster::SimCluster,
+    event::{Event, NodeIncarnation, StoreAnswer, StoreCall},
     settings::Breakage,
-    world::World,
 };
 use crate::simulation::Endpoint;
 
 const REFUSAL_DELAY: Duration = Duration::from_millis(2);
-const LOST_SHARE: f64 = 0.4;
+const REPLY_LOSS: f64 = 0.4;
 
 /// The store, with every document that it ever held.
 pub struct SimStore {
@@ -39,13 +39,13 @@
     pub down: bool,
     /// Added to each answer.
     pub delay: Duration,
-    watches: Vec<(NodeLife, CallId, Revision)>,
+    watches: Vec<(NodeIncarnation, CallId, Revision)>,
 }
 
 impl SimStore {
     /// A store with the first document.
     pub fn new(endpoint: Endpoint) -> Self {
-        let configuration = super::callers::first_document();
+        let configuration = super::callers::initial_document();
         let value = serde_json::to_value(&configuration).expect("a configuration has a JSON form");
         let mut model = ConfigurationStoreModel::new([]);
         let put = StorePut { key: DOCUMENT_KEY.to_owned(), expected: Revision(0), value };
@@ -72,9 +72,9 @@
     }
 }
 
-impl World {
+impl SimCluster {
     /// Sends a call to the store; its wait ends after `timeout` in any case.
-    pub fn call_store(&mut self, from: NodeLife, call: StoreCall, timeout: Duration) {
+    pub fn call_store(&mut self, from: NodeIncarnation, call: StoreCall, timeout: Duration) {
         let unanswered = match &call {
             StoreCall::Peers(number, _) => StoreAnswer::Peers(*number, Err(StoreFailure::Unclear)),
             StoreCall::Lease(_) => StoreAnswer::Lease(None),
@@ -85,7 +85,7 @@
     }
 
     /// A call arrives at the store.
-    pub fn store_call(&mut self, from: NodeLife, call: StoreCall, now: Timestamp) {
+    pub fn store_call(&mut self, from: NodeIncarnation, call: StoreCall, now: Timestamp) {
         if self.store.down {
             let answer = match call {
                 StoreCall::Peers(number, _) => StoreAnswer::Peers(number, Err(StoreFailure::NotApplied)),
@@ -97,9 +97,9 @@
             StoreCall::Lease(request) => {
                 let model = &mut self.store.model;
                 let result = match &request {
-                    LeaseRequest::Acquire(ask) => model.acquire(ask, now),
-                    LeaseRequest::Renew(ask) => model.renew(ask, now),
-                    LeaseRequest::Release(ask) => model.release(ask, now),
+                    LeaseRequest::Acquire(lease_request) => model.acquire(lease_request, now),
+                    LeaseRequest::Renew(lease_request) => model.renew(lease_request, now),
+                    LeaseRequest::Release(lease_request) => model.release(lease_request, now),
                 };
                 self.store_reply(from, StoreAnswer::Lease(Some(result)));
             }
@@ -107,7 +107,7 @@
         }
     }
 
-    fn document_call(&mut self, from: NodeLife, call: CallId, request: StoreRequest, now: Timestamp) {
+    fn document_call(&mut self, from: NodeIncarnation, call: CallId, request: StoreRequest, now: Timestamp) {
         let reply = match request {
             StoreRequest::Read => StoreReply::Document(StoredDocument::Present(self.store.present().clone())),
             StoreRequest::Watch(watch) if self.store.present().revision > watch.after => {
@@ -121,7 +121,7 @@
                     .schedule_after(wait, Event::WatchExpires { from, call, after: watch.after });
             }
             StoreRequest::Put { expected, configuration } => {
-                let compares = !self.is_broken(Breakage::PutWithoutCompare);
+                let compares = !self.has_breakage(Breakage::PutWithoutCompare);
                 let result = self.store.put(expected, *configuration, compares);
                 self.stored(from, result, now);
                 StoreReply::Put(result)
@@ -130,9 +130,9 @@
         self.store_reply(from, StoreAnswer::Peers(call, Ok(reply)));
     }
 
-    fn stored(&mut self, from: NodeLife, result: StorePutResult, now: Timestamp) {
+    fn stored(&mut self, from: NodeIncarnation, result: StorePutResult, now: Timestamp) {
         let StorePutResult::Stored { revision } = result else { return };
-        self.history.note(now, "store", format!("takes revision {revision} from node-{}", from.node));
+        self.history.record(now, "store", format!("takes revision {revision} from node-{}", from.node));
         let watches = std::mem::take(&mut self.store.watches);
         for (from, call, _) in watches {
             let document = StoredDocument::Present(self.store.present().clone());
@@ -141,7 +141,7 @@
     }
 
     /// A watch ends without a change.
-    pub fn watch_expires(&mut self, from: NodeLife, call: CallId, after: Revision) {
+    pub fn watch_expires(&mut self, from: NodeIncarnation, call: CallId, after: Revision) {
         let before = self.store.watches.len();
         self.store.watches.retain(|(node, number, _)| (*node, *number) != (from, call));
         if self.store.watches.len() < before && !self.store.down {
@@ -150,8 +150,8 @@
         }
     }
 
-    fn store_reply(&mut self, to: NodeLife, answer: StoreAnswer) {
-        if self.loses_replies && self.random.random_bool(LOST_SHARE) {
+    fn store_reply(&mut self, to: NodeIncarnation, answer: StoreAnswer) {
+        if self.loses_replies && self.random.random_bool(REPLY_LOSS) {
             return;
         }
         let (store, node) = (self.store.endpoint, self.nodes[to.node].endpoint);
--- a/crates/bench/tests/drill.rs
+++ b/crates/bench/tests/drill.rs
@@ -1,6 +1,6 @@
 //! Drills: no promise breaks under a fixed range of seeds, and each breaks where its mechanism is off.
 
-use paddlemount_bench::drill::{Breakage, Drill, Promise, RunSettings, run, run_all};
+use paddlemount_bench::drill::{Breakage, Drill, Invariant, RunSettings, run, run_all};
 
 const SEEDS: u64 = 4;
 const BROKEN_SEEDS: u64 = 24;
@@ -38,10 +38,10 @@
 }
 
 /// Some seed of the drill breaks the promise once the mechanism is off.
-fn caught(breakage: Breakage, drill: &str, promise: Promise) {
+fn caught(breakage: Breakage, drill: &str, invariant: Invariant) {
     let drill: Drill = drill.parse().expect("a drill");
     let (failures, _) = run_all(&[drill], 0..BROKEN_SEEDS, breakage, THREADS);
-    let failure = failures.iter().find(|failure| failure.promise == promise);
+    let failure = failures.iter().find(|failure| failure.invariant == invariant);
     let failure = failure.unwrap_or_else(|| panic!("{breakage:?} is not caught; seen: {failures:#?}"));
     println!("{breakage:?}: seed {}: {}", failure.seed, failure.what);
     assert!(!failure.trace.is_empty() && failure.repeat.contains("paddlemount bench drill"));
@@ -49,55 +49,55 @@
 
 #[test]
 fn requests_without_preconditions_are_caught() {
-    caught(Breakage::NoPreconditions, "engine-crash+rollout", Promise::CacheBoundary);
+    caught(Breakage::NoPreconditions, "engine-crash+rollout", Invariant::CacheBoundary);
 }
 
 #[test]
 fn a_break_taken_as_the_end_is_caught() {
-    caught(Breakage::BreakIsEnd, "engine-crash", Promise::WholeStream);
+    caught(Breakage::BreakIsEnd, "engine-crash", Invariant::WholeStream);
 }
 
 #[test]
 fn a_node_that_learns_from_the_store_alone_is_caught() {
-    caught(Breakage::NoLearningFromPeers, "node-crash+store-outage", Promise::ServesAfterRestart);
+    caught(Breakage::NoLearningFromPeers, "node-crash+store-outage", Invariant::ServesAfterRestart);
 }
 
 #[test]
 fn frames_of_any_try_are_caught() {
-    caught(Breakage::FramesOfAnyAttempt, "engine-crash+late-answers", Promise::OwnAnswer);
+    caught(Breakage::FramesOfAnyAttempt, "engine-crash+late-answers", Invariant::OwnAnswer);
 }
 
 #[test]
 fn an_unclear_ending_reported_as_not_run_is_caught() {
-    caught(Breakage::UnclearIsNotRun, "lost-replies", Promise::NotRunIsTrue);
+    caught(Breakage::UnclearIsNotRun, "lost-replies", Invariant::NotRunIsTrue);
 }
 
 #[test]
 fn bookings_without_claims_are_caught() {
-    caught(Breakage::NoClaims, "lost-replies", Promise::AtMostOnce);
+    caught(Breakage::NoClaims, "lost-replies", Invariant::AtMostOnce);
 }
 
 #[test]
 fn a_fresh_replica_that_grants_old_keys_is_caught() {
-    caught(Breakage::FreshReplicaGrantsOldKeys, "herd-restart+lost-replies", Promise::AtMostOnce);
+    caught(Breakage::FreshReplicaGrantsOldKeys, "herd-restart+lost-replies", Invariant::AtMostOnce);
 }
 
 #[test]
 fn an_ignored_machine_list_is_caught() {
-    caught(Breakage::LeavingIgnored, "leaving-engine", Promise::LeavingGetsNothing);
+    caught(Breakage::LeavingIgnored, "leaving-engine", Invariant::LeavingGetsNothing);
 }
 
 #[test]
 fn a_stop_that_does_not_wait_is_caught() {
-    caught(Breakage::StopDoesNotWait, "planned-stop", Promise::StopCutsNothing);
+    caught(Breakage::StopDoesNotWait, "planned-stop", Invariant::StopCutsNothing);
 }
 
 #[test]
 fn a_put_without_compare_is_caught() {
-    caught(Breakage::PutWithoutCompare, "racing-operators", Promise::ConfigurationStays);
+    caught(Breakage::PutWithoutCompare, "racing-operators", Invariant::ConfigurationStays);
 }
 
 #[test]
 fn a_node_that_serves_unconfirmed_is_caught() {
-    caught(Breakage::ServesUnconfirmed, "zone-cut", Promise::ConfigurationStays);
+    caught(Breakage::ServesUnconfirmed, "zone-cut", Invariant::ConfigurationStays);
 }
