--- a/crates/node/examples/watch_cost.rs
+++ b/crates/node/examples/watch_cost.rs
@@ -40,9 +40,9 @@
     for period in 0..PERIODS {
         let watched = period % 2 == 1;
         let watchers = if watched { watch_all(&cluster).await } else { Vec::new() };
-        let begun = cluster.nodes[0].state().clock.now();
+        let started = cluster.nodes[0].state().clock.now();
         tokio::time::sleep(PERIOD).await;
-        let measured = times_since(&cluster, begun);
+        let measured = times_since(&cluster, started);
         if watched {
             with.extend(measured)
         } else {
@@ -71,9 +71,9 @@
     watchers
 }
 
-fn times_since(cluster: &Cluster, begun: Timestamp) -> Vec<u64> {
+fn times_since(cluster: &Cluster, started: Timestamp) -> Vec<u64> {
     let records = cluster.nodes[0].state().observations.decisions(DecisionRing::newest_first);
-    let recent = records.iter().filter(|record| record.at >= begun);
+    let recent = records.iter().filter(|record| record.at >= started);
     recent.filter_map(|record| record.timings.queued_us).collect()
 }
 
--- a/crates/node/src/active.rs
+++ b/crates/node/src/active.rs
@@ -14,7 +14,7 @@
     limit: usize,
     count: AtomicUsize,
     /// Requests that have come so far, refused ones too.
-    come: AtomicUsize,
+    arrivals: AtomicUsize,
     /// How far a planned stop has come.
     stage: watch::Sender<StopStage>,
     changed: Notify,
@@ -41,7 +41,7 @@
         Self {
             limit,
             count: AtomicUsize::new(0),
-            come: AtomicUsize::new(0),
+            arrivals: AtomicUsize::new(0),
             stage: watch::Sender::new(StopStage::Serving),
             changed: Notify::new(),
         }
@@ -56,7 +56,7 @@
         // The request is counted before the stage is read: a drain that sees a count of zero
         // therefore knows that no later request gets past it.
         let before = self.count.fetch_add(1, Ordering::SeqCst);
-        self.come.fetch_add(1, Ordering::SeqCst);
+        self.arrivals.fetch_add(1, Ordering::SeqCst);
         let guard = ActiveGuard { requests: Arc::clone(self) };
         if self.is_draining() {
             return Err(EntryRefusal::Draining);
@@ -73,8 +73,8 @@
     }
 
     /// Requests that have come so far, refused ones too.
-    pub fn come(&self) -> usize {
-        self.come.load(Ordering::SeqCst)
+    pub fn arrivals(&self) -> usize {
+        self.arrivals.load(Ordering::SeqCst)
     }
 
     /// Whether the node takes no new requests.
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -2,7 +2,6 @@
 
 pub mod access;
 mod audit;
-pub mod bounds;
 mod change;
 pub mod client;
 mod cluster;
@@ -10,6 +9,7 @@
 mod execute;
 mod explain;
 pub mod http;
+pub mod limits;
 mod members;
 pub mod observations;
 pub mod prefixes;
--- a/crates/node/src/admin/access.rs
+++ b/crates/node/src/admin/access.rs
@@ -52,21 +52,21 @@
 ///
 /// [`RefusalCode::Forbidden`].
 pub fn authorize(operator: &Operator, statement: &Statement) -> Result<(), Refusal> {
-    let needed = needed_role(statement);
+    let needed = required_role(statement);
     if operator.role >= needed {
         return Ok(());
     }
     let message = format!(
         "{} has the role {}; this needs the role {}",
         operator.name,
-        role_word(operator.role),
-        role_word(needed)
+        role_name(operator.role),
+        role_name(needed)
     );
     Err(Refusal::not_run(RefusalCode::Forbidden, message))
 }
 
 /// The least role that may ask for a statement.
-pub fn needed_role(statement: &Statement) -> OperatorRole {
+pub fn required_role(statement: &Statement) -> OperatorRole {
     match statement {
         Statement::Show(_) | Statement::Watch(_) | Statement::Explain(_) | Statement::Help(_) => {
             OperatorRole::Read
@@ -81,7 +81,7 @@
     }
 }
 
-const fn role_word(role: OperatorRole) -> &'static str {
+const fn role_name(role: OperatorRole) -> &'static str {
     match role {
         OperatorRole::Read => "read",
         OperatorRole::Operate => "operate",
--- a/crates/node/src/admin/change.rs
+++ b/crates/node/src/admin/change.rs
@@ -21,18 +21,18 @@
 pub async fn submit(state: &Arc<NodeState>, operator: &Operator, mut command: ChangeCommand) -> Answer {
     let at = state.clock.now();
     let id = command.id.get_or_insert_with(|| ChangeId::from(Uuid::now_v7().to_string())).clone();
-    let present = state.configuration.load().document.clone();
+    let current = state.configuration.load().document.clone();
     let text = command_text(&command);
-    let (based_on, outcome) = match translate(&command, &present) {
+    let (based_on, outcome) = match translate(&command, &current) {
         Ok(translated) => {
             let request = change_request(operator, &command, id.clone(), translated);
             let based_on = request.if_revision;
-            (based_on, settled_by_query(cluster::submit_change(state, request).await, &id))
+            (based_on, with_settling_query(cluster::submit_change(state, request).await, &id))
         }
-        Err(error) => match made_before(&present, &command, operator, &id) {
-            Some(request) => (None, settled_by_query(cluster::submit_change(state, request).await, &id)),
+        Err(error) => match earlier_request(&current, &command, operator, &id) {
+            Some(request) => (None, with_settling_query(cluster::submit_change(state, request).await, &id)),
             None => {
-                let (revision, reason) = (present.revision, error.to_string());
+                let (revision, reason) = (current.revision, error.to_string());
                 (command.if_revision, ChangeOutcome::Refused { revision, reason })
             }
         },
@@ -77,19 +77,19 @@
 
 /// The request of a command that was made before under the same identity and no longer fits the
 /// configuration, such as a `create` that finds its own object. Sent again, it is made once and settled.
-fn made_before(
-    present: &RevisedConfiguration,
+fn earlier_request(
+    current: &RevisedConfiguration,
     command: &ChangeCommand,
     operator: &Operator,
     id: &ChangeId,
 ) -> Option<ChangeRequest> {
-    let record = present.configuration.changes.iter().find(|record| record.id == *id)?;
+    let record = current.configuration.changes.iter().find(|record| record.id == *id)?;
     let change = record.change.clone().filter(|_| record.command == command_text(command))?;
     Some(change_request(operator, command, id.clone(), TranslatedChange { change, if_revision: None }))
 }
 
 /// The query that settles an unknown outcome, in the language.
-fn settled_by_query(outcome: ChangeOutcome, id: &ChangeId) -> ChangeOutcome {
+fn with_settling_query(outcome: ChangeOutcome, id: &ChangeId) -> ChangeOutcome {
     match outcome {
         ChangeOutcome::Unknown { .. } => {
             ChangeOutcome::Unknown { settle_with: format!("show changes where change = \"{id}\"") }
--- a/crates/node/src/admin/client.rs
+++ b/crates/node/src/admin/client.rs
@@ -14,7 +14,7 @@
 /// Bytes of one line of a stream at most.
 const MAX_LINE_BYTES: usize = MAX_ANSWER_BYTES;
 /// Added to the members' deadline for the answer itself. A change may take 14 s until it is settled.
-const ANSWER_SLACK: Duration = Duration::from_secs(20);
+const ANSWER_MARGIN: Duration = Duration::from_secs(20);
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
@@ -55,8 +55,8 @@
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
         let address = self.node;
         let broken = |message: String| ClientError::Broken { address, message };
-        let body = tokio::time::timeout(self.patience(), body).await;
-        let body = body.map_err(|_| ClientError::Timeout { address, after: self.patience() })?;
+        let body = tokio::time::timeout(self.timeout(), body).await;
+        let body = body.map_err(|_| ClientError::Timeout { address, after: self.timeout() })?;
         let body = body.map_err(|error| broken(error.to_string()))?.to_bytes();
         let answer = serde_json::from_slice(&body);
         Ok(answer.map_err(|error| ClientError::Unreadable { address, message: error.to_string() })?)
@@ -72,8 +72,8 @@
         Ok(WatchStream { address: self.node, body: response.into_body(), buffer: Vec::new() })
     }
 
-    fn patience(&self) -> Duration {
-        self.deadline + ANSWER_SLACK
+    fn timeout(&self) -> Duration {
+        self.deadline + ANSWER_MARGIN
     }
 
     async fn open(&self, statement: &str) -> Result<Response<Incoming>, AdminClientError> {
@@ -84,10 +84,10 @@
             .header(DEADLINE_MS, self.deadline.as_millis().to_string())
             .body(Full::new(Bytes::from(statement.to_owned())))
             .map_err(|_| AdminClientError::Key)?;
-        match self.client.open(address, request, self.patience()).await {
+        match self.client.open(address, request, self.timeout()).await {
             Ok(response) => Ok(response),
             Err(ClientError::Status { address, status, body }) => match serde_json::from_slice(&body) {
-                Ok(problem) => Err(AdminClientError::Refused(Box::new(problem))),
+                Ok(query_error) => Err(AdminClientError::Refused(Box::new(query_error))),
                 Err(_) => Err(ClientError::Status { address, status, body }.into()),
             },
             Err(error) => Err(error.into()),
--- a/crates/node/src/admin/cluster.rs
+++ b/crates/node/src/admin/cluster.rs
@@ -25,7 +25,7 @@
     let own = &state.settings.node;
     let listed = state.directory.nodes().into_iter().map(|(node, address, _)| (node, address));
     let mut members: BTreeMap<NodeId, SocketAddr> = listed.collect();
-    state.peers.look(|peers, _| {
+    state.peers.inspect(|peers, _| {
         for record in peers.members().all() {
             match record.state {
                 MemberState::Left => members.remove(&record.node),
--- a/crates/node/src/admin/execute.rs
+++ b/crates/node/src/admin/execute.rs
@@ -18,8 +18,9 @@
 use super::cluster;
 use super::{
     access::Operator,
-    bounds::{MAX_MEMBER_ROWS, rows_per_member},
-    change, explain, members,
+    change, explain,
+    limits::{MAX_MEMBER_ROWS, rows_per_member},
+    members,
     rows::NodeSource,
     watch,
 };
@@ -42,8 +43,8 @@
         }
         Statement::Show(query) => Ok(show(state, &query, deadline).await),
         Statement::Explain(Explain::Request(request)) => explain_request(state, &request, deadline).await,
-        Statement::Explain(Explain::Route(question)) => {
-            let explanation = explain::route(state, &question)?;
+        Statement::Explain(Explain::Route(query)) => {
+            let explanation = explain::route(state, &query)?;
             Ok(Answer::from_single_node(Body::Explanation { explanation }))
         }
         Statement::Change(command) => Ok(change::submit(state, operator, command).await),
@@ -57,19 +58,19 @@
     let members = cluster::members(state);
     let max_rows = rows_per_member(members.len() + 1);
     let statement = Statement::Show(query.clone()).to_string();
-    let question = |_: &_| MemberQuery { statement: statement.clone(), max_rows, after: None };
-    let asked = members::ask(state, members, question, deadline).await;
+    let member_query = |_: &_| MemberQuery { statement: statement.clone(), max_rows, after: None };
+    let responses = members::query_all(state, members, member_query, deadline).await;
     let Selection { mut rows, truncated } = select(query, &NodeSource::new(state), max_rows);
-    let own = own_summary(state, rows.len());
-    let mut notes = members::notes(&asked, deadline);
+    let own = own_status(state, rows.len());
+    let mut notes = members::notes(&responses, deadline);
     if truncated {
         notes.push(members::truncation(&own.node, own.rows));
     }
     if is_unreported(query.noun) {
         notes.push(format!("nodes of this version do not report {}", query.noun.name()));
     }
-    let summaries = [own].into_iter().chain(asked.iter().map(members::Asked::summary)).collect();
-    for reply in asked.into_iter().filter_map(|asked| asked.reply.ok()) {
+    let summaries = [own].into_iter().chain(responses.iter().map(members::MemberResponse::summary)).collect();
+    for reply in responses.into_iter().filter_map(|response| response.reply.ok()) {
         rows.extend(Row::from_table(query.noun, reply.table));
     }
     let table = table(query, &merge(query.noun, rows));
@@ -81,7 +82,7 @@
     matches!(noun, Noun::Claims | Noun::Leases | Noun::Orders)
 }
 
-fn own_summary(state: &NodeState, rows: usize) -> MemberStatus {
+fn own_status(state: &NodeState, rows: usize) -> MemberStatus {
     let node = state.settings.node.clone();
     MemberStatus { node, answered: true, age_ms: 0, rows, problem: None }
 }
@@ -95,11 +96,11 @@
         return Ok(Answer::from_single_node(Body::Explanation { explanation }));
     }
     let statement = Statement::Explain(Explain::Request(request.clone())).to_string();
-    let question = |_: &_| MemberQuery { statement: statement.clone(), max_rows: 0, after: None };
-    let asked = members::ask(state, cluster::members(state), question, deadline).await;
-    let notes = members::notes(&asked, deadline);
-    let summaries = asked.iter().map(members::Asked::summary).collect();
-    let replies = asked.into_iter().filter_map(|asked| asked.reply.ok());
+    let member_query = |_: &_| MemberQuery { statement: statement.clone(), max_rows: 0, after: None };
+    let responses = members::query_all(state, cluster::members(state), member_query, deadline).await;
+    let notes = members::notes(&responses, deadline);
+    let summaries = responses.iter().map(members::MemberResponse::summary).collect();
+    let replies = responses.into_iter().filter_map(|response| response.reply.ok());
     match replies.filter_map(|reply| reply.explanation).next() {
         Some(explanation) => {
             Ok(Answer { body: Body::Explanation { explanation }, members: summaries, notes })
@@ -125,17 +126,17 @@
 /// # Errors
 ///
 /// Where the statement is none that members ask.
-pub fn reply(state: &NodeState, question: &MemberQuery) -> Result<MemberReply, Refusal> {
+pub fn reply(state: &NodeState, member_query: &MemberQuery) -> Result<MemberReply, Refusal> {
     let invalid = |message: String| Refusal::not_run(RefusalCode::InvalidRequest, message);
-    let statement = parse(&question.statement).map_err(|error| invalid(error.message()))?;
-    let max_rows = question.max_rows.min(MAX_MEMBER_ROWS);
+    let statement = parse(&member_query.statement).map_err(|error| invalid(error.message()))?;
+    let max_rows = member_query.max_rows.min(MAX_MEMBER_ROWS);
     let empty = MemberReply {
         node: state.settings.node.clone(),
         revision: state.configuration.revision(),
         table: Table::default(),
         truncated: false,
         explanation: None,
-        next: question.after.unwrap_or_default(),
+        next: member_query.after.unwrap_or_default(),
         lost: 0,
     };
     match statement {
@@ -144,9 +145,9 @@
             Ok(MemberReply { table: Row::table(query.noun, &rows), truncated, ..empty })
         }
         Statement::Watch(query) => {
-            let news = watch::news(state, &query, question.after, max_rows);
-            let table = Row::table(query.noun, &news.rows);
-            Ok(MemberReply { table, next: news.next, lost: news.lost, ..empty })
+            let update = watch::read_update(state, &query, member_query.after, max_rows);
+            let table = Row::table(query.noun, &update.rows);
+            Ok(MemberReply { table, next: update.next, lost: update.lost, ..empty })
         }
         Statement::Explain(Explain::Request(request)) => {
             Ok(MemberReply { explanation: explain::request(state, &request), ..empty })
--- a/crates/node/src/admin/explain.rs
+++ b/crates/node/src/admin/explain.rs
@@ -46,7 +46,7 @@
 
 fn summary(state: &NodeState, record: &DecisionRecord, running: bool) -> String {
     let reason = record.reason.map_or("no choice was made".to_owned(), |reason| snake_case(&reason));
-    let went = match record.engine() {
+    let destination = match record.engine() {
         Some(engine) => format!("went to {engine} ({reason})"),
         None => format!("went to no engine ({reason})"),
     };
@@ -58,7 +58,7 @@
         RequestEnding::Cancelled => "was left by its caller".to_owned(),
     };
     format!(
-        "request {} of {} {went} by node {} and {ending}; {} of {} prompt tokens were cached; \
+        "request {} of {} {destination} by node {} and {ending}; {} of {} prompt tokens were cached; \
          the oldest load report was {} ms old",
         record.request,
         record.tenant,
@@ -151,52 +151,51 @@
 /// # Errors
 ///
 /// Where the pool or the tenant does not exist.
-pub fn route(state: &NodeState, question: &RouteQuery) -> Result<Explanation, Refusal> {
+pub fn route(state: &NodeState, query: &RouteQuery) -> Result<Explanation, Refusal> {
     let active = state.configuration.load();
     let configuration = &active.document.configuration;
     let not_found = |what: String| Refusal::not_run(RefusalCode::NotFound, what);
-    let pool = configuration.pools.get(&question.pool);
-    let pool =
-        pool.ok_or_else(|| not_found(format!("there is no pool {}; see: show pools", question.pool)))?;
-    if !configuration.tenants.contains_key(&question.tenant) {
-        return Err(not_found(format!("there is no tenant {}; see: show tenants", question.tenant)));
+    let pool = configuration.pools.get(&query.pool);
+    let pool = pool.ok_or_else(|| not_found(format!("there is no pool {}; see: show pools", query.pool)))?;
+    if !configuration.tenants.contains_key(&query.tenant) {
+        return Err(not_found(format!("there is no tenant {}; see: show tenants", query.tenant)));
     }
-    let scope = CacheScope::new(&question.tenant, &pool.model, pool.weights, None);
-    let blocks = hash_blocks(scope, question.prompt.as_bytes());
+    let scope = CacheScope::new(&query.tenant, &pool.model, pool.weights, None);
+    let blocks = hash_blocks(scope, query.prompt.as_bytes());
     let request = RequestId::from("preview");
     let route = RouteRequest {
         request: &request,
-        tenant: &question.tenant,
-        pool: &question.pool,
+        tenant: &query.tenant,
+        pool: &query.pool,
         model: &pool.model,
         weights: pool.weights,
         adapter: None,
         scope,
         blocks: &blocks,
-        prompt_tokens: prompt_tokens(question.prompt.len()),
-        max_tokens: PREVIEW_TOKENS,
+        prompt_tokens: prompt_tokens(query.prompt.len()),
+        max_tokens: PREVIEW_MAX_TOKENS,
         priority: Priority::Normal,
         reuse_weight: pool.reuse_weight,
         excluded: &[],
     };
     let now = state.clock.now();
-    let decision = state.route(|router| router.preview(&route, now));
-    Ok(preview(question, &blocks.last().map(ToString::to_string), &decision))
+    let decision = state.with_router(|router| router.preview(&route, now));
+    Ok(preview(query, &blocks.last().map(ToString::to_string), &decision))
 }
 
 /// Tokens of the answer that a preview assumes.
-const PREVIEW_TOKENS: u32 = 256;
+const PREVIEW_MAX_TOKENS: u32 = 256;
 
-fn preview(question: &RouteQuery, prefix: &Option<String>, decision: &Decision) -> Explanation {
+fn preview(query: &RouteQuery, prefix: &Option<String>, decision: &Decision) -> Explanation {
     let reason = snake_case(&decision.reason);
     let summary = match &decision.chosen {
         Some(chosen) => format!(
             "a prompt of {} tokens of {} would go to {} ({reason})",
-            prompt_tokens(question.prompt.len()),
-            question.tenant,
+            prompt_tokens(query.prompt.len()),
+            query.tenant,
             chosen.engine
         ),
-        None => format!("no engine of {} would serve it ({reason})", question.pool),
+        None => format!("no engine of {} would serve it ({reason})", query.pool),
     };
     let columns = vec![ColumnHeader::new("field", Kind::Text), ColumnHeader::new("value", Kind::Text)];
     let mut rows = vec![
@@ -208,6 +207,6 @@
     }
     let facts = Section { title: "prompt".to_owned(), table: Table { columns, rows } };
     let title = "engines weighed, the best first".to_owned();
-    let weighed = Section { title, table: candidates(&decision.candidates) };
-    Explanation { summary, sections: vec![facts, weighed] }
+    let candidates_section = Section { title, table: candidates(&decision.candidates) };
+    Explanation { summary, sections: vec![facts, candidates_section] }
 }
--- a/crates/node/src/admin/http.rs
+++ b/crates/node/src/admin/http.rs
@@ -28,8 +28,9 @@
 
 use super::{
     access::{authenticate, authorize},
-    bounds::{LONGEST_DEADLINE, QUERY_DEADLINE},
-    execute, watch,
+    execute,
+    limits::{DEFAULT_QUERY_DEADLINE, MAX_QUERY_DEADLINE},
+    watch,
 };
 use crate::{
     http::{BodyError, json_answer, read_body},
@@ -38,43 +39,43 @@
 
 /// Answers a statement of an operator.
 pub async fn query(context: &WebContext<'_, Arc<NodeState>>) -> WebResponse {
-    answer(context).await.unwrap_or_else(|problem| refuse(&problem))
+    answer(context).await.unwrap_or_else(|query_error| refuse(&query_error))
 }
 
 /// The connection is closed, as the body of the refused request may not have been read; told so, a
 /// client does not send its next request on it.
-fn refuse(problem: &QueryError) -> WebResponse {
-    let mut response = json_answer(problem.error.code.http_status(), problem);
+fn refuse(query_error: &QueryError) -> WebResponse {
+    let mut response = json_answer(query_error.error.code.http_status(), query_error);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn problem(error: Refusal) -> QueryError {
+fn query_error(error: Refusal) -> QueryError {
     QueryError { error, syntax: None }
 }
 
 async fn answer(context: &WebContext<'_, Arc<NodeState>>) -> Result<WebResponse, QueryError> {
     let state = context.state();
     let headers = context.req().headers();
-    let operator = authenticate(&state.settings.operators, headers).map_err(problem)?;
-    let deadline = deadline(headers).map_err(problem)?;
-    let _place = state.admin_bounds.queries.take().map_err(problem)?;
-    let text = body(context).await.map_err(problem)?;
+    let operator = authenticate(&state.settings.operators, headers).map_err(query_error)?;
+    let deadline = deadline(headers).map_err(query_error)?;
+    let _guard = state.admin_limits.queries.acquire().map_err(query_error)?;
+    let text = body(context).await.map_err(query_error)?;
     let statement = parse_bytes(&text).map_err(|syntax| QueryError {
         error: Refusal::not_run(RefusalCode::InvalidRequest, syntax.to_string()),
         syntax: Some(syntax),
     })?;
-    authorize(&operator, &statement).map_err(problem)?;
+    authorize(&operator, &statement).map_err(query_error)?;
     if let Statement::Watch(query) = statement {
-        return watch_answer(state, query).map_err(problem);
+        return watch_answer(state, query).map_err(query_error);
     }
-    let answer = execute::execute(state, &operator, statement, deadline).await.map_err(problem)?;
+    let answer = execute::execute(state, &operator, statement, deadline).await.map_err(query_error)?;
     Ok(json_answer(200, &answer))
 }
 
 fn watch_answer(state: &Arc<NodeState>, query: Query) -> Result<WebResponse, Refusal> {
-    let place = state.admin_bounds.watchers.take()?;
-    let lines = Box::pin(watch::stream(state, query, place));
+    let guard = state.admin_limits.watchers.acquire()?;
+    let lines = Box::pin(watch::stream(state, query, guard));
     let mut response = WebResponse::new(ResponseBody::boxed(StreamDataBody::new(lines)));
     let kind = HeaderValue::from_static("application/x-ndjson");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
@@ -95,11 +96,11 @@
 
 /// How long other members may take.
 fn deadline(headers: &HeaderMap) -> Result<Duration, Refusal> {
-    let Some(value) = headers.get(DEADLINE_MS) else { return Ok(QUERY_DEADLINE) };
+    let Some(value) = headers.get(DEADLINE_MS) else { return Ok(DEFAULT_QUERY_DEADLINE) };
     let milliseconds = value.to_str().ok().and_then(|text| text.trim().parse::<u64>().ok());
     match milliseconds {
         Some(milliseconds) if milliseconds > 0 => {
-            Ok(Duration::from_millis(milliseconds).min(LONGEST_DEADLINE))
+            Ok(Duration::from_millis(milliseconds).min(MAX_QUERY_DEADLINE))
         }
         _ => {
             let message = format!("header {DEADLINE_MS} must be a whole number of milliseconds above 0");
@@ -109,14 +110,14 @@
 }
 
 /// Answers the question of another member, which was authenticated before.
-pub fn member_question(state: &NodeState, body: &[u8]) -> WebResponse {
-    let reply = state.admin_bounds.member_questions.take().and_then(|_place| {
+pub fn member_query(state: &NodeState, body: &[u8]) -> WebResponse {
+    let reply = state.admin_limits.member_queries.acquire().and_then(|_guard| {
         let question: MemberQuery = serde_json::from_slice(body)
             .map_err(|error| Refusal::not_run(RefusalCode::InvalidRequest, error.to_string()))?;
         execute::reply(state, &question)
     });
     match reply {
         Ok(reply) => json_answer(200, &reply),
-        Err(refusal) => refuse(&problem(refusal)),
+        Err(refusal) => refuse(&query_error(refusal)),
     }
 }
--- a/crates/node/src/admin/bounds.rs
+++ b/crates/node/src/admin/limits.rs
@@ -13,7 +13,7 @@
 /// Statements of operators that a node answers at the same time.
 pub const MAX_QUERIES: usize = 8;
 /// Questions of other members that a node answers at the same time.
-pub const MAX_MEMBER_QUESTIONS: usize = 16;
+pub const MAX_MEMBER_QUERIES: usize = 16;
 /// Streams of `watch` at the same time.
 pub const MAX_WATCHERS: usize = 16;
 /// Rows that one member gives for one question.
@@ -23,9 +23,9 @@
 /// Rows of all members that one answer is made from.
 pub const MAX_ANSWER_ROWS: usize = 40_000;
 /// How long members may take, where the operator states no deadline.
-pub const QUERY_DEADLINE: Duration = Duration::from_secs(2);
+pub const DEFAULT_QUERY_DEADLINE: Duration = Duration::from_secs(2);
 /// How long members may take at most.
-pub const LONGEST_DEADLINE: Duration = Duration::from_secs(30);
+pub const MAX_QUERY_DEADLINE: Duration = Duration::from_secs(30);
 
 /// Rows that each of `members` members may give.
 pub fn rows_per_member(members: usize) -> usize {
@@ -34,22 +34,22 @@
 
 /// Places for work of one kind.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct ConcurrencyLimit {
     limit: usize,
     name: &'static str,
-    taken: Arc<AtomicUsize>,
+    in_use: Arc<AtomicUsize>,
 }
 
 /// A place that is taken; free again when dropped.
 #[derive(Debug)]
-pub struct Place {
-    taken: Arc<AtomicUsize>,
+pub struct ConcurrencyGuard {
+    in_use: Arc<AtomicUsize>,
 }
 
-impl Places {
+impl ConcurrencyLimit {
     /// So many places, all free.
     pub fn new(name: &'static str, limit: usize) -> Self {
-        Self { limit, name, taken: Arc::default() }
+        Self { limit, name, in_use: Arc::default() }
     }
 
     /// Takes a place.
@@ -57,46 +57,46 @@
     /// # Errors
     ///
     /// [`RefusalCode::Overloaded`] where none is free.
-    pub fn take(&self) -> Result<Place, Refusal> {
-        let place = Place { taken: Arc::clone(&self.taken) };
-        if self.taken.fetch_add(1, Ordering::SeqCst) < self.limit {
-            return Ok(place);
+    pub fn acquire(&self) -> Result<ConcurrencyGuard, Refusal> {
+        let guard = ConcurrencyGuard { in_use: Arc::clone(&self.in_use) };
+        if self.in_use.fetch_add(1, Ordering::SeqCst) < self.limit {
+            return Ok(guard);
         }
-        drop(place);
+        drop(guard);
         let message =
             format!("this node works on {} {} already; try again or ask another node", self.limit, self.name);
         Err(Refusal::not_run(RefusalCode::Overloaded, message).with_retry_after(Duration::from_secs(1)))
     }
 
     /// Places taken.
-    pub fn taken(&self) -> usize {
-        self.taken.load(Ordering::SeqCst)
+    pub fn in_use(&self) -> usize {
+        self.in_use.load(Ordering::SeqCst)
     }
 }
 
-impl Drop for Place {
+impl Drop for ConcurrencyGuard {
     fn drop(&mut self) {
-        self.taken.fetch_sub(1, Ordering::SeqCst);
+        self.in_use.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 /// All bounds of a node's administration interface.
 #[derive(Clone, Debug)]
-pub struct AdminBounds {
+pub struct AdminLimits {
     /// Statements of operators.
-    pub queries: Places,
+    pub queries: ConcurrencyLimit,
     /// Questions of other members.
-    pub member_questions: Places,
+    pub member_queries: ConcurrencyLimit,
     /// Streams of `watch`.
-    pub watchers: Places,
+    pub watchers: ConcurrencyLimit,
 }
 
-impl Default for AdminBounds {
+impl Default for AdminLimits {
     fn default() -> Self {
         Self {
-            queries: Places::new("queries", MAX_QUERIES),
-            member_questions: Places::new("questions of members", MAX_MEMBER_QUESTIONS),
-            watchers: Places::new("watchers", MAX_WATCHERS),
+            queries: ConcurrencyLimit::new("queries", MAX_QUERIES),
+            member_queries: ConcurrencyLimit::new("questions of members", MAX_MEMBER_QUERIES),
+            watchers: ConcurrencyLimit::new("watchers", MAX_WATCHERS),
         }
     }
 }
--- a/crates/node/src/admin/members.rs
+++ b/crates/node/src/admin/members.rs
@@ -14,22 +14,22 @@
 /// The path that members' questions are posted to.
 pub const PATH: &str = "/peer/query";
 /// Members asked at the same time.
-const ASKED_AT_ONCE: usize = 128;
+const MAX_CONCURRENT_QUERIES: usize = 128;
 
 /// What became of the question to one member.
-pub struct Asked {
+pub struct MemberResponse {
     /// The member.
     pub member: Member,
     /// Its reply, or why there is none.
     pub reply: Result<MemberReply, String>,
     /// How long that took.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
-impl Asked {
+impl MemberResponse {
     /// The part of an answer that tells of this member.
     pub fn summary(&self) -> MemberStatus {
-        let took_ms = u64::try_from(self.took.as_millis()).unwrap_or(u64::MAX);
+        let took_ms = u64::try_from(self.elapsed.as_millis()).unwrap_or(u64::MAX);
         MemberStatus {
             node: self.member.node.clone(),
             answered: self.reply.is_ok(),
@@ -40,55 +40,57 @@
     }
 }
 
-/// Asks members the question that `question` makes for each, until `deadline` has passed.
-pub async fn ask(
+/// Asks members the question that `query` makes for each, until `deadline` has passed.
+pub async fn query_all(
     state: &Arc<NodeState>,
     members: Vec<Member>,
-    question: impl Fn(&NodeId) -> MemberQuery,
+    query: impl Fn(&NodeId) -> MemberQuery,
     deadline: Duration,
-) -> Vec<Asked> {
-    let begun = Instant::now();
-    let asked = members.into_iter().map(|member| {
-        let question = question(&member.node);
-        ask_one(state, member, question, begun, deadline)
+) -> Vec<MemberResponse> {
+    let started = Instant::now();
+    let responses = members.into_iter().map(|member| {
+        let query = query(&member.node);
+        query_one(state, member, query, started, deadline)
     });
-    let mut asked: Vec<Asked> =
-        futures_util::stream::iter(asked).buffer_unordered(ASKED_AT_ONCE).collect().await;
-    asked.sort_by(|left, right| left.member.node.cmp(&right.member.node));
-    asked
+    let mut responses: Vec<MemberResponse> =
+        futures_util::stream::iter(responses).buffer_unordered(MAX_CONCURRENT_QUERIES).collect().await;
+    responses.sort_by(|left, right| left.member.node.cmp(&right.member.node));
+    responses
 }
 
-async fn ask_one(
+async fn query_one(
     state: &Arc<NodeState>,
     member: Member,
-    question: MemberQuery,
-    begun: Instant,
+    query: MemberQuery,
+    started: Instant,
     deadline: Duration,
-) -> Asked {
-    let asked_at = Instant::now();
-    let remaining = deadline.saturating_sub(begun.elapsed());
-    let reply = transport::call::<_, MemberReply>(state, member.address, PATH, &question, remaining).await;
+) -> MemberResponse {
+    let sent_at = Instant::now();
+    let remaining = deadline.saturating_sub(started.elapsed());
+    let reply = transport::call::<_, MemberReply>(state, member.address, PATH, &query, remaining).await;
     let reply = reply.map_err(|error| error.to_string());
-    Asked { member, reply, took: asked_at.elapsed() }
+    MemberResponse { member, reply, elapsed: sent_at.elapsed() }
 }
 
 /// Notes on members that did not answer, and on those that had more rows than they gave.
-pub fn notes(asked: &[Asked], deadline: Duration) -> Vec<String> {
+pub fn notes(responses: &[MemberResponse], deadline: Duration) -> Vec<String> {
     let mut notes = Vec::new();
-    let silent: Vec<&Asked> = asked.iter().filter(|asked| asked.reply.is_err()).collect();
-    if !silent.is_empty() {
-        let names: Vec<&str> = silent.iter().map(|asked| asked.member.node.as_str()).collect();
+    let unanswered: Vec<&MemberResponse> =
+        responses.iter().filter(|response| response.reply.is_err()).collect();
+    if !unanswered.is_empty() {
+        let names: Vec<&str> = unanswered.iter().map(|response| response.member.node.as_str()).collect();
         notes.push(format!(
             "{} of {} other nodes did not answer within {} ms: {}",
-            silent.len(),
-            asked.len(),
+            unanswered.len(),
+            responses.len(),
             deadline.as_millis(),
             names.join(", ")
         ));
     }
-    let truncated = asked.iter().filter(|asked| asked.reply.as_ref().is_ok_and(|reply| reply.truncated));
-    for asked in truncated {
-        notes.push(truncation(&asked.member.node, asked.summary().rows));
+    let truncated =
+        responses.iter().filter(|response| response.reply.as_ref().is_ok_and(|reply| reply.truncated));
+    for response in truncated {
+        notes.push(truncation(&response.member.node, response.summary().rows));
     }
     notes
 }
--- a/crates/node/src/admin/observations.rs
+++ b/crates/node/src/admin/observations.rs
@@ -38,7 +38,7 @@
 }
 
 /// What was remembered after a position, the oldest first.
-pub struct Remembered {
+pub struct JournalPage {
     /// Decision records.
     pub decisions: Vec<Arc<DecisionRecord>>,
     /// Events.
@@ -46,14 +46,14 @@
     /// The audit trail.
     pub audit: Vec<Arc<AuditEntry>>,
     /// What was gone before it could be read.
-    pub lost: Lost,
+    pub lost: LostCounts,
     /// Where to read on.
     pub next: WatchPosition,
 }
 
 /// Counts of entries that were gone before they could be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lost {
+pub struct LostCounts {
     /// Decision records.
     pub decisions: u64,
     /// Events.
@@ -62,7 +62,7 @@
     pub audit: u64,
 }
 
-struct Memory {
+struct Journals {
     decisions: DecisionRing,
     events: Journal<Arc<MechanismEvent>>,
     audit: Journal<Arc<AuditEntry>>,
@@ -74,7 +74,7 @@
     counters: ClassCounters,
     clock: Clock,
     settings: DecisionSettings,
-    memory: Mutex<Memory>,
+    journals: Mutex<Journals>,
     running: Mutex<BTreeMap<RequestId, Arc<Mutex<DecisionRecord>>>>,
     reports: Mutex<BTreeMap<EngineId, EngineReport>>,
     /// Requests by prefix.
@@ -90,7 +90,7 @@
 impl Observations {
     /// Nothing remembered.
     pub fn new(clock: Clock, settings: DecisionSettings, metrics: Arc<NodeMetrics>) -> Self {
-        let memory = Memory {
+        let journals = Journals {
             decisions: DecisionRing::new(settings.clone()),
             events: Journal::new(EVENT_BYTES),
             audit: Journal::new(AUDIT_BYTES),
@@ -100,7 +100,7 @@
             counters: ClassCounters::new(metrics),
             clock,
             settings,
-            memory: Mutex::new(memory),
+            journals: Mutex::new(journals),
             running: Mutex::default(),
             reports: Mutex::default(),
             prefixes: PrefixCounts::default(),
@@ -132,7 +132,7 @@
         if let Some(limit) = limit {
             record.record_limit(LimitHit { limit, refused: true, waited_ms: 0 });
         }
-        self.remember(record, now);
+        self.record_ended(record, now);
     }
 
     /// Remembers one step of a mechanism.
@@ -151,16 +151,16 @@
             event: event.to_owned(),
             detail: detail.into(),
         };
-        let mut memory = lock(&self.memory);
-        let sequence = memory.take_sequence();
-        memory.events.push(sequence, Arc::new(event));
+        let mut journals = lock(&self.journals);
+        let sequence = journals.next_sequence();
+        journals.events.push(sequence, Arc::new(event));
     }
 
     /// Remembers how a change ended that was asked for here at `at`.
     pub fn audit(&self, entry: AuditEntry) {
-        let mut memory = lock(&self.memory);
-        let sequence = memory.take_sequence();
-        memory.audit.push(sequence, Arc::new(entry));
+        let mut journals = lock(&self.journals);
+        let sequence = journals.next_sequence();
+        journals.audit.push(sequence, Arc::new(entry));
     }
 
     /// Remembers an engine's own account of itself.
@@ -171,9 +171,10 @@
 
     /// Remembers whether an engine takes new work; a change is an event.
     pub fn engine_draining(&self, engine: &EngineId, draining: bool, reason: &str) {
-        let mut known = lock(&self.draining);
-        let changed = if draining { known.insert(engine.clone()) } else { known.remove(engine) };
-        drop(known);
+        let mut draining_engines = lock(&self.draining);
+        let changed =
+            if draining { draining_engines.insert(engine.clone()) } else { draining_engines.remove(engine) };
+        drop(draining_engines);
         if changed {
             let event = if draining { "draining" } else { "takes_work" };
             self.event(Mechanism::Drains, event, engine, reason);
@@ -181,12 +182,17 @@
     }
 
     /// An engine has asked this node for a time without requests.
-    pub fn engine_rests(&self, engine: &EngineId, rest: Duration) {
-        self.event(Mechanism::Drains, "rests", engine, format!("no requests for {} ms", rest.as_millis()));
+    pub fn engine_backed_off(&self, engine: &EngineId, back_off: Duration) {
+        self.event(
+            Mechanism::Drains,
+            "rests",
+            engine,
+            format!("no requests for {} ms", back_off.as_millis()),
+        );
     }
 
     /// Forgets an engine that no longer exists.
-    pub fn forget_engine(&self, engine: &EngineId) {
+    pub fn remove_engine(&self, engine: &EngineId) {
         lock(&self.draining).remove(engine);
         lock(&self.reports).remove(engine);
     }
@@ -204,7 +210,7 @@
 
     /// Works with the decision records. The work must be short.
     pub fn decisions<T>(&self, work: impl FnOnce(&DecisionRing) -> T) -> T {
-        work(&lock(&self.memory).decisions)
+        work(&lock(&self.journals).decisions)
     }
 
     /// Requests of a tenant that a limit has refused since the node started.
@@ -214,26 +220,26 @@
 
     /// Remembered events, the newest first.
     pub fn events(&self) -> Vec<Arc<MechanismEvent>> {
-        lock(&self.memory).events.iter().rev().map(|entry| Arc::clone(&entry.value)).collect()
+        lock(&self.journals).events.iter().rev().map(|entry| Arc::clone(&entry.value)).collect()
     }
 
     /// The audit trail, the newest entry first.
     pub fn audit_trail(&self) -> Vec<Arc<AuditEntry>> {
-        lock(&self.memory).audit.iter().rev().map(|entry| Arc::clone(&entry.value)).collect()
+        lock(&self.journals).audit.iter().rev().map(|entry| Arc::clone(&entry.value)).collect()
     }
 
     /// What is remembered after `position`, at most `limit` of each kind.
-    pub fn read_after(&self, position: WatchPosition, limit: usize) -> Remembered {
-        let memory = lock(&self.memory);
+    pub fn read_after(&self, position: WatchPosition, limit: usize) -> JournalPage {
+        let journals = lock(&self.journals);
         let cursor = DecisionCursor { sampled: position.sampled, notable: position.notable };
-        let decisions = memory.decisions.read_after(cursor, limit);
-        let events = memory.events.read_after(position.events, limit);
-        let audit = memory.audit.read_after(position.audit, limit);
-        Remembered {
+        let decisions = journals.decisions.read_after(cursor, limit);
+        let events = journals.events.read_after(position.events, limit);
+        let audit = journals.audit.read_after(position.audit, limit);
+        JournalPage {
             decisions: decisions.entries.iter().map(|entry| Arc::clone(&entry.value)).collect(),
             events: events.entries.iter().map(|entry| Arc::clone(&entry.value)).collect(),
             audit: audit.entries.iter().map(|entry| Arc::clone(&entry.value)).collect(),
-            lost: Lost { decisions: decisions.lost, events: events.lost, audit: audit.lost },
+            lost: LostCounts { decisions: decisions.lost, events: events.lost, audit: audit.lost },
             next: WatchPosition {
                 sampled: decisions.next.sampled,
                 notable: decisions.next.notable,
@@ -245,13 +251,13 @@
 
     /// The position after everything remembered so far.
     pub fn end(&self) -> WatchPosition {
-        let memory = lock(&self.memory);
-        let decisions = memory.decisions.end();
+        let journals = lock(&self.journals);
+        let decisions = journals.decisions.end();
         WatchPosition {
             sampled: decisions.sampled,
             notable: decisions.notable,
-            events: memory.events.last_position(),
-            audit: memory.audit.last_position(),
+            events: journals.events.last_position(),
+            audit: journals.audit.last_position(),
         }
     }
 
@@ -281,31 +287,31 @@
         let now = self.clock.now();
         let mut record = lock(record).clone();
         record.timings.total_ms = now.saturating_since(record.at).as_millis() as u64;
-        self.remember(record, now);
+        self.record_ended(record, now);
     }
 
-    fn remember(&self, record: DecisionRecord, now: Timestamp) {
+    fn record_ended(&self, record: DecisionRecord, now: Timestamp) {
         if record.limits.iter().any(|limit| limit.refused) {
             *lock(&self.refusals).entry(record.tenant.clone()).or_default() += 1;
         }
         let events = events_of(&record, now);
         self.counters.count(&record);
         events.iter().for_each(|event| self.counters.count_event(event.mechanism, &event.event));
-        let mut memory = lock(&self.memory);
-        let kept = memory.decisions.offer(record, now);
+        let mut journals = lock(&self.journals);
+        let retained = journals.decisions.offer(record, now);
         for event in events {
-            if kept
-                .is_some_and(|kept| kept != RetentionReason::Sampled || event.mechanism == Mechanism::Routing)
-            {
-                let sequence = memory.take_sequence();
-                memory.events.push(sequence, Arc::new(event));
+            if retained.is_some_and(|retained| {
+                retained != RetentionReason::Sampled || event.mechanism == Mechanism::Routing
+            }) {
+                let sequence = journals.next_sequence();
+                journals.events.push(sequence, Arc::new(event));
             }
         }
     }
 }
 
-impl Memory {
-    const fn take_sequence(&mut self) -> u64 {
+impl Journals {
+    const fn next_sequence(&mut self) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         sequence
@@ -371,7 +377,7 @@
 
 impl LiveRecord {
     /// Notes something in the record. The work must be short.
-    pub fn note(&self, work: impl FnOnce(&mut DecisionRecord)) {
+    pub fn update(&self, work: impl FnOnce(&mut DecisionRecord)) {
         work(&mut lock(&self.record));
     }
 }
--- a/crates/node/src/admin/prefixes.rs
+++ b/crates/node/src/admin/prefixes.rs
@@ -18,14 +18,14 @@
 };
 
 use super::rows::NodeSource;
-use crate::exchange::ExchangeTerms;
+use crate::exchange::ExchangeSpec;
 
 /// Prefixes that are counted; the coldest goes where another one comes.
 const MAX_PREFIXES: usize = 512;
 /// Blocks of a prefix that are counted at most. With [`MAX_PREFIXES`], 2 MiB of hashes.
 const MAX_DEPTH: usize = 256;
 /// A prefix is shown only where it is asked for this much more often than the next longer one.
-const SHOWN_ABOVE_LONGER: f64 = 1.1;
+const MIN_RATIO_TO_LONGER: f64 = 1.1;
 
 #[derive(Clone)]
 struct CountedPrefix {
@@ -47,17 +47,17 @@
 
 impl PrefixCounts {
     /// Counts a request.
-    pub fn record(&self, terms: &ExchangeTerms, now: Timestamp) {
-        let blocks = &terms.blocks[..terms.blocks.len().min(MAX_DEPTH)];
+    pub fn record(&self, spec: &ExchangeSpec, now: Timestamp) {
+        let blocks = &spec.blocks[..spec.blocks.len().min(MAX_DEPTH)];
         let shared: Arc<[BlockHash]> = Arc::from(blocks);
         let mut counted = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
         for depth in level_depths(blocks.len()) {
             let entry = counted.entry(blocks[depth - 1]).or_insert_with(|| CountedPrefix {
-                tenant: terms.tenant.clone(),
-                pool: terms.pool.clone(),
-                model: terms.model.clone(),
-                weights: terms.weights,
-                scope: terms.scope,
+                tenant: spec.tenant.clone(),
+                pool: spec.pool.clone(),
+                model: spec.model.clone(),
+                weights: spec.weights,
+                scope: spec.scope,
                 blocks: Arc::clone(&shared),
                 depth,
                 count: DecayedCount::default(),
@@ -79,13 +79,13 @@
         for prefix in counted.values() {
             let shorter = level_depths(prefix.depth - 1).last();
             if let Some(block) = shorter.map(|depth| prefix.blocks[depth - 1]) {
-                let most = longer.entry(block).or_default();
-                *most = most.max(prefix.count.at(now));
+                let max_rate = longer.entry(block).or_default();
+                *max_rate = max_rate.max(prefix.count.at(now));
             }
         }
         let is_distinct = |prefix: &CountedPrefix| {
-            let most = longer.get(&prefix.blocks[prefix.depth - 1]).copied().unwrap_or_default();
-            prefix.count.at(now) > most * SHOWN_ABOVE_LONGER
+            let max_rate = longer.get(&prefix.blocks[prefix.depth - 1]).copied().unwrap_or_default();
+            prefix.count.at(now) > max_rate * MIN_RATIO_TO_LONGER
         };
         counted.into_values().filter(|prefix| is_distinct(prefix)).collect()
     }
@@ -103,7 +103,7 @@
         let blocks = &prefix.blocks[..prefix.depth];
         let tokens = u32::try_from(blocks.len()).unwrap_or(u32::MAX).saturating_mul(BLOCK_TOKENS);
         let request = RequestId::from("preview");
-        let question = RouteRequest {
+        let route_request = RouteRequest {
             request: &request,
             tenant: &prefix.tenant,
             pool: &prefix.pool,
@@ -118,9 +118,10 @@
             reuse_weight: 0.0,
             excluded: &[],
         };
-        let decision = self.state.route(|router| router.preview(&question, now));
-        let holds = |believed: u32| usize::try_from(believed).is_ok_and(|believed| believed >= blocks.len());
-        let holders = decision.candidates.iter().filter(|candidate| holds(candidate.matched_blocks));
+        let decision = self.state.with_router(|router| router.preview(&route_request, now));
+        let holds_all =
+            |believed: u32| usize::try_from(believed).is_ok_and(|believed| believed >= blocks.len());
+        let holders = decision.candidates.iter().filter(|candidate| holds_all(candidate.matched_blocks));
         let mut holders: Vec<String> = holders.map(|candidate| candidate.engine.to_string()).collect();
         holders.sort();
         self.own_row(Noun::Prefixes)
--- a/crates/node/src/admin/rows.rs
+++ b/crates/node/src/admin/rows.rs
@@ -55,10 +55,10 @@
     fn visit_events(&self, mechanism: Option<Mechanism>, visitor: Visitor<'_>) -> ControlFlow<()> {
         let noun = mechanism.map_or(Noun::Events, Noun::Mechanism);
         let events = self.state.observations.events();
-        let wanted = events.iter().filter(|event| {
+        let selected = events.iter().filter(|event| {
             mechanism.is_none_or(|mechanism| snake_case(&event.mechanism) == mechanism.name())
         });
-        wanted.map(|event| self.event_row(noun, event)).try_for_each(visitor)
+        selected.map(|event| self.event_row(noun, event)).try_for_each(visitor)
     }
 }
 
--- a/crates/node/src/admin/rows/configuration.rs
+++ b/crates/node/src/admin/rows/configuration.rs
@@ -36,7 +36,7 @@
 
     fn pool_row(&self, pool: &PoolId, settings: &Pool) -> Row {
         let engines = self.engine_views();
-        let of_pool = || engines.iter().filter(|engine| engine.pool == *pool);
+        let in_pool = || engines.iter().filter(|engine| engine.pool == *pool);
         let adapters = settings.adapters.iter().map(ToString::to_string).collect();
         self.configured_row(Noun::Pools)
             .with("pool", pool.as_str())
@@ -45,8 +45,8 @@
             .with("rollout", settings.rollout.map(|version| version.0))
             .with("adapters", Value::List(adapters))
             .with("reuse_weight", settings.reuse_weight)
-            .with("engines", of_pool().count())
-            .with("ready", of_pool().filter(|engine| engine.is_ready()).count())
+            .with("engines", in_pool().count())
+            .with("ready", in_pool().filter(|engine| engine.is_ready()).count())
     }
 
     pub(super) fn visit_services(&self, visitor: Visitor<'_>) -> ControlFlow<()> {
@@ -97,11 +97,11 @@
 
     /// Changes asked for at this node, and accepted ones that the configuration remembers.
     pub(super) fn visit_changes(&self, visitor: Visitor<'_>) -> ControlFlow<()> {
-        let asked_here = self.state.observations.audit_trail();
+        let audited = self.state.observations.audit_trail();
         let remembered = self.active.document.configuration.changes.iter().rev();
-        let is_asked_here = |record: &&ChangeRecord| asked_here.iter().any(|entry| entry.change == record.id);
-        let remembered = remembered.filter(|record| !is_asked_here(record));
-        asked_here.iter().map(|entry| self.audit_row(entry)).try_for_each(&mut *visitor)?;
+        let is_audited = |record: &&ChangeRecord| audited.iter().any(|entry| entry.change == record.id);
+        let remembered = remembered.filter(|record| !is_audited(record));
+        audited.iter().map(|entry| self.audit_row(entry)).try_for_each(&mut *visitor)?;
         remembered.map(|record| self.record_row(record)).try_for_each(visitor)
     }
 
--- a/crates/node/src/admin/rows/engines.rs
+++ b/crates/node/src/admin/rows/engines.rs
@@ -17,7 +17,7 @@
 };
 
 /// An engine whose last report is older than this is reported as silent.
-const SILENT_AFTER: Duration = Duration::from_secs(5);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(5);
 /// A configuration that was confirmed longer ago than this is reported as unconfirmed.
 const UNCONFIRMED_AFTER: Duration = Duration::from_secs(9);
 
@@ -29,7 +29,7 @@
     report: Option<EngineReport>,
     drained: bool,
     in_flight: usize,
-    rest: Option<Duration>,
+    back_off: Option<Duration>,
 }
 
 impl EngineView {
@@ -39,8 +39,8 @@
     }
 
     fn is_draining(&self) -> bool {
-        let says_so = self.report.as_ref().is_some_and(|report| report.status.draining);
-        self.drained || self.entry.leaving || says_so
+        let reported = self.report.as_ref().is_some_and(|report| report.status.draining);
+        self.drained || self.entry.leaving || reported
     }
 
     /// Whether it can take new work, as far as is known.
@@ -48,7 +48,7 @@
         self.loaded().is_some() && !self.is_draining()
     }
 
-    fn heard_at(&self) -> Timestamp {
+    fn reported_at(&self) -> Timestamp {
         self.report.as_ref().map_or(Timestamp::ZERO, |report| report.at)
     }
 }
@@ -62,7 +62,7 @@
         let drained = &self.active.document.configuration.drained;
         let now = self.state.clock.now();
         let views = self.state.directory.engines().into_iter().map(|(engine, entry)| EngineView {
-            rest: self.state.route(|router| router.remaining_back_off(&engine, now)),
+            back_off: self.state.with_router(|router| router.remaining_back_off(&engine, now)),
             pool: entry.pool.clone(),
             report: reports.remove(&engine),
             drained: drained.contains_key(&engine),
@@ -89,12 +89,12 @@
 
     fn engine_row(&self, view: &EngineView) -> Row {
         let row = self
-            .row(Noun::Engines, view.heard_at())
+            .row(Noun::Engines, view.reported_at())
             .with("engine", view.engine.as_str())
             .with("pool", view.pool.as_str())
             .with("zone", view.entry.zone.as_str())
             .with("draining", view.is_draining())
-            .with("rests_ms", view.rest.map(|rest| rest.as_millis() as u64))
+            .with("rests_ms", view.back_off.map(|back_off| back_off.as_millis() as u64))
             .with("in_flight", view.in_flight);
         let Some(EngineReport { status, .. }) = &view.report else { return row.with("age", Value::None) };
         row.with("incarnation", status.incarnation.0)
@@ -113,7 +113,7 @@
         visitor(self.own_node_row())?;
         let own = &self.state.settings.node;
         let members: Vec<MemberRecord> =
-            self.state.peers.look(|peers, _| peers.members().all().cloned().collect());
+            self.state.peers.inspect(|peers, _| peers.members().all().cloned().collect());
         let others = members.iter().filter(|record| record.node != *own);
         others.map(|record| self.member_row(record)).try_for_each(&mut *visitor)?;
         let is_member = |node: &NodeId| members.iter().any(|record| record.node == *node);
@@ -178,7 +178,7 @@
             }
         }
         let members: Vec<MemberRecord> =
-            self.state.peers.look(|peers, _| peers.members().all().cloned().collect());
+            self.state.peers.inspect(|peers, _| peers.members().all().cloned().collect());
         let failing =
             members.iter().filter(|record| matches!(record.state, MemberState::Suspect | MemberState::Dead));
         for record in failing {
@@ -193,10 +193,16 @@
             ));
         }
         for engine in &engines {
-            let heard_at = engine.heard_at();
-            if self.now.saturating_since(heard_at) > SILENT_AFTER {
+            let reported_at = engine.reported_at();
+            if self.now.saturating_since(reported_at) > UNRESPONSIVE_AFTER {
                 let detail = "the engine has not answered; requests avoid it once one fails";
-                alerts.push(self.alert("engine_silent", "warning", engine.engine.as_str(), heard_at, detail));
+                alerts.push(self.alert(
+                    "engine_silent",
+                    "warning",
+                    engine.engine.as_str(),
+                    reported_at,
+                    detail,
+                ));
             }
         }
         alerts
--- a/crates/node/src/admin/rows/requests.rs
+++ b/crates/node/src/admin/rows/requests.rs
@@ -52,21 +52,21 @@
 
     /// The rows of one decision; a request that met no engine has one row without any.
     pub(in crate::admin) fn decision_rows(&self, record: &DecisionRecord) -> Vec<Row> {
-        let kept = self.state.observations.notable_reason(record).unwrap_or(RetentionReason::Sampled);
+        let retention = self.state.observations.notable_reason(record).unwrap_or(RetentionReason::Sampled);
         let row = self
             .own_row(Noun::Decisions)
             .with("request", record.request.as_str())
             .with("tenant", record.tenant.as_str())
             .with("pool", record.pool.as_str())
             .with("at", record.at)
-            .with("kept", kept_word(kept))
+            .with("kept", retention_word(retention))
             .with("reason", record.reason.map(|reason| snake_case(&reason)));
         if record.candidates.is_empty() {
             return vec![row];
         }
-        let first_try = record.attempts.first().map(|attempt| &attempt.precondition.engine);
+        let first_engine = record.attempts.first().map(|attempt| &attempt.precondition.engine);
         let rows = record.candidates.iter().enumerate().map(|(index, candidate)| {
-            let chosen = first_try == Some(&candidate.engine);
+            let chosen = first_engine == Some(&candidate.engine);
             with_candidate(row.clone(), candidate).with("place", index + 1).with("chosen", chosen)
         });
         rows.collect()
@@ -84,8 +84,8 @@
 }
 
 /// Why a record is kept, in the words of the language.
-pub const fn kept_word(kept: RetentionReason) -> &'static str {
-    match kept {
+pub const fn retention_word(retention: RetentionReason) -> &'static str {
+    match retention {
         RetentionReason::Refused => "refused",
         RetentionReason::Retried => "retried",
         RetentionReason::Slow => "slow",
--- a/crates/node/src/admin/watch.rs
+++ b/crates/node/src/admin/watch.rs
@@ -19,8 +19,8 @@
 use paddlemount_protocol::identity::NodeId;
 
 use super::{
-    bounds::{Place, rows_per_member},
-    members::{self, Asked},
+    limits::{ConcurrencyGuard, rows_per_member},
+    members::{self, MemberResponse},
     observations::snake_case,
     rows::NodeSource,
 };
@@ -30,16 +30,16 @@
 };
 
 /// Time between two reads of what nodes remember.
-const LEAST_PERIOD: Duration = Duration::from_millis(500);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Members that one watcher asks in a second on average.
-const MEMBERS_PER_SECOND: u32 = 50;
+const MAX_MEMBERS_PER_SECOND: u32 = 50;
 /// Leading fields that tell objects apart of which each node has its own.
 const PER_NODE_KEY_FIELDS: usize = 2;
 /// How long a member may take.
 const MEMBER_DEADLINE: Duration = Duration::from_secs(2);
 
 /// Rows that appeared at a node.
-pub struct News {
+pub struct WatchUpdate {
     /// The rows that meet the filter.
     pub rows: Vec<Row>,
     /// Where to read on.
@@ -54,40 +54,45 @@
 }
 
 /// What appeared at this node after a position; without one, what appears from now on.
-pub fn news(state: &NodeState, query: &Query, after: Option<WatchPosition>, max_rows: usize) -> News {
+pub fn read_update(
+    state: &NodeState,
+    query: &Query,
+    after: Option<WatchPosition>,
+    max_rows: usize,
+) -> WatchUpdate {
     let source = NodeSource::new(state);
     if !is_journal(query.noun) {
         let rows = select(query, &source, max_rows).rows;
-        return News { rows, next: WatchPosition::default(), lost: 0 };
+        return WatchUpdate { rows, next: WatchPosition::default(), lost: 0 };
     }
     let Some(after) = after else {
-        return News { rows: Vec::new(), next: state.observations.end(), lost: 0 };
+        return WatchUpdate { rows: Vec::new(), next: state.observations.end(), lost: 0 };
     };
-    let remembered = state.observations.read_after(after, max_rows);
+    let page = state.observations.read_after(after, max_rows);
     let (rows, lost): (Vec<Row>, u64) = match query.noun {
         Noun::Requests => {
-            let rows = remembered.decisions.iter().map(|record| source.request_row(record, false));
-            (rows.collect(), remembered.lost.decisions)
+            let rows = page.decisions.iter().map(|record| source.request_row(record, false));
+            (rows.collect(), page.lost.decisions)
         }
         Noun::Decisions => {
-            let rows = remembered.decisions.iter().flat_map(|record| source.decision_rows(record));
-            (rows.collect(), remembered.lost.decisions)
+            let rows = page.decisions.iter().flat_map(|record| source.decision_rows(record));
+            (rows.collect(), page.lost.decisions)
         }
         Noun::Changes => {
-            let rows = remembered.audit.iter().map(|entry| source.audit_row(entry));
-            (rows.collect(), remembered.lost.audit)
+            let rows = page.audit.iter().map(|entry| source.audit_row(entry));
+            (rows.collect(), page.lost.audit)
         }
         noun => {
             let wanted = |mechanism: &str| match noun {
                 Noun::Mechanism(watched) => watched.name() == mechanism,
                 _ => true,
             };
-            let events = remembered.events.iter().filter(|event| wanted(&snake_case(&event.mechanism)));
-            (events.map(|event| source.event_row(noun, event)).collect(), remembered.lost.events)
+            let events = page.events.iter().filter(|event| wanted(&snake_case(&event.mechanism)));
+            (events.map(|event| source.event_row(noun, event)).collect(), page.lost.events)
         }
     };
     let rows = rows.into_iter().filter(|row| matches(query, row, source.now())).collect();
-    News { rows, next: remembered.next, lost }
+    WatchUpdate { rows, next: page.next, lost }
 }
 
 /// One stream of `watch`.
@@ -97,17 +102,17 @@
     statement: String,
     positions: BTreeMap<NodeId, WatchPosition>,
     shown: BTreeMap<String, Vec<Value>>,
-    silent: Vec<NodeId>,
+    unresponsive: Vec<NodeId>,
     remaining: u64,
     started: bool,
-    _place: Place,
+    _guard: ConcurrencyGuard,
 }
 
 /// The lines of a stream, as JSON, each ended by a line feed.
 pub fn stream(
     state: &Arc<NodeState>,
     query: Query,
-    place: Place,
+    guard: ConcurrencyGuard,
 ) -> impl Stream<Item = Result<Bytes, Infallible>> + use<> {
     let watcher = Watcher {
         state: Arc::clone(state),
@@ -116,9 +121,9 @@
         query,
         positions: BTreeMap::new(),
         shown: BTreeMap::new(),
-        silent: Vec::new(),
+        unresponsive: Vec::new(),
         started: false,
-        _place: place,
+        _guard: guard,
     };
     futures_util::stream::unfold(watcher, |mut watcher| async move {
         if watcher.remaining == 0 {
@@ -145,16 +150,16 @@
     async fn next_lines(&mut self) -> Vec<WatchLine> {
         let members = cluster::members(&self.state);
         if self.started {
-            tokio::time::sleep(period(members.len())).await;
+            tokio::time::sleep(poll_interval(members.len())).await;
         }
         self.started = true;
         let max_rows = rows_per_member(members.len() + 1);
         let mut lines = Vec::new();
         let mut rows = self.own_rows(max_rows, &mut lines);
-        for asked in self.ask(members, max_rows).await {
-            rows.extend(self.take_reply(asked, &mut lines));
+        for response in self.query_members(members, max_rows).await {
+            rows.extend(self.apply_reply(response, &mut lines));
         }
-        let rows = self.fresh_rows(rows);
+        let rows = self.rows_to_show(rows);
         if !rows.is_empty() {
             self.remaining -= rows.len() as u64;
             lines.push(WatchLine::Rows { table: self.table(&rows) });
@@ -168,7 +173,7 @@
     fn own_rows(&mut self, max_rows: usize, lines: &mut Vec<WatchLine>) -> Vec<Row> {
         let node = self.state.settings.node.clone();
         let after = self.positions.get(&node).copied();
-        let News { rows, next, lost } = news(&self.state, &self.query, after, max_rows);
+        let WatchUpdate { rows, next, lost } = read_update(&self.state, &self.query, after, max_rows);
         self.advance(node, next, lost, lines);
         rows
     }
@@ -180,27 +185,27 @@
         self.positions.insert(node, next);
     }
 
-    async fn ask(&self, members: Vec<Member>, max_rows: usize) -> Vec<Asked> {
-        let question = |node: &NodeId| MemberQuery {
+    async fn query_members(&self, members: Vec<Member>, max_rows: usize) -> Vec<MemberResponse> {
+        let member_query = |node: &NodeId| MemberQuery {
             statement: self.statement.clone(),
             max_rows,
             after: self.positions.get(node).copied(),
         };
-        members::ask(&self.state, members, question, MEMBER_DEADLINE).await
+        members::query_all(&self.state, members, member_query, MEMBER_DEADLINE).await
     }
 
     /// The rows of a reply. A member that falls silent is named once, until it answers again.
-    fn take_reply(&mut self, asked: Asked, lines: &mut Vec<WatchLine>) -> Vec<Row> {
-        let node = asked.member.node;
-        match asked.reply {
+    fn apply_reply(&mut self, response: MemberResponse, lines: &mut Vec<WatchLine>) -> Vec<Row> {
+        let node = response.member.node;
+        match response.reply {
             Ok(reply) => {
-                self.silent.retain(|silent| *silent != node);
+                self.unresponsive.retain(|unresponsive| *unresponsive != node);
                 self.advance(node, reply.next, reply.lost, lines);
                 Row::from_table(self.query.noun, reply.table)
             }
             Err(problem) => {
-                if !self.silent.contains(&node) {
-                    self.silent.push(node.clone());
+                if !self.unresponsive.contains(&node) {
+                    self.unresponsive.push(node.clone());
                     lines.push(WatchLine::Unresponsive { node, problem });
                 }
                 Vec::new()
@@ -209,10 +214,10 @@
     }
 
     /// Rows of a journal as they are; of other nouns those that differ from what was shown before.
-    fn fresh_rows(&mut self, rows: Vec<Row>) -> Vec<Row> {
-        let mut fresh = if is_journal(self.query.noun) { rows } else { self.changed_rows(rows) };
-        fresh.truncate(usize::try_from(self.remaining).unwrap_or(usize::MAX));
-        fresh
+    fn rows_to_show(&mut self, rows: Vec<Row>) -> Vec<Row> {
+        let mut new_rows = if is_journal(self.query.noun) { rows } else { self.changed_rows(rows) };
+        new_rows.truncate(usize::try_from(self.remaining).unwrap_or(usize::MAX));
+        new_rows
     }
 
     fn changed_rows(&mut self, rows: Vec<Row>) -> Vec<Row> {
@@ -257,7 +262,7 @@
 }
 
 /// The time between two reads grows with the members, so that a watcher asks so many a second at most.
-fn period(members: usize) -> Duration {
+fn poll_interval(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
-    LEAST_PERIOD.max(Duration::from_secs(1) * members / MEMBERS_PER_SECOND)
+    MIN_POLL_INTERVAL.max(Duration::from_secs(1) * members / MAX_MEMBERS_PER_SECOND)
 }
--- a/crates/node/src/caller/admission.rs
+++ b/crates/node/src/caller/admission.rs
@@ -128,7 +128,7 @@
 pub fn read_options(
     headers: &HeaderMap,
     repeatable: bool,
-    longest: Duration,
+    max_deadline: Duration,
 ) -> Result<RequestOptions, Refusal> {
     let repeatable = match text(headers, REPEATABLE)? {
         None => repeatable,
@@ -137,8 +137,8 @@
         Some(_) => return Err(invalid(REPEATABLE, "true or false")),
     };
     let deadline = match text(headers, DEADLINE_MS)?.map(str::parse::<u64>) {
-        None => longest,
-        Some(Ok(milliseconds)) if milliseconds > 0 => Duration::from_millis(milliseconds).min(longest),
+        None => max_deadline,
+        Some(Ok(milliseconds)) if milliseconds > 0 => Duration::from_millis(milliseconds).min(max_deadline),
         Some(_) => return Err(invalid(DEADLINE_MS, "a whole number of milliseconds above 0")),
     };
     let priority = match text(headers, PRIORITY)? {
@@ -155,8 +155,9 @@
 /// ignored, as the standard asks.
 fn trace_context(headers: &HeaderMap) -> TraceContext {
     let mut random = rand::rng();
-    let given = headers.get(TRACEPARENT).and_then(|value| value.to_str().ok()).and_then(TraceContext::parse);
-    match given {
+    let received =
+        headers.get(TRACEPARENT).and_then(|value| value.to_str().ok()).and_then(TraceContext::parse);
+    match received {
         Some(context) => context.with_span(random.random()),
         None => TraceContext::new(random.random(), random.random()),
     }
--- a/crates/node/src/caller/chat.rs
+++ b/crates/node/src/caller/chat.rs
@@ -19,7 +19,7 @@
 };
 use crate::{
     active::ActiveGuard,
-    exchange::{self, ExchangeTerms, Output},
+    exchange::{self, ExchangeSpec, Output},
     quarantine,
     state::NodeState,
 };
@@ -29,7 +29,7 @@
 /// Where chat requests come, as their fingerprints name it.
 const CHAT_PATH: &str = "/v1/chat/completions";
 /// Tokens to generate at most, whatever the caller states.
-pub const GREATEST_MAX_TOKENS: u32 = 32_768;
+pub const MAX_TOKENS_LIMIT: u32 = 32_768;
 
 /// Answers a chat request, streamed or whole.
 pub async fn complete(context: &WebContext<'_, Arc<NodeState>>) -> WebResponse {
@@ -43,7 +43,7 @@
 
 struct Prepared {
     guard: ActiveGuard,
-    terms: ExchangeTerms,
+    spec: ExchangeSpec,
     stream: bool,
 }
 
@@ -58,29 +58,29 @@
             return Err(refusal);
         }
     };
-    let (terms, stream) = prepared;
-    Ok(Prepared { guard: admitted.guard, terms, stream })
+    let (spec, stream) = prepared;
+    Ok(Prepared { guard: admitted.guard, spec, stream })
 }
 
 async fn prepare_admitted(
     context: &WebContext<'_, Arc<NodeState>>,
     request: &RequestId,
     admitted: &Admitted,
-) -> Result<(ExchangeTerms, bool), Refusal> {
+) -> Result<(ExchangeSpec, bool), Refusal> {
     let state = context.state();
     let options = read_options(context.req().headers(), true, state.settings.timeouts.deadline)?;
     let chat: ChatRequest = read_json(context).await?;
     let stream = chat.stream;
-    Ok((terms(state, request, admitted, options, chat)?, stream))
+    Ok((spec(state, request, admitted, options, chat)?, stream))
 }
 
-fn terms(
+fn spec(
     state: &NodeState,
     request: &RequestId,
     admitted: &Admitted,
     options: RequestOptions,
     chat: ChatRequest,
-) -> Result<ExchangeTerms, Refusal> {
+) -> Result<ExchangeSpec, Refusal> {
     let Admitted { tenant, configuration, .. } = admitted;
     let pool =
         configuration.pool_of_model(&chat.model).filter(|_| configuration.may_use(tenant, &chat.model));
@@ -93,7 +93,7 @@
         return Err(Refusal::not_run(RefusalCode::NotFound, message));
     }
     check_messages(&chat.messages)?;
-    let max_tokens = chat.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).min(GREATEST_MAX_TOKENS);
+    let max_tokens = chat.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).min(MAX_TOKENS_LIMIT);
     if max_tokens == 0 {
         return Err(Refusal::not_run(RefusalCode::InvalidRequest, "max_tokens must be above 0"));
     }
@@ -105,9 +105,9 @@
     }
     let scope = CacheScope::new(tenant, &chat.model, settings.weights, chat.adapter.as_ref());
     let arrived = state.clock.now();
-    let asked = format!("{CHAT_PATH}?model={}", chat.model);
-    Ok(ExchangeTerms {
-        fingerprint: quarantine::fingerprint(&asked, tenant, prompt.as_bytes()),
+    let fingerprint_path = format!("{CHAT_PATH}?model={}", chat.model);
+    Ok(ExchangeSpec {
+        fingerprint: quarantine::fingerprint(&fingerprint_path, tenant, prompt.as_bytes()),
         request: request.clone(),
         tenant: tenant.clone(),
         tenant_weight: configuration
@@ -148,21 +148,21 @@
 }
 
 async fn answer(state: &Arc<NodeState>, request: RequestId, prepared: Prepared) -> WebResponse {
-    let Prepared { guard, terms, stream } = prepared;
-    let traceparent = terms.traceparent.clone();
-    let head = AnswerHead { created: terms.arrived.as_millis() / 1_000, model: terms.model.clone(), request };
-    let output = exchange::start(state, terms);
+    let Prepared { guard, spec, stream } = prepared;
+    let traceparent = spec.traceparent.clone();
+    let head = AnswerHead { created: spec.arrived.as_millis() / 1_000, model: spec.model.clone(), request };
+    let output = exchange::start(state, spec);
     let mut response = if stream {
         streamed(state, &head, output, guard).await
     } else {
-        whole(state, &head, output, guard).await
+        buffered(state, &head, output, guard).await
     };
     identify(&mut response, &head.request);
     trace(&mut response, traceparent.as_deref());
     response
 }
 
-async fn whole(
+async fn buffered(
     state: &Arc<NodeState>,
     head: &AnswerHead,
     mut output: Receiver<Output>,
--- a/crates/node/src/caller/services.rs
+++ b/crates/node/src/caller/services.rs
@@ -32,7 +32,7 @@
     engines::ServiceEntry,
     exchange::refused_ending,
     overload,
-    quarantine::{self, Look, Run},
+    quarantine::{self, BrokenAttempt, LivenessCheck},
     state::NodeState,
 };
 
@@ -41,7 +41,7 @@
 
 /// A call of a service, ready to run.
 #[derive(Clone, Debug)]
-pub struct ServiceTerms {
+pub struct ServiceSpec {
     /// The request.
     pub request: RequestId,
     /// Its tenant.
@@ -60,7 +60,7 @@
     pub body: serde_json::Value,
 }
 
-impl ServiceTerms {
+impl ServiceSpec {
     /// What the caller asks for, the same each time it comes back, whatever its key.
     fn fingerprint(&self) -> RequestFingerprint {
         let path = format!("/v1/services/{}/{}", self.service, self.operation);
@@ -72,24 +72,24 @@
 pub async fn run(context: &WebContext<'_, Arc<NodeState>>) -> WebResponse {
     let request = new_request_id();
     let state = context.state();
-    let (guard, terms) = match prepare(context, &request).await {
+    let (guard, spec) = match prepare(context, &request).await {
         Ok(prepared) => prepared,
         Err(refusal) => return refuse(state, &request, &refusal),
     };
-    let record = state.observations.begin(service_record(state, &terms));
-    let permit = match overload::enter_service(state, &request, &terms.tenant) {
+    let record = state.observations.begin(service_record(state, &spec));
+    let permit = match overload::enter_service(state, &request, &spec.tenant) {
         Ok(permit) => permit,
         Err(denied) => {
-            record.note(|record| {
+            record.update(|record| {
                 record.ending = refused_ending(&denied.refusal);
                 record.record_limit(denied.limit);
             });
             return refuse(state, &request, &denied.refusal);
         }
     };
-    let result = execute(state, &terms).await;
+    let result = execute(state, &spec).await;
     drop(permit);
-    record.note(|record| {
+    record.update(|record| {
         record.ending = result.as_ref().err().map_or(RequestEnding::Completed, refused_ending);
     });
     match result {
@@ -104,16 +104,16 @@
 }
 
 /// The record of a call, for operators. Its pool is the service, its model the operation.
-fn service_record(state: &NodeState, terms: &ServiceTerms) -> DecisionRecord {
-    let pool = PoolId::from(terms.service.as_str());
-    let operation = ModelId::from(terms.operation.as_str());
-    DecisionRecord::new(terms.request.clone(), terms.tenant.clone(), pool, operation, state.clock.now())
+fn service_record(state: &NodeState, spec: &ServiceSpec) -> DecisionRecord {
+    let pool = PoolId::from(spec.service.as_str());
+    let operation = ModelId::from(spec.operation.as_str());
+    DecisionRecord::new(spec.request.clone(), spec.tenant.clone(), pool, operation, state.clock.now())
 }
 
 async fn prepare(
     context: &WebContext<'_, Arc<NodeState>>,
     request: &RequestId,
-) -> Result<(ActiveGuard, ServiceTerms), Refusal> {
+) -> Result<(ActiveGuard, ServiceSpec), Refusal> {
     let state = context.state();
     let headers = context.req().headers();
     let admitted = admit(state, headers)?;
@@ -127,7 +127,7 @@
     let options = read_options(headers, repeatable, state.settings.timeouts.deadline)?;
     let key = idempotency_key(headers.get(IDEMPOTENCY_KEY))?;
     let body = read_json(context).await?;
-    let terms = ServiceTerms {
+    let spec = ServiceSpec {
         request: request.clone(),
         tenant: admitted.tenant,
         service,
@@ -137,7 +137,7 @@
         deadline: state.clock.now() + options.deadline,
         body,
     };
-    Ok((admitted.guard, terms))
+    Ok((admitted.guard, spec))
 }
 
 fn path_parts(path: &str) -> Result<(ServiceId, String), Refusal> {
@@ -166,23 +166,23 @@
 /// # Errors
 ///
 /// The refusal says whether the call may have run.
-pub async fn execute(state: &Arc<NodeState>, terms: &ServiceTerms) -> Result<serde_json::Value, Refusal> {
-    if let Some(after) = state.quarantine.held_for(&terms.fingerprint(), state.clock.now()) {
+pub async fn execute(state: &Arc<NodeState>, spec: &ServiceSpec) -> Result<serde_json::Value, Refusal> {
+    if let Some(after) = state.quarantine.remaining_hold(&spec.fingerprint(), state.clock.now()) {
         let message = "instances of the service ended under this call again and again; none gets it";
         return Err(Refusal::not_run(RefusalCode::Unavailable, message).with_retry_after(after));
     }
-    let entries = ordered_instances(state, terms);
-    if let Some(key) = terms.key.as_ref().filter(|_| !terms.repeatable) {
-        let runner = InstanceRunner { state: Arc::clone(state), terms: terms.clone(), entries, tries: 0 };
-        return claims::run_once(state, terms, key, runner).await;
+    let entries = ordered_instances(state, spec);
+    if let Some(key) = spec.key.as_ref().filter(|_| !spec.repeatable) {
+        let runner = InstanceRunner { state: Arc::clone(state), spec: spec.clone(), entries, attempts: 0 };
+        return claims::run_once(state, spec, key, runner).await;
     }
     let names = entries.iter().map(|entry| entry.instance.clone()).collect();
-    let mut call = ServiceCall::new(terms.request.clone(), terms.repeatable, names);
+    let mut call = ServiceCall::new(spec.request.clone(), spec.repeatable, names);
     let mut action = call.begin();
     loop {
         action = match action {
             ServiceAction::Send { attempt, instance } => {
-                call.handle(send(state, terms, &entries, attempt, &instance).await)
+                call.handle(send(state, spec, &entries, attempt, &instance).await)
             }
             ServiceAction::Finish(body) => return Ok(body),
             ServiceAction::Refuse(refusal) => return Err(refusal),
@@ -193,20 +193,20 @@
 /// Sends a claimed call to one instance after the other.
 struct InstanceRunner {
     state: Arc<NodeState>,
-    terms: ServiceTerms,
+    spec: ServiceSpec,
     entries: Vec<ServiceEntry>,
-    tries: usize,
+    attempts: usize,
 }
 
 impl Runner for InstanceRunner {
     async fn run(&mut self) -> RunResult {
-        let Some(entry) = self.entries.get(self.tries) else {
+        let Some(entry) = self.entries.get(self.attempts) else {
             let message = "no instance of the service can be reached".to_owned();
             return RunResult::NotRun { code: RefusalCode::Unavailable, message, others_left: false };
         };
-        self.tries += 1;
-        let attempt = AttemptId::from(format!("{}.{}", self.terms.request, self.tries));
-        let event = send(&self.state, &self.terms, &self.entries, attempt, &entry.instance).await;
+        self.attempts += 1;
+        let attempt = AttemptId::from(format!("{}.{}", self.spec.request, self.attempts));
+        let event = send(&self.state, &self.spec, &self.entries, attempt, &entry.instance).await;
         self.result_of(event)
     }
 }
@@ -221,7 +221,7 @@
                     || "no instance of the service can be reached".to_owned(),
                     |refusal| refusal.message,
                 );
-                let others_left = self.tries < self.entries.len().min(MAX_ATTEMPTS as usize);
+                let others_left = self.attempts < self.entries.len().min(MAX_ATTEMPTS as usize);
                 RunResult::NotRun { code, message, others_left }
             }
             ServiceEvent::Unclear => {
@@ -235,22 +235,22 @@
 }
 
 /// Instances of the node's own zone first; equal ones start at a place that differs by request.
-fn ordered_instances(state: &NodeState, terms: &ServiceTerms) -> Vec<ServiceEntry> {
+fn ordered_instances(state: &NodeState, spec: &ServiceSpec) -> Vec<ServiceEntry> {
     let (mut near, far): (Vec<_>, Vec<_>) = state
         .directory
-        .instances(&terms.service)
+        .instances(&spec.service)
         .into_iter()
         .partition(|entry| entry.zone == state.settings.zone);
-    let turn =
-        terms.request.as_str().bytes().fold(0_usize, |sum, byte| sum.wrapping_mul(31) + usize::from(byte));
+    let offset =
+        spec.request.as_str().bytes().fold(0_usize, |sum, byte| sum.wrapping_mul(31) + usize::from(byte));
     if !near.is_empty() {
         let count = near.len();
-        near.rotate_left(turn % count);
+        near.rotate_left(offset % count);
     }
     let mut far = far;
     if !far.is_empty() {
         let count = far.len();
-        far.rotate_left(turn % count);
+        far.rotate_left(offset % count);
     }
     near.append(&mut far);
     near
@@ -258,7 +258,7 @@
 
 async fn send(
     state: &Arc<NodeState>,
-    terms: &ServiceTerms,
+    spec: &ServiceSpec,
     entries: &[ServiceEntry],
     attempt: AttemptId,
     instance: &ServiceInstanceId,
@@ -266,7 +266,7 @@
     let Some(entry) = entries.iter().find(|entry| entry.instance == *instance) else {
         return ServiceEvent::NotRun { refusal: None };
     };
-    let remaining = terms.deadline.saturating_since(state.clock.now());
+    let remaining = spec.deadline.saturating_since(state.clock.now());
     if remaining == Duration::ZERO {
         let message = "the deadline has passed";
         return ServiceEvent::NotRun {
@@ -275,43 +275,43 @@
     }
     let body = ServiceRequest {
         attempt: attempt.clone(),
-        tenant: terms.tenant.clone(),
-        key: terms.key.clone(),
-        operation: terms.operation.clone(),
-        body: terms.body.clone(),
+        tenant: spec.tenant.clone(),
+        key: spec.key.clone(),
+        operation: spec.operation.clone(),
+        body: spec.body.clone(),
     };
-    let client = if terms.repeatable { state.client.clone() } else { state.client.single_use() };
-    let patience = remaining.min(state.settings.timeouts.first_byte);
+    let client = if spec.repeatable { state.client.clone() } else { state.client.single_use() };
+    let timeout = remaining.min(state.settings.timeouts.first_byte);
     let began = state.clock.now();
-    let answer: Result<ServiceResponse, _> = client.post_json(entry.address, "/run", &body, patience).await;
+    let answer: Result<ServiceResponse, _> = client.post_json(entry.address, "/run", &body, timeout).await;
     match answer {
         Ok(response) if response.attempt == attempt => {
-            state.quarantine.completed(terms.fingerprint(), state.clock.now());
+            state.quarantine.record_completion(spec.fingerprint(), state.clock.now());
             ServiceEvent::Answered(response.body)
         }
         Ok(_) => ServiceEvent::Unclear,
         Err(error) => {
-            log::warn!("service {} at {}: {error}", terms.service, entry.address);
+            log::warn!("service {} at {}: {error}", spec.service, entry.address);
             if matches!(error, ClientError::Broken { .. } | ClientError::Timeout { .. }) {
-                run_broke(state, terms, entry, began);
+                detect_crash(state, spec, entry, began);
             }
-            ending(&error, patience == remaining)
+            ending(&error, timeout == remaining)
         }
     }
 }
 
 /// A call broke off; where its instance has ended, that counts against the call. An instance's name says nothing of its
 /// life, so the second of its end stands for it.
-fn run_broke(state: &Arc<NodeState>, terms: &ServiceTerms, entry: &ServiceEntry, began: Timestamp) {
+fn detect_crash(state: &Arc<NodeState>, spec: &ServiceSpec, entry: &ServiceEntry, began: Timestamp) {
     let second = state.clock.now().as_millis() / 1_000;
-    let run = Run {
-        fingerprint: terms.fingerprint(),
-        route: format!("{}/{}", terms.service, terms.operation),
-        tenant: terms.tenant.clone(),
+    let broken = BrokenAttempt {
+        fingerprint: spec.fingerprint(),
+        route: format!("{}/{}", spec.service, spec.operation),
+        tenant: spec.tenant.clone(),
         engine: EngineId::from(format!("{}@{second}", entry.instance)),
         began,
     };
-    quarantine::run_broke(state, run, Look::Instance(entry.address));
+    quarantine::detect_crash(state, broken, LivenessCheck::Instance(entry.address));
 }
 
 fn ending(error: &ClientError, at_deadline: bool) -> ServiceEvent {
--- a/crates/node/src/caller/stream.rs
+++ b/crates/node/src/caller/stream.rs
@@ -36,11 +36,11 @@
 
 /// How long a streamed answer may stay silent. After it a comment is sent, by which the
 /// server notices that a caller has left; the status can then no longer tell of a refusal.
-const SILENCE: Duration = Duration::from_secs(2);
-const COMMENT: &[u8] = b": waiting\n\n";
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+const HEARTBEAT: &[u8] = b": waiting\n\n";
 const DONE: &[u8] = b"data: [DONE]\n\n";
 /// Bytes of events that are put together for one write.
-const WRITE_BYTES: usize = 8 << 10;
+const MAX_WRITE_BYTES: usize = 8 << 10;
 
 /// What all chunks of an answer have in common.
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
     mut output: Receiver<Output>,
     guard: ActiveGuard,
 ) -> WebResponse {
-    let first = match timeout(SILENCE, output.recv()).await {
+    let first = match timeout(HEARTBEAT_INTERVAL, output.recv()).await {
         Ok(Some(Output::Refused(refusal))) => return refuse(state, &head.request, &refusal),
         Ok(first) => first,
         Err(_) => None,
@@ -70,7 +70,7 @@
         head: head.clone(),
         output,
         ending: Ending::Open,
-        silence: Box::pin(sleep(SILENCE)),
+        heartbeat: Box::pin(sleep(HEARTBEAT_INTERVAL)),
         buffer: BytesMut::new(),
         _guard: guard,
     };
@@ -103,7 +103,7 @@
     head: AnswerHead,
     output: Receiver<Output>,
     ending: Ending,
-    silence: Pin<Box<Sleep>>,
+    heartbeat: Pin<Box<Sleep>>,
     buffer: BytesMut,
     _guard: ActiveGuard,
 }
@@ -163,8 +163,8 @@
     }
 
     /// Takes what has arrived, up to what is written at once.
-    fn take(&mut self, context: &mut Context<'_>) {
-        while self.ending == Ending::Open && self.buffer.len() < WRITE_BYTES {
+    fn poll_output(&mut self, context: &mut Context<'_>) {
+        while self.ending == Ending::Open && self.buffer.len() < MAX_WRITE_BYTES {
             match self.output.poll_recv(context) {
                 Poll::Ready(Some(part)) => self.add(part),
                 Poll::Ready(None) => {
@@ -175,17 +175,17 @@
         }
         if self.ending == Ending::Open
             && self.buffer.is_empty()
-            && self.silence.as_mut().poll(context).is_ready()
+            && self.heartbeat.as_mut().poll(context).is_ready()
         {
-            self.buffer.put_slice(COMMENT);
+            self.buffer.put_slice(HEARTBEAT);
         }
     }
 
-    fn hand_over(&mut self) -> Bytes {
+    fn take_buffer(&mut self) -> Bytes {
         if self.ending == Ending::Last {
             self.ending = Ending::Flushing;
         }
-        self.silence.as_mut().reset(tokio::time::Instant::now() + SILENCE);
+        self.heartbeat.as_mut().reset(tokio::time::Instant::now() + HEARTBEAT_INTERVAL);
         self.buffer.split().freeze()
     }
 }
@@ -198,9 +198,9 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.take(context);
+        self.poll_output(context);
         if !self.buffer.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::Data(self.hand_over()))));
+            return Poll::Ready(Some(Ok(Frame::Data(self.take_buffer()))));
         }
         match self.ending {
             Ending::Flushing => {
@@ -228,20 +228,20 @@
             return json_answer(500, &refusal);
         }
     };
-    let body = WholeBody { bytes: Some(bytes), flushed: false, _guard: guard };
+    let body = JsonBody { bytes: Some(bytes), flushed: false, _guard: guard };
     let mut response = WebResponse::new(ResponseBody::boxed(body));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 /// A body of known length.
-struct WholeBody {
+struct JsonBody {
     bytes: Option<Bytes>,
     flushed: bool,
     _guard: ActiveGuard,
 }
 
-impl Body for WholeBody {
+impl Body for JsonBody {
     type Data = Bytes;
     type Error = Infallible;
 
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -23,7 +23,7 @@
 use xitca_web::{WebContext, body::RequestBody, http::WebResponse};
 
 use crate::{
-    caller::services::ServiceTerms,
+    caller::services::ServiceSpec,
     http::{json_answer, read_body},
     peers::transport,
     state::NodeState,
@@ -32,7 +32,7 @@
 /// The path of claim messages between nodes.
 pub const PATH: &str = "/peer/claims";
 
-const BODY_BYTES: usize = 256 * 1024;
+const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// The claims that this node remembers.
 pub struct Claims {
@@ -90,7 +90,7 @@
         let code = RefusalCode::InvalidRequest;
         json_answer(code.http_status(), &Refusal::not_run(code, message))
     };
-    let Ok(body) = read_body(body, BODY_BYTES, state.settings.timeouts.body).await else {
+    let Ok(body) = read_body(body, MAX_BODY_BYTES, state.settings.timeouts.body).await else {
         return refuse("the body could not be read");
     };
     match serde_json::from_slice(&body) {
@@ -112,19 +112,20 @@
 /// The refusal says whether the request may have run, under this try or an earlier one.
 pub async fn run_once<R: Runner + Send + 'static>(
     state: &Arc<NodeState>,
-    terms: &ServiceTerms,
+    spec: &ServiceSpec,
     key: &IdempotencyKey,
     runner: R,
 ) -> Result<serde_json::Value, Refusal> {
-    let request = claimed_request(state, terms, key)?;
+    let request = claimed_request(state, spec, key)?;
     let (events, inbox) = mpsc::unbounded_channel();
-    let (ending, ended) = tokio::sync::oneshot::channel();
+    let (outcome_sender, outcome) = tokio::sync::oneshot::channel();
     let now = state.clock.now();
     let (coordinator, actions) = ClaimCoordinator::begin(request, &state.claims.settings, now);
-    let driver = Driver { state: Arc::clone(state), coordinator, events, ending: Some(ending) };
+    let driver =
+        Driver { state: Arc::clone(state), coordinator, events, outcome_sender: Some(outcome_sender) };
     // Goes on when the caller leaves: what was begun is recorded for its next try.
-    tokio::spawn(driver.drive(actions, inbox, runner, terms.deadline));
-    match ended.await {
+    tokio::spawn(driver.drive(actions, inbox, runner, spec.deadline));
+    match outcome.await {
         Ok(ClaimOutcome::Answered { answer, .. }) => serde_json::from_str(&answer).map_err(|error| {
             Refusal::unknown(RefusalCode::Internal, format!("the answer is no JSON: {error}"))
         }),
@@ -135,25 +136,25 @@
 
 fn claimed_request(
     state: &NodeState,
-    terms: &ServiceTerms,
+    spec: &ServiceSpec,
     key: &IdempotencyKey,
 ) -> Result<ClaimedRequest, Refusal> {
     issued_at(key).map_err(|error| Refusal::not_run(RefusalCode::InvalidRequest, error.to_string()))?;
     let configuration = state.configuration.load();
     let placement = &configuration.document.configuration.claims;
-    let key = claim_key(&terms.tenant, key);
+    let key = claim_key(&spec.tenant, key);
     let replicas = replicas_of(placement, &key);
     if replicas.is_empty() {
         let message = "no claim replicas are configured: name nodes in `claims.members` of the configuration";
         return Err(Refusal::unknown(RefusalCode::Unavailable, message));
     }
     Ok(ClaimedRequest {
-        fingerprint: fingerprint(&terms.service, &terms.operation, &terms.body.to_string()),
+        fingerprint: fingerprint(&spec.service, &spec.operation, &spec.body.to_string()),
         key,
-        owner: AttemptId::from(format!("{}.{}.{}", state.settings.node, state.incarnation, terms.request)),
+        owner: AttemptId::from(format!("{}.{}.{}", state.settings.node, state.incarnation, spec.request)),
         epoch: placement.epoch,
         replicas,
-        deadline: terms.deadline,
+        deadline: spec.deadline,
     })
 }
 
@@ -161,7 +162,7 @@
     state: Arc<NodeState>,
     coordinator: ClaimCoordinator,
     events: mpsc::UnboundedSender<ClaimEvent>,
-    ending: Option<tokio::sync::oneshot::Sender<ClaimOutcome>>,
+    outcome_sender: Option<tokio::sync::oneshot::Sender<ClaimOutcome>>,
 }
 
 impl Driver {
@@ -174,7 +175,7 @@
     ) {
         loop {
             let dispatch = self.carry_out(actions);
-            if self.ending.is_none() && !dispatch {
+            if self.outcome_sender.is_none() && !dispatch {
                 return;
             }
             if dispatch {
@@ -204,10 +205,10 @@
                 ClaimAction::Send { to, message } => self.send(to, message),
                 ClaimAction::WakeAt(at) => self.wake_at(at),
                 ClaimAction::Dispatch => dispatch = true,
-                ClaimAction::End(ending) => {
-                    if let Some(waiting) = self.ending.take() {
+                ClaimAction::End(outcome) => {
+                    if let Some(sender) = self.outcome_sender.take() {
                         // A caller that has left needs no answer.
-                        let _ = waiting.send(ending);
+                        let _ = sender.send(outcome);
                     }
                 }
             }
@@ -229,7 +230,7 @@
         let (state, events) = (Arc::clone(&self.state), self.events.clone());
         tokio::spawn(async move {
             let is_claim = matches!(message, ClaimMessage::Claim { .. });
-            let event = match ask(&state, &to, &message).await {
+            let event = match call_replica(&state, &to, &message).await {
                 Some(reply) if is_claim => ClaimEvent::Replied { replica: to, reply },
                 Some(_) => ClaimEvent::Noted { replica: to },
                 None => ClaimEvent::Unreachable { replica: to },
@@ -241,7 +242,7 @@
 }
 
 /// Asks a replica, which may be this node.
-async fn ask(state: &NodeState, to: &NodeId, message: &ClaimMessage) -> Option<ClaimReply> {
+async fn call_replica(state: &NodeState, to: &NodeId, message: &ClaimMessage) -> Option<ClaimReply> {
     if *to == state.settings.node {
         return Some(answer(state, message));
     }
@@ -257,7 +258,7 @@
 }
 
 fn address_of(state: &NodeState, node: &NodeId) -> Option<SocketAddr> {
-    let member = state.peers.look(|peers, _| peers.members().get(node).map(|record| record.address));
+    let member = state.peers.inspect(|peers, _| peers.members().get(node).map(|record| record.address));
     member.or_else(|| {
         let nodes = state.directory.nodes();
         nodes.into_iter().find(|(name, _, _)| name == node).map(|(_, address, _)| address)
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -15,8 +15,8 @@
 /// Bytes of a whole JSON answer that are read at most.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-const IDLE_CONNECTION: Duration = Duration::from_secs(5);
-const IDLE_CONNECTIONS_PER_HOST: usize = 64;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_IDLE_CONNECTIONS_PER_HOST: usize = 64;
 const MAX_ERROR_BYTES: usize = 64 << 10;
 /// Bytes that are read ahead of a slow caller, for each stream.
 const STREAM_BUFFER_BYTES: usize = 16 << 10;
@@ -91,13 +91,13 @@
         let build = |idle_connections| {
             Client::builder(TokioExecutor::new())
                 .pool_timer(TokioTimer::new())
-                .pool_idle_timeout(IDLE_CONNECTION)
+                .pool_idle_timeout(IDLE_TIMEOUT)
                 .pool_max_idle_per_host(idle_connections)
                 .http1_max_buf_size(STREAM_BUFFER_BYTES)
                 .retry_canceled_requests(false)
                 .build(connector.clone())
         };
-        Self { client: build(IDLE_CONNECTIONS_PER_HOST), single_use: build(0) }
+        Self { client: build(MAX_IDLE_CONNECTIONS_PER_HOST), single_use: build(0) }
     }
 
     /// The same client with a new connection for each request, for requests that must not be repeated.
@@ -149,7 +149,7 @@
         body: &B,
         timeout: Duration,
     ) -> Result<A, ClientError> {
-        self.whole(address, json_request(address, path, body)?, timeout).await
+        self.fetch_json(address, json_request(address, path, body)?, timeout).await
     }
 
     /// Reads a whole JSON answer to a GET within `timeout`.
@@ -164,7 +164,7 @@
         timeout: Duration,
     ) -> Result<A, ClientError> {
         let builder = Request::builder().method(Method::GET).uri(format!("http://{address}{path}"));
-        self.whole(address, finish(address, builder, Bytes::new())?, timeout).await
+        self.fetch_json(address, finish(address, builder, Bytes::new())?, timeout).await
     }
 
     /// Sends a request that was built by the caller and reads a whole JSON answer.
@@ -172,7 +172,7 @@
     /// # Errors
     ///
     /// Any [`ClientError`].
-    pub async fn whole<A: DeserializeOwned>(
+    pub async fn fetch_json<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -1,9 +1,9 @@
 //! Callers' connections under the server library: when they close is decided as for all other callers' connections, by
 //! `core::forwarding::caller_connection`, with a look at what lies in them.
 //!
-//! The library takes each connection through a service for TLS, where [`TakeConnection`] puts [`CallerBytes`] in the place
-//! of the plain socket, and knows nothing of it when it calls the application. [`WithinConnection`] therefore keeps the
-//! connection with the task that serves it, where [`TellKeepAlive`] finds it for each request.
+//! The library takes each connection through a service for TLS, where [`AcceptConnection`] puts [`CallerIo`] in the place
+//! of the plain socket, and knows nothing of it when it calls the application. [`ConnectionScope`] therefore keeps the
+//! connection with the task that serves it, where [`KeepAliveHeader`] finds it for each request.
 
 use std::{
     cell::OnceCell,
@@ -35,7 +35,7 @@
 use crate::{active::ActiveRequests, clock::Clock, metrics::NodeMetrics, state::NodeState};
 
 /// Bytes that are read at once.
-const READ_BYTES: usize = 4 << 10;
+const READ_BUFFER_BYTES: usize = 4 << 10;
 /// The header by which callers are told how long they may count on a connection that rests.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 /// Connections on which bytes came after they had closed.
@@ -89,70 +89,70 @@
 
 /// Takes accepted connections over, in the place of TLS.
 #[derive(Clone)]
-pub struct TakeConnection {
+pub struct AcceptConnection {
     host: ServingHost,
 }
 
-impl TakeConnection {
+impl AcceptConnection {
     /// Takes connections for `host`.
     pub const fn new(host: ServingHost) -> Self {
         Self { host }
     }
 }
 
-impl Service for TakeConnection {
-    type Response = Taker;
+impl Service for AcceptConnection {
+    type Response = AcceptConnectionService;
     type Error = std::convert::Infallible;
 
     async fn call(&self, (): ()) -> Result<Self::Response, Self::Error> {
-        Ok(Taker { host: Rc::new(self.host.clone()) })
+        Ok(AcceptConnectionService { host: Rc::new(self.host.clone()) })
     }
 }
 
 /// Takes connections on one worker thread.
-pub struct Taker {
+pub struct AcceptConnectionService {
     host: Rc<ServingHost>,
 }
 
-impl Service<TcpStream> for Taker {
-    type Response = CallerBytes;
+impl Service<TcpStream> for AcceptConnectionService {
+    type Response = CallerIo;
     type Error = ();
 
-    async fn call(&self, stream: TcpStream) -> Result<CallerBytes, ()> {
+    async fn call(&self, stream: TcpStream) -> Result<CallerIo, ()> {
         let stream = stream.into_std().and_then(tokio::net::TcpStream::from_std);
         let stream = stream.map_err(|error| log::error!("a connection could not be taken: {error}"))?;
         let socket = CallerSocket::new(stream, Rc::clone(&self.host));
         // Each task serves one connection, and takes it once.
         let _ = CONNECTION.try_with(|connection| connection.set(Rc::clone(&socket)));
-        Ok(CallerBytes { socket, stage: self.host.active.stage() })
+        Ok(CallerIo { socket, stage: self.host.active.stage() })
     }
 }
 
 /// What a connection was waited for.
-enum Come {
+enum Readiness {
     /// The runtime tells of bytes, or of the caller's end.
     Readable,
     /// The system tells of bytes that the runtime has not told of.
-    Found,
+    ReadableNow,
     /// The connection is to close.
-    Closes,
+    Closing,
 }
 
 /// A caller's connection as bytes for the server library.
-pub struct CallerBytes {
+pub struct CallerIo {
     socket: Rc<Socket>,
     stage: watch::Receiver<StopStage>,
 }
 
-impl CallerBytes {
+impl CallerIo {
     /// Reads what has come into `bytes`; nothing where the connection is to close.
     async fn read_some(&self, bytes: &mut [u8]) -> io::Result<usize> {
         loop {
-            let come = self.come().await?;
-            let read = match come {
-                Come::Readable => self.socket.try_read(&mut &mut *bytes),
-                Come::Found => self.socket.read_now(bytes),
-                Come::Closes => return Ok(0),
+            let readiness = self.readiness().await?;
+            let read = match readiness {
+                Readiness::Readable => self.socket.try_read(&mut &mut *bytes),
+                Readiness::ReadableNow => self.socket.read_now(bytes),
+                Readiness::Closing => return Ok(0),
             };
             match read {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
@@ -166,19 +166,19 @@
     /// The library asks once more when its bound for a head has passed, and gives the request up where nothing can be read.
     /// The runtime may not have heard yet of what has come, as after time in which the process did not run, so amid a head
     /// and from the second time on the system is asked too.
-    async fn come(&self) -> io::Result<Come> {
+    async fn readiness(&self) -> io::Result<Readiness> {
         let mut readable = pin!(self.socket.readable());
-        let mut closes = pin!(self.socket.until_close(self.stage.clone()));
-        let mut asks_system = self.socket.state().has_partial_head;
+        let mut closing = pin!(self.socket.until_close(self.stage.clone()));
+        let mut check_socket = self.socket.state().has_partial_head;
         poll_fn(|context| {
             if let Poll::Ready(result) = readable.as_mut().poll(context) {
-                return Poll::Ready(result.map(|()| Come::Readable));
+                return Poll::Ready(result.map(|()| Readiness::Readable));
             }
-            if asks_system && self.socket.is_readable() {
-                return Poll::Ready(Ok(Come::Found));
+            if check_socket && self.socket.is_readable() {
+                return Poll::Ready(Ok(Readiness::ReadableNow));
             }
-            asks_system = true;
-            closes.as_mut().poll(context).map(|_| Ok(Come::Closes))
+            check_socket = true;
+            closing.as_mut().poll(context).map(|_| Ok(Readiness::Closing))
         })
         .await
     }
@@ -193,10 +193,10 @@
     }
 }
 
-impl AsyncBufRead for CallerBytes {
+impl AsyncBufRead for CallerIo {
     async fn read<B: BoundedBufMut>(&self, mut buffer: B) -> (io::Result<usize>, B) {
-        let mut bytes = [0; READ_BYTES];
-        let room = (buffer.bytes_total() - buffer.bytes_init()).min(READ_BYTES);
+        let mut bytes = [0; READ_BUFFER_BYTES];
+        let room = (buffer.bytes_total() - buffer.bytes_init()).min(READ_BUFFER_BYTES);
         let read = self.read_some(&mut bytes[..room]).await;
         if let Ok(count) = read {
             buffer.put_slice(&bytes[..count]);
@@ -205,7 +205,7 @@
     }
 }
 
-impl AsyncBufWrite for CallerBytes {
+impl AsyncBufWrite for CallerIo {
     async fn write<B: BoundedBuf>(&self, buffer: B) -> (io::Result<usize>, B) {
         let written = self.write_some(buffer.chunk()).await;
         (written, buffer)
@@ -219,21 +219,21 @@
 
 /// Keeps a connection with the task that serves it.
 #[derive(Clone, Copy, Debug)]
-pub struct WithinConnection;
+pub struct ConnectionScope;
 
-impl<S, E> Service<Result<S, E>> for WithinConnection {
-    type Response = WithinConnectionService<S>;
+impl<S, E> Service<Result<S, E>> for ConnectionScope {
+    type Response = ConnectionScopeService<S>;
     type Error = E;
 
     async fn call(&self, service: Result<S, E>) -> Result<Self::Response, E> {
-        service.map(WithinConnectionService)
+        service.map(ConnectionScopeService)
     }
 }
 
 /// Serves connections on one worker thread.
-pub struct WithinConnectionService<S>(S);
+pub struct ConnectionScopeService<S>(S);
 
-impl<S: Service<(TcpStream, SocketAddr)>> Service<(TcpStream, SocketAddr)> for WithinConnectionService<S> {
+impl<S: Service<(TcpStream, SocketAddr)>> Service<(TcpStream, SocketAddr)> for ConnectionScopeService<S> {
     type Response = S::Response;
     type Error = S::Error;
 
@@ -242,7 +242,7 @@
     }
 }
 
-impl<S: ReadyService> ReadyService for WithinConnectionService<S> {
+impl<S: ReadyService> ReadyService for ConnectionScopeService<S> {
     type Ready = S::Ready;
 
     async fn ready(&self) -> S::Ready {
@@ -252,25 +252,25 @@
 
 /// Holds a connection open while a request on it is served, and tells callers how long they may count on it after.
 #[derive(Clone, Copy, Debug)]
-pub struct TellKeepAlive;
+pub struct KeepAliveHeader;
 
-impl<S, E> Service<Result<S, E>> for TellKeepAlive {
-    type Response = TellKeepAliveService<S>;
+impl<S, E> Service<Result<S, E>> for KeepAliveHeader {
+    type Response = KeepAliveHeaderService<S>;
     type Error = E;
 
     async fn call(&self, service: Result<S, E>) -> Result<Self::Response, E> {
-        service.map(TellKeepAliveService)
+        service.map(KeepAliveHeaderService)
     }
 }
 
 /// Serves requests on one worker thread.
-pub struct TellKeepAliveService<S>(S);
+pub struct KeepAliveHeaderService<S>(S);
 
-impl<S, B> Service<WebRequest> for TellKeepAliveService<S>
+impl<S, B> Service<WebRequest> for KeepAliveHeaderService<S>
 where
     S: Service<WebRequest, Response = WebResponse<B>>,
 {
-    type Response = WebResponse<HeldBody<B>>;
+    type Response = WebResponse<GuardedBody<B>>;
     type Error = S::Error;
 
     async fn call(&self, request: WebRequest) -> Result<Self::Response, S::Error> {
@@ -280,11 +280,11 @@
         if let Some(value) = socket.and_then(|socket| keep_alive(socket.host())) {
             answer.headers_mut().insert(KEEP_ALIVE, value);
         }
-        Ok(answer.map(|body| HeldBody { body: Box::pin(body), _served: served }))
+        Ok(answer.map(|body| GuardedBody { body: Box::pin(body), _served: served }))
     }
 }
 
-impl<S: ReadyService> ReadyService for TellKeepAliveService<S> {
+impl<S: ReadyService> ReadyService for KeepAliveHeaderService<S> {
     type Ready = S::Ready;
 
     async fn ready(&self) -> S::Ready {
@@ -302,12 +302,12 @@
 }
 
 /// A body that holds its connection for served until it is dropped.
-pub struct HeldBody<B> {
+pub struct GuardedBody<B> {
     body: Pin<Box<B>>,
     _served: Option<ActiveRequest<ServingHost>>,
 }
 
-impl<B: Body<Data = Bytes>> Body for HeldBody<B> {
+impl<B: Body<Data = Bytes>> Body for GuardedBody<B> {
     type Data = Bytes;
     type Error = B::Error;
 
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -22,16 +22,16 @@
 use crate::state::NodeState;
 
 /// Time between two reads of the machine list.
-const LIST_PERIOD: Duration = Duration::from_secs(1);
+const MACHINE_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two rounds of questions to engines.
-const STATUS_PERIOD: Duration = Duration::from_secs(1);
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two rounds of questions that requests without an engine ask for.
-const LEARN_PERIOD: Duration = Duration::from_millis(250);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 /// Engines that are asked in one round.
-const STATUS_QUESTIONS: usize = 12;
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(1);
+const ENGINES_PER_ROUND: usize = 12;
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Questions to engines that are open at the same time.
-const QUESTIONS_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_POLLS: usize = 16;
 
 /// An engine of the machine list.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -64,14 +64,14 @@
 /// Back ends and nodes by the last machine list.
 #[derive(Debug)]
 pub struct Directory {
-    view: RwLock<DirectoryView>,
+    view: RwLock<DirectoryState>,
     list: watch::Sender<Arc<MachineList>>,
     last_round: tokio::sync::Mutex<Timestamp>,
     known: AtomicBool,
 }
 
 #[derive(Debug, Default)]
-struct DirectoryView {
+struct DirectoryState {
     engines: BTreeMap<EngineId, EngineEntry>,
     services: BTreeMap<ServiceId, Vec<ServiceEntry>>,
 }
@@ -128,7 +128,7 @@
 
     /// Replaces the view by a new machine list; returns the engines that vanished from it.
     pub fn replace(&self, list: MachineList) -> Vec<EngineId> {
-        let mut next = DirectoryView::default();
+        let mut next = DirectoryState::default();
         for machine in &list.machines {
             next.add(machine);
         }
@@ -136,7 +136,7 @@
             instances.sort_by(|left, right| left.instance.cmp(&right.instance));
         }
         let mut view = self.view.write().unwrap_or_else(PoisonError::into_inner);
-        let gone =
+        let removed =
             view.engines.keys().filter(|engine| !next.engines.contains_key(*engine)).cloned().collect();
         *view = next;
         drop(view);
@@ -145,11 +145,11 @@
         if changed {
             self.list.send_replace(Arc::new(list));
         }
-        gone
+        removed
     }
 }
 
-impl DirectoryView {
+impl DirectoryState {
     fn add(&mut self, machine: &Machine) {
         let leaving = machine.state == MachineState::Leaving;
         let (address, zone) = (machine.address, machine.zone.clone());
@@ -170,7 +170,7 @@
 
 /// Reads the machine list again and again; never returns.
 pub async fn watch_machines(state: Arc<NodeState>) {
-    let mut ticks = tokio::time::interval(LIST_PERIOD);
+    let mut ticks = tokio::time::interval(MACHINE_LIST_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -180,7 +180,7 @@
 
 async fn read_list(state: &NodeState) {
     let address = state.settings.platform.machine_list;
-    match state.client.get_json::<MachineList>(address, "/machines", QUESTION_TIMEOUT).await {
+    match state.client.get_json::<MachineList>(address, "/machines", POLL_TIMEOUT).await {
         Ok(list) => apply_list(state, list),
         Err(error) => log::warn!("machine list: {error}"),
     }
@@ -191,13 +191,13 @@
         return;
     }
     let now = state.clock.now();
-    let gone = state.directory.replace(list);
-    for engine in &gone {
-        state.route(|router| router.apply(RouterEvent::Removed { engine }, now));
-        state.observations.forget_engine(engine);
+    let removed = state.directory.replace(list);
+    for engine in &removed {
+        state.with_router(|router| router.apply(RouterEvent::Removed { engine }, now));
+        state.observations.remove_engine(engine);
     }
-    if !gone.is_empty() {
-        state.overload.forget_engines(&gone, now);
+    if !removed.is_empty() {
+        state.overload.remove_engines(&removed, now);
     }
     apply_drains(state);
 }
@@ -211,7 +211,7 @@
         let draining = entry.leaving || drained.contains(&engine);
         let reason = if entry.leaving { "the machine leaves" } else { "an operator's change" };
         state.observations.engine_draining(&engine, draining, reason);
-        state.route(|router| router.apply(RouterEvent::Draining { engine: &engine, draining }, now));
+        state.with_router(|router| router.apply(RouterEvent::Draining { engine: &engine, draining }, now));
     }
 }
 
@@ -228,31 +228,31 @@
 /// Load reports also ride on answers, and an engine that leaves refuses work by itself, so a larger
 /// number of engines is asked less often rather than with more traffic.
 pub async fn watch_engines(state: Arc<NodeState>) {
-    let mut ticks = tokio::time::interval(STATUS_PERIOD);
+    let mut ticks = tokio::time::interval(STATUS_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut list = state.directory.subscribe();
     let mut known = BTreeSet::new();
     let mut last = None;
     loop {
         let due = tokio::select! {
-            _ = ticks.tick() => next_in_turn(&state.directory, &mut last),
+            _ = ticks.tick() => next_round(&state.directory, &mut last),
             changed = list.changed() => match changed {
                 Ok(()) => new_engines(&state.directory, &mut known),
                 Err(_) => return,
             },
         };
-        ask_each(&state, due).await;
+        poll_engines(&state, due).await;
     }
 }
 
 type Entries = Vec<(EngineId, EngineEntry)>;
 
 /// The engines that follow the `last` one asked, in the order of their names.
-fn next_in_turn(directory: &Directory, last: &mut Option<EngineId>) -> Entries {
+fn next_round(directory: &Directory, last: &mut Option<EngineId>) -> Entries {
     let mut engines = directory.engines();
     let first = engines.partition_point(|(engine, _)| last.as_ref().is_some_and(|last| engine <= last));
     engines.rotate_left(first);
-    engines.truncate(STATUS_QUESTIONS);
+    engines.truncate(ENGINES_PER_ROUND);
     *last = engines.last().map(|(engine, _)| engine.clone());
     engines
 }
@@ -266,38 +266,38 @@
 }
 
 /// Asks one engine for its status, because an answer contradicted what was believed of it.
-pub async fn relearn(state: &Arc<NodeState>, engine: &EngineId) {
+pub async fn refresh_status(state: &Arc<NodeState>, engine: &EngineId) {
     if let Some(entry) = state.directory.engine(engine) {
-        ask(state, engine.clone(), entry).await;
+        poll_engine(state, engine.clone(), entry).await;
         apply_drains(state);
     }
 }
 
 /// Reads the machine list and all statuses at once, because no engine could serve a request. Tells
 /// whether anything was asked; questions of many requests are put together, and at most
-/// one round is made in [`LEARN_PERIOD`].
-pub async fn learn_at_once(state: &Arc<NodeState>) -> bool {
+/// one round is made in [`MIN_REFRESH_INTERVAL`].
+pub async fn refresh_all(state: &Arc<NodeState>) -> bool {
     let mut last = state.directory.last_round.lock().await;
     let now = state.clock.now();
-    if now.saturating_since(*last) >= LEARN_PERIOD {
+    if now.saturating_since(*last) >= MIN_REFRESH_INTERVAL {
         read_list(state).await;
-        ask_each(state, state.directory.engines()).await;
+        poll_engines(state, state.directory.engines()).await;
         *last = state.clock.now();
     }
     true
 }
 
-async fn ask_each(state: &Arc<NodeState>, engines: Entries) {
+async fn poll_engines(state: &Arc<NodeState>, engines: Entries) {
     use futures_util::StreamExt;
-    let questions = engines.into_iter().map(|(engine, entry)| ask(state, engine, entry));
-    futures_util::stream::iter(questions).buffer_unordered(QUESTIONS_AT_ONCE).collect::<()>().await;
+    let polls = engines.into_iter().map(|(engine, entry)| poll_engine(state, engine, entry));
+    futures_util::stream::iter(polls).buffer_unordered(MAX_CONCURRENT_POLLS).collect::<()>().await;
     apply_drains(state);
 }
 
-async fn ask(state: &Arc<NodeState>, engine: EngineId, entry: EngineEntry) {
-    let answer = state.client.get_json::<EngineStatus>(entry.address, "/status", QUESTION_TIMEOUT).await;
+async fn poll_engine(state: &Arc<NodeState>, engine: EngineId, entry: EngineEntry) {
+    let answer = state.client.get_json::<EngineStatus>(entry.address, "/status", POLL_TIMEOUT).await;
     match answer {
-        Ok(status) if status.engine == engine => state.learn_status(&status),
+        Ok(status) if status.engine == engine => state.apply_status(&status),
         Ok(status) => log::warn!("{} at {} calls itself {}", engine, entry.address, status.engine),
         Err(error) => log::debug!("status of {engine}: {error}"),
     }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -7,7 +7,7 @@
 mod output;
 mod record;
 mod refusals;
-mod terms;
+mod spec;
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -28,24 +28,24 @@
     client::json_request,
     engines,
     overload::{self, Permit},
-    quarantine::{self, Look, Run},
+    quarantine::{self, BrokenAttempt, LivenessCheck},
     state::NodeState,
 };
 use connection::Connection;
 pub use output::{Output, Usage};
 use record::ExchangeRecord;
 pub use record::refused_ending;
-pub use terms::ExchangeTerms;
+pub use spec::ExchangeSpec;
 
 /// Parts of an answer that wait for a slow caller, for each stream.
-pub const OUTPUT_PARTS: usize = 32;
+pub const OUTPUT_CAPACITY: usize = 32;
 
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One request under way.
 struct Exchange {
     state: Arc<NodeState>,
-    terms: ExchangeTerms,
+    spec: ExchangeSpec,
     output: mpsc::Sender<Output>,
     machine: ModelRequest,
     connection: Connection,
@@ -56,14 +56,14 @@
     dispatched: Timestamp,
     engine: Option<EngineId>,
     /// The life of that engine.
-    life: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
     distance: Duration,
     record: ExchangeRecord,
 }
 
 /// Runs a request to its ending; the receiver gets the answer part by part.
-pub fn start(state: &Arc<NodeState>, terms: ExchangeTerms) -> mpsc::Receiver<Output> {
-    let (output, receiver) = mpsc::channel(OUTPUT_PARTS);
+pub fn start(state: &Arc<NodeState>, spec: ExchangeSpec) -> mpsc::Receiver<Output> {
+    let (output, receiver) = mpsc::channel(OUTPUT_CAPACITY);
     let timeouts = state.settings.timeouts;
     let settings = RequestSettings {
         first_byte_timeout: timeouts.first_byte,
@@ -71,19 +71,19 @@
         ..RequestSettings::default()
     };
     let exchange = Exchange {
-        machine: ModelRequest::new(settings, terms.request_terms()),
-        record: ExchangeRecord::begin(&state.observations, &terms),
+        machine: ModelRequest::new(settings, spec.request_spec()),
+        record: ExchangeRecord::begin(&state.observations, &spec),
         state: Arc::clone(state),
         output,
         connection: Connection::None,
         import: None,
-        usage: Usage { prompt_tokens: prompt_tokens(terms.prompt.len()), ..Usage::default() },
-        terms,
+        usage: Usage { prompt_tokens: prompt_tokens(spec.prompt.len()), ..Usage::default() },
+        spec,
         first_token: false,
         permit: None,
         dispatched: Timestamp::ZERO,
         engine: None,
-        life: None,
+        incarnation: None,
         distance: Duration::ZERO,
     };
     tokio::spawn(exchange.run());
@@ -95,15 +95,15 @@
         let entered = tokio::select! {
             biased;
             () = self.output.closed() => return,
-            entered = overload::enter(&self.state, &self.terms) => entered,
+            entered = overload::enter(&self.state, &self.spec) => entered,
         };
         match entered {
             Ok(permit) => {
-                permit.limit_met().into_iter().for_each(|limit| self.record.limit_met(limit));
+                permit.limit_hit().into_iter().for_each(|limit| self.record.limit_hit(limit));
                 self.permit = Some(permit);
             }
             Err(denied) => {
-                self.record.limit_met(denied.limit);
+                self.record.limit_hit(denied.limit);
                 self.record.refused(&denied.refusal);
                 self.emit(Output::Refused(denied.refusal)).await;
                 return;
@@ -135,26 +135,26 @@
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let now = self.state.clock.now();
-            self.record.learn(&event, now);
-            self.hear_refusal(&event);
+            self.record.record_event(&event, now);
+            self.apply_refusal(&event);
             for action in self.machine.handle(event, now) {
-                events.extend(self.act(action).await);
+                events.extend(self.perform(action).await);
             }
         }
     }
 
-    async fn act(&mut self, action: RequestAction) -> Option<RequestEvent> {
-        self.record.act(&action, self.state.clock.now());
+    async fn perform(&mut self, action: RequestAction) -> Option<RequestEvent> {
+        self.record.record_action(&action, self.state.clock.now());
         match action {
-            RequestAction::RefreshStatus { engine } => engines::relearn(&self.state, &engine).await,
+            RequestAction::RefreshStatus { engine } => engines::refresh_status(&self.state, &engine).await,
             RequestAction::Choose { excluded, continuation, retry } => {
                 let now = self.state.clock.now();
-                if let Some(retry_after) = self.state.quarantine.held_for(&self.terms.fingerprint, now) {
+                if let Some(retry_after) = self.state.quarantine.remaining_hold(&self.spec.fingerprint, now) {
                     return Some(RequestEvent::Quarantined { retry_after });
                 }
                 if retry && !self.state.overload.may_retry(self.machine.attempts()) {
                     let limit = LimitHit { limit: LimitKind::RetryBudget, refused: true, waited_ms: 0 };
-                    self.record.limit_met(limit);
+                    self.record.limit_hit(limit);
                     return Some(RequestEvent::RetryBudgetSpent);
                 }
                 self.pin_weights(continuation);
@@ -170,13 +170,13 @@
             RequestAction::Cancel { attempt, engine } => self.cancel(attempt, &engine),
             RequestAction::Ended { attempt, ending } => {
                 if ending == AttemptEnding::Failed {
-                    self.run_broke();
+                    self.detect_crash();
                 }
-                self.learn(RouterEvent::Ended { attempt: &attempt, ending });
+                self.apply(RouterEvent::Ended { attempt: &attempt, ending });
             }
             RequestAction::Started { attempt, engine, incarnation, prompt_tokens, cached_tokens, load } => {
-                self.learn(RouterEvent::Started { attempt: &attempt, incarnation, cached_tokens });
-                self.learn(RouterEvent::Load { engine: &engine, report: load });
+                self.apply(RouterEvent::Started { attempt: &attempt, incarnation, cached_tokens });
+                self.apply(RouterEvent::Load { engine: &engine, report: load });
                 // A later try continues the same answer; the caller is told what the first one found.
                 if !self.usage.started {
                     self.usage = Usage { started: true, prompt_tokens, cached_tokens };
@@ -184,16 +184,16 @@
                 }
             }
             RequestAction::Emit { index, text } => {
-                self.note_first_token(index);
+                self.record_first_token(index);
                 return self.emit(Output::Token(text)).await;
             }
             RequestAction::Finish { tokens, reason, load } => {
-                self.state.quarantine.completed(self.terms.fingerprint, self.state.clock.now());
+                self.state.quarantine.record_completion(self.spec.fingerprint, self.state.clock.now());
                 if let Some(permit) = &mut self.permit {
                     permit.set_used(self.usage.prompt_tokens.saturating_add(tokens));
                 }
                 if let Some((engine, report)) = &load {
-                    self.learn(RouterEvent::Load { engine, report: *report });
+                    self.apply(RouterEvent::Load { engine, report: *report });
                 }
                 return self.emit(Output::Finished { tokens, reason, usage: self.usage }).await;
             }
@@ -207,44 +207,44 @@
     fn pin_weights(&mut self, continuation: Option<Continuation>) {
         let in_force = || {
             let configuration = self.state.configuration.load();
-            configuration.document.configuration.pools.get(&self.terms.pool).map(|pool| pool.weights)
+            configuration.document.configuration.pools.get(&self.spec.pool).map(|pool| pool.weights)
         };
         if let Some(weights) = continuation.map(|origin| origin.weights).or_else(in_force) {
-            self.terms.use_weights(weights);
+            self.spec.use_weights(weights);
         }
     }
 
-    fn learn(&self, event: RouterEvent<'_>) {
+    fn apply(&self, event: RouterEvent<'_>) {
         let now = self.state.clock.now();
-        self.state.route(|router| router.apply(event, now));
+        self.state.with_router(|router| router.apply(event, now));
     }
 
     /// The present try failed; where its engine has ended, that counts against the request.
-    fn run_broke(&self) {
-        let (Some(engine), Some(life)) = (&self.engine, self.life) else { return };
+    fn detect_crash(&self) {
+        let (Some(engine), Some(incarnation)) = (&self.engine, self.incarnation) else { return };
         let Some(entry) = self.state.directory.engine(engine) else { return };
-        let run = Run {
-            fingerprint: self.terms.fingerprint,
-            route: self.terms.model.as_str().to_owned(),
-            tenant: self.terms.tenant.clone(),
-            engine: quarantine::life_of(engine, life),
+        let broken = BrokenAttempt {
+            fingerprint: self.spec.fingerprint,
+            route: self.spec.model.as_str().to_owned(),
+            tenant: self.spec.tenant.clone(),
+            engine: quarantine::incarnation_id(engine, incarnation),
             began: self.dispatched,
         };
-        quarantine::run_broke(&self.state, run, Look::Engine(entry.address, life));
+        quarantine::detect_crash(&self.state, broken, LivenessCheck::Engine(entry.address, incarnation));
     }
 
-    fn note_first_token(&mut self, index: u32) {
+    fn record_first_token(&mut self, index: u32) {
         if self.first_token {
             return;
         }
         self.first_token = true;
-        self.learn(RouterEvent::FirstToken { attempt: &self.terms.attempt(self.machine.attempts()) });
+        self.apply(RouterEvent::FirstToken { attempt: &self.spec.attempt(self.machine.attempts()) });
         if let (Some(permit), Some(engine)) = (&self.permit, &self.engine) {
             let missing = self.usage.prompt_tokens.saturating_sub(self.usage.cached_tokens);
             let elapsed = self.state.clock.now().saturating_since(self.dispatched);
-            permit.begun(engine, missing, self.distance, elapsed);
+            permit.record_first_token(engine, missing, self.distance, elapsed);
         }
-        let waited = self.state.clock.now().saturating_since(self.terms.arrived);
+        let waited = self.state.clock.now().saturating_since(self.spec.arrived);
         if index == 0 {
             self.state.metrics.requests.first_token.record(waited.as_secs_f64());
         }
@@ -252,23 +252,23 @@
 
     async fn choose(&mut self, excluded: &[EngineId]) -> RequestEvent {
         let mut decision = self.decide(excluded);
-        if decision.chosen.is_none() && engines::learn_at_once(&self.state).await {
+        if decision.chosen.is_none() && engines::refresh_all(&self.state).await {
             decision = self.decide(excluded);
         }
-        self.record.weighed(&decision);
+        self.record.candidates(&decision);
         self.import = decision.import;
         let distance_ms = decision.candidates.first().map_or(0.0, |candidate| candidate.distance_ms);
         self.distance = Duration::try_from_secs_f64(distance_ms / 1_000.0).unwrap_or_default();
         match decision.chosen {
             Some(precondition) => RequestEvent::EngineChosen(precondition),
-            None => RequestEvent::NoEngineAvailable { retry_after: self.come_back() },
+            None => RequestEvent::NoEngineAvailable { retry_after: self.retry_after() },
         }
     }
 
     fn decide(&self, excluded: &[EngineId]) -> Decision {
         let now = self.state.clock.now();
-        let request = self.terms.route_request(excluded);
-        self.state.route(|router| router.choose(&request, now))
+        let request = self.spec.route_request(excluded);
+        self.state.with_router(|router| router.choose(&request, now))
     }
 
     fn dispatch(
@@ -279,31 +279,31 @@
     ) -> Option<RequestEvent> {
         let engine = precondition.engine.clone();
         self.engine = Some(engine.clone());
-        self.life = Some(precondition.incarnation);
+        self.incarnation = Some(precondition.incarnation);
         self.dispatched = self.state.clock.now();
-        self.record.dispatched(&attempt, &precondition, self.state.clock.now());
-        let request: RouteRequest<'_> = self.terms.route_request(&[]);
-        self.learn(RouterEvent::Dispatched { attempt: &attempt, engine: &engine, request: &request });
+        self.record.attempt_sent(&attempt, &precondition, self.state.clock.now());
+        let request: RouteRequest<'_> = self.spec.route_request(&[]);
+        self.apply(RouterEvent::Dispatched { attempt: &attempt, engine: &engine, request: &request });
         let Some(entry) = self.state.directory.engine(&engine) else {
             return Some(RequestEvent::NotSent { attempt });
         };
         let generate = GenerateRequest {
             attempt: attempt.clone(),
-            request: self.terms.request.clone(),
+            request: self.spec.request.clone(),
             precondition,
-            scope: self.terms.scope,
-            prompt: self.terms.prompt.clone(),
-            blocks: self.terms.blocks.clone(),
-            max_tokens: self.terms.max_tokens,
+            scope: self.spec.scope,
+            prompt: self.spec.prompt.clone(),
+            blocks: self.spec.blocks.clone(),
+            max_tokens: self.spec.max_tokens,
             answer_prefix,
-            priority: self.permit.as_ref().map_or(self.terms.priority, Permit::priority),
+            priority: self.permit.as_ref().map_or(self.spec.priority, Permit::priority),
             deadline_ms: self.remaining_ms(),
             import: self.import.take(),
-            traceparent: self.terms.traceparent.clone(),
+            traceparent: self.spec.traceparent.clone(),
         };
         match json_request(entry.address, "/generate", &generate) {
             Ok(request) => {
-                let client = if self.terms.repeatable {
+                let client = if self.spec.repeatable {
                     self.state.client.clone()
                 } else {
                     self.state.client.single_use()
@@ -317,14 +317,14 @@
 
     fn resume(&mut self, engine: &EngineId, resume: ResumeRequest) -> Option<RequestEvent> {
         let attempt = resume.attempt.clone();
-        let lost = RequestEvent::ConnectionLost { attempt: attempt.clone(), resumable: false };
-        let Some(entry) = self.state.directory.engine(engine) else { return Some(lost) };
+        let connection_lost = RequestEvent::ConnectionLost { attempt: attempt.clone(), resumable: false };
+        let Some(entry) = self.state.directory.engine(engine) else { return Some(connection_lost) };
         match json_request(entry.address, "/resume", &resume) {
             Ok(request) => {
                 self.connection = Connection::resume(&self.state.client, entry.address, attempt, request);
                 None
             }
-            Err(_) => Some(lost),
+            Err(_) => Some(connection_lost),
         }
     }
 
@@ -343,7 +343,7 @@
     }
 
     fn remaining_ms(&self) -> u64 {
-        let remaining = self.terms.deadline.saturating_since(self.state.clock.now());
+        let remaining = self.spec.deadline.saturating_since(self.state.clock.now());
         u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)
     }
 
--- a/crates/node/src/exchange/connection.rs
+++ b/crates/node/src/exchange/connection.rs
@@ -18,25 +18,25 @@
 /// Bytes of one frame at most.
 const MAX_FRAME_BYTES: usize = 64 << 10;
 /// The state machine's own timers end a wait much earlier.
-const HEAD_LIMIT: Duration = Duration::from_secs(3_600);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-type Opening = Pin<Box<dyn Future<Output = Result<Response<Incoming>, ClientError>> + Send>>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Result<Response<Incoming>, ClientError>> + Send>>;
 
 /// A connection, or none.
 pub enum Connection {
     /// Nothing is expected from any engine.
     None,
     /// Waiting for the head of the answer.
-    Opening {
+    Connecting {
         /// The try.
         attempt: AttemptId,
         /// Whether the try was sent earlier, over another connection.
         resumed: bool,
         /// The wait.
-        head: Opening,
+        head: ResponseFuture,
     },
     /// Reading frames.
-    Reading {
+    Streaming {
         /// The try.
         attempt: AttemptId,
         /// The answer's body.
@@ -54,7 +54,7 @@
         attempt: AttemptId,
         request: Request<Full<Bytes>>,
     ) -> Self {
-        Self::Opening { attempt, resumed: false, head: open(client, address, request) }
+        Self::Connecting { attempt, resumed: false, head: open(client, address, request) }
     }
 
     /// Asks for the rest of a try's answer.
@@ -64,7 +64,7 @@
         attempt: AttemptId,
         request: Request<Full<Bytes>>,
     ) -> Self {
-        Self::Opening { attempt, resumed: true, head: open(client, address, request) }
+        Self::Connecting { attempt, resumed: true, head: open(client, address, request) }
     }
 
     /// The next thing that the connection tells; waits forever where there is none.
@@ -72,11 +72,11 @@
         loop {
             match self {
                 Self::None => std::future::pending::<()>().await,
-                Self::Opening { attempt, resumed, head } => match head.await {
+                Self::Connecting { attempt, resumed, head } => match head.await {
                     Ok(response) => {
                         let attempt = attempt.clone();
                         let body = response.into_body();
-                        *self = Self::Reading { attempt, body, buffer: BytesMut::new() };
+                        *self = Self::Streaming { attempt, body, buffer: BytesMut::new() };
                     }
                     Err(error) => {
                         let event = failure(attempt.clone(), *resumed, &error);
@@ -84,7 +84,7 @@
                         return event;
                     }
                 },
-                Self::Reading { attempt, body, buffer } => {
+                Self::Streaming { attempt, body, buffer } => {
                     let event = read_frame(attempt, body, buffer).await;
                     if !matches!(event, RequestEvent::Frame(_)) {
                         *self = Self::None;
@@ -96,9 +96,9 @@
     }
 }
 
-fn open(client: &HttpClient, address: SocketAddr, request: Request<Full<Bytes>>) -> Opening {
+fn open(client: &HttpClient, address: SocketAddr, request: Request<Full<Bytes>>) -> ResponseFuture {
     let client = client.clone();
-    Box::pin(async move { client.open(address, request, HEAD_LIMIT).await })
+    Box::pin(async move { client.open(address, request, RESPONSE_HEAD_TIMEOUT).await })
 }
 
 /// Whole lines are taken from the buffer first, so a dropped wait loses nothing.
@@ -148,7 +148,7 @@
 }
 
 /// The life in a refusal whose answer names none.
-pub const UNNAMED_LIFE: Incarnation = Incarnation(0);
+pub const UNKNOWN_INCARNATION: Incarnation = Incarnation(0);
 
 /// The typed refusal in the body of an engine's answer. An answer that is not one proves nothing.
 fn refusal_of(body: &[u8]) -> Option<EngineRefusal> {
@@ -158,7 +158,7 @@
     let refusal: Refusal = serde_json::from_slice(body).ok()?;
     (refusal.outcome == Outcome::NotRun).then_some(EngineRefusal {
         code: refusal.code,
-        incarnation: UNNAMED_LIFE,
+        incarnation: UNKNOWN_INCARNATION,
         loaded: None,
         message: refusal.message,
         retry_after_ms: refusal.retry_after_ms,
--- a/crates/node/src/exchange/record.rs
+++ b/crates/node/src/exchange/record.rs
@@ -15,7 +15,7 @@
     trace::TraceContext,
 };
 
-use super::ExchangeTerms;
+use super::ExchangeSpec;
 use crate::admin::observations::{LiveRecord, Observations};
 
 /// The record of one exchange.
@@ -26,41 +26,41 @@
 
 impl ExchangeRecord {
     /// Begins the record of a request.
-    pub fn begin(observations: &Arc<Observations>, terms: &ExchangeTerms) -> Self {
+    pub fn begin(observations: &Arc<Observations>, spec: &ExchangeSpec) -> Self {
         let mut record = DecisionRecord::new(
-            terms.request.clone(),
-            terms.tenant.clone(),
-            terms.pool.clone(),
-            terms.model.clone(),
-            terms.arrived,
+            spec.request.clone(),
+            spec.tenant.clone(),
+            spec.pool.clone(),
+            spec.model.clone(),
+            spec.arrived,
         );
-        record.tenant_weight = terms.tenant_weight;
-        record.weights = terms.weights;
-        record.priority = terms.priority;
-        record.prompt_tokens = paddlemount_protocol::prefix::prompt_tokens(terms.prompt.len());
+        record.tenant_weight = spec.tenant_weight;
+        record.weights = spec.weights;
+        record.priority = spec.priority;
+        record.prompt_tokens = paddlemount_protocol::prefix::prompt_tokens(spec.prompt.len());
         record.trace =
-            terms.traceparent.as_deref().and_then(TraceContext::parse).map(|trace| trace.trace_id());
-        observations.prefixes.record(terms, terms.arrived);
-        Self { live: observations.begin(record), arrived: terms.arrived }
+            spec.traceparent.as_deref().and_then(TraceContext::parse).map(|trace| trace.trace_id());
+        observations.prefixes.record(spec, spec.arrived);
+        Self { live: observations.begin(record), arrived: spec.arrived }
     }
 
     /// Notes a limit that delayed or refused the request.
-    pub fn limit_met(&self, limit: LimitHit) {
-        self.live.note(|record| record.record_limit(limit));
+    pub fn limit_hit(&self, limit: LimitHit) {
+        self.live.update(|record| record.record_limit(limit));
     }
 
     /// Notes that the request was refused before any engine was weighed.
     pub fn refused(&self, refusal: &Refusal) {
-        self.live.note(|record| record.ending = refused_ending(refusal));
+        self.live.update(|record| record.ending = refused_ending(refusal));
     }
 
     /// Notes the engines that were weighed.
-    pub fn weighed(&self, decision: &Decision) {
-        self.live.note(|record| record.record_candidates(&decision.candidates, decision.reason));
+    pub fn candidates(&self, decision: &Decision) {
+        self.live.update(|record| record.record_candidates(&decision.candidates, decision.reason));
     }
 
     /// Notes a try that is sent.
-    pub fn dispatched(&self, attempt: &AttemptId, precondition: &Precondition, now: Timestamp) {
+    pub fn attempt_sent(&self, attempt: &AttemptId, precondition: &Precondition, now: Timestamp) {
         let waited = u64::try_from(now.saturating_since(self.arrived).as_micros()).unwrap_or(u64::MAX);
         let attempt = AttemptRecord {
             attempt: attempt.clone(),
@@ -69,7 +69,7 @@
             took_ms: 0,
             result: AttemptResult::Running,
         };
-        self.live.note(|record| {
+        self.live.update(|record| {
             record.timings.queued_us.get_or_insert(waited);
             record.weights = attempt.precondition.weights;
             record.record_attempt(attempt);
@@ -77,7 +77,7 @@
     }
 
     /// Notes what the exchange learns, before it is acted on.
-    pub fn learn(&self, event: &RequestEvent, now: Timestamp) {
+    pub fn record_event(&self, event: &RequestEvent, now: Timestamp) {
         if let RequestEvent::Refused { attempt, refusal } = event {
             let result = AttemptResult::Refused { code: refusal.code };
             self.end_attempt(attempt, result, now);
@@ -85,10 +85,10 @@
     }
 
     /// Notes what the exchange does.
-    pub fn act(&self, action: &RequestAction, now: Timestamp) {
+    pub fn record_action(&self, action: &RequestAction, now: Timestamp) {
         match action {
             RequestAction::Ended { attempt, ending } => self.attempt_ended(attempt, *ending, now),
-            RequestAction::Started { cached_tokens, prompt_tokens, .. } => self.live.note(|record| {
+            RequestAction::Started { cached_tokens, prompt_tokens, .. } => self.live.update(|record| {
                 if record.completion_tokens == 0 {
                     record.cached_tokens = *cached_tokens;
                     record.prompt_tokens = *prompt_tokens;
@@ -96,14 +96,16 @@
             }),
             RequestAction::Emit { index, .. } => {
                 let waited = self.since_arrival(now);
-                self.live.note(|record| {
+                self.live.update(|record| {
                     record.timings.first_token_ms.get_or_insert(waited);
                     record.completion_tokens = index.saturating_add(1);
                 });
             }
-            RequestAction::Finish { .. } => self.live.note(|record| record.ending = RequestEnding::Completed),
+            RequestAction::Finish { .. } => {
+                self.live.update(|record| record.ending = RequestEnding::Completed)
+            }
             RequestAction::Refuse { refusal } => {
-                self.live.note(|record| record.ending = refused_ending(refusal));
+                self.live.update(|record| record.ending = refused_ending(refusal));
             }
             _ => {}
         }
@@ -115,7 +117,7 @@
 
     fn attempt_ended(&self, attempt: &AttemptId, ending: AttemptEnding, now: Timestamp) {
         let mut tokens = 0;
-        self.live.note(|record| tokens = record.completion_tokens);
+        self.live.update(|record| tokens = record.completion_tokens);
         let result = match ending {
             AttemptEnding::Completed => AttemptResult::Completed,
             AttemptEnding::Refused => return,
@@ -126,7 +128,7 @@
     }
 
     fn end_attempt(&self, attempt: &AttemptId, result: AttemptResult, now: Timestamp) {
-        self.live.note(|record| {
+        self.live.update(|record| {
             let known = record.attempts.iter_mut().find(|known| known.attempt == *attempt);
             if let Some(known) = known.filter(|known| known.result == AttemptResult::Running) {
                 known.took_ms = now.saturating_since(known.sent_at).as_millis() as u64;
--- a/crates/node/src/exchange/refusals.rs
+++ b/crates/node/src/exchange/refusals.rs
@@ -5,31 +5,31 @@
 use paddlemount_core::{back_off::with_jitter, request::RequestEvent, routing::RouterEvent};
 use paddlemount_protocol::engine::EngineRefusal;
 
-use super::{Exchange, connection::UNNAMED_LIFE};
+use super::{Exchange, connection::UNKNOWN_INCARNATION};
 
 impl Exchange {
     /// Takes in what a refusal says of its engine; where it names no life, of the one that was asked.
-    pub(super) fn hear_refusal(&self, event: &RequestEvent) {
+    pub(super) fn apply_refusal(&self, event: &RequestEvent) {
         let RequestEvent::Refused { refusal, .. } = event else { return };
-        let (Some(engine), Some(asked)) = (&self.engine, self.life) else { return };
-        let named = Some(refusal.incarnation).filter(|life| *life != UNNAMED_LIFE);
-        let refusal = EngineRefusal { incarnation: named.unwrap_or(asked), ..refusal.clone() };
+        let (Some(engine), Some(dispatched_to)) = (&self.engine, self.incarnation) else { return };
+        let reported = Some(refusal.incarnation).filter(|incarnation| *incarnation != UNKNOWN_INCARNATION);
+        let refusal = EngineRefusal { incarnation: reported.unwrap_or(dispatched_to), ..refusal.clone() };
         let now = self.state.clock.now();
-        let begins = self.state.route(|router| {
+        let started = self.state.with_router(|router| {
             let before = router.remaining_back_off(engine, now);
             router.apply(RouterEvent::Refused { engine, refusal: &refusal }, now);
             router.remaining_back_off(engine, now).filter(|_| before.is_none())
         });
-        if let Some(rest) = begins {
-            self.state.observations.engine_rests(engine, rest);
+        if let Some(back_off) = started {
+            self.state.observations.engine_backed_off(engine, back_off);
         }
     }
 
     /// When the caller may come back, where all engines that could serve the request have asked for rest.
-    pub(super) fn come_back(&self) -> Option<Duration> {
+    pub(super) fn retry_after(&self) -> Option<Duration> {
         let now = self.state.clock.now();
-        let request = self.terms.route_request(&[]);
-        let least = self.state.route(|router| router.min_back_off(&request, now))?;
-        Some(with_jitter(least, rand::random()))
+        let request = self.spec.route_request(&[]);
+        let min = self.state.with_router(|router| router.min_back_off(&request, now))?;
+        Some(with_jitter(min, rand::random()))
     }
 }
--- a/crates/node/src/exchange/terms.rs
+++ b/crates/node/src/exchange/spec.rs
@@ -11,7 +11,7 @@
 
 /// A request with everything that is looked up for it once.
 #[derive(Clone, Debug)]
-pub struct ExchangeTerms {
+pub struct ExchangeSpec {
     /// The request.
     pub request: RequestId,
     /// Its tenant.
@@ -50,9 +50,9 @@
     pub fingerprint: RequestFingerprint,
 }
 
-impl ExchangeTerms {
+impl ExchangeSpec {
     /// What the request's state machine needs.
-    pub fn request_terms(&self) -> RequestSpec {
+    pub fn request_spec(&self) -> RequestSpec {
         RequestSpec {
             request: self.request.clone(),
             repeatable: self.repeatable,
@@ -63,7 +63,7 @@
 
     /// The identity of the `number`th try.
     pub fn attempt(&self, number: u32) -> AttemptId {
-        self.request_terms().attempt(number)
+        self.request_spec().attempt(number)
     }
 
     /// What the router needs.
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -36,15 +36,15 @@
 }
 
 async fn collect(mut body: RequestBody, limit: usize) -> Result<Bytes, BodyError> {
-    let mut whole = BytesMut::new();
+    let mut bytes_read = BytesMut::new();
     while let Some(data) = std::pin::Pin::new(&mut body).data().await {
         let data = data.map_err(|_| BodyError::Broken)?;
-        if whole.len() + data.len() > limit {
+        if bytes_read.len() + data.len() > limit {
             return Err(BodyError::TooLarge(limit));
         }
-        whole.extend_from_slice(&data);
+        bytes_read.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(bytes_read.freeze())
 }
 
 /// A JSON answer.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -15,13 +15,13 @@
 const INTERNAL_WORKERS: usize = 1;
 /// Time without a request between the end of the last one and the end of the servers. Late requests are told until then
 /// that the node stops, and answers leave the servers' buffers.
-const LINGER: Duration = Duration::from_millis(250);
+const LINGER_IDLE_TIME: Duration = Duration::from_millis(250);
 /// How often that time is looked at.
-const LINGER_LOOK: Duration = Duration::from_millis(10);
+const LINGER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A look that comes later than this after the one before shows that the process got no processor time.
-const HELD_UP: Duration = Duration::from_millis(100);
+const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 /// The longest time to linger, where callers go on coming.
-const LONGEST_LINGER: Duration = Duration::from_secs(2);
+const MAX_LINGER_TIME: Duration = Duration::from_secs(2);
 
 /// Starts nodes.
 pub struct Node;
@@ -107,19 +107,19 @@
         self.end().await;
     }
 
-    /// Waits until no request has come for [`LINGER`]. Time in which the process did not run does not count: what came
+    /// Waits until no request has come for [`LINGER_IDLE_TIME`]. Time in which the process did not run does not count: what came
     /// meanwhile lies in sockets, and the end of the servers would reset it.
     async fn linger(&self) {
         let began = Instant::now();
-        let (mut quiet_since, mut looked_at) = (began, began);
-        let mut come = self.state.active.come();
-        while quiet_since.elapsed() < LINGER && began.elapsed() < LONGEST_LINGER {
-            tokio::time::sleep(LINGER_LOOK).await;
-            let now_come = self.state.active.come();
-            if now_come != come || looked_at.elapsed() > HELD_UP {
-                quiet_since = Instant::now();
+        let (mut idle_since, mut last_poll) = (began, began);
+        let mut arrivals = self.state.active.arrivals();
+        while idle_since.elapsed() < LINGER_IDLE_TIME && began.elapsed() < MAX_LINGER_TIME {
+            tokio::time::sleep(LINGER_POLL_INTERVAL).await;
+            let current = self.state.active.arrivals();
+            if current != arrivals || last_poll.elapsed() > STALL_THRESHOLD {
+                idle_since = Instant::now();
             }
-            (come, looked_at) = (now_come, Instant::now());
+            (arrivals, last_poll) = (current, Instant::now());
         }
     }
 
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -37,7 +37,7 @@
 const ITEM_OVERHEAD: usize = 40;
 
 /// How the wait of a request ended.
-type Verdict = Result<Start, Refusal>;
+type AdmissionResult = Result<Start, Refusal>;
 
 /// A request that runs now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,17 +46,17 @@
     waited: Duration,
 }
 
-struct Parts {
+struct Inner {
     limits: Limits,
     admission: Admission,
     retries: RetryBudget,
     capacity: Capacity,
-    waiting: BTreeMap<RequestId, oneshot::Sender<Verdict>>,
+    waiting: BTreeMap<RequestId, oneshot::Sender<AdmissionResult>>,
 }
 
 /// The limits, admission and retry budget of one node.
 pub struct Overload {
-    parts: Mutex<Parts>,
+    inner: Mutex<Inner>,
     /// Told when the driver may have to act earlier than planned.
     changed: Notify,
 }
@@ -64,33 +64,33 @@
 impl Overload {
     /// Nothing is known yet: neither quotas nor pools.
     pub fn new(settings: &OverloadSettings, node: NodeId, incarnation: Incarnation, now: Timestamp) -> Self {
-        let parts = Parts {
+        let inner = Inner {
             limits: Limits::new(LimitSettings::default(), node, incarnation, now),
             admission: Admission::new(settings.admission),
             retries: RetryBudget::new(settings.retries),
             capacity: Capacity::default(),
             waiting: BTreeMap::new(),
         };
-        Self { parts: Mutex::new(parts), changed: Notify::new() }
+        Self { inner: Mutex::new(inner), changed: Notify::new() }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Parts> {
-        self.parts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes in an engine's own account of itself.
-    pub fn learn_status(&self, status: &EngineStatus, now: Timestamp) {
-        let parts = &mut *self.lock();
-        if parts.capacity.learn(status) {
-            parts.apply_capacity(now);
+    pub fn apply_status(&self, status: &EngineStatus, now: Timestamp) {
+        let inner = &mut *self.lock();
+        if inner.capacity.update(status) {
+            inner.apply_capacity(now);
         }
     }
 
     /// Forgets engines that no longer exist.
-    pub fn forget_engines(&self, engines: &[EngineId], now: Timestamp) {
-        let parts = &mut *self.lock();
-        engines.iter().for_each(|engine| parts.capacity.forget(engine));
-        parts.apply_capacity(now);
+    pub fn remove_engines(&self, engines: &[EngineId], now: Timestamp) {
+        let inner = &mut *self.lock();
+        engines.iter().for_each(|engine| inner.capacity.remove(engine));
+        inner.apply_capacity(now);
     }
 
     /// A request gets its first try.
@@ -126,7 +126,7 @@
     }
 
     /// Takes in another node's reports.
-    pub fn take_quota_item(&self, item: &PiggybackItem, now: Timestamp) {
+    pub fn receive_quota_item(&self, item: &PiggybackItem, now: Timestamp) {
         match serde_json::from_value::<Vec<QuotaDigest>>(item.body.clone()) {
             Ok(digests) => self.lock().limits.receive(&digests, now),
             Err(error) => log::debug!("unreadable quota report: {error}"),
@@ -134,7 +134,7 @@
     }
 }
 
-impl Parts {
+impl Inner {
     fn apply(&mut self, event: AdmissionEvent, now: Timestamp) {
         for action in self.admission.apply(event, now) {
             let (ticket, verdict) = match action {
--- a/crates/node/src/overload/capacity.rs
+++ b/crates/node/src/overload/capacity.rs
@@ -29,7 +29,7 @@
 
 impl Capacity {
     /// Takes in an engine's account; tells whether it changes what its pool can take.
-    pub fn learn(&mut self, status: &EngineStatus) -> bool {
+    pub fn update(&mut self, status: &EngineStatus) -> bool {
         let takes_work = !status.draining && status.loaded.is_some() && status.role == EngineRole::Serving;
         let next = EngineCapacity { pool: status.pool.clone(), speed: status.speed, takes_work };
         let before = self.engines.insert(status.engine.clone(), next.clone());
@@ -37,7 +37,7 @@
     }
 
     /// Forgets an engine that no longer exists.
-    pub fn forget(&mut self, engine: &EngineId) {
+    pub fn remove(&mut self, engine: &EngineId) {
         if let Some(capacity) = self.engines.get_mut(engine) {
             capacity.takes_work = false;
         }
@@ -70,8 +70,8 @@
 
     /// How fast the engines of a pool work, by one of them.
     pub fn pool_speed(&self, pool: &PoolId) -> Option<EngineSpeed> {
-        let mut of_pool =
+        let mut in_pool =
             self.engines.values().filter(|capacity| capacity.pool == *pool && capacity.takes_work);
-        of_pool.next().map(|capacity| capacity.speed)
+        in_pool.next().map(|capacity| capacity.speed)
     }
 }
--- a/crates/node/src/overload/permit.rs
+++ b/crates/node/src/overload/permit.rs
@@ -17,10 +17,10 @@
 use tokio::sync::oneshot;
 
 use super::{SharedOverload, Start};
-use crate::{engines, exchange::ExchangeTerms, state::NodeState};
+use crate::{engines, exchange::ExchangeSpec, state::NodeState};
 
 /// Callers that wait longer than this for the whole answer set no bound to its beginning that is worth a prediction.
-const NEAR_DEADLINE: Duration = Duration::from_secs(30);
+const PREDICTION_HORIZON: Duration = Duration::from_secs(30);
 
 /// A request was refused before any engine was asked.
 #[derive(Clone, Debug, PartialEq)]
@@ -67,7 +67,7 @@
     }
 
     /// The queue, where the request had to wait for a place.
-    pub fn limit_met(&self) -> Option<LimitHit> {
+    pub fn limit_hit(&self) -> Option<LimitHit> {
         let waited_ms = self.waited.as_millis() as u64;
         (waited_ms > 0).then_some(LimitHit { limit: LimitKind::Queue, refused: false, waited_ms })
     }
@@ -79,22 +79,28 @@
 
     /// The first token came from `engine`, `elapsed` after the dispatch. What neither prefill of the `missing_tokens` nor distance
     /// explain was queueing.
-    pub fn begun(&self, engine: &EngineId, missing_tokens: u32, distance: Duration, elapsed: Duration) {
-        let parts = &mut *self.overload.lock();
-        let Some(speed) = parts.capacity.speed(engine) else { return };
+    pub fn record_first_token(
+        &self,
+        engine: &EngineId,
+        missing_tokens: u32,
+        distance: Duration,
+        elapsed: Duration,
+    ) {
+        let inner = &mut *self.overload.lock();
+        let Some(speed) = inner.capacity.speed(engine) else { return };
         let expected = prefill(&speed, missing_tokens) + step(&speed) + distance * 2;
         let queueing = elapsed.saturating_sub(expected);
         let event = AdmissionEvent::FirstToken { ticket: self.ticket.clone(), queueing };
-        parts.apply(event, self.state.clock.now());
+        inner.apply(event, self.state.clock.now());
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let parts = &mut *self.overload.lock();
-        parts.waiting.remove(&self.ticket);
-        parts.limits.release(&self.tenant, self.charged_tokens.saturating_sub(self.used_tokens));
-        parts.apply(AdmissionEvent::Cancelled { ticket: self.ticket.clone() }, self.state.clock.now());
+        let inner = &mut *self.overload.lock();
+        inner.waiting.remove(&self.ticket);
+        inner.limits.release(&self.tenant, self.charged_tokens.saturating_sub(self.used_tokens));
+        inner.apply(AdmissionEvent::Cancelled { ticket: self.ticket.clone() }, self.state.clock.now());
     }
 }
 
@@ -111,13 +117,13 @@
 /// # Errors
 ///
 /// The request is refused and has not run.
-pub async fn enter(state: &Arc<NodeState>, terms: &ExchangeTerms) -> Result<Permit, Denied> {
+pub async fn enter(state: &Arc<NodeState>, spec: &ExchangeSpec) -> Result<Permit, Denied> {
     let arrived = state.clock.now();
-    let mut permit = charge(state, &terms.request, &terms.tenant, cost(terms))?;
-    if state.overload.lock().admission.view(&terms.pool).is_none() {
-        engines::learn_at_once(state).await;
+    let mut permit = charge(state, &spec.request, &spec.tenant, cost(spec))?;
+    if state.overload.lock().admission.view(&spec.pool).is_none() {
+        engines::refresh_all(state).await;
     }
-    let Some(verdict) = submit(state, terms) else {
+    let Some(verdict) = submit(state, spec) else {
         // No engine of the pool is known; routing says so in its own words.
         return Ok(permit);
     };
@@ -153,8 +159,8 @@
     charge(state, request, tenant, 0)
 }
 
-fn cost(terms: &ExchangeTerms) -> u32 {
-    prompt_tokens(terms.prompt.len()).saturating_add(terms.max_tokens)
+fn cost(spec: &ExchangeSpec) -> u32 {
+    prompt_tokens(spec.prompt.len()).saturating_add(spec.max_tokens)
 }
 
 fn charge(
@@ -177,37 +183,37 @@
     })
 }
 
-fn submit(state: &Arc<NodeState>, terms: &ExchangeTerms) -> Option<oneshot::Receiver<super::Verdict>> {
+fn submit(state: &Arc<NodeState>, spec: &ExchangeSpec) -> Option<oneshot::Receiver<super::AdmissionResult>> {
     let now = state.clock.now();
-    let predicted_start = predicted_start(state, terms, now);
+    let predicted_start = predicted_start(state, spec, now);
     let (sender, receiver) = oneshot::channel();
-    let parts = &mut *state.overload.lock();
-    parts.admission.view(&terms.pool)?;
-    let speed = parts.capacity.pool_speed(&terms.pool)?;
+    let inner = &mut *state.overload.lock();
+    inner.admission.view(&spec.pool)?;
+    let speed = inner.capacity.pool_speed(&spec.pool)?;
     let configuration = state.configuration.load();
-    let tenant = configuration.document.configuration.tenants.get(&terms.tenant);
-    let work = prefill(&speed, prompt_tokens(terms.prompt.len())) + step(&speed) * terms.max_tokens;
-    parts.waiting.insert(terms.request.clone(), sender);
+    let tenant = configuration.document.configuration.tenants.get(&spec.tenant);
+    let work = prefill(&speed, prompt_tokens(spec.prompt.len())) + step(&speed) * spec.max_tokens;
+    inner.waiting.insert(spec.request.clone(), sender);
     let request = AdmissionRequest {
-        ticket: terms.request.clone(),
-        pool: terms.pool.clone(),
-        tenant: terms.tenant.clone(),
+        ticket: spec.request.clone(),
+        pool: spec.pool.clone(),
+        tenant: spec.tenant.clone(),
         weight: tenant.map_or(1, |tenant| tenant.weight),
-        priority: terms.priority,
+        priority: spec.priority,
         cost: u32::try_from(work.as_millis()).unwrap_or(u32::MAX),
         predicted_start,
-        deadline: Some(terms.deadline),
+        deadline: Some(spec.deadline),
     };
-    parts.apply(AdmissionEvent::Submit(request), now);
+    inner.apply(AdmissionEvent::Submit(request), now);
     Some(receiver)
 }
 
 /// Time from dispatch to the first token at the best engine, by the router's prediction.
-fn predicted_start(state: &NodeState, terms: &ExchangeTerms, now: Timestamp) -> Duration {
-    if terms.deadline.saturating_since(now) > NEAR_DEADLINE {
+fn predicted_start(state: &NodeState, spec: &ExchangeSpec, now: Timestamp) -> Duration {
+    if spec.deadline.saturating_since(now) > PREDICTION_HORIZON {
         return Duration::ZERO;
     }
-    let decision = state.route(|router| router.preview(&terms.route_request(&[]), now));
+    let decision = state.with_router(|router| router.preview(&spec.route_request(&[]), now));
     let best = decision.candidates.first().map_or(0.0, |candidate| {
         candidate.wait_ms + candidate.prefill_ms + candidate.import_ms + candidate.distance_ms
     });
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -51,7 +51,7 @@
         .at("/healthz", get(handler_service(health)))
         .at(membership::PATH, post(handler_service(server::membership)))
         .at(configuration::PATH, post(handler_service(server::configuration)))
-        .at("/peer/query", post(handler_service(member_question)))
+        .at("/peer/query", post(handler_service(member_query)))
         .at(claims::PATH, post(handler_service(claims::serve)))
         .enclosed_fn(server::authenticate);
     crate::server::start(state, settings, listener, app.finish())
@@ -61,15 +61,15 @@
     json_answer(200, &serde_json::json!({ "status": "ok" }))
 }
 
-async fn member_question(context: &WebContext<'_, Arc<NodeState>>) -> WebResponse {
+async fn member_query(context: &WebContext<'_, Arc<NodeState>>) -> WebResponse {
     let body = std::mem::replace(&mut *context.body_borrow_mut(), RequestBody::None);
     match read_body(body, MAX_STATEMENT_BYTES, context.state().settings.timeouts.body).await {
-        Ok(body) => admin::http::member_question(context.state(), &body),
+        Ok(body) => admin::http::member_query(context.state(), &body),
         Err(error) => json_answer(400, &error.to_string()),
     }
 }
 
 /// Tells other nodes that this one leaves.
 pub async fn announce_leaving(state: &NodeState) {
-    state.peers.feed(state, PeerEvent::Stop);
+    state.peers.handle_event(state, PeerEvent::Stop);
 }
--- a/crates/node/src/peers/authentication.rs
+++ b/crates/node/src/peers/authentication.rs
@@ -2,7 +2,7 @@
 //!
 //! A request's hash (HMAC-SHA256) covers method, path, receiver, sender, time and the body; an answer's
 //! covers the request's hash, so that it fits this request only, and its body. The receiver refuses a request
-//! whose time is off by more than [`WINDOW`] or whose hash it has seen.
+//! whose time is off by more than [`MAX_CLOCK_SKEW`] or whose hash it has seen.
 
 use std::{
     collections::BTreeMap,
@@ -16,7 +16,7 @@
 use sha2::Sha256;
 
 /// Greatest difference between a request's time and the receiver's clock.
-pub const WINDOW: Duration = Duration::from_secs(10);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(10);
 
 const HASH_BYTES: usize = 32;
 
@@ -104,10 +104,10 @@
             return Err(AuthenticationError::Signature);
         }
         let difference = now.saturating_since(request.time).max(request.time.saturating_since(now));
-        if difference > WINDOW {
+        if difference > MAX_CLOCK_SKEW {
             return Err(AuthenticationError::Time);
         }
-        self.remember((request.time, hash), now)
+        self.record_received((request.time, hash), now)
     }
 
     /// Accepts the answer to a request that this node signed.
@@ -126,9 +126,9 @@
         if self.keys.iter().any(is_genuine) { Ok(()) } else { Err(AuthenticationError::Signature) }
     }
 
-    fn remember(&self, entry: (Timestamp, Hash), now: Timestamp) -> Result<(), AuthenticationError> {
+    fn record_received(&self, entry: (Timestamp, Hash), now: Timestamp) -> Result<(), AuthenticationError> {
         let mut received = self.received.lock().unwrap_or_else(PoisonError::into_inner);
-        let oldest = (now - WINDOW, [0; HASH_BYTES]);
+        let oldest = (now - MAX_CLOCK_SKEW, [0; HASH_BYTES]);
         while received.first_key_value().is_some_and(|(first, ())| *first < oldest) {
             received.pop_first();
         }
--- a/crates/node/src/peers/driver.rs
+++ b/crates/node/src/peers/driver.rs
@@ -31,7 +31,7 @@
 use crate::{admin::observations::snake_case, client::ClientError, settings::NodeSettings, state::NodeState};
 
 /// Longest time that an operator's change may take until it is answered.
-const CHANGE_WAIT: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A node among its peers, shared by all threads.
 pub struct PeersDriver {
@@ -42,7 +42,7 @@
     outcomes: Mutex<BTreeMap<CallId, oneshot::Sender<ChangeOutcome>>>,
     next_call: AtomicU64,
     actions: mpsc::UnboundedSender<PeerAction>,
-    taken: Mutex<Option<mpsc::UnboundedReceiver<PeerAction>>>,
+    action_receiver: Mutex<Option<mpsc::UnboundedReceiver<PeerAction>>>,
     rescheduled: Notify,
     /// When this node's revision stops being fresh, in microseconds of `clock`.
     fresh_until: AtomicU64,
@@ -62,7 +62,7 @@
             seed,
             timing: MembershipTiming::default(),
         };
-        let (actions, taken) = mpsc::unbounded_channel();
+        let (actions, action_receiver) = mpsc::unbounded_channel();
         Self {
             peers: Mutex::new(Peers::new(own, clock.now())),
             clock,
@@ -71,7 +71,7 @@
             outcomes: Mutex::default(),
             next_call: AtomicU64::new(0),
             actions,
-            taken: Mutex::new(Some(taken)),
+            action_receiver: Mutex::new(Some(action_receiver)),
             rescheduled: Notify::new(),
             fresh_until: AtomicU64::new(0),
         }
@@ -83,7 +83,7 @@
     }
 
     /// Looks at the state machine. The work must be short and must not wait.
-    pub fn look<T>(&self, work: impl FnOnce(&Peers, Timestamp) -> T) -> T {
+    pub fn inspect<T>(&self, work: impl FnOnce(&Peers, Timestamp) -> T) -> T {
         let now = self.clock.now();
         work(&lock(&self.peers), now)
     }
@@ -101,7 +101,7 @@
         wait: Duration,
     ) -> Option<PeerAnswer> {
         let (call, receiver) = register(&self.next_call, &self.answers);
-        self.feed(state, PeerEvent::Request { call, request });
+        self.handle_event(state, PeerEvent::Request { call, request });
         let answer = tokio::time::timeout(wait, receiver).await;
         lock(&self.answers).remove(&call);
         answer.ok()?.ok()
@@ -111,8 +111,8 @@
     pub async fn change(&self, state: &NodeState, request: ChangeRequest) -> ChangeOutcome {
         let settle_with = format!("show change {}", request.id);
         let (call, receiver) = register(&self.next_call, &self.outcomes);
-        self.feed(state, PeerEvent::Change { call, request: Box::new(request) });
-        let outcome = tokio::time::timeout(CHANGE_WAIT, receiver).await;
+        self.handle_event(state, PeerEvent::Change { call, request: Box::new(request) });
+        let outcome = tokio::time::timeout(CHANGE_TIMEOUT, receiver).await;
         lock(&self.outcomes).remove(&call);
         match outcome {
             Ok(Ok(outcome)) => outcome,
@@ -121,7 +121,7 @@
     }
 
     /// Feeds the state machine, and carries out at once what does not wait.
-    pub fn feed(&self, state: &NodeState, event: PeerEvent<'_>) {
+    pub fn handle_event(&self, state: &NodeState, event: PeerEvent<'_>) {
         let now = self.clock.now();
         let mut peers = lock(&self.peers);
         let actions = peers.handle(event, now);
@@ -188,34 +188,34 @@
 
 /// Runs the node's part among its peers; never returns.
 pub async fn run(state: Arc<NodeState>) {
-    let Some(mut actions) = lock(&state.peers.taken).take() else { return };
+    let Some(mut actions) = lock(&state.peers.action_receiver).take() else { return };
     let mut machines = state.directory.subscribe();
     let mut calls = JoinSet::new();
-    state.peers.feed(&state, PeerEvent::Tick);
+    state.peers.handle_event(&state, PeerEvent::Tick);
     loop {
         let now = state.peers.clock.now();
-        let until = state.peers.look(|peers, _| peers.next_wakeup()).saturating_since(now);
+        let sleep = state.peers.inspect(|peers, _| peers.next_wakeup()).saturating_since(now);
         tokio::select! {
             Some(action) = actions.recv() => {
                 let state = Arc::clone(&state);
-                calls.spawn(async move { begin(&state, action).await });
+                calls.spawn(async move { perform(&state, action).await });
             }
             changed = machines.changed() => {
                 if changed.is_err() {
                     return;
                 }
                 let list = machines.borrow_and_update().clone();
-                state.peers.feed(&state, PeerEvent::Machines(&list));
+                state.peers.handle_event(&state, PeerEvent::Machines(&list));
             }
             Some(_) = calls.join_next() => {}
             () = state.peers.rescheduled.notified() => {}
-            () = tokio::time::sleep(until) => state.peers.feed(&state, PeerEvent::Tick),
+            () = tokio::time::sleep(sleep) => state.peers.handle_event(&state, PeerEvent::Tick),
         }
     }
 }
 
 /// Makes one call and feeds its ending.
-async fn begin(state: &NodeState, action: PeerAction) {
+async fn perform(state: &NodeState, action: PeerAction) {
     match action {
         PeerAction::Call { call, address, request, timeout } => {
             let answer = match &request {
@@ -229,18 +229,18 @@
                 }
             };
             match &answer {
-                Ok(answer) => state.peers.feed(state, PeerEvent::Answer { call, answer }),
+                Ok(answer) => state.peers.handle_event(state, PeerEvent::Answer { call, answer }),
                 Err(error) => {
                     log::debug!("peer: {error}");
-                    state.peers.feed(state, PeerEvent::Failed { call });
+                    state.peers.handle_event(state, PeerEvent::Failed { call });
                 }
             }
         }
         PeerAction::Store { call, request, timeout } => {
             let result = store::call(state, request, timeout).await;
-            state.peers.feed(state, PeerEvent::Store { call, result });
+            state.peers.handle_event(state, PeerEvent::Store { call, result });
         }
-        PeerAction::Item { from, item } => super::items::take(state, &from, item),
+        PeerAction::Item { from, item } => super::items::dispatch(state, &from, item),
         _ => {}
     }
 }
--- a/crates/node/src/peers/items.rs
+++ b/crates/node/src/peers/items.rs
@@ -8,10 +8,10 @@
 use crate::state::NodeState;
 
 /// Hands an item to the part that owns its topic.
-pub fn take(state: &NodeState, from: &NodeId, item: PiggybackItem) {
+pub fn dispatch(state: &NodeState, from: &NodeId, item: PiggybackItem) {
     match item.topic {
-        Topic::Quotas => state.overload.take_quota_item(&item, state.clock.now()),
-        Topic::Crashes => state.quarantine.take_item(&item, state.clock.now()),
+        Topic::Quotas => state.overload.receive_quota_item(&item, state.clock.now()),
+        Topic::Crashes => state.quarantine.receive_item(&item, state.clock.now()),
         topic => log::trace!("item from {from}: {topic:?}"),
     }
 }
--- a/crates/node/src/peers/server.rs
+++ b/crates/node/src/peers/server.rs
@@ -26,16 +26,16 @@
 };
 
 /// Greatest body of a request of another node.
-const BODY_BYTES: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Longest time that a request of another node waits for its answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The metric of requests that no accepted cluster key signed, or that came too late or twice.
-const REFUSED: &str = "paddlemount_peer_requests_refused_total";
+const REFUSED_REQUESTS: &str = "paddlemount_peer_requests_refused_total";
 
 /// The path that anyone may ask.
-const HEALTH: &str = "/healthz";
+const HEALTH_PATH: &str = "/healthz";
 
 /// Lets only signed requests through, and signs their answers.
 pub(super) async fn authenticate<S>(
@@ -46,21 +46,21 @@
     S: for<'r> Service<WebContext<'r, Arc<NodeState>>, Response = WebResponse, Error = Error>,
 {
     let state = Arc::clone(context.state());
-    if context.req().uri().path() == HEALTH {
+    if context.req().uri().path() == HEALTH_PATH {
         return Ok(service
             .call(context.reborrow())
             .await
             .unwrap_or_else(|_| refuse(RefusalCode::NotFound, "no such path")));
     }
     let body = std::mem::replace(context.body_get_mut(), RequestBody::None);
-    let body = match read_body(body, BODY_BYTES, state.settings.timeouts.body).await {
+    let body = match read_body(body, MAX_BODY_BYTES, state.settings.timeouts.body).await {
         Ok(body) => body,
         Err(error) => return Ok(refuse(RefusalCode::InvalidRequest, &error.to_string())),
     };
     let signature = match accept(&state, &context, &body) {
         Ok(signature) => signature,
         Err(error) => {
-            state.metrics.counter(REFUSED, &[]).increment(1);
+            state.metrics.counter(REFUSED_REQUESTS, &[]).increment(1);
             log::debug!("a peer's request was refused: {error}");
             return Ok(refuse(RefusalCode::Unauthenticated, &error.to_string()));
         }
@@ -109,11 +109,11 @@
 }
 
 async fn collect(body: &mut ResponseBody) -> Option<Bytes> {
-    let mut whole = BytesMut::new();
+    let mut bytes = BytesMut::new();
     while let Some(data) = std::pin::Pin::new(&mut *body).data().await {
-        whole.extend_from_slice(&data.ok()?);
+        bytes.extend_from_slice(&data.ok()?);
     }
-    Some(whole.freeze())
+    Some(bytes.freeze())
 }
 
 /// `POST /peer/membership`.
@@ -132,14 +132,14 @@
 ) -> WebResponse {
     let state = context.state();
     let body = std::mem::replace(&mut *context.body_borrow_mut(), RequestBody::None);
-    let Ok(body) = read_body(body, BODY_BYTES, state.settings.timeouts.body).await else {
+    let Ok(body) = read_body(body, MAX_BODY_BYTES, state.settings.timeouts.body).await else {
         return refuse(RefusalCode::InvalidRequest, "the body could not be read");
     };
     let request = match serde_json::from_slice(&body) {
         Ok(request) => wrap(request),
         Err(error) => return refuse(RefusalCode::InvalidRequest, &error.to_string()),
     };
-    match state.peers.serve(state, &request, ANSWER_WAIT).await {
+    match state.peers.serve(state, &request, ANSWER_TIMEOUT).await {
         Some(PeerAnswer::Membership(answer)) => json_answer(200, &answer),
         Some(PeerAnswer::Configuration(answer)) => json_answer(200, &answer),
         None => refuse(RefusalCode::DeadlineExceeded, "no answer came about in time"),
--- a/crates/node/src/peers/transport.rs
+++ b/crates/node/src/peers/transport.rs
@@ -31,12 +31,12 @@
     let (request, signature) = signed(state, address, path, body).map_err(unreadable)?;
     let exchange = async {
         let response = state.client.open(address, request, timeout).await?;
-        let answered = response.headers().get(PEER_SIGNATURE).and_then(|value| value.to_str().ok());
-        let answered = answered.unwrap_or_default().to_owned();
+        let answer_signature = response.headers().get(PEER_SIGNATURE).and_then(|value| value.to_str().ok());
+        let answer_signature = answer_signature.unwrap_or_default().to_owned();
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
         let body =
             body.map_err(|error| ClientError::Broken { address, message: error.to_string() })?.to_bytes();
-        let accepted = state.peers.authenticator().accept_answer(&signature, &body, &answered);
+        let accepted = state.peers.authenticator().accept_answer(&signature, &body, &answer_signature);
         accepted.map_err(|error| unreadable(error.to_string()))?;
         serde_json::from_slice(&body).map_err(|error| unreadable(error.to_string()))
     };
@@ -55,8 +55,8 @@
 ) -> Result<(Request<Full<Bytes>>, String), String> {
     let time = state.clock.now();
     let node = &state.settings.node;
-    let covered = SignedRequest { method: "POST", path, receiver: address, node, time, body: &body };
-    let signature = state.peers.authenticator().sign_request(&covered);
+    let signed_request = SignedRequest { method: "POST", path, receiver: address, node, time, body: &body };
+    let signature = state.peers.authenticator().sign_request(&signed_request);
     let request = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{address}{path}"))
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -26,27 +26,27 @@
 use crate::{client::ClientError, state::NodeState};
 
 /// How long a back end that lives may need to take a connection.
-const LOOK: Duration = Duration::from_millis(300);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a new connection must stay open: one to something that only takes connections for a back end which has
 /// ended is closed at once.
-const STAYS_OPEN: Duration = Duration::from_millis(100);
+const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
 /// The pause between two rounds of news and conclusions.
-const PERIOD: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// How far back conclusions are drawn: news of crashes, and answers to them, ride on probes, one a second to each node of a
 /// few.
-const HEARD: Duration = Duration::from_secs(2);
+const GOSSIP_DELAY: Duration = Duration::from_secs(2);
 /// News in one item, which is small.
-const NEWS_IN_ITEM: usize = 1;
+const EVENTS_PER_ITEM: usize = 1;
 
 /// What a node knows of requests under which back ends end.
 #[derive(Debug, Default)]
 pub struct SharedQuarantine {
-    known: Mutex<Quarantine>,
+    quarantine: Mutex<Quarantine>,
 }
 
 /// One try that may have ended with its back end.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct BrokenAttempt {
     /// What the caller asks for.
     pub fingerprint: RequestFingerprint,
     /// The model or the service, for operators.
@@ -65,30 +65,30 @@
 }
 
 /// One life of an engine, by a name of its own.
-pub fn life_of(engine: &EngineId, incarnation: Incarnation) -> EngineId {
+pub fn incarnation_id(engine: &EngineId, incarnation: Incarnation) -> EngineId {
     EngineId::from(format!("{engine}@{}", incarnation.0))
 }
 
 impl SharedQuarantine {
     fn lock(&self) -> MutexGuard<'_, Quarantine> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+        self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// How long a request is still held back; nothing where it is not.
-    pub fn held_for(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<Duration> {
+    pub fn remaining_hold(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<Duration> {
         let held = self.lock().held(fingerprint, now)?;
         Some(held.until.saturating_since(now))
     }
 
     /// A try came to its end.
-    pub fn completed(&self, fingerprint: RequestFingerprint, now: Timestamp) {
+    pub fn record_completion(&self, fingerprint: RequestFingerprint, now: Timestamp) {
         if self.lock().record_completion(fingerprint, now) {
             log::info!("request {fingerprint} is no longer held back: a try of it came to its end");
         }
     }
 
     /// Takes in another node's news.
-    pub fn take_item(&self, item: &PiggybackItem, now: Timestamp) {
+    pub fn receive_item(&self, item: &PiggybackItem, now: Timestamp) {
         match serde_json::from_value::<RunReport>(item.body.clone()) {
             Ok(report) => {
                 for fingerprint in self.lock().receive_report(report, now) {
@@ -104,20 +104,20 @@
 
 /// How a back end is looked at.
 #[derive(Clone, Copy, Debug)]
-pub enum Look {
+pub enum LivenessCheck {
     /// An engine says which life it is in.
     Engine(SocketAddr, Incarnation),
     /// An instance of another service takes connections, or does not.
     Instance(SocketAddr),
 }
 
-impl Look {
+impl LivenessCheck {
     async fn has_ended(self, state: &NodeState) -> bool {
         match self {
-            Self::Engine(address, life) => {
-                let status = state.client.get_json::<EngineStatus>(address, "/status", LOOK).await;
+            Self::Engine(address, incarnation) => {
+                let status = state.client.get_json::<EngineStatus>(address, "/status", CHECK_TIMEOUT).await;
                 match status {
-                    Ok(status) => status.incarnation != life,
+                    Ok(status) => status.incarnation != incarnation,
                     Err(error) => matches!(error, ClientError::Connect { .. }),
                 }
             }
@@ -128,30 +128,30 @@
 
 /// Whether a connection comes up and stays open.
 async fn takes_connections(address: SocketAddr) -> bool {
-    let Ok(Ok(mut stream)) = tokio::time::timeout(LOOK, TcpStream::connect(address)).await else {
+    let Ok(Ok(mut stream)) = tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
     let mut byte = [0];
     // Nothing is to be read before something was asked: an end, or an error, means that nobody is there.
-    tokio::time::timeout(STAYS_OPEN, stream.read(&mut byte)).await.is_err()
+    tokio::time::timeout(MIN_OPEN_TIME, stream.read(&mut byte)).await.is_err()
 }
 
 /// A try broke off, or nothing was heard of it any more: what it did to its back end is looked at.
-pub fn run_broke(state: &Arc<NodeState>, run: Run, look: Look) {
+pub fn detect_crash(state: &Arc<NodeState>, attempt: BrokenAttempt, check: LivenessCheck) {
     let (state, ended) = (Arc::clone(state), state.clock.now());
     tokio::spawn(async move {
-        if !look.has_ended(&state).await {
+        if !check.has_ended(&state).await {
             return;
         }
         log::warn!(
             "back end {} ended under request {} of {} for {}",
-            run.engine,
-            run.fingerprint,
-            run.tenant,
-            run.route
+            attempt.engine,
+            attempt.fingerprint,
+            attempt.tenant,
+            attempt.route
         );
         state.metrics.counter("paddlemount_runs_crashed_total", &[]).increment(1);
-        let Run { fingerprint, route, tenant, engine, began } = run;
+        let BrokenAttempt { fingerprint, route, tenant, engine, began } = attempt;
         let crash = Crash { fingerprint, engine, route, tenant: Some(tenant), began, ended };
         state.quarantine.lock().record_crash(crash, state.clock.now());
     });
@@ -159,33 +159,33 @@
 
 /// Concludes what is to be held back and lets news ride on probes; never returns.
 pub async fn run(state: Arc<NodeState>) {
-    let mut told = 0;
+    let mut reported = 0;
     loop {
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let now = state.clock.now();
         conclude(&state, now);
-        let news = {
-            let known = state.quarantine.lock();
-            let news = known.report(told, NEWS_IN_ITEM, now);
+        let report = {
+            let quarantine = state.quarantine.lock();
+            let report = quarantine.report(reported, EVENTS_PER_ITEM, now);
             // Behind the last one it begins anew: a node that starts has heard none of them.
-            told = if news.report == RunReport::default() { 0 } else { news.last_event };
-            news.report
+            reported = if report.report == RunReport::default() { 0 } else { report.last_event };
+            report.report
         };
-        if news != RunReport::default()
-            && let Ok(body) = serde_json::to_value(news)
+        if report != RunReport::default()
+            && let Ok(body) = serde_json::to_value(report)
         {
-            state.peers.feed(&state, PeerEvent::Offer(PiggybackItem { topic: Topic::Crashes, body }));
+            state.peers.handle_event(&state, PeerEvent::Offer(PiggybackItem { topic: Topic::Crashes, body }));
         }
     }
 }
 
 fn conclude(state: &NodeState, now: Timestamp) {
     let (held, ended, counts) = {
-        let mut known = state.quarantine.lock();
-        let held = known.conclude(&state.settings.node, now - HEARD);
-        let ended = known.sweep(now);
-        let oldest = known.oldest_held().map_or(Duration::ZERO, |since| now.saturating_since(since));
-        (held, ended, (known.count_held(), known.count_suspected(), oldest))
+        let mut quarantine = state.quarantine.lock();
+        let held = quarantine.conclude(&state.settings.node, now - GOSSIP_DELAY);
+        let ended = quarantine.sweep(now);
+        let oldest = quarantine.oldest_held().map_or(Duration::ZERO, |since| now.saturating_since(since));
+        (held, ended, (quarantine.count_held(), quarantine.count_suspected(), oldest))
     };
     for request in held {
         let engines: Vec<&str> = request.engines.iter().map(EngineId::as_str).collect();
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -19,14 +19,14 @@
 };
 
 use crate::{
-    connections::{ServingHost, TakeConnection, TellKeepAlive, WithinConnection},
+    connections::{AcceptConnection, ConnectionScope, KeepAliveHeader, ServingHost},
     state::NodeState,
 };
 
 /// Bytes of a request's head at most.
-pub const HEAD_BYTES: usize = 32 << 10;
+pub const MAX_HEAD_BYTES: usize = 32 << 10;
 /// Header fields of a request at most.
-pub const HEAD_FIELDS: usize = 64;
+pub const MAX_HEAD_FIELDS: usize = 64;
 /// Bytes of an answer that wait for a slow receiver, for each connection.
 pub const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
@@ -101,11 +101,11 @@
         .request_head_timeout(settings.head)
         // When a connection that rests closes is decided with a look at what lies in it; the library would not look.
         .keep_alive_timeout(NEVER)
-        .max_read_buf_size::<HEAD_BYTES>()
+        .max_read_buf_size::<MAX_HEAD_BYTES>()
         .max_write_buf_size::<WRITE_BUFFER_BYTES>()
-        .max_request_headers::<HEAD_FIELDS>();
-    let http = HttpServiceBuilder::h1().config(config).with_tls(TakeConnection::new(host));
-    let service = app.enclosed(TellKeepAlive).enclosed(http).enclosed(WithinConnection);
+        .max_request_headers::<MAX_HEAD_FIELDS>();
+    let http = HttpServiceBuilder::h1().config(config).with_tls(AcceptConnection::new(host));
+    let service = app.enclosed(KeepAliveHeader).enclosed(http).enclosed(ConnectionScope);
     let mut running = Builder::new()
         .worker_threads(settings.workers)
         .disable_signal()
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of one node, from a TOML file; flags of the command line override some of them.
 
-mod mistake;
+mod error;
 mod overload;
 mod reader;
 
@@ -9,8 +9,8 @@
 use paddlemount_protocol::identity::{NodeId, OperatorId, RegionId, ZoneId};
 use toml::de::DeTable;
 
-pub use mistake::SettingsError;
-use mistake::line_of;
+pub use error::SettingsError;
+use error::line_of;
 pub use overload::OverloadSettings;
 use reader::{Document, Section};
 
@@ -62,7 +62,7 @@
     /// The machine list.
     pub machine_list: SocketAddr,
     /// The store of kept cache, if there is one.
-    pub kept_cache_store: Option<SocketAddr>,
+    pub cache_store: Option<SocketAddr>,
 }
 
 /// How nodes find and trust each other.
@@ -174,7 +174,7 @@
     ("debug", log::LevelFilter::Debug),
     ("trace", log::LevelFilter::Trace),
 ];
-const ANY_LOCAL_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const LOOPBACK_ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const SHA256_HEX_DIGITS: usize = 64;
 const MIN_CLUSTER_KEY_BYTES: usize = 16;
 /// One hour, the longest timeout that makes sense.
@@ -188,8 +188,8 @@
     ///
     /// All mistakes that were found, in the order of their lines.
     pub fn parse(text: &str) -> Result<Self, Vec<SettingsError>> {
-        let (settings, mistakes, _) = read(text);
-        if mistakes.is_empty() { Ok(settings) } else { Err(mistakes) }
+        let (settings, errors, _) = read(text);
+        if errors.is_empty() { Ok(settings) } else { Err(errors) }
     }
 
     /// The names of all keys, as `table.key`.
@@ -211,8 +211,8 @@
     let mut root = Section::root(Some(table.get_ref()));
     let settings = read_node(&mut document, &mut root);
     root.finish(&mut document);
-    let (mistakes, known) = document.into_parts();
-    (settings, mistakes, known)
+    let (errors, known_keys) = document.into_parts();
+    (settings, errors, known_keys)
 }
 
 fn read_node(document: &mut Document<'_>, root: &mut Section<'_, '_>) -> NodeSettings {
@@ -238,9 +238,9 @@
     let listen = ListenSettings {
         callers: section
             .required_address(document, "callers", "\"127.0.0.1:8080\"")
-            .unwrap_or(ANY_LOCAL_PORT),
-        peers: section.required_address(document, "peers", "\"127.0.0.1:8081\"").unwrap_or(ANY_LOCAL_PORT),
-        admin: section.required_address(document, "admin", "\"127.0.0.1:8082\"").unwrap_or(ANY_LOCAL_PORT),
+            .unwrap_or(LOOPBACK_ANY_PORT),
+        peers: section.required_address(document, "peers", "\"127.0.0.1:8081\"").unwrap_or(LOOPBACK_ANY_PORT),
+        admin: section.required_address(document, "admin", "\"127.0.0.1:8082\"").unwrap_or(LOOPBACK_ANY_PORT),
     };
     for (key, other) in [("peers", listen.callers), ("admin", listen.callers), ("admin", listen.peers)] {
         let address = if key == "peers" { listen.peers } else { listen.admin };
@@ -259,11 +259,11 @@
     let platform = PlatformSettings {
         configuration_store: section
             .required_address(document, "configuration_store", "\"127.0.0.1:7001\"")
-            .unwrap_or(ANY_LOCAL_PORT),
+            .unwrap_or(LOOPBACK_ANY_PORT),
         machine_list: section
             .required_address(document, "machine_list", "\"127.0.0.1:7002\"")
-            .unwrap_or(ANY_LOCAL_PORT),
-        kept_cache_store: section.address(document, "kept_cache_store"),
+            .unwrap_or(LOOPBACK_ANY_PORT),
+        cache_store: section.address(document, "kept_cache_store"),
     };
     section.finish(document);
     platform
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -4,13 +4,13 @@
 
 use toml::de::{DeTable, DeValue};
 
-use super::mistake::{SettingsError, line_of};
+use super::error::{SettingsError, line_of};
 
 /// A document that is being read.
 pub struct Document<'a> {
     text: &'a str,
-    mistakes: Vec<SettingsError>,
-    known: Vec<String>,
+    errors: Vec<SettingsError>,
+    known_keys: Vec<String>,
 }
 
 /// One table of a document; remembers which of its keys were asked for.
@@ -18,24 +18,24 @@
     name: String,
     table: Option<&'b DeTable<'a>>,
     line: usize,
-    asked: Vec<&'static str>,
+    read_keys: Vec<&'static str>,
 }
 
 impl<'a> Document<'a> {
     /// A document without mistakes so far.
     pub fn new(text: &'a str) -> Self {
-        Self { text, mistakes: Vec::new(), known: Vec::new() }
+        Self { text, errors: Vec::new(), known_keys: Vec::new() }
     }
 
     /// Mistakes found, in the order of their lines, and all keys that were asked for.
     pub fn into_parts(mut self) -> (Vec<SettingsError>, Vec<String>) {
-        self.mistakes.sort_by_key(|mistake| mistake.line);
-        (self.mistakes, self.known)
+        self.errors.sort_by_key(|error| error.line);
+        (self.errors, self.known_keys)
     }
 
     /// Records a mistake.
     pub fn report(&mut self, line: usize, key: &str, problem: impl Into<String>, remedy: impl Into<String>) {
-        self.mistakes.push(SettingsError {
+        self.errors.push(SettingsError {
             line,
             key: key.into(),
             problem: problem.into(),
@@ -52,7 +52,7 @@
 impl<'a, 'b> Section<'a, 'b> {
     /// The document's outermost table.
     pub fn root(table: Option<&'b DeTable<'a>>) -> Self {
-        Self { name: String::new(), table, line: 1, asked: Vec::new() }
+        Self { name: String::new(), table, line: 1, read_keys: Vec::new() }
     }
 
     /// The full name of a key of this table.
@@ -72,8 +72,8 @@
     }
 
     fn value(&mut self, document: &mut Document<'_>, key: &'static str) -> Option<&'b DeValue<'a>> {
-        self.asked.push(key);
-        document.known.push(self.path(key));
+        self.read_keys.push(key);
+        document.known_keys.push(self.path(key));
         let table = self.table?;
         table.iter().find(|(name, _)| name.get_ref() == key).map(|(_, value)| value.get_ref())
     }
@@ -82,20 +82,20 @@
     pub fn table(&mut self, document: &mut Document<'_>, key: &'static str) -> Section<'a, 'b> {
         let line = self.line_of(document, key);
         let name = self.path(key);
-        self.asked.push(key);
+        self.read_keys.push(key);
         let value = self.table.and_then(|table| table.iter().find(|(name, _)| name.get_ref() == key));
         let table = value.and_then(|(_, value)| value.get_ref().as_table());
         if value.is_some() && table.is_none() {
             document.report(line, &name, "is not a table", format!("write it as [{name}]"));
         }
-        Section { name, table, line, asked: Vec::new() }
+        Section { name, table, line, read_keys: Vec::new() }
     }
 
     /// The tables of an array of tables; an absent one reads as empty.
     pub fn tables(&mut self, document: &mut Document<'_>, key: &'static str) -> Vec<Section<'a, 'b>> {
         let line = self.line_of(document, key);
         let name = self.path(key);
-        self.asked.push(key);
+        self.read_keys.push(key);
         let value = self.table.and_then(|table| table.iter().find(|(name, _)| name.get_ref() == key));
         let Some((_, value)) = value else { return Vec::new() };
         let Some(array) = value.get_ref().as_array() else {
@@ -108,7 +108,7 @@
             match element.get_ref().as_table() {
                 Some(table) => {
                     let name = name.clone();
-                    sections.push(Section { name, table: Some(table), line, asked: Vec::new() });
+                    sections.push(Section { name, table: Some(table), line, read_keys: Vec::new() });
                 }
                 None => document.report(line, &name, "is not a table", format!("write it as [[{name}]]")),
             }
@@ -132,7 +132,7 @@
             self.missing(document, key, example);
         }
         let text = self.text(document, key).unwrap_or_default();
-        if self.has(key) && text.trim().is_empty() && !document.has_mistake(&self.path(key)) {
+        if self.has(key) && text.trim().is_empty() && !document.has_error(&self.path(key)) {
             let line = self.line_of(document, key);
             document.report(
                 line,
@@ -252,11 +252,11 @@
     pub fn finish(self, document: &mut Document<'_>) {
         let Some(table) = self.table else { return };
         for (name, _) in table.iter() {
-            if self.asked.contains(&name.get_ref().as_ref()) {
+            if self.read_keys.contains(&name.get_ref().as_ref()) {
                 continue;
             }
             let line = document.line(name.span().start);
-            let remedy = format!("remove it, or use one of {}", self.asked.join(", "));
+            let remedy = format!("remove it, or use one of {}", self.read_keys.join(", "));
             document.report(line, &self.path(name.get_ref()), "is an unknown key", remedy);
         }
     }
@@ -273,7 +273,7 @@
 }
 
 impl Document<'_> {
-    fn has_mistake(&self, key: &str) -> bool {
-        self.mistakes.iter().any(|mistake| mistake.key == key)
+    fn has_error(&self, key: &str) -> bool {
+        self.errors.iter().any(|error| error.key == key)
     }
 }
