--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     active::ActiveRequests,
-    admin::{bounds::AdminBounds, observations::Observations},
+    admin::{limits::AdminLimits, observations::Observations},
     claims::Claims,
     client::HttpClient,
     clock::Clock,
@@ -53,7 +53,7 @@
     /// What the node remembers of its own work, for operators.
     pub observations: Arc<Observations>,
     /// Bounds of what operators' questions may cost.
-    pub admin_bounds: AdminBounds,
+    pub admin_limits: AdminLimits,
     router: Mutex<Router>,
 }
 
@@ -77,7 +77,7 @@
             directory: Directory::default(),
             active: Arc::new(ActiveRequests::new(settings.limits.requests)),
             metrics: Arc::clone(&metrics),
-            admin_bounds: AdminBounds::default(),
+            admin_limits: AdminLimits::default(),
             quarantine: SharedQuarantine::default(),
             observations: Arc::new(Observations::new(clock, DecisionSettings::default(), metrics)),
             router: Mutex::new(router),
@@ -86,22 +86,22 @@
     }
 
     /// Works with the router, alone. The work must be short and must not wait.
-    pub fn route<T>(&self, work: impl FnOnce(&mut Router) -> T) -> T {
+    pub fn with_router<T>(&self, work: impl FnOnce(&mut Router) -> T) -> T {
         work(&mut self.router.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Takes in an engine's own account of itself.
-    pub fn learn_status(&self, status: &EngineStatus) {
+    pub fn apply_status(&self, status: &EngineStatus) {
         let now = self.clock.now();
-        self.route(|router| router.apply(RouterEvent::Status(status), now));
-        self.overload.learn_status(status, now);
+        self.with_router(|router| router.apply(RouterEvent::Status(status), now));
+        self.overload.apply_status(status, now);
         self.observations.report(status);
     }
 
     /// Whether requests can be served: a configuration was learnt, from the store or from a node, and
     /// was confirmed not long ago, and the machines were learnt.
     pub fn is_ready(&self) -> bool {
-        let learnt = self.configuration.revision().0 > 0 && self.directory.is_known();
-        learnt && self.peers.may_serve() && !self.active.is_draining()
+        let is_configured = self.configuration.revision().0 > 0 && self.directory.is_known();
+        is_configured && self.peers.may_serve() && !self.active.is_draining()
     }
 }
--- a/crates/node/tests/admin/feeds.rs
+++ b/crates/node/tests/admin/feeds.rs
@@ -10,7 +10,7 @@
     prefix::{BLOCK_BYTES, BlockHash, CacheScope, hash_blocks},
 };
 
-use crate::support::{Cluster, MODEL, PATIENCE, POOL, TENANT};
+use crate::support::{Cluster, MODEL, POOL, TENANT, TIMEOUT};
 
 /// Prompt tokens that `node` expects the best engine to hold of `blocks`.
 fn expected_tokens(cluster: &Cluster, node: usize, scope: CacheScope, blocks: &[BlockHash]) -> u32 {
@@ -30,7 +30,7 @@
         excluded: &[],
     };
     let state = cluster.nodes[node].state();
-    let decision = state.route(|router| router.preview(&request, state.clock.now()));
+    let decision = state.with_router(|router| router.preview(&request, state.clock.now()));
     decision.candidates.iter().map(|candidate| candidate.expected_cached_tokens).max().unwrap_or(0)
 }
 
@@ -43,9 +43,9 @@
     let message = ChatMessage { role: "user".into(), content: terms.clone() };
     let blocks = hash_blocks(scope, prompt_text(&[message]).as_bytes());
     assert!(blocks.len() >= terms.len() / BLOCK_BYTES);
-    let begun = Instant::now();
+    let started = Instant::now();
     while expected_tokens(&cluster, 1, scope, &blocks) == 0 {
-        assert!(begun.elapsed() < PATIENCE, "the second node never learnt what the engines hold");
+        assert!(started.elapsed() < TIMEOUT, "the second node never learnt what the engines hold");
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
     let other = CacheScope::new(&"benoni".into(), &MODEL.into(), WeightsVersion(7), None);
--- a/crates/node/tests/admin/hollow.rs
+++ b/crates/node/tests/admin/hollow.rs
@@ -18,12 +18,12 @@
     let address = listener.local_addr().unwrap();
     let node = NodeId::from(name);
     tokio::spawn(async move {
-        let mut silent = Vec::new();
+        let mut unanswered = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
             if answers {
                 tokio::spawn(serve(stream, node.clone()));
             } else {
-                silent.push(stream);
+                unanswered.push(stream);
             }
         }
     });
@@ -38,7 +38,7 @@
             Ok(0) | Err(_) => return,
             Ok(length) => received.extend_from_slice(&part[..length]),
         }
-        if let Some(signature) = whole_request(&received) {
+        if let Some(signature) = request_signature(&received) {
             break signature;
         }
     };
@@ -61,7 +61,7 @@
 }
 
 /// The signature of a request whose whole body has arrived.
-fn whole_request(received: &[u8]) -> Option<String> {
+fn request_signature(received: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(received);
     let (head, body) = text.split_once("\r\n\r\n")?;
     let header = |name: &str| {
--- a/crates/node/tests/admin/main.rs
+++ b/crates/node/tests/admin/main.rs
@@ -75,7 +75,7 @@
     assert_eq!(watch.rows().await.rows, [vec![Value::from("engine-1"), Value::from(false)]]);
     assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
     let mut others = Vec::new();
-    for _ in 1..paddlemount_node::admin::bounds::MAX_WATCHERS {
+    for _ in 1..paddlemount_node::admin::limits::MAX_WATCHERS {
         others.push(cluster.watch(0, "watch routing").await);
     }
     let refused = cluster.ask_as(0, READ_KEY, "watch routing").await.unwrap_err();
@@ -191,9 +191,9 @@
         cluster.list_machine(MachineRole::Node { node: name.into() }, address).await;
     }
     cluster.until(0, "show nodes member", |table| table.rows.len() == MEMBERS + 1).await;
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = cluster.ask_within(0, READ_KEY, "show tenants", deadline).await.unwrap();
-    let took = begun.elapsed();
+    let took = started.elapsed();
     let silent: Vec<&str> =
         answer.members.iter().filter(|member| !member.answered).map(|member| member.node.as_str()).collect();
     assert_eq!(silent, dead);
@@ -251,14 +251,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_watcher_that_leaves_frees_its_place() {
     let cluster = Cluster::start(1, 1).await;
-    let taken = || cluster.nodes[0].state().admin_bounds.watchers.taken();
+    let in_use = || cluster.nodes[0].state().admin_limits.watchers.in_use();
     let mut watch = cluster.watch(0, "watch routing").await;
     assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
-    assert_eq!(taken(), 1);
+    assert_eq!(in_use(), 1);
     drop(watch);
-    let begun = Instant::now();
-    while taken() > 0 {
-        assert!(begun.elapsed() < support::PATIENCE, "the place is still taken");
+    let started = Instant::now();
+    while in_use() > 0 {
+        assert!(started.elapsed() < support::TIMEOUT, "the place is still taken");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     cluster.stop().await;
--- a/crates/node/tests/admin/support.rs
+++ b/crates/node/tests/admin/support.rs
@@ -33,7 +33,7 @@
 pub const ADMINISTER_KEY: &str = "administer-key";
 pub const CLUSTER_KEY: &str = "a key that all nodes share";
 pub const DEADLINE: Duration = Duration::from_secs(5);
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn hash(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
@@ -76,9 +76,9 @@
     }
 
     async fn until_ready(&self, node: usize) {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         while !self.nodes[node].state().is_ready() {
-            assert!(begun.elapsed() < PATIENCE, "the node learnt no configuration");
+            assert!(started.elapsed() < TIMEOUT, "the node learnt no configuration");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -131,7 +131,7 @@
         };
         let change = MachineChange::Put { machine };
         let _: serde_json::Value =
-            self.client.post_json(self.list.address(), "/control/machines", &change, PATIENCE).await.unwrap();
+            self.client.post_json(self.list.address(), "/control/machines", &change, TIMEOUT).await.unwrap();
     }
 
     pub fn operator(&self, node: usize, key: &str, deadline: Duration) -> AdminClient {
@@ -182,13 +182,13 @@
 
     /// Asks until the answer is as wanted.
     pub async fn until(&self, node: usize, statement: &str, wanted: impl Fn(&Table) -> bool) -> Table {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         loop {
             let table = self.table(node, statement).await;
             if wanted(&table) {
                 return table;
             }
-            assert!(begun.elapsed() < PATIENCE, "{statement}: {table:?}");
+            assert!(started.elapsed() < TIMEOUT, "{statement}: {table:?}");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
@@ -222,7 +222,7 @@
         let address = self.nodes[node].admin_address();
         let request =
             http::Request::get(format!("http://{address}{path}")).body(Full::new(Bytes::new())).unwrap();
-        let response = self.client.open(address, request, PATIENCE).await.unwrap();
+        let response = self.client.open(address, request, TIMEOUT).await.unwrap();
         String::from_utf8(response.into_body().collect().await.unwrap().to_bytes().to_vec()).unwrap()
     }
 
@@ -240,7 +240,7 @@
 
 impl Watch {
     pub async fn line(&mut self) -> Option<WatchLine> {
-        tokio::time::timeout(PATIENCE, self.stream.line()).await.unwrap().unwrap()
+        tokio::time::timeout(TIMEOUT, self.stream.line()).await.unwrap().unwrap()
     }
 
     /// The next rows.
--- a/crates/node/tests/caller_messages.rs
+++ b/crates/node/tests/caller_messages.rs
@@ -11,7 +11,7 @@
 };
 
 const TRACE: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_DEADLINE: Duration = Duration::from_secs(10);
 
 fn headers(pairs: &[(&'static str, &str)]) -> HeaderMap {
     let mut map = HeaderMap::new();
@@ -23,15 +23,18 @@
 
 #[test]
 fn options_are_read_from_headers() {
-    let options = read_options(&headers(&[]), true, LONGEST).unwrap();
-    assert_eq!((options.repeatable, options.deadline, options.priority), (true, LONGEST, Priority::Normal));
+    let options = read_options(&headers(&[]), true, MAX_DEADLINE).unwrap();
+    assert_eq!(
+        (options.repeatable, options.deadline, options.priority),
+        (true, MAX_DEADLINE, Priority::Normal)
+    );
     let map = headers(&[
         ("x-paddlemount-repeatable", "false"),
         ("x-paddlemount-deadline-ms", "250"),
         ("x-paddlemount-priority", "high"),
         ("traceparent", TRACE),
     ]);
-    let options = read_options(&map, true, LONGEST).unwrap();
+    let options = read_options(&map, true, MAX_DEADLINE).unwrap();
     assert_eq!(options.deadline, Duration::from_millis(250));
     assert_eq!((options.repeatable, options.priority), (false, Priority::High));
     // The trace goes on under a span of the node's own.
@@ -43,7 +46,7 @@
 #[test]
 fn a_deadline_beyond_the_longest_is_cut() {
     let map = headers(&[("x-paddlemount-deadline-ms", "99999999999")]);
-    assert_eq!(read_options(&map, true, LONGEST).unwrap().deadline, LONGEST);
+    assert_eq!(read_options(&map, true, MAX_DEADLINE).unwrap().deadline, MAX_DEADLINE);
 }
 
 #[test]
@@ -55,7 +58,7 @@
         ("x-paddlemount-deadline-ms", "soon"),
         ("x-paddlemount-priority", "urgent"),
     ] {
-        let refusal = read_options(&headers(&[(name, value)]), true, LONGEST).unwrap_err();
+        let refusal = read_options(&headers(&[(name, value)]), true, MAX_DEADLINE).unwrap_err();
         assert_eq!((refusal.code, refusal.outcome), (RefusalCode::InvalidRequest, Outcome::NotRun));
         assert!(refusal.message.contains(name), "{}", refusal.message);
     }
@@ -117,8 +120,8 @@
                 map.insert(name, value);
             }
         }
-        if let Ok(options) = read_options(&map, false, LONGEST) {
-            assert!(options.deadline <= LONGEST);
+        if let Ok(options) = read_options(&map, false, MAX_DEADLINE) {
+            assert!(options.deadline <= MAX_DEADLINE);
         }
         bearer_key(&map);
     });
--- a/crates/node/tests/feeds.rs
+++ b/crates/node/tests/feeds.rs
@@ -19,16 +19,16 @@
 };
 use serde_json::json;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-struct Place {
+struct Fixture {
     node: RunningNode,
     engine: RunningStandin,
     _platform: [RunningStandin; 2],
     scope: CacheScope,
 }
 
-fn start() -> Place {
+fn start() -> Fixture {
     let loaded = LoadedModel { model: "m".into(), weights: WeightsVersion(1), adapters: Vec::new() };
     let settings = EngineSettings::new("runner".into(), "pool".into(), ZoneId::from("regina"), Some(loaded));
     let engine = server::start(StandinSettings::Engine(settings)).unwrap();
@@ -63,14 +63,14 @@
     );
     let node = Node::start(NodeSettings::parse(&text).unwrap()).unwrap();
     let scope = CacheScope::new(&TenantId::from("t"), &"m".into(), WeightsVersion(1), None);
-    Place { node, engine, _platform: [store, list], scope }
+    Fixture { node, engine, _platform: [store, list], scope }
 }
 
-impl Place {
+impl Fixture {
     /// Has the engine serve a prompt that the node knows nothing of.
-    async fn serve_behind_the_nodes_back(&self, prompt: &str) {
+    async fn serve_directly(&self, prompt: &str) {
         let client = self.node.state().client.clone();
-        let status: EngineStatus = client.get_json(self.engine.address(), "/status", PATIENCE).await.unwrap();
+        let status: EngineStatus = client.get_json(self.engine.address(), "/status", TIMEOUT).await.unwrap();
         let request = GenerateRequest {
             attempt: prompt.into(),
             request: prompt.into(),
@@ -93,12 +93,12 @@
         };
         let request =
             paddlemount_node::client::json_request(self.engine.address(), "/generate", &request).unwrap();
-        let response = client.open(self.engine.address(), request, PATIENCE).await.unwrap();
+        let response = client.open(self.engine.address(), request, TIMEOUT).await.unwrap();
         http_body_util::BodyExt::collect(response.into_body()).await.unwrap();
     }
 
     /// Prompt tokens that the node believes the engine holds.
-    fn believed(&self, prompt: &str) -> u32 {
+    fn expected_tokens(&self, prompt: &str) -> u32 {
         let state = Arc::clone(self.node.state());
         let blocks = hash_blocks(self.scope, prompt.as_bytes());
         let request = paddlemount_core::routing::RouteRequest {
@@ -117,14 +117,14 @@
             excluded: &[],
         };
         let now = state.clock.now();
-        let decision = state.route(|router| router.preview(&request, now));
+        let decision = state.with_router(|router| router.preview(&request, now));
         decision.candidates.first().map_or(0, |candidate| candidate.expected_cached_tokens)
     }
 
-    async fn wait_until_believed(&self, prompt: &str) {
+    async fn wait_until_expected(&self, prompt: &str) {
         let start = tokio::time::Instant::now();
-        while self.believed(prompt) == 0 {
-            assert!(start.elapsed() < PATIENCE, "the node never learns of the prefix");
+        while self.expected_tokens(prompt) == 0 {
+            assert!(start.elapsed() < TIMEOUT, "the node never learns of the prefix");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
@@ -136,26 +136,26 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_learns_from_the_feed_what_others_sent() {
-    let place = start();
+    let fixture = start();
     let prompt = prompt("the hirer pays for fuel; ");
-    assert_eq!(place.believed(&prompt), 0);
-    place.serve_behind_the_nodes_back(&prompt).await;
-    place.wait_until_believed(&prompt).await;
-    place.node.kill().await;
+    assert_eq!(fixture.expected_tokens(&prompt), 0);
+    fixture.serve_directly(&prompt).await;
+    fixture.wait_until_expected(&prompt).await;
+    fixture.node.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn lost_events_are_made_good_by_a_snapshot() {
-    let place = start();
-    let client = place.node.state().client.clone();
+    let fixture = start();
+    let client = fixture.node.state().client.clone();
     let faults = json!({ "lose_next_events": 1 });
     let answer: Result<serde_json::Value, _> =
-        client.post_json(place.engine.address(), "/control/faults", &faults, PATIENCE).await;
+        client.post_json(fixture.engine.address(), "/control/faults", &faults, TIMEOUT).await;
     answer.unwrap();
     let lost = prompt("the hirer returns the truck; ");
-    place.serve_behind_the_nodes_back(&lost).await;
+    fixture.serve_directly(&lost).await;
     // Only a later event shows that one before it is missing.
-    place.serve_behind_the_nodes_back(&prompt("smoking is not allowed; ")).await;
-    place.wait_until_believed(&lost).await;
-    place.node.kill().await;
+    fixture.serve_directly(&prompt("smoking is not allowed; ")).await;
+    fixture.wait_until_expected(&lost).await;
+    fixture.node.kill().await;
 }
--- a/crates/node/tests/overload.rs
+++ b/crates/node/tests/overload.rs
@@ -26,11 +26,11 @@
 };
 use sha2::{Digest, Sha256};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// What the stand-in of an engine asks for when its queue is full and empty of tokens.
-const REST: Duration = Duration::from_millis(200);
+const BACK_OFF: Duration = Duration::from_millis(200);
 
-struct World {
+struct Fixture {
     node: RunningNode,
     _standins: Vec<RunningStandin>,
 }
@@ -39,11 +39,11 @@
     Tenant { key_hashes: vec![hex::encode(Sha256::digest(key))], quota, ..Tenant::default() }
 }
 
-async fn world(extra_settings: &str) -> World {
-    world_with(extra_settings, |_| ()).await
+async fn start(extra_settings: &str) -> Fixture {
+    start_with(extra_settings, |_| ()).await
 }
 
-async fn world_with(extra_settings: &str, change: impl FnOnce(&mut EngineSettings)) -> World {
+async fn start_with(extra_settings: &str, change: impl FnOnce(&mut EngineSettings)) -> Fixture {
     let loaded = LoadedModel { model: "model".into(), weights: WeightsVersion(1), adapters: Vec::new() };
     let mut engine = EngineSettings::new("engine".into(), "pool".into(), "zone".into(), Some(loaded));
     engine.behaviour.speed.batch_slots = 1;
@@ -85,10 +85,10 @@
     while !node.state().is_ready() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    World { node, _standins: vec![engine, store, list] }
+    Fixture { node, _standins: vec![engine, store, list] }
 }
 
-impl World {
+impl Fixture {
     async fn ask(&self, key: &str, number: usize) -> Result<ChatResponse, ErrorBody> {
         let client = HttpClient::new(Duration::from_secs(1));
         let messages = vec![ChatMessage { role: "user".into(), content: format!("question {number}") }];
@@ -100,7 +100,7 @@
             .header("content-type", "application/json")
             .body(http_body_util::Full::new(body))
             .unwrap();
-        match client.open(self.node.address(), request, PATIENCE).await {
+        match client.open(self.node.address(), request, TIMEOUT).await {
             Ok(response) => {
                 let body = http_body_util::BodyExt::collect(response.into_body()).await.unwrap();
                 Ok(serde_json::from_slice(&body.to_bytes()).unwrap())
@@ -111,7 +111,7 @@
     }
 
     /// When tries were sent to the engine, as the requests' records have it, in order.
-    fn tries(&self) -> Vec<Timestamp> {
+    fn attempts(&self) -> Vec<Timestamp> {
         let observations = &self.node.state().observations;
         let mut sent: Vec<Timestamp> = observations.decisions(|ring| {
             let page = ring.read_after(DecisionCursor::default(), usize::MAX);
@@ -130,7 +130,7 @@
             let view = self.node.state().overload.pool_view(&PoolId::from("pool"));
             view.is_some_and(|view| view.in_flight == 0 && view.waiting == 0)
         };
-        let waited = tokio::time::timeout(PATIENCE, async {
+        let waited = tokio::time::timeout(TIMEOUT, async {
             while !idle() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
@@ -141,9 +141,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_does_not_fit_is_shed_as_not_run_and_all_places_are_given_back() {
-    let world = world("[admission]\nqueue_length = 2\nlongest_wait_ms = 20000\n").await;
-    assert!(world.ask("free-key", 0).await.is_ok());
-    let asked = futures_util::future::join_all((1..=8).map(|number| world.ask("free-key", number))).await;
+    let start = start("[admission]\nqueue_length = 2\nlongest_wait_ms = 20000\n").await;
+    assert!(start.ask("free-key", 0).await.is_ok());
+    let asked = futures_util::future::join_all((1..=8).map(|number| start.ask("free-key", number))).await;
     let (answered, refused): (Vec<_>, Vec<_>) = asked.into_iter().partition(Result::is_ok);
     assert_eq!(answered.len(), 3, "one runs and two wait");
     for refusal in refused.into_iter().filter_map(Result::err) {
@@ -151,48 +151,48 @@
         assert_eq!(refusal.error.outcome, Outcome::NotRun);
         assert!(refusal.error.retry_after_ms.is_some_and(|after| after > 0));
     }
-    world.until_idle().await;
-    world.node.kill().await;
+    start.until_idle().await;
+    start.node.kill().await;
 }
 
 /// An engine without a place in its queue refuses and asks for 0.2 s. Only the request that it had refused left it out: 233 tries
 /// reached it within 0.1 s, of callers that came one after the other.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_that_asks_for_rest_is_not_reached_until_its_end() {
-    let world = world_with("", |engine| engine.behaviour.speed.waiting_limit = 0).await;
+    let start = start_with("", |engine| engine.behaviour.speed.waiting_limit = 0).await;
     let began = Instant::now();
     let mut number = 0;
-    while began.elapsed() < REST * 4 || world.tries().len() < 2 {
-        let refusal = world.ask("free-key", number).await.expect_err("the engine takes nothing");
+    while began.elapsed() < BACK_OFF * 4 || start.attempts().len() < 2 {
+        let refusal = start.ask("free-key", number).await.expect_err("the engine takes nothing");
         assert_eq!((refusal.error.code, refusal.error.outcome), (RefusalCode::Overloaded, Outcome::NotRun));
         assert!(refusal.error.retry_after_ms.is_some_and(|after| after <= 250), "{refusal:?}");
         number += 1;
     }
-    let tries = world.tries();
-    for pair in tries.windows(2) {
-        assert!(pair[1].saturating_since(pair[0]) >= REST, "{} tries: {tries:?}", tries.len());
+    let attempts = start.attempts();
+    for pair in attempts.windows(2) {
+        assert!(pair[1].saturating_since(pair[0]) >= BACK_OFF, "{} tries: {attempts:?}", attempts.len());
     }
-    world.node.kill().await;
+    start.node.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_caller_that_leaves_gives_its_place_back_wherever_it_was() {
-    let world = world("[admission]\nlongest_wait_ms = 20000\n").await;
-    assert!(world.ask("free-key", 0).await.is_ok());
-    let leaving = futures_util::future::join_all((1..=6).map(|number| world.ask("free-key", number)));
+    let start = start("[admission]\nlongest_wait_ms = 20000\n").await;
+    assert!(start.ask("free-key", 0).await.is_ok());
+    let leaving = futures_util::future::join_all((1..=6).map(|number| start.ask("free-key", number)));
     assert!(tokio::time::timeout(Duration::from_millis(30), leaving).await.is_err());
-    world.until_idle().await;
-    assert!(world.ask("free-key", 7).await.is_ok());
-    world.node.kill().await;
+    start.until_idle().await;
+    assert!(start.ask("free-key", 7).await.is_ok());
+    start.node.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_quota_refuses_its_tenant_alone_and_says_when_to_come_back() {
-    let world = world("").await;
-    assert!(world.ask("bounded-key", 0).await.is_ok());
-    let refusal = world.ask("bounded-key", 1).await.expect_err("the quota is used up");
+    let start = start("").await;
+    assert!(start.ask("bounded-key", 0).await.is_ok());
+    let refusal = start.ask("bounded-key", 1).await.expect_err("the quota is used up");
     assert_eq!((refusal.error.code, refusal.error.outcome), (RefusalCode::QuotaExceeded, Outcome::NotRun));
     assert!(refusal.error.retry_after_ms.is_some_and(|after| (1_000..=60_000).contains(&after)));
-    assert!(world.ask("free-key", 2).await.is_ok());
-    world.node.kill().await;
+    assert!(start.ask("free-key", 2).await.is_ok());
+    start.node.kill().await;
 }
--- a/crates/node/tests/peers/main.rs
+++ b/crates/node/tests/peers/main.rs
@@ -17,7 +17,7 @@
 };
 use support::{CLUSTER_KEY, Cluster, put_tenant};
 
-const STRANGER_KEY: &str = "a-key-that-no-node-knows";
+const UNKNOWN_KEY: &str = "a-key-that-no-node-knows";
 
 fn death_of(node: &str) -> MembershipRequest {
     let record = MemberRecord {
@@ -56,7 +56,7 @@
     let headers = |signature: String, time: Timestamp| {
         [(PEER_NODE, "stranger".to_owned()), (PEER_TIME, time.0.to_string()), (PEER_SIGNATURE, signature)]
     };
-    let forged = Authenticator::new([STRANGER_KEY]).sign_request(&request);
+    let forged = Authenticator::new([UNKNOWN_KEY]).sign_request(&request);
     assert_eq!(support::post(address, PATH, &headers(forged, time), &body).await, 401);
     let other_body = SignedRequest { body: b"{}", ..request };
     let misplaced = Authenticator::new([CLUSTER_KEY]).sign_request(&other_body);
--- a/crates/node/tests/peers/support.rs
+++ b/crates/node/tests/peers/support.rs
@@ -21,7 +21,7 @@
 };
 
 pub const CLUSTER_KEY: &str = "the-key-of-this-cluster";
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Cluster {
     store: Option<RunningStandin>,
@@ -71,16 +71,16 @@
     }
 
     pub async fn until(&self, holds: impl Fn(&Self) -> bool) {
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         while !holds(self) {
-            assert!(begun.elapsed() < PATIENCE, "the cluster did not come to the expected state");
+            assert!(started.elapsed() < TIMEOUT, "the cluster did not come to the expected state");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
     pub fn members_of(&self, node: usize) -> Vec<(NodeId, MemberState)> {
         let state = self.nodes[node].state();
-        state.peers.look(|peers, _| {
+        state.peers.inspect(|peers, _| {
             peers.members().all().map(|record| (record.node.clone(), record.state)).collect()
         })
     }
@@ -126,7 +126,7 @@
         builder = builder.header(*name, value);
     }
     let request = builder.body(Full::new(Bytes::copy_from_slice(body))).unwrap();
-    match client.open(address, request, PATIENCE).await {
+    match client.open(address, request, TIMEOUT).await {
         Ok(response) => response.status().as_u16(),
         Err(ClientError::Status { status, .. }) => status.as_u16(),
         Err(error) => panic!("{error}"),
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -4,7 +4,7 @@
 
 const CORRECT: &str = include_str!("../../../settings/node-regina.toml");
 
-fn mistakes(text: &str) -> Vec<SettingsError> {
+fn errors_in(text: &str) -> Vec<SettingsError> {
     NodeSettings::parse(text).expect_err("the settings have mistakes")
 }
 
@@ -41,24 +41,24 @@
         ("[cluster]", "limits = 3\n[cluster]", "platform.limits", "remove it"),
     ] {
         let (text, line) = changed(from, to);
-        let found = mistakes(&text);
-        let mistake = found
+        let found = errors_in(&text);
+        let error = found
             .iter()
-            .find(|mistake| mistake.key == key)
+            .find(|error| error.key == key)
             .unwrap_or_else(|| panic!("nothing about {key}: {found:?}"));
-        assert_eq!(mistake.line, line, "{mistake}");
-        assert!(mistake.remedy.contains(remedy), "{mistake}");
+        assert_eq!(error.line, line, "{error}");
+        assert!(error.remedy.contains(remedy), "{error}");
     }
 }
 
 #[test]
 fn missing_keys_are_named_with_an_example() {
-    let found = mistakes("");
-    let keys: Vec<&str> = found.iter().map(|mistake| mistake.key.as_str()).collect();
+    let found = errors_in("");
+    let keys: Vec<&str> = found.iter().map(|error| error.key.as_str()).collect();
     for key in ["node", "region", "zone", "listen.callers", "platform.machine_list", "cluster.key"] {
         assert!(keys.contains(&key), "{keys:?}");
     }
-    assert!(found.iter().all(|mistake| mistake.remedy.starts_with("add ")));
+    assert!(found.iter().all(|error| error.remedy.starts_with("add ")));
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let (text, _) = changed("zone = \"regina\"", "zone = 7\nspeed = 3");
     let text = text.replace("machine_list = \"127.0.0.1:7002\"", "machine_list = 7002");
     let text = text + "\n[timeouts]\nconnect_ms = 0\n[limits]\nprompt_bytes = \"much\"\n";
-    let keys: Vec<String> = mistakes(&text).into_iter().map(|mistake| mistake.key).collect();
+    let keys: Vec<String> = errors_in(&text).into_iter().map(|error| error.key).collect();
     assert_eq!(
         keys,
         ["zone", "speed", "platform.machine_list", "timeouts.connect_ms", "limits.prompt_bytes"]
@@ -75,8 +75,8 @@
 
 #[test]
 fn syntax_errors_are_named_with_their_line() {
-    let found = mistakes("node = \"a\"\nregion = [1,\nzone \"b\"\n");
-    assert!(found.iter().any(|mistake| mistake.key.is_empty() && mistake.line >= 2), "{found:?}");
+    let found = errors_in("node = \"a\"\nregion = [1,\nzone \"b\"\n");
+    assert!(found.iter().any(|error| error.key.is_empty() && error.line >= 2), "{found:?}");
 }
 
 #[test]
@@ -112,7 +112,7 @@
         if let Err(found) = NodeSettings::parse(&text) {
             let lines = text.matches('\n').count() + 1;
             assert!(!found.is_empty());
-            assert!(found.iter().all(|mistake| (1..=lines).contains(&mistake.line)));
+            assert!(found.iter().all(|error| (1..=lines).contains(&error.line)));
         }
     });
 }
