--- a/crates/node/examples/watch_cost.rs
+++ b/crates/node/examples/watch_cost.rs
@@ -1,8 +1,8 @@
-//! Measures what watchers cost the requests of a node.
+//! Measures the effect of watchers on request latency.
 //!
-//! One node and four engines in this process; four callers, one request after the other. Periods with no
-//! watcher and with ten take turns. Printed is the time from a request's arrival until it was sent to
-//! an engine, in microseconds, from the decision records.
+//! Runs one node, four engines and four sequential callers in this process, alternating between no watcher
+//! and ten. Prints the time from a request's arrival until it was sent to an engine, in microseconds, from
+//! the decision records.
 
 #[path = "../tests/admin/support.rs"]
 #[allow(dead_code)]
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -119,7 +119,7 @@
 
     async fn call(&self, stream: TcpStream) -> Result<CallerIo, ()> {
         let stream = stream.into_std().and_then(tokio::net::TcpStream::from_std);
-        let stream = stream.map_err(|error| log::error!("cannot accept a connection: {error}"))?;
+        let stream = stream.map_err(|error| log::error!("a connection could not be taken: {error}"))?;
         let socket = CallerSocket::new(stream, Rc::clone(&self.host));
         // Each task serves one connection and accepts it once.
         let _ = CONNECTION.try_with(|connection| connection.set(Rc::clone(&socket)));
--- a/crates/node/tests/admin/feeds.rs
+++ b/crates/node/tests/admin/feeds.rs
@@ -1,4 +1,4 @@
-//! Belief that engines' feeds bring to nodes that served nothing.
+//! Cache index of nodes that learn prefixes only from engines' feeds.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 
 use crate::support::{Cluster, MODEL, POOL, TENANT, TIMEOUT};
 
-/// Prompt tokens that `node` expects the best engine to hold of `blocks`.
+/// The cached tokens that `node` expects the best engine to have of `blocks`.
 fn expected_tokens(cluster: &Cluster, node: usize, scope: CacheScope, blocks: &[BlockHash]) -> u32 {
     let request = RouteRequest {
         request: &"preview".into(),
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_learns_of_prefixes_that_others_built() {
+async fn prefixes_cached_by_other_nodes_are_learned_from_feeds() {
     let cluster = Cluster::start(2, 2).await;
     let terms = "Terms of hire, clause by clause. ".repeat(64);
     assert_eq!(cluster.prompt(0, &terms).await.1, 200);
@@ -45,7 +45,7 @@
     assert!(blocks.len() >= terms.len() / BLOCK_BYTES);
     let started = Instant::now();
     while expected_tokens(&cluster, 1, scope, &blocks) == 0 {
-        assert!(started.elapsed() < TIMEOUT, "the second node never learnt what the engines hold");
+        assert!(started.elapsed() < TIMEOUT, "the second node did not learn the cached prefixes");
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
     let other = CacheScope::new(&"benoni".into(), &MODEL.into(), WeightsVersion(7), None);
--- a/crates/node/tests/admin/first_minutes.rs
+++ b/crates/node/tests/admin/first_minutes.rs
@@ -1,11 +1,11 @@
-//! What docs/operations/first-ten-minutes.md leads a newcomer through, with the statements of that page.
+//! Runs the statements of docs/operations/first-ten-minutes.md as written.
 
 use paddlemount_language::{render, value::Value};
 use paddlemount_protocol::configuration::ChangeOutcome;
 
 use crate::support::{Cluster, READ_KEY, TENANT};
 
-/// The page; each line that begins with a prompt is a statement.
+/// The page; each line that starts with the prompt is a statement.
 const PAGE: &str = include_str!("../../../../docs/operations/first-ten-minutes.md");
 /// The tenant that the page changes.
 const PAGE_TENANT: &str = "regina";
@@ -15,7 +15,7 @@
     PAGE.lines().filter_map(|line| line.trim().strip_prefix(PROMPT)).collect()
 }
 
-/// The page's statement that begins as given, with its placeholder filled in.
+/// The page's statement with the given beginning, with its placeholder replaced.
 fn statement(beginning: &str, placeholder: &str, value: &str) -> String {
     let statements = statements().into_iter().map(|statement| statement.replace(PAGE_TENANT, TENANT));
     let found = statements.into_iter().find(|statement| statement.starts_with(beginning));
@@ -45,15 +45,15 @@
         assert_eq!(status, 200);
         last = request;
     }
-    see_why_a_request_went_where_it_went(&cluster, &last).await;
+    explain_a_request(&cluster, &last).await;
     let holder = find_the_hottest_prefix(&cluster).await;
-    drain_an_engine_and_watch_it_empty(&cluster, &holder, &terms).await;
-    lower_a_quota_and_see_refusals(&cluster, &terms).await;
-    lose_a_race(&cluster).await;
+    drain_an_engine(&cluster, &holder, &terms).await;
+    lower_a_quota(&cluster, &terms).await;
+    submit_a_conflicting_change(&cluster).await;
     cluster.stop().await;
 }
 
-async fn see_why_a_request_went_where_it_went(cluster: &Cluster, request: &str) {
+async fn explain_a_request(cluster: &Cluster, request: &str) {
     let ended = format!("show requests engine where request = {request} and state = ended");
     cluster.until(0, &ended, |table| table.rows.len() == 1).await;
     let question = statement("explain request", "REQUEST", request);
@@ -80,7 +80,7 @@
     holders.unwrap()
 }
 
-async fn drain_an_engine_and_watch_it_empty(cluster: &Cluster, engine: &str, terms: &str) {
+async fn drain_an_engine(cluster: &Cluster, engine: &str, terms: &str) {
     let command = statement("drain engine", "ENGINE", engine);
     let (outcome, sentence) = cluster.change(0, &command).await;
     assert!(matches!(outcome, ChangeOutcome::InForce { .. }), "{sentence}");
@@ -98,7 +98,7 @@
     assert!(matches!(outcome, ChangeOutcome::InForce { .. }), "{sentence}");
 }
 
-async fn lower_a_quota_and_see_refusals(cluster: &Cluster, terms: &str) {
+async fn lower_a_quota(cluster: &Cluster, terms: &str) {
     let command = statement("set tenant kestrel requests_per_second", "", "");
     let (outcome, sentence) = cluster.change(0, &command).await;
     assert!(matches!(outcome, ChangeOutcome::InForce { .. }), "{sentence}");
@@ -117,7 +117,7 @@
     assert_eq!(row[2], Value::from(refused));
 }
 
-async fn lose_a_race(cluster: &Cluster) {
+async fn submit_a_conflicting_change(cluster: &Cluster) {
     let nodes = cluster.table(0, "show nodes revision limit 1").await;
     let revision = nodes.rows[0][0].to_string();
     let (outcome, sentence) =
--- a/crates/node/tests/admin/main.rs
+++ b/crates/node/tests/admin/main.rs
@@ -2,7 +2,7 @@
 
 mod feeds;
 mod first_minutes;
-mod hollow;
+mod stub_member;
 mod support;
 
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 use support::{ADMINISTER_KEY, Cluster, OPERATE_KEY, READ_KEY};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_come_from_all_nodes_and_name_each() {
+async fn answers_merge_all_nodes_and_list_each() {
     let cluster = Cluster::start(2, 2).await;
     let answer =
         cluster.ask_as(0, READ_KEY, "show engines engine, pool, model order by engine").await.unwrap();
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_wrong_statement_is_answered_with_its_place() {
+async fn syntax_errors_report_the_span_and_a_suggestion() {
     let cluster = Cluster::start(1, 1).await;
     let problem = cluster.ask_as(0, READ_KEY, "show engnies").await.unwrap_err();
     let syntax = problem.syntax.unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_prompt_that_was_not_sent_is_explained() {
+async fn explain_route_previews_an_unsent_prompt() {
     let cluster = Cluster::start(2, 1).await;
     let statement =
         format!("explain route pool contracts tenant kestrel prompt \"{}\"", "terms ".repeat(200));
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn watch_shows_rows_that_change_and_stays_within_its_places() {
+async fn watch_reports_changed_rows_and_limits_concurrent_streams() {
     let cluster = Cluster::start(1, 1).await;
     let mut watch = cluster.watch(0, "watch engines engine, draining").await;
     assert_eq!(watch.rows().await.rows, [vec![Value::from("engine-1"), Value::from(false)]]);
@@ -85,14 +85,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_is_explained_by_any_node_with_its_candidates_tries_and_trace() {
+async fn any_node_explains_a_request_with_candidates_attempts_and_trace() {
     let cluster = Cluster::start(2, 2).await;
     let mut watch = cluster.watch(1, "watch decisions request, engine where chosen = true").await;
     assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
     let (request, status) = cluster.prompt(0, &"standing terms ".repeat(100)).await;
     assert_eq!(status, 200);
     let statement = format!("explain request {request}");
-    let mut explained = Vec::new();
+    let mut explanations = Vec::new();
     for node in [0, 1] {
         cluster
             .until(node, &format!("show requests where request = {request} and state = ended"), |table| {
@@ -107,9 +107,9 @@
         assert_eq!(explanation.sections[2].table.rows.len(), 1);
         let trace = Value::from("0af7651916cd43dd8448eb211c80319c");
         assert!(explanation.sections[0].table.rows.iter().any(|row| row[1] == trace));
-        explained.push(explanation);
+        explanations.push(explanation);
     }
-    assert_eq!(explained[0], explained[1]);
+    assert_eq!(explanations[0], explanations[1]);
     assert_eq!(watch.rows().await.rows[0][0], Value::from(request.as_str()));
     let unknown = cluster.ask_as(0, READ_KEY, "explain request never-sent").await.unwrap_err();
     assert_eq!(unknown.error.code, RefusalCode::NotFound);
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failed_engine_shows_as_a_second_try_and_an_event_of_retries() {
+async fn an_engine_failure_is_recorded_as_a_second_attempt_and_a_retry_event() {
     let mut cluster = Cluster::start(2, 1).await;
     let mut watch = cluster.watch(0, "watch retries event, subject").await;
     assert_eq!(watch.line().await, Some(WatchLine::Heartbeat));
@@ -132,13 +132,13 @@
     let other = if served == "engine-1" { "engine-2" } else { "engine-1" };
     let row = watch.rows().await.rows.remove(0);
     assert_eq!(row, [Value::from("sent"), Value::from(other)]);
-    let kept = format!("show decisions kept where request = {second} limit 1");
-    assert_eq!(cluster.table(0, &kept).await.rows, [[Value::from("retried")]]);
+    let retention = format!("show decisions kept where request = {second} limit 1");
+    assert_eq!(cluster.table(0, &retention).await.rows, [[Value::from("retried")]]);
     cluster.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn refusals_are_on_record() {
+async fn refused_requests_are_recorded() {
     let cluster = Cluster::start(1, 1).await;
     let (request, status) = cluster.prompt(0, &"x".repeat(3 << 20)).await;
     assert_eq!(status, 413);
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_ends_in_force_everywhere_and_a_lost_race_is_told() {
+async fn changes_reach_all_nodes_and_conflicting_changes_are_refused() {
     let cluster = Cluster::start(1, 2).await;
     let (outcome, sentence) = cluster.change(0, "set tenant kestrel weight = 3 as first").await;
     let ChangeOutcome::InForce { revision, .. } = outcome else { panic!("{sentence}") };
@@ -168,11 +168,11 @@
     assert_eq!(outcome, ChangeOutcome::WouldApply { revision });
     let (again, _) = cluster.change(1, "create service booking as second").await;
     let (repeated, _) = cluster.change(1, "create service booking as second").await;
-    let made = |outcome: &ChangeOutcome| match outcome {
+    let revision_of = |outcome: &ChangeOutcome| match outcome {
         ChangeOutcome::InForce { revision, .. } => *revision,
         other => panic!("{other:?}"),
     };
-    assert_eq!(made(&again), made(&repeated));
+    assert_eq!(revision_of(&again), revision_of(&repeated));
     let trail = cluster.table(0, "show changes change, operator, outcome where outcome = refused").await;
     assert_eq!(trail.rows.len(), 1, "{trail:?}");
     cluster.stop().await;
@@ -183,31 +183,31 @@
     const MEMBERS: usize = 50;
     let deadline = Duration::from_secs(2);
     let cluster = Cluster::start(1, 1).await;
-    let dead = ["hollow-07", "hollow-23", "hollow-41"];
+    let unresponsive = ["hollow-07", "hollow-23", "hollow-41"];
     for number in 0..MEMBERS {
         let name = format!("hollow-{number:02}");
-        let answers = !dead.contains(&name.as_str());
-        let address = hollow::start(&name, answers).await;
+        let answers = !unresponsive.contains(&name.as_str());
+        let address = stub_member::start(&name, answers).await;
         cluster.list_machine(MachineRole::Node { node: name.into() }, address).await;
     }
     cluster.until(0, "show nodes member", |table| table.rows.len() == MEMBERS + 1).await;
     let started = Instant::now();
     let answer = cluster.ask_within(0, READ_KEY, "show tenants", deadline).await.unwrap();
     let took = started.elapsed();
-    let silent: Vec<&str> =
+    let unanswered: Vec<&str> =
         answer.members.iter().filter(|member| !member.answered).map(|member| member.node.as_str()).collect();
-    assert_eq!(silent, dead);
+    assert_eq!(unanswered, unresponsive);
     assert_eq!(answer.members.len(), MEMBERS + 1);
     assert_eq!(
         answer.notes,
         ["3 of 50 other nodes did not answer within 2000 ms: hollow-07, hollow-23, hollow-41"]
     );
-    println!("50 members, 3 silent, deadline 2000 ms: answered after {} ms", took.as_millis());
+    println!("50 members, 3 unresponsive, deadline 2000 ms: answered after {} ms", took.as_millis());
     cluster.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_hottest_prefix_and_its_holder_are_shown() {
+async fn show_prefixes_lists_the_most_requested_prefix_and_its_holder() {
     let cluster = Cluster::start(2, 1).await;
     let terms = "Standing hire terms, clause by clause. ".repeat(60);
     for question in 0..6 {
@@ -249,7 +249,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_watcher_that_leaves_frees_its_place() {
+async fn a_disconnected_watcher_releases_its_slot() {
     let cluster = Cluster::start(1, 1).await;
     let in_use = || cluster.nodes[0].state().admin_limits.watchers.in_use();
     let mut watch = cluster.watch(0, "watch routing").await;
@@ -258,7 +258,7 @@
     drop(watch);
     let started = Instant::now();
     while in_use() > 0 {
-        assert!(started.elapsed() < support::TIMEOUT, "the place is still taken");
+        assert!(started.elapsed() < support::TIMEOUT, "the slot is still in use");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     cluster.stop().await;
--- a/crates/node/tests/admin/hollow.rs
+++ b/crates/node/tests/admin/stub_member.rs
@@ -1,4 +1,4 @@
-//! Members that answer questions of other members and do nothing else.
+//! Stub members that only answer queries of other members.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 use crate::support::CLUSTER_KEY;
 
-/// Listens as a member; one that does not answer accepts connections and stays silent.
+/// Listens as a member; one that does not answer only accepts connections.
 pub async fn start(name: &str, answers: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -60,7 +60,7 @@
     let _ = stream.write_all(answer.as_bytes()).await;
 }
 
-/// The signature of a request whose whole body has arrived.
+/// The signature of a request, once its body is complete.
 fn request_signature(received: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(received);
     let (head, body) = text.split_once("\r\n\r\n")?;
--- a/crates/node/tests/admin/support.rs
+++ b/crates/node/tests/admin/support.rs
@@ -1,4 +1,4 @@
-//! A small cluster in this process, and an operator who asks it.
+//! A small in-process cluster and an operator's client.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -78,7 +78,7 @@
     async fn until_ready(&self, node: usize) {
         let started = std::time::Instant::now();
         while !self.nodes[node].state().is_ready() {
-            assert!(started.elapsed() < TIMEOUT, "the node learnt no configuration");
+            assert!(started.elapsed() < TIMEOUT, "the node received no configuration");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Asks until the answer is as wanted.
+    /// Repeats a query until its answer meets the condition.
     pub async fn until(&self, node: usize, statement: &str, wanted: impl Fn(&Table) -> bool) -> Table {
         let started = std::time::Instant::now();
         loop {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Sends a prompt as the tenant; answers the request's identity and the status.
+    /// Sends a prompt as the tenant; returns the request id and the status.
     pub async fn prompt(&self, node: usize, prompt: &str) -> (String, u16) {
         let address = self.nodes[node].address();
         let body = serde_json::json!({
--- a/crates/node/tests/caller_messages.rs
+++ b/crates/node/tests/caller_messages.rs
@@ -1,4 +1,4 @@
-//! Parsers of what callers send: no bytes stop them, and what they accept is within bounds.
+//! Parsers of caller input: they never panic, and accepted values are within bounds.
 
 use std::time::Duration;
 
@@ -37,20 +37,20 @@
     let options = read_options(&map, true, MAX_DEADLINE).unwrap();
     assert_eq!(options.deadline, Duration::from_millis(250));
     assert_eq!((options.repeatable, options.priority), (false, Priority::High));
-    // The trace goes on under a span of the node's own.
+    // The trace id is kept and the span is new.
     let passed_on = options.traceparent.unwrap();
     assert_eq!(passed_on[..36], TRACE[..36]);
     assert_ne!(passed_on, TRACE);
 }
 
 #[test]
-fn a_deadline_beyond_the_longest_is_cut() {
+fn deadlines_are_capped_at_the_maximum() {
     let map = headers(&[("x-paddlemount-deadline-ms", "99999999999")]);
     assert_eq!(read_options(&map, true, MAX_DEADLINE).unwrap().deadline, MAX_DEADLINE);
 }
 
 #[test]
-fn wrong_headers_are_named() {
+fn invalid_headers_are_named() {
     for (name, value) in [
         ("x-paddlemount-repeatable", "maybe"),
         ("x-paddlemount-deadline-ms", "0"),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn prompts_of_a_growing_conversation_open_alike() {
+fn a_longer_conversation_extends_the_prompt_prefix() {
     let message = |role: &str, content: &str| paddlemount_protocol::caller::ChatMessage {
         role: role.into(),
         content: content.into(),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn no_bytes_stop_the_parser_of_requests() {
+fn request_parser_accepts_arbitrary_bytes() {
     const REQUEST: &[u8] =
         br#"{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":7,"stream":true}"#;
     bolero::check!().with_iterations(5_000).with_type::<(u8, u8, Vec<u8>)>().for_each(|(at, cut, insert)| {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn no_header_stops_the_parser_of_options() {
+fn option_parser_accepts_arbitrary_headers() {
     bolero::check!().with_iterations(5_000).with_type::<[Vec<u8>; 4]>().for_each(|values| {
         let names = [
             "x-paddlemount-repeatable",
--- a/crates/node/tests/feeds.rs
+++ b/crates/node/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! A node learns from the engines' feeds what it did not send itself, also where events were lost.
+//! Nodes learn cached prefixes from engines' feeds, also after lost events.
 
 use std::{sync::Arc, time::Duration};
 
@@ -67,7 +67,7 @@
 }
 
 impl Fixture {
-    /// Has the engine serve a prompt that the node knows nothing of.
+    /// Sends a prompt to the engine without the node.
     async fn serve_directly(&self, prompt: &str) {
         let client = self.node.state().client.clone();
         let status: EngineStatus = client.get_json(self.engine.address(), "/status", TIMEOUT).await.unwrap();
@@ -97,7 +97,7 @@
         http_body_util::BodyExt::collect(response.into_body()).await.unwrap();
     }
 
-    /// Prompt tokens that the node believes the engine holds.
+    /// The cached tokens that the node expects the engine to have.
     fn expected_tokens(&self, prompt: &str) -> u32 {
         let state = Arc::clone(self.node.state());
         let blocks = hash_blocks(self.scope, prompt.as_bytes());
@@ -124,7 +124,7 @@
     async fn wait_until_expected(&self, prompt: &str) {
         let start = tokio::time::Instant::now();
         while self.expected_tokens(prompt) == 0 {
-            assert!(start.elapsed() < TIMEOUT, "the node never learns of the prefix");
+            assert!(start.elapsed() < TIMEOUT, "the node did not learn the prefix");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_learns_from_the_feed_what_others_sent() {
+async fn prefixes_of_direct_requests_are_learned_from_the_feed() {
     let fixture = start();
     let prompt = prompt("the hirer pays for fuel; ");
     assert_eq!(fixture.expected_tokens(&prompt), 0);
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn lost_events_are_made_good_by_a_snapshot() {
+async fn a_snapshot_recovers_lost_events() {
     let fixture = start();
     let client = fixture.node.state().client.clone();
     let faults = json!({ "lose_next_events": 1 });
@@ -154,7 +154,7 @@
     answer.unwrap();
     let lost = prompt("the hirer returns the truck; ");
     fixture.serve_directly(&lost).await;
-    // Only a later event shows that one before it is missing.
+    // The gap is detected by a later event.
     fixture.serve_directly(&prompt("smoking is not allowed; ")).await;
     fixture.wait_until_expected(&lost).await;
     fixture.node.kill().await;
--- a/crates/node/tests/overload.rs
+++ b/crates/node/tests/overload.rs
@@ -1,4 +1,4 @@
-//! A node before one small engine: shedding, budgets, and places that are given back.
+//! A node with one small engine: load shedding, quotas, back-off and released slots.
 
 use std::{
     collections::BTreeMap,
@@ -27,7 +27,7 @@
 use sha2::{Digest, Sha256};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// What the stand-in of an engine asks for when its queue is full and empty of tokens.
+/// The back-off that the stand-in engine requests when its queue is full.
 const BACK_OFF: Duration = Duration::from_millis(200);
 
 struct Fixture {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// When tries were sent to the engine, as the requests' records have it, in order.
+    /// When attempts were sent to the engine, by the decision records, in order.
     fn attempts(&self) -> Vec<Timestamp> {
         let observations = &self.node.state().observations;
         let mut sent: Vec<Timestamp> = observations.decisions(|ring| {
@@ -135,15 +135,15 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         });
-        waited.await.expect("all places are given back");
+        waited.await.expect("all slots are released");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_does_not_fit_is_shed_as_not_run_and_all_places_are_given_back() {
-    let start = start("[admission]\nqueue_length = 2\nlongest_wait_ms = 20000\n").await;
-    assert!(start.ask("free-key", 0).await.is_ok());
-    let asked = futures_util::future::join_all((1..=8).map(|number| start.ask("free-key", number))).await;
+async fn excess_requests_are_refused_as_not_run_and_all_slots_are_released() {
+    let fixture = start("[admission]\nqueue_length = 2\nlongest_wait_ms = 20000\n").await;
+    assert!(fixture.ask("free-key", 0).await.is_ok());
+    let asked = futures_util::future::join_all((1..=8).map(|number| fixture.ask("free-key", number))).await;
     let (answered, refused): (Vec<_>, Vec<_>) = asked.into_iter().partition(Result::is_ok);
     assert_eq!(answered.len(), 3, "one runs and two wait");
     for refusal in refused.into_iter().filter_map(Result::err) {
@@ -151,48 +151,47 @@
         assert_eq!(refusal.error.outcome, Outcome::NotRun);
         assert!(refusal.error.retry_after_ms.is_some_and(|after| after > 0));
     }
-    start.until_idle().await;
-    start.node.kill().await;
+    fixture.until_idle().await;
+    fixture.node.kill().await;
 }
 
-/// An engine without a place in its queue refuses and asks for 0.2 s. Only the request that it had refused left it out: 233 tries
-/// reached it within 0.1 s, of callers that came one after the other.
+/// Guards against a back-off that holds only for the refused request, so that other requests reach the engine.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_that_asks_for_rest_is_not_reached_until_its_end() {
-    let start = start_with("", |engine| engine.behaviour.speed.waiting_limit = 0).await;
+async fn an_engine_gets_no_attempts_during_its_back_off() {
+    let fixture = start_with("", |engine| engine.behaviour.speed.waiting_limit = 0).await;
     let began = Instant::now();
     let mut number = 0;
-    while began.elapsed() < BACK_OFF * 4 || start.attempts().len() < 2 {
-        let refusal = start.ask("free-key", number).await.expect_err("the engine takes nothing");
+    while began.elapsed() < BACK_OFF * 4 || fixture.attempts().len() < 2 {
+        let refusal = fixture.ask("free-key", number).await.expect_err("the engine refuses everything");
         assert_eq!((refusal.error.code, refusal.error.outcome), (RefusalCode::Overloaded, Outcome::NotRun));
         assert!(refusal.error.retry_after_ms.is_some_and(|after| after <= 250), "{refusal:?}");
         number += 1;
     }
-    let attempts = start.attempts();
+    let attempts = fixture.attempts();
     for pair in attempts.windows(2) {
         assert!(pair[1].saturating_since(pair[0]) >= BACK_OFF, "{} tries: {attempts:?}", attempts.len());
     }
-    start.node.kill().await;
+    fixture.node.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_leaves_gives_its_place_back_wherever_it_was() {
-    let start = start("[admission]\nlongest_wait_ms = 20000\n").await;
-    assert!(start.ask("free-key", 0).await.is_ok());
-    let leaving = futures_util::future::join_all((1..=6).map(|number| start.ask("free-key", number)));
+async fn disconnected_callers_release_their_slots() {
+    let fixture = start("[admission]\nlongest_wait_ms = 20000\n").await;
+    assert!(fixture.ask("free-key", 0).await.is_ok());
+    let leaving = futures_util::future::join_all((1..=6).map(|number| fixture.ask("free-key", number)));
     assert!(tokio::time::timeout(Duration::from_millis(30), leaving).await.is_err());
-    start.until_idle().await;
-    assert!(start.ask("free-key", 7).await.is_ok());
-    start.node.kill().await;
+    fixture.until_idle().await;
+    assert!(fixture.ask("free-key", 7).await.is_ok());
+    fixture.node.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_quota_refuses_its_tenant_alone_and_says_when_to_come_back() {
-    let start = start("").await;
-    assert!(start.ask("bounded-key", 0).await.is_ok());
-    let refusal = start.ask("bounded-key", 1).await.expect_err("the quota is used up");
+async fn a_quota_refuses_only_its_tenant_with_retry_after() {
+    let fixture = start("").await;
+    assert!(fixture.ask("bounded-key", 0).await.is_ok());
+    let refusal = fixture.ask("bounded-key", 1).await.expect_err("the quota is used up");
     assert_eq!((refusal.error.code, refusal.error.outcome), (RefusalCode::QuotaExceeded, Outcome::NotRun));
     assert!(refusal.error.retry_after_ms.is_some_and(|after| (1_000..=60_000).contains(&after)));
-    assert!(start.ask("free-key", 2).await.is_ok());
-    start.node.kill().await;
+    assert!(fixture.ask("free-key", 2).await.is_ok());
+    fixture.node.kill().await;
 }
--- a/crates/node/tests/peers/main.rs
+++ b/crates/node/tests/peers/main.rs
@@ -1,4 +1,4 @@
-//! Nodes among their peers, over real connections.
+//! Membership and configuration between nodes, over real connections.
 
 mod support;
 
@@ -19,7 +19,7 @@
 
 const UNKNOWN_KEY: &str = "a-key-that-no-node-knows";
 
-fn death_of(node: &str) -> MembershipRequest {
+fn dead_member_probe(node: &str) -> MembershipRequest {
     let record = MemberRecord {
         node: node.into(),
         address: ([127, 0, 0, 1], 9).into(),
@@ -42,11 +42,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_strangers_message_changes_nothing() {
+async fn unauthenticated_messages_change_nothing() {
     let cluster = Cluster::start(2).await;
     let address = cluster.nodes[0].peer_address();
     let before = cluster.members_of(0);
-    let body = serde_json::to_vec(&death_of("node-2")).unwrap();
+    let body = serde_json::to_vec(&dead_member_probe("node-2")).unwrap();
     let stranger = NodeId::from("stranger");
     let time = Timestamp(0) + std::time::UNIX_EPOCH.elapsed().unwrap();
     let request =
@@ -72,10 +72,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_same_message_with_the_clusters_key_is_taken() {
+async fn an_authenticated_message_is_accepted_once() {
     let cluster = Cluster::start(2).await;
     let address = cluster.nodes[0].peer_address();
-    let body = serde_json::to_vec(&death_of("node-2")).unwrap();
+    let body = serde_json::to_vec(&dead_member_probe("node-2")).unwrap();
     let sender = NodeId::from("stranger");
     let time = Timestamp(0) + std::time::UNIX_EPOCH.elapsed().unwrap();
     let request =
@@ -90,10 +90,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_is_in_force_at_all_nodes_and_a_conflicting_one_is_refused() {
+async fn a_change_reaches_all_nodes_and_a_conflicting_one_is_refused() {
     let cluster = Cluster::start(3).await;
-    let made = cluster.change(0, put_tenant("change-1", 2, None)).await;
-    let ChangeOutcome::InForce { revision, .. } = made else { panic!("{made:?}") };
+    let outcome = cluster.change(0, put_tenant("change-1", 2, None)).await;
+    let ChangeOutcome::InForce { revision, .. } = outcome else { panic!("{outcome:?}") };
     assert!((0..3).all(|node| cluster.revision_of(node) == revision));
     let again = cluster.change(1, put_tenant("change-1", 2, None)).await;
     assert!(matches!(again, ChangeOutcome::InForce { revision: same, .. } if same == revision), "{again:?}");
@@ -103,10 +103,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_the_store_changes_are_refused_and_a_new_node_learns_from_its_peers() {
+async fn without_the_store_changes_are_refused_and_new_nodes_sync_from_peers() {
     let mut cluster = Cluster::start(3).await;
-    let made = cluster.change(0, put_tenant("change-1", 2, None)).await;
-    let ChangeOutcome::InForce { revision, .. } = made else { panic!("{made:?}") };
+    let outcome = cluster.change(0, put_tenant("change-1", 2, None)).await;
+    let ChangeOutcome::InForce { revision, .. } = outcome else { panic!("{outcome:?}") };
     cluster.stop_store();
     cluster.add_node(4);
     cluster.until(|cluster| cluster.revision_of(3) == revision && cluster.is_ready(3)).await;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn while_keys_are_replaced_both_are_accepted() {
+fn both_keys_are_accepted_during_a_rotation() {
     let node = NodeId::from("node-1");
     let receiver = ([127, 0, 0, 1], 1).into();
     let time = Timestamp(1_000_000_000);
--- a/crates/node/tests/peers/support.rs
+++ b/crates/node/tests/peers/support.rs
@@ -1,4 +1,4 @@
-//! A few nodes of one region in this process.
+//! A few in-process nodes of one region.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files: every mistake is named with its line, key and remedy, and no text stops the reader.
+//! Settings files: every error names its line, key and remedy, and no input panics the parser.
 
 use paddlemount_node::settings::{NodeSettings, SettingsError};
 
 const CORRECT: &str = include_str!("../../../settings/node-regina.toml");
 
 fn errors_in(text: &str) -> Vec<SettingsError> {
-    NodeSettings::parse(text).expect_err("the settings have mistakes")
+    NodeSettings::parse(text).expect_err("the settings have errors")
 }
 
 /// The correct settings with `from` replaced, and the line of the replacement.
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn examples_are_correct() {
+fn example_settings_are_valid() {
     for text in [
         CORRECT,
         include_str!("../../../settings/node-saskatoon.toml"),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn each_mistake_names_its_line_key_and_remedy() {
+fn each_error_names_its_line_key_and_remedy() {
     let hash = CORRECT.lines().find(|line| line.starts_with("key_hash")).unwrap();
     for (from, to, key, remedy) in [
         ("zone = \"regina\"", "zome = \"regina\"", "zome", "zone"),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn all_mistakes_are_named_at_once() {
+fn all_errors_are_reported_at_once() {
     let (text, _) = changed("zone = \"regina\"", "zone = 7\nspeed = 3");
     let text = text.replace("machine_list = \"127.0.0.1:7002\"", "machine_list = 7002");
     let text = text + "\n[timeouts]\nconnect_ms = 0\n[limits]\nprompt_bytes = \"much\"\n";
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_page_of_settings_names_every_key() {
+fn the_settings_page_documents_every_key() {
     let page = include_str!("../../../docs/SETTINGS.md");
     let keys = NodeSettings::keys();
     assert!(keys.len() > 20);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn no_text_stops_the_reader() {
+fn parser_accepts_arbitrary_text() {
     bolero::check!().with_iterations(3_000).with_type::<(u16, u8, String)>().for_each(|(at, cut, insert)| {
         let mut at = usize::from(*at) % CORRECT.len();
         while !CORRECT.is_char_boundary(at) {
