--- a/crates/node/src/admin/observations.rs
+++ b/crates/node/src/admin/observations.rs
@@ -109,7 +109,7 @@
     }
 
     /// Records a request that was refused before it was routed.
-    pub fn refused(&self, request: &RequestId, tenant: &TenantId, refusal: &Refusal) {
+    pub fn record_refusal(&self, request: &RequestId, tenant: &TenantId, refusal: &Refusal) {
         let now = self.clock.now();
         let (pool, model) = (PoolId::from(""), ModelId::from(""));
         let mut record = DecisionRecord::new(request.clone(), tenant.clone(), pool, model, now);
@@ -143,14 +143,14 @@
             detail: detail.into(),
         };
         let mut journals = lock(&self.journals);
-        let sequence = journals.next_sequence();
+        let sequence = journals.allocate_sequence();
         journals.events.push(sequence, Arc::new(event));
     }
 
     /// Adds an entry to the audit trail.
     pub fn audit(&self, entry: AuditEntry) {
         let mut journals = lock(&self.journals);
-        let sequence = journals.next_sequence();
+        let sequence = journals.allocate_sequence();
         journals.audit.push(sequence, Arc::new(entry));
     }
 
@@ -294,7 +294,7 @@
             if retained.is_some_and(|retained| {
                 retained != RetentionReason::Sampled || event.mechanism == Mechanism::Routing
             }) {
-                let sequence = journals.next_sequence();
+                let sequence = journals.allocate_sequence();
                 journals.events.push(sequence, Arc::new(event));
             }
         }
@@ -302,7 +302,7 @@
 }
 
 impl Journals {
-    const fn next_sequence(&mut self) -> u64 {
+    const fn allocate_sequence(&mut self) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         sequence
--- a/crates/node/src/caller/answer.rs
+++ b/crates/node/src/caller/answer.rs
@@ -22,7 +22,7 @@
 
 /// The response to a refused request.
 pub fn refuse(state: &NodeState, request: &RequestId, refusal: &Refusal) -> WebResponse {
-    state.metrics.requests.refused(refusal);
+    state.metrics.requests.record_refusal(refusal);
     let body = ErrorBody { error: refusal.clone(), request_id: request.clone() };
     let mut response = json_answer(refusal.code.http_status(), &body);
     let headers = response.headers_mut();
--- a/crates/node/src/caller/chat.rs
+++ b/crates/node/src/caller/chat.rs
@@ -54,7 +54,7 @@
     let prepared = match prepare_admitted(context, request, &admitted).await {
         Ok(prepared) => prepared,
         Err(refusal) => {
-            state.observations.refused(request, &admitted.tenant, &refusal);
+            state.observations.record_refusal(request, &admitted.tenant, &refusal);
             return Err(refusal);
         }
     };
--- a/crates/node/src/caller/stream.rs
+++ b/crates/node/src/caller/stream.rs
@@ -154,7 +154,7 @@
 
     /// Ends the stream with an error and without `[DONE]`.
     fn fail(&mut self, refusal: Refusal) {
-        self.state.metrics.requests.refused(&refusal);
+        self.state.metrics.requests.record_refusal(&refusal);
         let body = ErrorBody { error: refusal, request_id: self.head.request.clone() };
         self.event(&body);
         self.ending = Ending::Last;
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -175,7 +175,7 @@
         deadline: Timestamp,
     ) {
         loop {
-            let dispatch = self.carry_out(actions);
+            let dispatch = self.perform(actions);
             if self.outcome_sender.is_none() && !dispatch {
                 return;
             }
@@ -199,7 +199,7 @@
     }
 
     /// Performs all actions except a dispatch; returns whether one is due.
-    fn carry_out(&mut self, actions: Vec<ClaimAction>) -> bool {
+    fn perform(&mut self, actions: Vec<ClaimAction>) -> bool {
         let mut dispatch = false;
         for action in actions {
             match action {
@@ -219,9 +219,9 @@
 
     fn wake_at(&self, at: Timestamp) {
         let events = self.events.clone();
-        let wait = at.saturating_since(self.state.clock.now());
+        let delay = at.saturating_since(self.state.clock.now());
         tokio::spawn(async move {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
             // The coordinator may have ended.
             let _ = events.send(ClaimEvent::Tick);
         });
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -99,12 +99,12 @@
         };
         match entered {
             Ok(permit) => {
-                permit.limit_hit().into_iter().for_each(|limit| self.record.limit_hit(limit));
+                permit.limit_hit().into_iter().for_each(|limit| self.record.record_limit(limit));
                 self.permit = Some(permit);
             }
             Err(denied) => {
-                self.record.limit_hit(denied.limit);
-                self.record.refused(&denied.refusal);
+                self.record.record_limit(denied.limit);
+                self.record.record_refusal(&denied.refusal);
                 self.emit(Output::Refused(denied.refusal)).await;
                 return;
             }
@@ -112,13 +112,13 @@
         self.state.overload.count_request();
         let mut event = RequestEvent::Arrived;
         loop {
-            self.carry_out(event).await;
+            self.handle_event(event).await;
             if self.machine.has_ended() {
                 break;
             }
             event = self.next_event().await;
         }
-        self.state.metrics.requests.exchange_ended(&self.machine);
+        self.state.metrics.requests.record_exchange(&self.machine);
     }
 
     async fn next_event(&mut self) -> RequestEvent {
@@ -131,7 +131,7 @@
         }
     }
 
-    async fn carry_out(&mut self, event: RequestEvent) {
+    async fn handle_event(&mut self, event: RequestEvent) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let now = self.state.clock.now();
@@ -154,7 +154,7 @@
                 }
                 if retry && !self.state.overload.may_retry(self.machine.attempts()) {
                     let limit = LimitHit { limit: LimitKind::RetryBudget, refused: true, waited_ms: 0 };
-                    self.record.limit_hit(limit);
+                    self.record.record_limit(limit);
                     return Some(RequestEvent::RetryBudgetSpent);
                 }
                 self.pin_weights(continuation);
@@ -255,7 +255,7 @@
         if decision.chosen.is_none() && engines::refresh_all(&self.state).await {
             decision = self.decide(excluded);
         }
-        self.record.candidates(&decision);
+        self.record.record_candidates(&decision);
         self.import = decision.import;
         let distance_ms = decision.candidates.first().map_or(0.0, |candidate| candidate.distance_ms);
         self.distance = Duration::try_from_secs_f64(distance_ms / 1_000.0).unwrap_or_default();
@@ -281,7 +281,7 @@
         self.engine = Some(engine.clone());
         self.incarnation = Some(precondition.incarnation);
         self.dispatched = self.state.clock.now();
-        self.record.attempt_sent(&attempt, &precondition, self.state.clock.now());
+        self.record.record_attempt(&attempt, &precondition, self.state.clock.now());
         let request: RouteRequest<'_> = self.spec.route_request(&[]);
         self.apply(RouterEvent::Dispatched { attempt: &attempt, engine: &engine, request: &request });
         let Some(entry) = self.state.directory.engine(&engine) else {
--- a/crates/node/src/exchange/record.rs
+++ b/crates/node/src/exchange/record.rs
@@ -45,22 +45,22 @@
     }
 
     /// Records a limit that delayed or refused the request.
-    pub fn limit_hit(&self, limit: LimitHit) {
+    pub fn record_limit(&self, limit: LimitHit) {
         self.live.update(|record| record.record_limit(limit));
     }
 
     /// Records that the request was refused before routing.
-    pub fn refused(&self, refusal: &Refusal) {
+    pub fn record_refusal(&self, refusal: &Refusal) {
         self.live.update(|record| record.ending = refused_ending(refusal));
     }
 
     /// Records the candidate engines of a routing decision.
-    pub fn candidates(&self, decision: &Decision) {
+    pub fn record_candidates(&self, decision: &Decision) {
         self.live.update(|record| record.record_candidates(&decision.candidates, decision.reason));
     }
 
     /// Records an attempt that is sent.
-    pub fn attempt_sent(&self, attempt: &AttemptId, precondition: &Precondition, now: Timestamp) {
+    pub fn record_attempt(&self, attempt: &AttemptId, precondition: &Precondition, now: Timestamp) {
         let waited = u64::try_from(now.saturating_since(self.arrived).as_micros()).unwrap_or(u64::MAX);
         let attempt = AttemptRecord {
             attempt: attempt.clone(),
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -82,14 +82,14 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, refusal: &Refusal) {
+    pub fn record_refusal(&self, refusal: &Refusal) {
         if let Some([not_run, unknown]) = self.refused.get(&refusal.code) {
             if refusal.outcome == Outcome::NotRun { not_run } else { unknown }.increment(1);
         }
     }
 
     /// Counts the attempts and irregular frames of one request.
-    pub fn exchange_ended(&self, request: &ModelRequest) {
+    pub fn record_exchange(&self, request: &ModelRequest) {
         let anomalies = request.anomalies();
         self.attempts.increment(u64::from(request.attempts()));
         self.late_frames.increment(u64::from(anomalies.late));
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -37,11 +37,11 @@
 const ITEM_OVERHEAD: usize = 40;
 
 /// The result of a request's wait for admission.
-type AdmissionResult = Result<Start, Refusal>;
+type AdmissionResult = Result<Grant, Refusal>;
 
 /// The terms on which a request was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Start {
+struct Grant {
     priority: Priority,
     waited: Duration,
 }
@@ -137,13 +137,13 @@
 impl Inner {
     fn apply(&mut self, event: AdmissionEvent, now: Timestamp) {
         for action in self.admission.apply(event, now) {
-            let (ticket, verdict) = match action {
-                AdmissionAction::Run { ticket, waited, priority } => (ticket, Ok(Start { priority, waited })),
+            let (ticket, result) = match action {
+                AdmissionAction::Run { ticket, waited, priority } => (ticket, Ok(Grant { priority, waited })),
                 AdmissionAction::Refuse { ticket, refusal } => (ticket, Err(refusal)),
             };
             if let Some(waiting) = self.waiting.remove(&ticket) {
                 // If the receiver is gone, dropping the permit cancels the request in the admission queue.
-                let _ = waiting.send(verdict);
+                let _ = waiting.send(result);
             }
         }
     }
--- a/crates/node/src/overload/capacity.rs
+++ b/crates/node/src/overload/capacity.rs
@@ -11,7 +11,7 @@
 struct EngineCapacity {
     pool: PoolId,
     speed: EngineSpeed,
-    takes_work: bool,
+    accepts_work: bool,
 }
 
 /// The engines and the number of nodes that share them.
@@ -30,8 +30,8 @@
 impl Capacity {
     /// Applies an engine's report; returns whether its capacity changed.
     pub fn update(&mut self, status: &EngineStatus) -> bool {
-        let takes_work = !status.draining && status.loaded.is_some() && status.role == EngineRole::Serving;
-        let next = EngineCapacity { pool: status.pool.clone(), speed: status.speed, takes_work };
+        let accepts_work = !status.draining && status.loaded.is_some() && status.role == EngineRole::Serving;
+        let next = EngineCapacity { pool: status.pool.clone(), speed: status.speed, accepts_work };
         let before = self.engines.insert(status.engine.clone(), next.clone());
         before != Some(next)
     }
@@ -39,7 +39,7 @@
     /// Marks an engine that no longer exists as unavailable.
     pub fn remove(&mut self, engine: &EngineId) {
         if let Some(capacity) = self.engines.get_mut(engine) {
-            capacity.takes_work = false;
+            capacity.accepts_work = false;
         }
     }
 
@@ -57,7 +57,7 @@
     pub fn slots(&self) -> BTreeMap<PoolId, u32> {
         let mut slots: BTreeMap<PoolId, u32> = BTreeMap::new();
         for capacity in self.engines.values() {
-            let available = if capacity.takes_work { capacity.speed.batch_slots } else { 0 };
+            let available = if capacity.accepts_work { capacity.speed.batch_slots } else { 0 };
             *slots.entry(capacity.pool.clone()).or_default() += available;
         }
         slots
@@ -71,7 +71,7 @@
     /// The speed of any available engine of a pool.
     pub fn pool_speed(&self, pool: &PoolId) -> Option<EngineSpeed> {
         let mut in_pool =
-            self.engines.values().filter(|capacity| capacity.pool == *pool && capacity.takes_work);
+            self.engines.values().filter(|capacity| capacity.pool == *pool && capacity.accepts_work);
         in_pool.next().map(|capacity| capacity.speed)
     }
 }
--- a/crates/node/src/overload/permit.rs
+++ b/crates/node/src/overload/permit.rs
@@ -16,7 +16,7 @@
 };
 use tokio::sync::oneshot;
 
-use super::{SharedOverload, Start};
+use super::{Grant, SharedOverload};
 use crate::{engines, exchange::ExchangeSpec, state::NodeState};
 
 /// Time to first token is predicted only for deadlines nearer than this.
@@ -123,13 +123,13 @@
     if state.overload.lock().admission.view(&spec.pool).is_none() {
         engines::refresh_all(state).await;
     }
-    let Some(verdict) = submit(state, spec) else {
+    let Some(result_receiver) = submit(state, spec) else {
         // No engine of the pool is known; routing refuses the request with its own message.
         return Ok(permit);
     };
     state.overload.changed.notify_one();
-    match verdict.await {
-        Ok(Ok(Start { priority, waited })) => {
+    match result_receiver.await {
+        Ok(Ok(Grant { priority, waited })) => {
             permit.priority = priority;
             permit.waited = waited;
             Ok(permit)
--- a/crates/node/src/peers/driver.rs
+++ b/crates/node/src/peers/driver.rs
@@ -132,12 +132,12 @@
             state.configuration.confirm(state.clock.now() - now.saturating_since(confirmed_at));
         }
         // Performed under the lock, so that documents come into force in the order of their revisions.
-        actions.into_iter().for_each(|action| self.carry_out(state, action));
+        actions.into_iter().for_each(|action| self.perform(state, action));
         drop(peers);
         self.rescheduled.notify_one();
     }
 
-    fn carry_out(&self, state: &NodeState, action: PeerAction) {
+    fn perform(&self, state: &NodeState, action: PeerAction) {
         match action {
             PeerAction::Answer { call, answer } => {
                 // The caller may have timed out.
@@ -198,7 +198,7 @@
         tokio::select! {
             Some(action) = actions.recv() => {
                 let state = Arc::clone(&state);
-                calls.spawn(async move { perform(&state, action).await });
+                calls.spawn(async move { perform_call(&state, action).await });
             }
             changed = machines.changed() => {
                 if changed.is_err() {
@@ -215,7 +215,7 @@
 }
 
 /// Performs one call and passes its result to the state machine.
-async fn perform(state: &NodeState, action: PeerAction) {
+async fn perform_call(state: &NodeState, action: PeerAction) {
     match action {
         PeerAction::Call { call, address, request, timeout } => {
             let answer = match &request {
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -118,13 +118,13 @@
                     Err(error) => matches!(error, ClientError::Connect { .. }),
                 }
             }
-            Self::Instance(address) => !takes_connections(address).await,
+            Self::Instance(address) => !accepts_connections(address).await,
         }
     }
 }
 
 /// Whether a connection can be opened and stays open.
-async fn takes_connections(address: SocketAddr) -> bool {
+async fn accepts_connections(address: SocketAddr) -> bool {
     let Ok(Ok(mut stream)) = tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
