--- a/crates/forward/src/access_log.rs
+++ b/crates/forward/src/access_log.rs
@@ -49,7 +49,7 @@
     pub(crate) configuration_age: Option<Duration>,
     pub(crate) choice: Option<Choice>,
     pub(crate) first_at: Option<Timestamp>,
-    pub(crate) part_at: Option<Timestamp>,
+    pub(crate) chunk_at: Option<Timestamp>,
     pub(crate) longest_gap: Duration,
     /// Tokens that the answer is guessed to have.
     pub(crate) guessed_tokens: Option<u32>,
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -59,7 +59,7 @@
             if tenant.is_some() && bounds.revocation_fails_closed && !is_within(bounds.stale_after()) {
                 return Err(Reason::ConfigurationTooOld.into());
             }
-            let service = node.share(&route).ok_or(Reason::NoBackend)?;
+            let service = node.pick_service(&route).ok_or(Reason::NoBackend)?;
             let grant = match &tenant {
                 Some(tenant) => charge(node, tenant, head, account)?,
                 None => None,
--- a/crates/forward/src/announcements.rs
+++ b/crates/forward/src/announcements.rs
@@ -21,10 +21,10 @@
     ports::{AnswerHead, RequestedBackOff},
 };
 
-/// How it was heard what a process announces.
+/// How it was source what a process announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnnouncementSource {
-    /// An answer of the process says so.
+    /// An answer of the process parsed so.
     Answer,
     /// Another node has told it.
     Told,
@@ -52,61 +52,61 @@
     }
 
     /// Takes in what an answer of one of a back end's own interfaces announces, whose body may say as well that it leaves. Where
-    /// the interface refuses, that concerns no requests; for how long it wants to be left alone, if it says so.
+    /// the interface refuses, that concerns no requests; for how long it wants to be left alone, if it parsed so.
     pub(crate) fn observe_call(
         &self,
-        asked: &BackendProcess,
+        process: &BackendProcess,
         answer: &Response<Bytes>,
         body_says_leaving: bool,
     ) -> Option<Duration> {
-        let says = self.platform.read_answer(answer.status(), answer.headers());
-        let leaving = says.leaving || body_says_leaving;
-        let rest = match says.back_off {
+        let parsed = self.platform.read_answer(answer.status(), answer.headers());
+        let leaving = parsed.leaving || body_says_leaving;
+        let back_off = match parsed.back_off {
             Some(RequestedBackOff::For(time)) => Some(time.min(MAX_BACK_OFF)),
             Some(RequestedBackOff::Unreadable(_)) | None => None,
         };
-        self.observe_answer(asked, &AnswerHead { leaving, back_off: None, ..says }, None);
-        rest
+        self.observe_answer(process, &AnswerHead { leaving, back_off: None, ..parsed }, None);
+        back_off
     }
 
-    /// Takes in what an answer of `asked` announces, whatever else it says. Another process that answers in its place speaks
+    /// Takes in what an answer of `process` announces, whatever else it parsed. Another process that answers in its place speaks
     /// for itself only. `sent_at` tells when it was sent a request that it answers; answers of its own interfaces need not name a
     /// limit that holds.
     pub(crate) fn observe_answer(
         &self,
-        asked: &BackendProcess,
-        says: &AnswerHead,
+        process: &BackendProcess,
+        parsed: &AnswerHead,
         sent_at: Option<Timestamp>,
     ) {
-        self.note_unknown_headers(&asked.id, &says.unknown);
-        let is_other = match &says.backend {
-            Some(backend) => *backend != asked.id,
-            None => says.misdirected,
+        self.note_unknown_headers(&process.id, &parsed.unknown);
+        let is_other = match &parsed.backend {
+            Some(backend) => *backend != process.id,
+            None => parsed.misdirected,
         };
         if is_other {
             return;
         }
-        if says.leaving {
-            self.observe_draining(asked, AnnouncementSource::Answer);
+        if parsed.leaving {
+            self.observe_draining(process, AnnouncementSource::Answer);
         }
-        match &says.back_off {
-            Some(RequestedBackOff::For(time)) => self.observe_back_off(asked, *time),
+        match &parsed.back_off {
+            Some(RequestedBackOff::For(time)) => self.observe_back_off(process, *time),
             Some(RequestedBackOff::Unreadable(value)) => {
-                self.journal.log(&Event::RestUnreadable { backend: asked.id.as_str(), value });
+                self.journal.log(&Event::RestUnreadable { backend: process.id.as_str(), value });
             }
             None => {}
         }
-        self.observe_limit(asked, says.limit.as_ref(), sent_at);
+        self.observe_limit(process, parsed.limit.as_ref(), sent_at);
     }
 
-    /// Other nodes have heard that these processes leave.
+    /// Other nodes have source that these processes leave.
     pub(crate) fn merge_draining_gossip(&self, processes: &[BackendProcess]) {
         for process in processes {
             self.observe_draining(process, AnnouncementSource::Told);
         }
     }
 
-    fn observe_draining(&self, process: &BackendProcess, heard: AnnouncementSource) {
+    fn observe_draining(&self, process: &BackendProcess, source: AnnouncementSource) {
         let mut state = self.state.borrow_mut();
         let service = state.backends.get(&process.id).map(|known| known.entry.service.clone());
         match state.backends.observe_draining(process, self.now()) {
@@ -120,13 +120,14 @@
         drop(state);
         let service = service.as_ref().map(ServiceId::as_str);
         let backend = process.id.as_str();
-        self.journal.log(&Event::BackendLeaving { backend, service, heard: heard.name() });
+        self.journal.log(&Event::BackendLeaving { backend, service, heard: source.name() });
     }
 
-    fn observe_back_off(&self, process: &BackendProcess, asked: Duration) {
+    fn observe_back_off(&self, process: &BackendProcess, requested: Duration) {
         let now = self.now();
-        let rest = self.state.borrow_mut().backends.announcements.observe_back_off(process, asked, now);
-        let Some(BackOff { until, begins, is_cut }) = rest else { return };
+        let back_off =
+            self.state.borrow_mut().backends.announcements.observe_back_off(process, requested, now);
+        let Some(BackOff { until, begins, is_cut }) = back_off else { return };
         self.metrics.count(Counter::BackOffsRequested);
         if begins || is_cut {
             let for_ms = until.saturating_since(now).as_millis() as u64;
@@ -135,21 +136,21 @@
     }
 
     /// Whether a back end that was chosen may still be sent the request: it may have spoken while a connection came up.
-    pub(crate) fn still_takes(&self, choice: &Choice) -> bool {
+    pub(crate) fn still_accepts(&self, choice: &Choice) -> bool {
         let state = self.state.borrow();
         let known = state.backends.get(&choice.backend);
         known.is_some_and(|backend| state.takes_requests(backend, self.now()))
     }
 
-    /// Forgets what no longer holds, and tells whose rest is over.
+    /// Forgets what no longer holds, and tells whose back_off is over.
     pub(crate) fn expire_announcements(&self) {
-        let rested = self.state.borrow_mut().backends.announcements.expire(self.now());
-        for backend in &rested {
+        let ended = self.state.borrow_mut().backends.announcements.expire(self.now());
+        for backend in &ended {
             self.journal.log(&Event::BackendRested { backend: backend.as_str() });
         }
     }
 
-    /// How many back ends rest, leave and are limited now.
+    /// How many back ends back_off, leave and are limited now.
     pub(crate) fn announced_gauges(&self) -> [Gauge; 3] {
         let state = self.state.borrow();
         let resting = state.backends.announcements.count_backed_off(self.now());
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -21,14 +21,14 @@
 };
 
 /// The time in which a connection must come up.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// The largest answer that is taken whole, in bytes.
-const LARGEST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// How long the body of a refusal may take; a connection whose refusal takes longer is closed.
-const REFUSAL_BODY: Duration = Duration::from_millis(100);
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What is told of a try at a back end that has meanwhile said that it leaves or rests.
-const TAKES_NONE: &str = "the back end takes no requests any more";
+const NOT_ACCEPTING: &str = "the back end takes no requests any more";
 /// What is told of a try at a back end whose limit others have used up meanwhile.
 const LIMIT_USED_UP: &str = "the back end's limit is used up";
 
@@ -94,8 +94,8 @@
 pub struct AttemptAnswer {
     /// Its head.
     pub head: response::Parts,
-    /// What the head says.
-    pub says: AnswerHead,
+    /// What the head parsed.
+    pub parsed: AnswerHead,
     /// Its body.
     pub body: Incoming,
     /// The connection it comes on.
@@ -135,7 +135,7 @@
     }
 
     /// The first part of the answer is here.
-    pub fn first_part(&mut self) {
+    pub fn record_first_chunk(&mut self) {
         if let Some(tokens) = self.pending_prefill_tokens.take() {
             let now = self.node.now();
             let milliseconds = now.saturating_since(self.began).as_secs_f64() * 1_000.0;
@@ -167,12 +167,12 @@
 ) -> Result<AttemptAnswer, AttemptFailure> {
     let work = LoadGuard::begin(node, choice);
     // A run that goes on begins nothing: its weights were in time when it began.
-    let begins_at = (run == RunKind::New).then_some(choice);
+    let starting_at = (run == RunKind::New).then_some(choice);
     // Looked at before a connection is taken from the pool: one that is not used is closed.
-    if let Some(why) = why_not_to_send(node, choice, begins_at) {
+    if let Some(why) = blocked_reason(node, choice, starting_at) {
         return Err(not_sent(node, choice, why));
     }
-    let asked = node.process_of(&choice.backend);
+    let process = node.process_of(&choice.backend);
     let pooled = node.pool.borrow_mut().take(&choice.backend, node.now());
     let reused = pooled.is_some();
     let mut connection = match pooled {
@@ -180,14 +180,14 @@
         None => connect(node, choice, give_up_at).await?,
     };
     // The connection took its time.
-    if let Some(why) = why_not_to_send(node, choice, begins_at).filter(|_| !reused) {
+    if let Some(why) = blocked_reason(node, choice, starting_at).filter(|_| !reused) {
         node.pool.borrow_mut().put(&choice.backend, connection, node.now());
         return Err(not_sent(node, choice, why));
     }
     let sent_at = node.now();
     node.acquire_permit(&choice.backend);
     let waiting = connection.send(request);
-    let answer = match node.wait(begins_at, give_up_at, waiting).await {
+    let answer = match node.wait(starting_at, give_up_at, waiting).await {
         Waited::Done(Ok(answer)) => answer,
         Waited::Done(Err(error)) => {
             if error.is_before_sending() {
@@ -196,7 +196,7 @@
             return Err(broken(node, choice, &error, reused));
         }
         Waited::Outdated => {
-            // This says nothing against the back end: it was not given its time.
+            // This parsed nothing against the back end: it was not given its time.
             node.health(&choice.backend, HealthEvent::Inconclusive, false);
             return Err(AttemptFailure { reused, ..AttemptFailure::unclear(OUTDATED.into()) });
         }
@@ -206,36 +206,36 @@
         }
     };
     let (head, body) = answer.into_parts();
-    let says = node.platform.read_answer(head.status, &head.headers);
+    let parsed = node.platform.read_answer(head.status, &head.headers);
     connection.keep_alive = keep_alive(&head.headers);
-    if says.request_id.as_deref() != id {
+    if parsed.request_id.as_deref() != id {
         node.pool.borrow_mut().distrust(&choice.backend, node.now());
         return Err(AttemptFailure {
             reused,
             ..AttemptFailure::unclear("an answer to another request".into())
         });
     }
-    // On whatever it says of the request: the registry may be away, or tell of it much later.
-    node.observe_answer(&asked, &says, Some(sent_at));
+    // On whatever it parsed of the request: the registry may be away, or tell of it much later.
+    node.observe_answer(&process, &parsed, Some(sent_at));
     let framed = head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING);
-    let begun = AttemptAnswer { head, says, body, connection, work, framed };
-    judge(node, choice, begun, reused, give_up_at).await
+    let begun = AttemptAnswer { head, parsed, body, connection, work, framed };
+    classify(node, choice, begun, reused, give_up_at).await
 }
 
 /// Why a back end that was chosen must not be sent the request any more.
-fn why_not_to_send(node: &Node, choice: &Choice, begins_at: Option<&Choice>) -> Option<&'static str> {
-    if node.is_outdated(begins_at) {
+fn blocked_reason(node: &Node, choice: &Choice, starting_at: Option<&Choice>) -> Option<&'static str> {
+    if node.is_outdated(starting_at) {
         return Some(OUTDATED);
     }
     if node.lacks_permit(&choice.backend) {
         node.metrics.count(Counter::DeferredForLimits);
         return Some(LIMIT_USED_UP);
     }
-    (!node.still_takes(choice)).then_some(TAKES_NONE)
+    (!node.still_accepts(choice)).then_some(NOT_ACCEPTING)
 }
 
-/// The back end's weights are too old, or it wants no requests. This says nothing against it, and it was not asked.
+/// The back end's weights are too old, or it wants no requests. This parsed nothing against it, and it was not process.
 fn not_sent(node: &Rc<Node>, choice: &Choice, why: &str) -> AttemptFailure {
     node.health(&choice.backend, HealthEvent::Inconclusive, false);
     AttemptFailure { end: AttemptEnd::NotSent, ..AttemptFailure::unclear(why.into()) }
@@ -248,13 +248,13 @@
 ) -> Result<Connection, AttemptFailure> {
     node.metrics.count(Counter::Connections);
     let now = node.now();
-    let patience = CONNECT.min(give_up_at.saturating_since(now));
-    Connection::open(choice.address, patience, now).await.map_err(|error| broken(node, choice, &error, false))
+    let timeout = CONNECT_TIMEOUT.min(give_up_at.saturating_since(now));
+    Connection::open(choice.address, timeout, now).await.map_err(|error| broken(node, choice, &error, false))
 }
 
 fn broken(node: &Rc<Node>, choice: &Choice, error: &ConnectionError, reused: bool) -> AttemptFailure {
     let end = if error.is_before_sending() { AttemptEnd::NotSent } else { AttemptEnd::Unclear };
-    // A kept connection that its peer closed says nothing of the back end.
+    // A kept connection that its peer closed parsed nothing of the back end.
     if error.is_refusal() {
         node.health(&choice.backend, HealthEvent::Unreachable, false);
     } else if !matches!(error, ConnectionError::NotSent) {
@@ -265,7 +265,7 @@
 }
 
 /// Sorts out answers that are not passed on as they come.
-async fn judge(
+async fn classify(
     node: &Rc<Node>,
     choice: &Choice,
     begun: AttemptAnswer,
@@ -274,14 +274,14 @@
 ) -> Result<AttemptAnswer, AttemptFailure> {
     let backend = &choice.backend;
     let status = begun.head.status;
-    if begun.says.not_run || begun.says.misdirected {
-        let end = note_refusal(node, choice, &begun.says);
+    if begun.parsed.not_run || begun.parsed.misdirected {
+        let end = record_refusal(node, choice, &begun.parsed);
         let detail = format!("status {status}, not run");
-        let answered_by = begun.says.backend.clone();
-        let _ = tokio::time::timeout(REFUSAL_BODY, take_whole(node, begun)).await;
+        let answered_by = begun.parsed.backend.clone();
+        let _ = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, read_full_answer(node, begun)).await;
         return Err(AttemptFailure { end, reused, answered_by, ..AttemptFailure::unclear(detail) });
     }
-    if begun.says.encoded || (status.is_success() && !begun.says.signed) {
+    if begun.parsed.encoded || (status.is_success() && !begun.parsed.signed) {
         node.pool.borrow_mut().distrust(backend, node.now());
         let detail = format!("status {status}, not a back end's answer");
         return Err(AttemptFailure { reused, ..AttemptFailure::unclear(detail) });
@@ -289,7 +289,7 @@
     if status.is_server_error() {
         let event = HealthEvent::Failed;
         node.health(backend, event, false);
-        let whole = node.clock.timeout_at(give_up_at, take_whole(node, begun)).await;
+        let whole = node.clock.timeout_at(give_up_at, read_full_answer(node, begun)).await;
         let detail = format!("status {status}");
         return match whole {
             Some(Ok(answer)) => {
@@ -314,31 +314,31 @@
     Ok(begun)
 }
 
-fn note_refusal(node: &Rc<Node>, choice: &Choice, says: &AnswerHead) -> AttemptEnd {
+fn record_refusal(node: &Rc<Node>, choice: &Choice, parsed: &AnswerHead) -> AttemptEnd {
     node.health(&choice.backend, HealthEvent::Inconclusive, false);
-    if says.misdirected {
+    if parsed.misdirected {
         node.metrics.count(Counter::Misdirected);
     }
-    let other = says.backend.as_ref().filter(|backend| **backend != choice.backend);
-    if let Some(other) = other.filter(|_| says.misdirected) {
+    let other = parsed.backend.as_ref().filter(|backend| **backend != choice.backend);
+    if let Some(other) = other.filter(|_| parsed.misdirected) {
         node.misdirected(choice, other);
         return AttemptEnd::Misdirected;
     }
-    if let (Some(scope), Some(version)) = (&choice.scope, says.weights) {
+    if let (Some(scope), Some(version)) = (&choice.scope, parsed.weights) {
         node.observe_weights(&choice.backend, &scope.model, version);
     }
-    if !says.misdirected {
+    if !parsed.misdirected {
         node.refused(&choice.backend);
     }
     AttemptEnd::NotRun
 }
 
 /// Takes an answer whole and gives its connection back.
-pub async fn take_whole(node: &Rc<Node>, begun: AttemptAnswer) -> Result<Response<Bytes>, String> {
+pub async fn read_full_answer(node: &Rc<Node>, begun: AttemptAnswer) -> Result<Response<Bytes>, String> {
     let AttemptAnswer { head, body, connection, mut work, .. } = begun;
     let body =
-        Limited::new(body, LARGEST_ANSWER).collect().await.map_err(|error| error.to_string())?.to_bytes();
-    work.first_part();
+        Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|error| error.to_string())?.to_bytes();
+    work.record_first_chunk();
     node.pool.borrow_mut().put(&work.backend, connection, node.now());
     Ok(Response::from_parts(head, body))
 }
@@ -362,7 +362,7 @@
     headers.remove(PROXY_CONNECTION);
 }
 
-/// How long the peer keeps the connection without use, where it says so.
+/// How long the peer keeps the connection without use, where it parsed so.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/forward/src/backend_updates.rs
+++ b/crates/forward/src/backend_updates.rs
@@ -13,10 +13,10 @@
 use crate::{journal::Event, node::Node, node_state::NodeState};
 
 impl Node {
-    pub(crate) fn apply_backend(&self, entry: BackendEntry, revision: Revision, heard: EntrySource) {
+    pub(crate) fn apply_backend(&self, entry: BackendEntry, revision: Revision, source: EntrySource) {
         let mut state = self.state.borrow_mut();
         let id = entry.id.clone();
-        let AppliedEntry { change, replaced } = state.backends.apply_entry(entry, heard);
+        let AppliedEntry { change, replaced } = state.backends.apply_entry(entry, source);
         if change == EntryChange::Restarted {
             // The process that was known has ended, with its connections and all that it kept.
             state.forget(&id);
@@ -27,7 +27,7 @@
         for replacement in &replaced {
             self.drop_replaced(&mut state, replacement, "entry");
         }
-        self.tell_backend(&state, &id, change, revision);
+        self.log_backend(&state, &id, change, revision);
     }
 
     /// The answer to a try named another back end in place of the one that was chosen.
@@ -89,11 +89,11 @@
             };
             self.journal.log(&event);
         } else {
-            self.tell_backend(&state, id, change, revision);
+            self.log_backend(&state, id, change, revision);
         }
     }
 
-    fn tell_backend(&self, state: &NodeState, id: &BackendId, change: EntryChange, revision: Revision) {
+    fn log_backend(&self, state: &NodeState, id: &BackendId, change: EntryChange, revision: Revision) {
         let change = match change {
             EntryChange::Appeared => "appeared",
             EntryChange::Leaving => "leaving",
--- a/crates/forward/src/cache_feed.rs
+++ b/crates/forward/src/cache_feed.rs
@@ -22,17 +22,17 @@
 };
 
 /// How long a call waits for entries.
-const WAIT: Duration = Duration::from_millis(1_000);
+const POLL_WAIT: Duration = Duration::from_millis(1_000);
 /// How long an answer may take beyond that.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The least time between two calls, in which entries gather.
-const GATHER: Duration = Duration::from_millis(140);
+const POLL_INTERVAL: Duration = Duration::from_millis(140);
 /// The pause between two looks for feeds to follow.
-const LOOK: Duration = Duration::from_millis(300);
+const SELECTION_INTERVAL: Duration = Duration::from_millis(300);
 /// The pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(700);
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 /// The pause where too many read a feed already.
-const CROWDED_PAUSE: Duration = Duration::from_secs(5);
+const TOO_MANY_READERS_PAUSE: Duration = Duration::from_secs(5);
 /// The life of a process that was never heard of.
 const NO_INCARNATION: u64 = 0;
 
@@ -40,7 +40,7 @@
 pub async fn run(node: Rc<Node>) {
     let feeds: Rc<RefCell<Feeds>> = Rc::default();
     loop {
-        feeds.borrow_mut().look(&node);
+        feeds.borrow_mut().select(&node);
         let new: Vec<Source> = feeds.borrow().wanted.difference(&feeds.borrow().followed).cloned().collect();
         for source in new {
             feeds.borrow_mut().followed.insert(source.clone());
@@ -51,14 +51,14 @@
             });
         }
         // After a start every moment without feeds is one in which parts are read again.
-        let _ = tokio::time::timeout(LOOK, node.feeds_known.notified()).await;
+        let _ = tokio::time::timeout(SELECTION_INTERVAL, node.feeds_known.notified()).await;
     }
 }
 
 /// Whose feed is to be followed: its name and address.
 type Source = (BackendId, SocketAddr);
 
-/// The feeds of this node. Which of them it follows costs a look at all engines, so it is looked at only where these or the
+/// The feeds of this node. Which of them it follows costs a select at all engines, so it is looked at only where these or the
 /// number of nodes have changed.
 #[derive(Default)]
 struct Feeds {
@@ -66,16 +66,16 @@
     nodes: Option<u32>,
     wanted: BTreeSet<Source>,
     followed: BTreeSet<Source>,
-    /// Whether engines' feeds are worth following; not known before the first look.
-    of_engines: Option<bool>,
+    /// Whether engines' feeds are worth following; not known before the first select.
+    include_engines: Option<bool>,
 }
 
 impl Feeds {
     /// Looks whose feeds are to be followed now.
-    fn look(&mut self, node: &Node) {
-        let of_engines = engines_are_worth_following(node, self.of_engines);
-        self.of_engines = Some(of_engines);
-        let all = sources(node, of_engines);
+    fn select(&mut self, node: &Node) {
+        let include_engines = should_follow_engines(node, self.include_engines);
+        self.include_engines = Some(include_engines);
+        let all = sources(node, include_engines);
         let Some(peers) = &node.peers else {
             self.wanted = all.into_iter().collect();
             return;
@@ -94,20 +94,20 @@
 
 /// Whether the feeds of engines are worth following, where they were `before`. Where all nodes start for the first time
 /// engines keep nothing yet; where this one alone starts it has missed what they have told.
-fn engines_are_worth_following(node: &Node, before: Option<bool>) -> bool {
+fn should_follow_engines(node: &Node, before: Option<bool>) -> bool {
     let before = before.unwrap_or(!node.settings().first_start);
     let nodes = node.nodes().known().unwrap_or(1);
     let now = node.now();
     let state = node.state.borrow();
     let own = state.chooser.prefixes.prompt_tokens_per_second(now);
-    should_follow_feeds(own * f64::from(nodes), state.cache_room(), before)
+    should_follow_feeds(own * f64::from(nodes), state.cache_capacity(), before)
 }
 
 /// The engines, where theirs are wanted, and the stores that have a feed.
-fn sources(node: &Node, of_engines: bool) -> BTreeMap<BackendId, SocketAddr> {
+fn sources(node: &Node, include_engines: bool) -> BTreeMap<BackendId, SocketAddr> {
     let state = node.state.borrow();
     let stores = state.stores().map(|store| (store.id, store.address));
-    if !of_engines {
+    if !include_engines {
         return stores.collect();
     }
     let engines = state
@@ -117,13 +117,13 @@
     stores.chain(engines.map(|backend| (backend.entry.id.clone(), backend.entry.address))).collect()
 }
 
-/// Follows one feed for as long as it is this node's turn.
+/// Follows one feed for as long as it is this node's poll.
 async fn follow(node: Rc<Node>, source: &Source, feeds: &RefCell<Feeds>) {
     let calls = Client::new(source.1, node.clock);
     let mut feed =
         Feed { node, backend: source.0.clone(), calls, incarnation: NO_INCARNATION, next: 0, working: false };
     while feeds.borrow().wanted.contains(source) {
-        let pause = if feed.incarnation == NO_INCARNATION { feed.list().await } else { feed.turn().await };
+        let pause = if feed.incarnation == NO_INCARNATION { feed.list().await } else { feed.poll().await };
         tokio::time::sleep(pause).await;
     }
 }
@@ -138,35 +138,35 @@
 }
 
 impl Feed {
-    async fn turn(&mut self) -> Duration {
-        let request = self.node.platform.feed_request(self.next, WAIT);
-        let asked = self.node.process_of(&self.backend);
+    async fn poll(&mut self) -> Duration {
+        let request = self.node.platform.feed_request(self.next, POLL_WAIT);
+        let target = self.node.process_of(&self.backend);
         let mut wanted_pause = None;
-        let answer = match self.calls.call(request, WAIT + PATIENCE).await {
+        let answer = match self.calls.call(request, POLL_WAIT + CALL_TIMEOUT).await {
             Ok(answer) => {
-                wanted_pause = self.node.observe_call(&asked, &answer, false);
+                wanted_pause = self.node.observe_call(&target, &answer, false);
                 self.node.platform.feed_answer(&answer).map_err(|error| error.to_string())
             }
             Err(error) => Err(error.to_string()),
         };
         match answer {
-            Ok(FeedAnswer::Page(page)) => self.take(page).await,
+            Ok(FeedAnswer::Page(page)) => self.apply_page(page).await,
             Ok(FeedAnswer::TooManyReaders) => {
-                self.note(false, "too many read it already".into());
-                let usual = || CROWDED_PAUSE.mul_f64(0.5 + rand::random::<f64>());
-                wanted_pause.map_or_else(usual, |wanted| wanted.max(PAUSE))
+                self.record_status(false, "too many read it already".into());
+                let usual = || TOO_MANY_READERS_PAUSE.mul_f64(0.5 + rand::random::<f64>());
+                wanted_pause.map_or_else(usual, |wanted| wanted.max(RETRY_PAUSE))
             }
             Err(problem) => {
-                self.note(false, problem);
-                wanted_pause.map_or(PAUSE, |wanted| wanted.max(PAUSE))
+                self.record_status(false, problem);
+                wanted_pause.map_or(RETRY_PAUSE, |wanted| wanted.max(RETRY_PAUSE))
             }
         }
     }
 
-    async fn take(&mut self, page: CacheFeedPage) -> Duration {
+    async fn apply_page(&mut self, page: CacheFeedPage) -> Duration {
         let first = self.incarnation == NO_INCARNATION;
         let restarted = page.incarnation != self.incarnation;
-        self.note(true, String::new());
+        self.record_status(true, String::new());
         if restarted && !first {
             self.node.state.borrow_mut().chooser.prefixes.forget(&self.backend);
         }
@@ -175,42 +175,42 @@
         }
         self.incarnation = page.incarnation;
         self.next = page.next;
-        self.learn(&page);
-        GATHER
+        self.apply_segments(&page);
+        POLL_INTERVAL
     }
 
     /// Learns anew all that is kept, where entries were lost.
     async fn list(&mut self) -> Duration {
-        let answer = self.calls.call(self.node.platform.cache_list_request(), PATIENCE).await;
+        let answer = self.calls.call(self.node.platform.cache_list_request(), CALL_TIMEOUT).await;
         let page = answer.ok().and_then(|answer| self.node.platform.cache_list_answer(&answer).ok());
-        let Some(page) = page else { return PAUSE };
+        let Some(page) = page else { return RETRY_PAUSE };
         self.node.state.borrow_mut().chooser.prefixes.forget(&self.backend);
         self.incarnation = page.incarnation;
         self.next = page.next;
-        self.learn(&page);
-        GATHER
+        self.apply_segments(&page);
+        POLL_INTERVAL
     }
 
-    fn learn(&self, page: &CacheFeedPage) {
+    fn apply_segments(&self, page: &CacheFeedPage) {
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let prefixes = &state.chooser.prefixes;
-        let gone = page.segments.iter().filter(|part| {
-            part.tokens == 0 && prefixes.is_partly_cached(&self.backend, part.scope, part.segment)
+        let gone = page.segments.iter().filter(|segment| {
+            segment.tokens == 0 && prefixes.is_partly_cached(&self.backend, segment.scope, segment.segment)
         });
-        let news = gone.map(|part| CachedSegmentUpdate {
+        let updates = gone.map(|segment| CachedSegmentUpdate {
             engine: self.backend.clone(),
-            scope: part.scope.0,
-            segment: part.segment.0,
+            scope: segment.scope.0,
+            segment: segment.segment.0,
             tokens: 0,
         });
-        let news = news.collect();
+        let updates = updates.collect();
         state.chooser.apply_feed(&self.backend, &page.segments, now);
         drop(state);
-        self.node.publish(news);
+        self.node.publish(updates);
     }
 
-    fn note(&mut self, working: bool, detail: String) {
+    fn record_status(&mut self, working: bool, detail: String) {
         if self.working != working {
             self.working = working;
             let change = if working { "followed" } else { "lost" };
--- a/crates/forward/src/caller_close.rs
+++ b/crates/forward/src/caller_close.rs
@@ -21,27 +21,27 @@
     /// Waits until the connection is to close, in a planned stop that `stage` tells of.
     pub async fn until_close(&self, mut stage: watch::Receiver<StopStage>) -> CloseMode {
         loop {
-            let present = *stage.borrow_and_update();
-            let look_again = match self.judge(present) {
+            let current = *stage.borrow_and_update();
+            let recheck_at = match self.decide(current) {
                 ConnectionAction::Close => return CloseMode::Graceful,
                 ConnectionAction::Abort => return CloseMode::Immediate,
-                ConnectionAction::KeepOpen(look_again) => look_again,
+                ConnectionAction::KeepOpen(recheck_at) => recheck_at,
             };
             tokio::select! {
                 Ok(()) = stage.changed() => {}
                 () = self.request_ended.notified() => {}
-                () = self.wait_until(look_again) => {}
+                () = self.wait_until(recheck_at) => {}
             }
         }
     }
 
     /// Decides on the connection. The system is asked for unread bytes only where nothing else keeps it open.
-    fn judge(&self, stage: StopStage) -> ConnectionAction {
-        let (seen, idle_timeout, now) = (self.state(), self.host().idle_timeout(), self.now());
-        match next_action(seen, stage, idle_timeout, now) {
-            ConnectionAction::KeepOpen(look_again) => ConnectionAction::KeepOpen(look_again),
+    fn decide(&self, stage: StopStage) -> ConnectionAction {
+        let (state, idle_timeout, now) = (self.state(), self.host().idle_timeout(), self.now());
+        match next_action(state, stage, idle_timeout, now) {
+            ConnectionAction::KeepOpen(recheck_at) => ConnectionAction::KeepOpen(recheck_at),
             ConnectionAction::Close | ConnectionAction::Abort => next_action(
-                ConnectionState { is_readable: self.is_readable(), ..seen },
+                ConnectionState { is_readable: self.is_readable(), ..state },
                 stage,
                 idle_timeout,
                 now,
--- a/crates/forward/src/caller_stream.rs
+++ b/crates/forward/src/caller_stream.rs
@@ -22,11 +22,11 @@
 };
 
 /// How long the node reads on after it has closed its side of a connection, unless the caller closes before.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same in a planned stop, which it prolongs: long enough for what crosses the close on its way.
-const LINGER_AT_STOP: Duration = Duration::from_millis(100);
+const LINGER_TIMEOUT_AT_STOP: Duration = Duration::from_millis(100);
 /// Bytes that are read at once while lingering.
-const LINGER_READ: usize = 4 << 10;
+const LINGER_READ_BYTES: usize = 4 << 10;
 
 /// What a caller's connection asks of the process that serves it.
 pub trait ConnectionHost {
@@ -59,14 +59,14 @@
     stream: TcpStream,
     host: Rc<H>,
     opened_at: Timestamp,
-    /// Requests that are being served: from a whole head to the end of the answer's body.
-    served: Cell<usize>,
-    /// Bytes that came since the last whole head; above 0 without a request being served, a head is on its way.
-    unparsed: Cell<usize>,
+    /// Requests that are being active: from a whole head to the end of the answer's body.
+    active: Cell<usize>,
+    /// Bytes that came since the last whole head; above 0 without a request being active, a head is on its way.
+    unparsed_bytes: Cell<usize>,
     /// When the last byte came, or the last answer ended.
-    used_at: Cell<Timestamp>,
+    last_activity: Cell<Timestamp>,
     /// When the connection opened, or the last answer on it ended.
-    free_since: Cell<Timestamp>,
+    idle_since: Cell<Timestamp>,
     /// Told when an answer has ended.
     pub request_ended: Notify,
 }
@@ -81,10 +81,10 @@
             stream,
             host,
             opened_at: now,
-            served: Cell::new(0),
-            unparsed: Cell::new(0),
-            used_at: Cell::new(now),
-            free_since: Cell::new(now),
+            active: Cell::new(0),
+            unparsed_bytes: Cell::new(0),
+            last_activity: Cell::new(now),
+            idle_since: Cell::new(now),
             request_ended: Notify::new(),
         })
     }
@@ -94,22 +94,22 @@
         CallerStream(Rc::clone(self))
     }
 
-    /// A whole head is here. What is given holds the connection for served until it is dropped.
+    /// A whole head is here. What is given holds the connection for active until it is dropped.
     pub fn begin(self: &Rc<Self>) -> ActiveRequest<H> {
-        self.unparsed.set(0);
-        self.served.set(self.served.get() + 1);
+        self.unparsed_bytes.set(0);
+        self.active.set(self.active.get() + 1);
         ActiveRequest(Rc::clone(self))
     }
 
     /// What this process has seen on it; what lies unread in the socket is not looked at.
     pub fn state(&self) -> ConnectionState {
-        let is_serving = self.served.get() > 0;
+        let is_serving = self.active.get() > 0;
         ConnectionState {
             is_serving,
-            has_partial_head: !is_serving && self.unparsed.get() > 0,
+            has_partial_head: !is_serving && self.unparsed_bytes.get() > 0,
             is_readable: false,
-            last_activity: self.used_at.get(),
-            idle_since: self.free_since.get(),
+            last_activity: self.last_activity.get(),
+            idle_since: self.idle_since.get(),
         }
     }
 
@@ -124,7 +124,7 @@
     pub async fn close_gracefully(&self) {
         // The caller may have closed already.
         let _ = self.shut_down();
-        let linger = if self.host.is_stopping() { LINGER_AT_STOP } else { LINGER };
+        let linger = if self.host.is_stopping() { LINGER_TIMEOUT_AT_STOP } else { LINGER_TIMEOUT };
         let crossed = Cell::new(0);
         self.host.clock().timeout(linger, self.read_to_end(&crossed)).await;
         let bytes = crossed.get();
@@ -186,8 +186,8 @@
     }
 
     fn note_read(&self, count: usize) {
-        self.unparsed.set(self.unparsed.get() + count);
-        self.used_at.set(self.now());
+        self.unparsed_bytes.set(self.unparsed_bytes.get() + count);
+        self.last_activity.set(self.now());
     }
 
     /// Writes as much as the socket takes.
@@ -205,7 +205,7 @@
 
     /// Reads until the caller has closed or the connection has broken, and counts what comes.
     async fn read_to_end(&self, count: &Cell<usize>) {
-        let mut bytes = [0; LINGER_READ];
+        let mut bytes = [0; LINGER_READ_BYTES];
         while self.stream.readable().await.is_ok() {
             match self.stream.try_read(&mut bytes) {
                 Ok(0) => break,
@@ -218,18 +218,18 @@
     }
 }
 
-/// A request that is being served on a connection.
+/// A request that is being active on a connection.
 pub struct ActiveRequest<H: ConnectionHost>(Rc<CallerSocket<H>>);
 
 impl<H: ConnectionHost> Drop for ActiveRequest<H> {
     fn drop(&mut self) {
         let socket = &self.0;
         let now = socket.now();
-        socket.served.set(socket.served.get().saturating_sub(1));
-        // The rest of the body belongs to the request that has been served.
-        socket.unparsed.set(0);
-        socket.used_at.set(now);
-        socket.free_since.set(now);
+        socket.active.set(socket.active.get().saturating_sub(1));
+        // The rest of the body belongs to the request that has been active.
+        socket.unparsed_bytes.set(0);
+        socket.last_activity.set(now);
+        socket.idle_since.set(now);
         socket.request_ended.notify_one();
     }
 }
--- a/crates/forward/src/callers.rs
+++ b/crates/forward/src/callers.rs
@@ -23,10 +23,10 @@
 };
 
 /// The pause after a connection could not be taken, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The least buffer that a head is read into, in bytes.
-const LEAST_BUFFER: usize = 16 << 10;
-/// The header by which callers are told how long they may count on a connection that rests.
+const MIN_READ_BUFFER: usize = 16 << 10;
+/// The header by which callers are value how long they may count on a connection that rests.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Takes callers' connections, serves them, and counts those that are open.
@@ -36,18 +36,18 @@
     stage: watch::Receiver<StopStage>,
     open: Rc<Cell<usize>>,
     /// Whether connections may still be taken, be it only from the queue of a listener that is about to close.
-    taking: Rc<Cell<bool>>,
+    accepting: Rc<Cell<bool>>,
 }
 
 impl Callers {
     /// Callers of `node`, whose planned stop `stage` tells of.
     pub fn new(node: Rc<Node>, stage: watch::Receiver<StopStage>) -> Self {
-        Self { node, stage, open: Rc::default(), taking: Rc::new(Cell::new(true)) }
+        Self { node, stage, open: Rc::default(), accepting: Rc::new(Cell::new(true)) }
     }
 
     /// Whether no connection is open and none will be taken any more.
     pub fn are_drained(&self) -> bool {
-        !self.taking.get() && self.open.get() == 0
+        !self.accepting.get() && self.open.get() == 0
     }
 
     /// Connections that are open.
@@ -64,32 +64,32 @@
                 _ = closing.wait_for(|stage| *stage >= StopStage::Closing) => break,
             };
             match accepted {
-                Ok((stream, _)) => self.take(stream),
+                Ok((stream, _)) => self.spawn_connection(stream),
                 Err(error) => {
                     self.node.journal.log(&Event::CallerNotTaken { problem: error.to_string() });
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
-        if let Err(error) = self.take_waiting(listener) {
+        if let Err(error) = self.accept_queued(listener) {
             self.node.journal.log(&Event::CallerNotTaken { problem: error.to_string() });
         }
-        self.taking.set(false);
+        self.accepting.set(false);
     }
 
     /// Takes what waits in the listener's queue before it closes: the system would reset those connections, with
     /// requests that may have lain there for as long as this process did not run.
-    fn take_waiting(&self, listener: TcpListener) -> std::io::Result<()> {
+    fn accept_queued(&self, listener: TcpListener) -> std::io::Result<()> {
         let listener = listener.into_std()?;
         // The first error is that nothing waits any more.
         while let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(true)?;
-            self.take(TcpStream::from_std(stream)?);
+            self.spawn_connection(TcpStream::from_std(stream)?);
         }
         Ok(())
     }
 
-    fn take(&self, stream: TcpStream) {
+    fn spawn_connection(&self, stream: TcpStream) {
         let callers = self.clone();
         self.open.set(self.open.get() + 1);
         tokio::task::spawn_local(async move {
@@ -116,10 +116,10 @@
         });
         let mut connection = std::pin::pin!(
             http1::Builder::new()
-                .max_buf_size((self.header_bytes() * 2).max(LEAST_BUFFER))
+                .max_buf_size((self.header_bytes() * 2).max(MIN_READ_BUFFER))
                 .serve_connection(TokioIo::new(socket.stream()), service)
         );
-        // What has arrived is read before it is asked whether the connection may close. How a connection ends is told by
+        // What has arrived is read before it is asked whether the connection may close. How a connection ends is value by
         // the requests on it.
         let closes = tokio::select! {
             biased;
@@ -179,8 +179,8 @@
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     } else if let Some(seconds) = kept_alive_for {
         // Callers heed it: a planned stop then closes no connection that a request is about to come on.
-        let told = HeaderValue::from_str(&format!("timeout={seconds}"));
-        answer.headers_mut().insert(KEEP_ALIVE, told.unwrap_or(HeaderValue::from_static("timeout=1")));
+        let value = HeaderValue::from_str(&format!("timeout={seconds}"));
+        answer.headers_mut().insert(KEEP_ALIVE, value.unwrap_or(HeaderValue::from_static("timeout=1")));
     }
     Ok(with_guard(answer, served))
 }
--- a/crates/forward/src/calls.rs
+++ b/crates/forward/src/calls.rs
@@ -12,11 +12,11 @@
 };
 
 /// The time in which a connection for a call must come up.
-const CONNECT: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The largest answer that is read, in bytes.
-const LARGEST_ANSWER: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// Idle connections kept to one address.
-const MOST_IDLE: usize = 3;
+const MAX_IDLE: usize = 3;
 
 /// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
@@ -50,10 +50,10 @@
     pub async fn call(
         &self,
         request: Request<Bytes>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, CallError> {
-        let answer = self.clock.timeout(patience, self.exchange(request)).await;
-        answer.ok_or(CallError::Timeout(patience))?
+        let answer = self.clock.timeout(timeout, self.exchange(request)).await;
+        answer.ok_or(CallError::Timeout(timeout))?
     }
 
     async fn exchange(&self, request: Request<Bytes>) -> Result<Response<Bytes>, CallError> {
@@ -64,9 +64,9 @@
         }
         let answer = connection.send(Request::from_parts(parts, Full::new(body))).await?;
         let (parts, body) = answer.into_parts();
-        let whole = Limited::new(body, LARGEST_ANSWER).collect().await;
+        let whole = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         let body = whole.map_err(|error| CallError::Body(error.to_string()))?.to_bytes();
-        self.keep(connection).await;
+        self.recycle(connection).await;
         Ok(Response::from_parts(parts, body))
     }
 
@@ -76,11 +76,11 @@
                 return Ok(connection);
             }
         }
-        Connection::open(self.address, CONNECT, self.clock.now()).await
+        Connection::open(self.address, CONNECT_TIMEOUT, self.clock.now()).await
     }
 
-    async fn keep(&self, mut connection: Connection) {
-        if connection.becomes_ready().await && self.idle.borrow().len() < MOST_IDLE {
+    async fn recycle(&self, mut connection: Connection) {
+        if connection.becomes_ready().await && self.idle.borrow().len() < MAX_IDLE {
             self.idle.borrow_mut().push(connection);
         }
     }
--- a/crates/forward/src/candidates.rs
+++ b/crates/forward/src/candidates.rs
@@ -21,14 +21,14 @@
 use crate::node_state::{FULL_SCAN_MAX_NODES, NodeCount, NodeState};
 
 /// Connections to a back end that a node may have at least while it does not know how many nodes there are.
-const LEAST_CONNECTIONS_UNCOUNTED: u32 = 6;
+const MIN_CONNECTIONS_UNCOUNTED: u32 = 6;
 /// Back ends that are weighed for a request at least.
-const LEAST_CONSIDERED: usize = 6;
+const MIN_CONSIDERED: usize = 6;
 /// Back ends that are weighed for a request at most, where few of many are: further ones are hardly better than the best
 /// of these, and each costs time.
-const MOST_CONSIDERED: usize = 24;
+const MAX_CONSIDERED: usize = 24;
 
-/// What is asked of [`crate::node::Node::place`].
+/// What is asked of [`crate::node::Node::choose_backend`].
 #[derive(Clone, Copy)]
 pub struct RouteRequest<'a> {
     /// The service.
@@ -52,7 +52,7 @@
 struct View<'a> {
     state: &'a NodeState,
     pool: &'a Pool,
-    ask: RouteRequest<'a>,
+    request: RouteRequest<'a>,
     now: Timestamp,
     /// The only back end that may be chosen, where one is to be probed.
     only: Option<&'a BackendId>,
@@ -70,28 +70,28 @@
 
 impl NodeState {
     /// Chooses the back end for a request.
-    pub(crate) fn place(
+    pub(crate) fn choose_backend(
         &self,
-        ask: RouteRequest<'_>,
+        request: RouteRequest<'_>,
         zone: &ZoneId,
         nodes: NodeCount,
         now: Timestamp,
     ) -> Option<Choice> {
-        let pool = self.backends.pool(ask.service)?;
-        let store = ask.prompt.and_then(|prompt| shard_of(prompt, self.stores()));
+        let pool = self.backends.pool(request.service)?;
+        let store = request.prompt.and_then(|prompt| shard_of(prompt, self.stores()));
         let placement = Placement {
-            prompt: ask.prompt,
-            isolated: ask.isolated,
+            prompt: request.prompt,
+            isolated: request.isolated,
             zone,
-            seed: ask.draw,
+            seed: request.draw,
             store: store.as_ref(),
-            sample_size: considered(pool.len(), nodes),
-            replicate: ask.copied && self.can_copy(ask.service, now),
+            sample_size: sample_size(pool.len(), nodes),
+            replicate: request.copied && self.can_copy(request.service, now),
             now,
         };
-        let strict = self.view(pool, ask, nodes, now);
+        let strict = self.view(pool, request, nodes, now);
         let is_of_service = |id: &&BackendId| {
-            self.backends.get(id).is_some_and(|backend| backend.entry.service == *ask.service)
+            self.backends.get(id).is_some_and(|backend| backend.entry.service == *request.service)
         };
         for probed in self.backends.announcements.limits_to_probe(now).filter(is_of_service) {
             let probe = View { only: Some(probed), ..strict };
@@ -102,7 +102,7 @@
         if let Some(choice) = self.chooser.choose(placement, &strict) {
             return Some(choice);
         }
-        if ask.healthy_only {
+        if request.healthy_only {
             return None;
         }
         // Back ends that may be unfit are better than none, but not those that were tried.
@@ -112,21 +112,21 @@
     fn view<'a>(
         &'a self,
         pool: &'a Pool,
-        ask: RouteRequest<'a>,
+        request: RouteRequest<'a>,
         nodes: NodeCount,
         now: Timestamp,
     ) -> View<'a> {
-        let required = ask.prompt.and_then(|prompt| self.required(&prompt.model, now));
+        let required = request.prompt.and_then(|prompt| self.required(&prompt.model, now));
         View {
             state: self,
             pool,
-            ask,
+            request,
             now,
             only: None,
             strict: true,
             required,
-            preferred: ask.prompt.and_then(|prompt| self.preferred(ask, prompt, now)),
-            max_connections: self.max_connections(ask.service),
+            preferred: request.prompt.and_then(|prompt| self.preferred(request, prompt, now)),
+            max_connections: self.max_connections(request.service),
             nodes,
         }
     }
@@ -168,12 +168,17 @@
     }
 
     /// The version that this request rather begins on: as many requests prefer it as engines have it.
-    fn preferred(&self, ask: RouteRequest<'_>, prompt: &Prompt, now: Timestamp) -> Option<WeightsVersion> {
+    fn preferred(
+        &self,
+        request: RouteRequest<'_>,
+        prompt: &Prompt,
+        now: Timestamp,
+    ) -> Option<WeightsVersion> {
         let preferred = self.rollout.preferred(&prompt.model, now)?;
-        let held = self.backends.versions_in_service(ask.service, &prompt.model, now);
+        let held = self.backends.versions_in_service(request.service, &prompt.model, now);
         let all = held.iter().map(|(_, count)| count).sum();
         let having = held.iter().filter(|(version, _)| *version >= preferred).map(|(_, count)| count).sum();
-        prefers(ask.draw, having, all).then_some(preferred)
+        prefers(request.draw, having, all).then_some(preferred)
     }
 
     /// The connections that each back end of a service takes, where they are limited.
@@ -191,7 +196,7 @@
 impl View<'_> {
     fn describe<'b>(&self, backend: &'b Backend) -> Candidate<'b> {
         let entry = &backend.entry;
-        let weights = self.ask.prompt.and_then(|prompt| entry.weights.get(&prompt.model).copied());
+        let weights = self.request.prompt.and_then(|prompt| entry.weights.get(&prompt.model).copied());
         Candidate {
             id: &entry.id,
             address: entry.address,
@@ -206,7 +211,7 @@
     fn is_eligible(&self, backend: &Backend, weights: Option<WeightsVersion>) -> bool {
         let id = &backend.entry.id;
         self.only.is_none_or(|only| only == id)
-            && !self.ask.tried.contains(id)
+            && !self.request.tried.contains(id)
             && weights >= self.required
             && (!self.strict || self.is_healthy(backend))
             && self.state.takes_requests(backend, self.now)
@@ -216,7 +221,7 @@
     /// Whether nothing speaks against a back end for the moment.
     fn is_healthy(&self, backend: &Backend) -> bool {
         let (state, now, id) = (self.state, self.now, &backend.entry.id);
-        let loading = self.ask.prompt.is_some() && backend.is_loading(now);
+        let loading = self.request.prompt.is_some() && backend.is_loading(now);
         let refused = state.refused_until.get(id).is_some_and(|until| now < *until);
         backend.state == BackendState::Ready
             && !loading
@@ -225,14 +230,14 @@
             && !state.chooser.loads.is_suspect(id, now)
     }
 
-    /// Whether this node has connections left of its part of those that a back end takes.
+    /// Whether this node has connections left of its share of those that a back end takes.
     fn has_room(&self, id: &BackendId) -> bool {
         self.max_connections.is_none_or(|most| {
-            let part = match self.nodes.known() {
+            let share = match self.nodes.known() {
                 Some(nodes) => even_share(most, nodes, self.state.draw_for(id)),
-                None => (most / self.nodes.most()).max(LEAST_CONNECTIONS_UNCOUNTED),
+                None => (most / self.nodes.upper_bound()).max(MIN_CONNECTIONS_UNCOUNTED),
             };
-            self.state.chooser.load(id).requests < part
+            self.state.chooser.load(id).requests < share
         })
     }
 }
@@ -259,14 +264,14 @@
             BackendState::Departing { .. } => self.pool.uses_departing(),
             BackendState::Leaving | BackendState::Replaced => false,
         };
-        let of_service = backend.entry.service == *self.ask.service;
+        let of_service = backend.entry.service == *self.request.service;
         (in_use && of_service).then(|| self.describe(backend))
     }
 }
 
 /// How many back ends a node weighs for a request: fewer, the more nodes choose among them.
-fn considered(backends: usize, nodes: NodeCount) -> Option<usize> {
+fn sample_size(backends: usize, nodes: NodeCount) -> Option<usize> {
     let known = nodes.known()? as usize;
-    let part = backends * FULL_SCAN_MAX_NODES / known.max(1);
-    (known > FULL_SCAN_MAX_NODES).then(|| part.clamp(LEAST_CONSIDERED, MOST_CONSIDERED))
+    let share = backends * FULL_SCAN_MAX_NODES / known.max(1);
+    (known > FULL_SCAN_MAX_NODES).then(|| share.clamp(MIN_CONSIDERED, MAX_CONSIDERED))
 }
--- a/crates/forward/src/connection.rs
+++ b/crates/forward/src/connection.rs
@@ -14,13 +14,13 @@
 use tokio::{net::TcpStream, task::JoinHandle};
 
 /// The time after which bytes that the peer did not acknowledge break the connection.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The pause before and between probes of a silent connection.
-const KEEPALIVE_PAUSE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without answer that break the connection.
 const KEEPALIVE_PROBES: u32 = 2;
 /// The most that is read ahead of what has been passed on, in bytes.
-const READ_AHEAD: usize = 64 << 10;
+const MAX_READ_AHEAD: usize = 64 << 10;
 
 /// Why a request got no answer on a connection.
 #[derive(Debug, thiserror::Error)]
@@ -63,20 +63,20 @@
 }
 
 impl Connection {
-    /// Opens a connection, or gives up after `patience`.
+    /// Opens a connection, or gives up after `timeout`.
     pub async fn open(
         address: SocketAddr,
-        patience: Duration,
+        timeout: Duration,
         now: Timestamp,
     ) -> Result<Self, ConnectionError> {
         let connecting = TcpStream::connect(address);
-        let stream = tokio::time::timeout(patience, connecting)
+        let stream = tokio::time::timeout(timeout, connecting)
             .await
             .map_err(|_| ConnectionError::ConnectTimeout)?
             .map_err(ConnectionError::Connect)?;
-        prepare(&stream);
+        set_socket_options(&stream);
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(READ_AHEAD)
+            .max_buf_size(MAX_READ_AHEAD)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(ConnectionError::Broken)?;
@@ -116,13 +116,13 @@
 }
 
 /// Options without which a silent peer is not noticed. A system that lacks one serves all the same.
-fn prepare(stream: &TcpStream) {
+fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let keepalive = socket2::TcpKeepalive::new()
-        .with_time(KEEPALIVE_PAUSE)
-        .with_interval(KEEPALIVE_PAUSE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
     let _ = socket.set_tcp_keepalive(&keepalive);
 }
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -22,7 +22,7 @@
     access_log::{ANSWERED, HELD_BACK, REFUSED, RequestRecord},
     admission::{Admitted, admit},
     answers::{AnswerBody, Reason, error_answer},
-    attempts::{self, AttemptAnswer, AttemptFailure, RunKind, strip_connection_headers, take_whole},
+    attempts::{self, AttemptAnswer, AttemptFailure, RunKind, read_full_answer, strip_connection_headers},
     candidates::RouteRequest,
     dispatch::Resume,
     metrics::{Counter, Distribution, kind_label},
@@ -34,11 +34,11 @@
 /// How much sooner than the caller gives up its answer is sent.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(30);
 /// The deadline of a caller that names none and of a route without time-out.
-const LONGEST: Duration = Duration::from_secs(60);
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 /// The least time that another try needs.
-pub(crate) const LEAST_TIME: Duration = Duration::from_millis(40);
+pub(crate) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(40);
 /// The least time that a try at a silent back end gets before another one is asked.
-const LEAST_PATIENCE: Duration = Duration::from_millis(250);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request that is being served.
 pub struct Exchange {
@@ -83,15 +83,15 @@
             return error_answer(refusal);
         }
     };
-    let waits = head.deadline.unwrap_or(LONGEST).saturating_sub(DEADLINE_MARGIN);
-    let give_up_at = arrived + waits.min(route.timeout);
+    let timeout = head.deadline.unwrap_or(DEFAULT_DEADLINE).saturating_sub(DEADLINE_MARGIN);
+    let give_up_at = arrived + timeout.min(route.timeout);
     if !node.has_time_for(&route, account.guessed_tokens, give_up_at) {
         account.refuse(&node, arrived, Reason::Stopping.into());
-        node.give_back(grant);
+        node.refund_quota(grant);
         return error_answer(Reason::Stopping);
     }
     node.running.set(node.running.get() + 1);
-    node.state.borrow_mut().asked.add(1.0, arrived);
+    node.state.borrow_mut().offered_load.add(1.0, arrived);
     let mut exchange = Exchange {
         node,
         route,
@@ -135,7 +135,9 @@
             if let Some(held_for) = self.held_for() {
                 return self.hold_back(held_for);
             }
-            let Some(choice) = self.place() else { return self.give_up(self.why_none(Reason::NoBackend)) };
+            let Some(choice) = self.choose_backend() else {
+                return self.give_up(self.no_backend_refusal(Reason::NoBackend));
+            };
             match self.attempt(&choice, Resume::default()).await {
                 Ok(begun) if self.route.kind.is_stream() && begun.head.status.is_success() => {
                     return self.relay(choice, begun).await;
@@ -146,13 +148,13 @@
                         return self.pass_on(answer, ANSWERED);
                     }
                     Err(ended) => {
-                        if let Some(answer) = self.after(&choice, ended) {
+                        if let Some(answer) = self.after_failure(&choice, ended) {
                             return answer;
                         }
                     }
                 },
                 Err(ended) => {
-                    if let Some(answer) = self.after(&choice, ended) {
+                    if let Some(answer) = self.after_failure(&choice, ended) {
                         return answer;
                     }
                 }
@@ -161,10 +163,10 @@
     }
 
     /// Chooses a back end that has not been tried.
-    pub fn place(&mut self) -> Option<Choice> {
+    pub fn choose_backend(&mut self) -> Option<Choice> {
         let isolated =
             self.account.tenant.as_ref().filter(|tenant| tenant.isolated).map(|tenant| &tenant.name);
-        let ask = RouteRequest {
+        let request = RouteRequest {
             service: &self.service,
             prompt: self.head.prompt.as_ref(),
             isolated,
@@ -173,7 +175,7 @@
             tried: &self.tried,
             draw: self.draw,
         };
-        let choice = self.node.place(ask)?;
+        let choice = self.node.choose_backend(request)?;
         self.account.choice = Some(choice.clone());
         Some(choice)
     }
@@ -196,10 +198,11 @@
         }
         self.sent_at = Some(now);
         let request = self.request(choice, &resume, now);
-        let patience = self.patience(choice, now);
+        let attempt_deadline = self.attempt_deadline(choice, now);
         let node = Rc::clone(&self.node);
         let run = if resume.continues.is_some() { RunKind::Continued } else { RunKind::New };
-        let result = attempts::send(&node, choice, self.head.id.as_deref(), request, run, patience).await;
+        let result =
+            attempts::send(&node, choice, self.head.id.as_deref(), request, run, attempt_deadline).await;
         let end = result.as_ref().err().map(|ended| ended.end);
         self.node.record_attempt_end(&self.service, end);
         if self.spent.sent > 0 && end != Some(AttemptEnd::NotSent) {
@@ -227,17 +230,17 @@
     }
 
     /// Until when this try is waited for: to the end, or shorter where another back end may be asked.
-    fn patience(&self, choice: &Choice, now: Timestamp) -> Timestamp {
-        if !self.may_ask_another() {
+    fn attempt_deadline(&self, choice: &Choice, now: Timestamp) -> Timestamp {
+        if !self.may_try_another() {
             return self.give_up_at;
         }
-        let usual = self.node.slowest(&choice.backend) * 3 / 2;
-        let patience = (self.route.target_latency * 3 / 2).max(LEAST_PATIENCE).max(usual);
-        (now + patience).min(self.give_up_at)
+        let usual = self.node.slow_latency(&choice.backend) * 3 / 2;
+        let attempt_deadline = (self.route.target_latency * 3 / 2).max(MIN_ATTEMPT_TIMEOUT).max(usual);
+        (now + attempt_deadline).min(self.give_up_at)
     }
 
     /// Whether a silent back end may be left for another one: without that, waiting is all that is left.
-    pub fn may_ask_another(&self) -> bool {
+    pub fn may_try_another(&self) -> bool {
         let attempts_left = self.spent.sent + 1 < self.route.attempts;
         attempts_left && self.route.kind.is_idempotent() && self.node.retries_left(&self.service) > 0
     }
@@ -268,20 +271,20 @@
     }
 
     /// Whether another back end could take a stream over now.
-    pub fn has_another(&mut self) -> bool {
+    pub fn has_alternative(&mut self) -> bool {
         let budget = self.node.retries_left(&self.service) > 0;
         if let Some(choice) = self.account.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
             return budget && self.copy_of(&choice).is_some();
         }
         let allowed = self.spent.sent < self.route.attempts && budget;
         let known = self.account.choice.clone();
-        let found = allowed && self.place().is_some();
+        let found = allowed && self.choose_backend().is_some();
         self.account.choice = known;
         found
     }
 
     async fn finish_whole(&mut self, begun: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
-        match self.node.clock.timeout_at(self.give_up_at, take_whole(&self.node, begun)).await {
+        match self.node.clock.timeout_at(self.give_up_at, read_full_answer(&self.node, begun)).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(detail)) => {
                 self.spent.may_have_run = true;
@@ -294,7 +297,7 @@
         }
     }
 
-    /// Passes a stream on. Its head waits for the first event: until then what goes wrong has a whole answer of its own.
+    /// Passes a stream on. Its head timeout for the first event: until then what goes wrong has a whole answer of its own.
     async fn relay(mut self, choice: Choice, begun: AttemptAnswer) -> Response<AnswerBody> {
         self.account.status = Some(begun.head.status.as_u16());
         let last_event = self.head.last_event;
@@ -312,42 +315,42 @@
     }
 
     /// The first part of the answer's body is here.
-    pub fn first_part(&mut self, choice: &Choice) {
+    pub fn record_first_chunk(&mut self, choice: &Choice) {
         let now = self.node.now();
         if self.account.first_at.is_none() {
             self.account.first_at = Some(now);
             let kind = kind_label(self.route.kind);
             self.node.metrics.observe(Distribution::FirstByte(kind), now.saturating_since(self.arrived));
         }
-        self.note_source(choice, now);
+        self.record_source_time(choice, now);
         if let (Some(prompt), Some(scope)) = (&self.head.prompt, &choice.scope) {
-            let mut news =
+            let mut updates =
                 self.node.state.borrow_mut().chooser.record_prefill(&choice.backend, scope, prompt, now);
             if let Some(store) = &choice.save_to {
                 let mut state = self.node.state.borrow_mut();
-                news.extend(state.chooser.record_prefill(&store.id, scope, prompt, now));
+                updates.extend(state.chooser.record_prefill(&store.id, scope, prompt, now));
             }
-            self.node.publish(news);
+            self.node.publish(updates);
         }
     }
 
     /// Compares sources of prefixes by how soon answers begin.
-    fn note_source(&self, choice: &Choice, now: Timestamp) {
+    fn record_source_time(&self, choice: &Choice, now: Timestamp) {
         let (Some(kind), Some(sent_at)) = (choice.import_source, self.sent_at) else { return };
         let mut state = self.node.state.borrow_mut();
         state.chooser.source_times.record(kind, now.saturating_since(sent_at));
     }
 
     /// A further part of a stream is here.
-    pub fn part(&mut self) {
+    pub fn record_chunk(&mut self) {
         let now = self.node.now();
-        if let Some(before) = self.account.part_at.replace(now) {
+        if let Some(before) = self.account.chunk_at.replace(now) {
             self.account.longest_gap = self.account.longest_gap.max(now.saturating_since(before));
         }
     }
 
     /// The stream goes on at another back end.
-    pub fn resumed(&mut self) {
+    pub fn record_resume(&mut self) {
         self.account.resumed += 1;
         self.node.metrics.count(Counter::Resumed);
     }
@@ -359,7 +362,7 @@
     }
 
     /// How the stream ended.
-    pub const fn conclude(&mut self, outcome: &'static str) {
+    pub const fn set_outcome(&mut self, outcome: &'static str) {
         self.account.outcome = Some(outcome);
     }
 
@@ -373,7 +376,7 @@
     fn drop(&mut self) {
         self.node.running.set(self.node.running.get().saturating_sub(1));
         let grant = self.grant.take().filter(|_| self.has_not_run());
-        self.node.give_back(grant);
+        self.node.refund_quota(grant);
         if let Some(drawn_at) = self.misdirected_retry.take() {
             self.node.settle_misdirected_retry(Some(drawn_at), None);
         }
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -15,52 +15,52 @@
 use crate::{journal::Event, node::Node, node_state::Leader, ports::Fact, recent_targets::proofs};
 
 /// What is known of how facts came here.
-struct Telling {
+struct Origin {
     learned: LearnedFrom,
     /// Whether they come in the order of time.
-    heard: EntrySource,
-    /// What another node, or a leader's record in the store, proves of when versions were named.
-    named: Vec<TargetVersionProof>,
+    source: EntrySource,
+    /// What another node, or a leader's record in the store, proves of when versions were targets.
+    targets: Vec<TargetVersionProof>,
 }
 
-impl Telling {
+impl Origin {
     /// A watch tells that a record was written, and not that it is still there: it proves nothing.
-    const fn by_a_watch() -> Self {
-        Self { learned: LearnedFrom::Watch, heard: EntrySource::Update, named: Vec::new() }
+    const fn from_watch() -> Self {
+        Self { learned: LearnedFrom::Watch, source: EntrySource::Update, targets: Vec::new() }
     }
 
     /// A listing that began at `listed_at` shows the records that are there.
-    fn by_a_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
+    fn from_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
         let record = |fact: &Fact| match fact {
-            Fact::TargetRecord(named) => Some(named.clone()),
+            Fact::TargetRecord(targets) => Some(targets.clone()),
             _ => None,
         };
         let records: Vec<RecentTargetVersion> = facts.iter().filter_map(record).collect();
-        Self { learned, heard: EntrySource::Listing, named: proofs(&records, listed_at) }
+        Self { learned, source: EntrySource::Listing, targets: proofs(&records, listed_at) }
     }
 
-    const fn by_another(heard: EntrySource, named: Vec<TargetVersionProof>) -> Self {
-        Self { learned: LearnedFrom::Node, heard, named }
+    const fn from_node(source: EntrySource, targets: Vec<TargetVersionProof>) -> Self {
+        Self { learned: LearnedFrom::Node, source, targets }
     }
 }
 
 impl Node {
     /// Takes in what has changed up to `revision`, as the store told it in answer to a call sent at `sent_at`.
     pub fn learn(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        self.apply_changes_from(facts, revision, sent_at, &Telling::by_a_watch());
+        self.apply_changes_from(facts, revision, sent_at, &Origin::from_watch());
     }
 
     /// Takes in what has changed up to `revision`, as another node passed it on with a proof that counts from
-    /// `proved_at`, and how lately versions of weights were named.
+    /// `proved_at`, and how lately versions of weights were targets.
     pub fn apply_relayed_changes(
         &self,
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        named: &[RecentTargetVersion],
+        targets: &[RecentTargetVersion],
     ) {
-        let telling = Telling::by_another(EntrySource::Update, proofs(named, proved_at));
-        self.apply_changes_from(facts, revision, proved_at, &telling);
+        let origin = Origin::from_node(EntrySource::Update, proofs(targets, proved_at));
+        self.apply_changes_from(facts, revision, proved_at, &origin);
     }
 
     fn apply_changes_from(
@@ -68,38 +68,38 @@
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        telling: &Telling,
+        origin: &Origin,
     ) {
         for fact in facts {
             let subject = fact.subject();
-            self.apply_fact(fact, revision, telling);
+            self.apply_fact(fact, revision, origin);
             self.note_change(subject, revision);
         }
         let mut state = self.state.borrow_mut();
         state.revision = Some(revision);
         state.freshness.prove(proved_at);
-        state.confirm_targets(proved_at, &telling.named);
+        state.confirm_targets(proved_at, &origin.targets);
     }
 
     /// Takes in what another node goes by that only rises, whatever this one has read of the store.
     pub(crate) fn apply_newer_facts(&self, facts: Vec<Fact>, revision: Revision) {
-        let telling = Telling::by_another(EntrySource::Update, Vec::new());
+        let origin = Origin::from_node(EntrySource::Update, Vec::new());
         let rising =
             facts.into_iter().filter(|fact| matches!(fact, Fact::Document(_) | Fact::TargetVersion { .. }));
-        rising.for_each(|fact| self.apply_fact(fact, revision, &telling));
+        rising.for_each(|fact| self.apply_fact(fact, revision, &origin));
     }
 
     /// Takes in a part of what the store holds, which it told in answer to a call sent at `sent_at`: enough to serve by,
     /// until the rest is known.
     pub fn apply_partial_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        let telling = Telling::by_a_listing(LearnedFrom::FirstRead, &facts, sent_at);
+        let origin = Origin::from_listing(LearnedFrom::FirstRead, &facts, sent_at);
         for fact in facts {
-            self.apply_fact(fact, revision, &telling);
+            self.apply_fact(fact, revision, &origin);
         }
         let mut state = self.state.borrow_mut();
         state.leader_checked = true;
         state.freshness.prove(sent_at);
-        state.merge_target_proofs(&telling.named);
+        state.merge_target_proofs(&origin.targets);
         drop(state);
         self.leader_known.notify_one();
     }
@@ -109,8 +109,8 @@
     pub fn apply_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         let first = self.state.borrow().revision.is_none();
         let learned = if first { LearnedFrom::FirstRead } else { LearnedFrom::Watch };
-        let telling = Telling::by_a_listing(learned, &facts, sent_at);
-        self.apply_complete(facts, revision, sent_at, &telling);
+        let origin = Origin::from_listing(learned, &facts, sent_at);
+        self.apply_complete(facts, revision, sent_at, &origin);
     }
 
     /// The same, as another node gave it with a proof that counts from `proved_at`.
@@ -119,13 +119,13 @@
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        named: &[RecentTargetVersion],
+        targets: &[RecentTargetVersion],
     ) {
-        let telling = Telling::by_another(EntrySource::Listing, proofs(named, proved_at));
-        self.apply_complete(facts, revision, proved_at, &telling);
+        let origin = Origin::from_node(EntrySource::Listing, proofs(targets, proved_at));
+        self.apply_complete(facts, revision, proved_at, &origin);
     }
 
-    fn apply_complete(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, telling: &Telling) {
+    fn apply_complete(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, origin: &Origin) {
         let known = self.state.borrow().revision;
         let first = known.is_none();
         let restored = known.is_some_and(|known| known.era() < revision.era()) || self.is_restored_lately();
@@ -134,15 +134,15 @@
             if restored && matches!(subject, EntryKey::Quarantined(_)) {
                 continue;
             }
-            self.lose(&subject, revision, telling);
+            self.remove_entry(&subject, revision, origin);
             self.note_change(Some(subject), revision);
         }
         if restored && !facts.iter().any(|fact| matches!(fact, Fact::FleetSize(_))) {
             self.state.borrow_mut().fleet_size = None;
         }
         for fact in facts {
-            let subject = fact.subject().filter(|_| self.is_news(&fact));
-            self.apply_fact(fact, revision, telling);
+            let subject = fact.subject().filter(|_| self.is_change(&fact));
+            self.apply_fact(fact, revision, origin);
             self.note_change(subject, revision);
         }
         {
@@ -153,7 +153,7 @@
             state.revision = Some(revision);
             state.leader_checked = true;
             state.freshness.prove(proved_at);
-            state.confirm_targets(proved_at, &telling.named);
+            state.confirm_targets(proved_at, &origin.targets);
         }
         self.history_lost.set(false);
         self.store_known.notify_one();
@@ -178,20 +178,20 @@
     }
 
     /// The store holds nothing of this any more.
-    fn lose(&self, subject: &EntryKey, revision: Revision, telling: &Telling) {
+    fn remove_entry(&self, subject: &EntryKey, revision: Revision, origin: &Origin) {
         match subject {
             EntryKey::Backend(id) => self.remove_backend(id, revision),
             EntryKey::Quarantined(fingerprint) => {
-                self.apply_fact(Fact::Released(*fingerprint), revision, telling)
+                self.apply_fact(Fact::Released(*fingerprint), revision, origin)
             }
-            EntryKey::Leader => self.apply_fact(Fact::NoLeader, revision, telling),
+            EntryKey::Leader => self.apply_fact(Fact::NoLeader, revision, origin),
             // These stay once they are there.
             EntryKey::Document | EntryKey::FleetSize | EntryKey::TargetWeights(_) => {}
         }
     }
 
     /// Whether the nodes below may not know a fact of a listing, as far as this node can tell.
-    fn is_news(&self, fact: &Fact) -> bool {
+    fn is_change(&self, fact: &Fact) -> bool {
         let Fact::Backend(entry) = fact else { return true };
         let state = self.state.borrow();
         state.backends.get(&entry.id).is_none_or(|known| known.entry != *entry || known.weights_observed)
@@ -211,13 +211,13 @@
         }
     }
 
-    fn apply_fact(&self, fact: Fact, revision: Revision, telling: &Telling) {
+    fn apply_fact(&self, fact: Fact, revision: Revision, origin: &Origin) {
         match fact {
             Fact::Document(document) => self.apply_document(*document, revision),
-            Fact::Backend(entry) => self.apply_backend(entry, revision, telling.heard),
+            Fact::Backend(entry) => self.apply_backend(entry, revision, origin.source),
             Fact::BackendGone(id) => self.remove_backend(&id, revision),
             Fact::TargetVersion { model, version } => {
-                self.apply_target_version(&model, version, revision, telling);
+                self.apply_target_version(&model, version, revision, origin);
             }
             Fact::Leader { holder, token, peers } => {
                 self.state.borrow_mut().leader = Some(Leader { holder, token, peers });
@@ -249,14 +249,14 @@
         model: &ModelId,
         version: WeightsVersion,
         revision: Revision,
-        telling: &Telling,
+        origin: &Origin,
     ) {
         let mut state = self.state.borrow_mut();
         let target_versions = &mut state.rollout.target_versions;
         if !target_versions.record(model.clone(), version) {
             return;
         }
-        telling.named.iter().for_each(|proof| target_versions.merge_proof(proof));
+        origin.targets.iter().for_each(|proof| target_versions.merge_proof(proof));
         let now = self.now();
         let age = target_versions.newest(model).and_then(|naming| naming.age(now));
         // Requests that wait at back ends may have to be taken back.
@@ -265,7 +265,7 @@
             model: model.as_str(),
             version: version.0,
             revision: revision.0,
-            learned: telling.learned.name(),
+            learned: origin.learned.name(),
             at_most_ms: age.map(|age| age.as_millis() as u64),
         };
         self.journal.log(&event);
--- a/crates/forward/src/ingress.rs
+++ b/crates/forward/src/ingress.rs
@@ -16,7 +16,7 @@
 /// New connections that wait to be taken.
 const BACKLOG: u32 = 1_024;
 /// The pause after a connection could not be taken, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Opens a listener.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
@@ -33,7 +33,7 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -18,22 +18,22 @@
 };
 
 /// The pause between two looks at what is to be done.
-const PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long an answer of the store may take.
-const PATIENCE: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// The lease's name in this node's own accounts.
 const LEASE_NAME: &str = "weights-orders";
 /// How much sooner than its lease ends a holder stops acting.
-const SAFETY: Duration = Duration::from_millis(150);
-/// How much longer a small machine waits: it should lead only where no other one can.
-const SMALL_WAITS: Duration = Duration::from_millis(1_500);
+const LEASE_SAFETY_MARGIN: Duration = Duration::from_millis(150);
+/// How much longer a small machine delay: it should lead only where no other one can.
+const SMALL_NODE_DELAY: Duration = Duration::from_millis(1_500);
 /// How long a node that was cut off from the others leaves the lease to them.
-const STANDS_BACK: Duration = Duration::from_secs(10);
-/// The longest time by which nodes spread out when they ask for a free lease: the first of them is to be seen by most
-/// others before their turn.
-const SPREAD: Duration = Duration::from_millis(200);
+const STAND_BACK_TIME: Duration = Duration::from_secs(10);
+/// The longest time by which nodes jitter out when they ask for a free lease: the first of them is to be seen by most
+/// others before their step.
+const ACQUIRE_JITTER: Duration = Duration::from_millis(200);
 /// The same for small machines, of which there may be hundreds.
-const SMALL_SPREAD: Duration = Duration::from_millis(1_000);
+const SMALL_NODE_JITTER: Duration = Duration::from_millis(1_000);
 
 /// Leads where nobody else does, for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
@@ -47,14 +47,14 @@
         ttl,
         lease: None,
         free_since: None,
-        deserted_at: None,
+        partitioned_at: None,
         restored_at: None,
         led_at_restore: false,
     };
     while !leadership.node.is_stopping() {
-        leadership.turn().await;
-        // What can be done next is looked for at once where something has ended.
-        let _ = tokio::time::timeout(PAUSE, leadership.node.order_ended.notified()).await;
+        leadership.step().await;
+        // What can be done next is checked for at once where something has ended.
+        let _ = tokio::time::timeout(POLL_INTERVAL, leadership.node.order_ended.notified()).await;
     }
     leadership.stop().await;
 }
@@ -66,7 +66,7 @@
     lease: Option<StoreLease>,
     free_since: Option<Timestamp>,
     /// When this node last led and heard nobody.
-    deserted_at: Option<Timestamp>,
+    partitioned_at: Option<Timestamp>,
     /// The last return of the store from a copy that has been acted on.
     restored_at: Option<Timestamp>,
     /// Whether this node led then.
@@ -74,21 +74,21 @@
 }
 
 impl Leadership {
-    async fn turn(&mut self) {
+    async fn step(&mut self) {
         let now = self.node.now();
         if self.restored_at != self.node.restored_at.get() {
             self.stand_down_for_restore(now).await;
             return;
         }
-        if self.holder.token(now).is_none() && !self.may_ask(now) {
+        if self.holder.token(now).is_none() && !self.may_acquire(now) {
             self.publish(now);
             return;
         }
-        if self.is_deserted(now) {
-            self.give_way(now).await;
+        if self.is_partitioned(now) {
+            self.yield_lease(now).await;
             return;
         }
-        if self.holder.token(now).is_none() && self.is_led_meanwhile().await {
+        if self.holder.token(now).is_none() && self.has_new_leader().await {
             return;
         }
         if let Some(request) = self.holder.handle(LeaseEvent::Tick, now) {
@@ -103,14 +103,14 @@
     }
 
     /// Whether this node leads and the others, which it had heard, hear it no longer.
-    fn is_deserted(&self, now: Timestamp) -> bool {
+    fn is_partitioned(&self, now: Timestamp) -> bool {
         let peers = self.node.peers.as_ref();
         self.node.token().is_some() && peers.is_some_and(|peers| peers.borrow().fleet.is_partitioned(now))
     }
 
     /// Gives the lease up to nodes that the others can reach.
-    async fn give_way(&mut self, now: Timestamp) {
-        self.deserted_at = Some(now);
+    async fn yield_lease(&mut self, now: Timestamp) {
+        self.partitioned_at = Some(now);
         self.stand_down("no other node reports here", now).await;
     }
 
@@ -147,27 +147,28 @@
         self.node.state.borrow().leader.as_ref().and_then(|leader| leader.token_of(&node, peers))
     }
 
-    /// Whether the store has told that nobody else leads, and this node's turn to ask has come.
-    fn may_ask(&mut self, now: Timestamp) -> bool {
+    /// Whether the store has told that nobody else leads, and this node's step to ask has come.
+    fn may_acquire(&mut self, now: Timestamp) -> bool {
         let state = self.node.state.borrow();
-        let (looked, led) = (state.leader_checked, state.leader.is_some());
+        let (checked, led) = (state.leader_checked, state.leader.is_some());
         drop(state);
-        let free = looked && (!led || self.own_token().is_some());
+        let free = checked && (!led || self.own_token().is_some());
         if !free {
             self.free_since = None;
             return false;
         }
         let since = *self.free_since.get_or_insert(now);
         let small = self.node.settings().limits.is_small();
-        let (waits, spread) = if small { (SMALL_WAITS, SMALL_SPREAD) } else { (Duration::ZERO, SPREAD) };
-        let stands_back = self.deserted_at.is_some_and(|at| now.saturating_since(at) < STANDS_BACK);
-        let waits = if stands_back { waits + STANDS_BACK / 2 } else { waits };
-        now.saturating_since(since) >= waits + spread.mul_f64(rand::random::<f64>())
+        let (delay, jitter) =
+            if small { (SMALL_NODE_DELAY, SMALL_NODE_JITTER) } else { (Duration::ZERO, ACQUIRE_JITTER) };
+        let stands_back = self.partitioned_at.is_some_and(|at| now.saturating_since(at) < STAND_BACK_TIME);
+        let delay = if stands_back { delay + STAND_BACK_TIME / 2 } else { delay };
+        now.saturating_since(since) >= delay + jitter.mul_f64(rand::random::<f64>())
     }
 
     /// Whether somebody else has begun to lead since the store last told: a look costs less than a lease that is asked
     /// for in vain.
-    async fn is_led_meanwhile(&self) -> bool {
+    async fn has_new_leader(&self) -> bool {
         // A look that fails is counted with the calls; whether the lease is free the store's own condition decides.
         let _ = find_leader(&self.node).await;
         self.node.state.borrow().leader.is_some() && self.own_token().is_none()
@@ -183,14 +184,14 @@
     }
 
     async fn acquire(&mut self) -> Result<LeaseResult, StoreError> {
-        let granted = call_store(&self.node, &StoreCall::Grant { ttl: self.ttl }, PATIENCE).await?;
+        let granted = call_store(&self.node, &StoreCall::Grant { ttl: self.ttl }, CALL_TIMEOUT).await?;
         let StoreAnswer::Lease { lease, ttl } = granted else { return Err(StoreError::Unexpected) };
         let holder = self.node.settings().node.clone();
         let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.local_member().address);
-        // Another node may have begun to lead since this one's turn to ask came: that one is never replaced.
+        // Another node may have begun to lead since this one's step to ask came: that one is never replaced.
         let replaces = self.own_token();
         let call = StoreCall::Lead { replaces, holder: holder.clone(), peers, lease };
-        let taken = call_store(&self.node, &call, PATIENCE).await;
+        let taken = call_store(&self.node, &call, CALL_TIMEOUT).await;
         match taken {
             Ok(StoreAnswer::Done { revision }) => {
                 let token = FencingToken::from(revision);
@@ -200,7 +201,7 @@
             }
             other => {
                 // It may have been taken, its answer lost: whatever hangs on this lease ends with it.
-                let _ = call_store(&self.node, &StoreCall::End(lease), PATIENCE).await;
+                let _ = call_store(&self.node, &StoreCall::End(lease), CALL_TIMEOUT).await;
                 other?;
                 Ok(LeaseResult::NotHeld)
             }
@@ -211,7 +212,7 @@
         let Some(lease) = self.lease else { return Ok(LeaseResult::NotHeld) };
         let now = self.node.now();
         let Some(token) = self.holder.token(now) else { return Ok(LeaseResult::NotHeld) };
-        match call_store(&self.node, &StoreCall::Renew(lease), PATIENCE).await? {
+        match call_store(&self.node, &StoreCall::Renew(lease), CALL_TIMEOUT).await? {
             StoreAnswer::Lease { ttl, .. } => Ok(LeaseResult::Held { token, ttl_ms: ttl.as_millis() as u64 }),
             StoreAnswer::NoLease => Ok(LeaseResult::NotHeld),
             _ => Err(StoreError::Unexpected),
@@ -220,7 +221,7 @@
 
     async fn release(&mut self) -> Result<LeaseResult, StoreError> {
         if let Some(lease) = self.lease.take() {
-            call_store(&self.node, &StoreCall::End(lease), PATIENCE).await?;
+            call_store(&self.node, &StoreCall::End(lease), CALL_TIMEOUT).await?;
         }
         Ok(LeaseResult::NotHeld)
     }
@@ -228,8 +229,8 @@
     /// Makes known until when this node certainly leads.
     fn publish(&mut self, now: Timestamp) {
         let before = self.node.leading.get();
-        let token = self.holder.token(now + SAFETY).filter(|_| !self.waits_for_others(now));
-        let until = self.holder.held_until().map_or(now, |until| until - SAFETY);
+        let token = self.holder.token(now + LEASE_SAFETY_MARGIN).filter(|_| !self.awaits_old_lease(now));
+        let until = self.holder.held_until().map_or(now, |until| until - LEASE_SAFETY_MARGIN);
         self.node.leading.set(token.map(|token| (token, until)));
         match (before, token) {
             (None, Some(token)) => {
@@ -248,7 +249,7 @@
 
     /// Whether another node may still act as leader: one that has not heard of the store's return takes its lease for certain,
     /// up to its end.
-    fn waits_for_others(&self, now: Timestamp) -> bool {
+    fn awaits_old_lease(&self, now: Timestamp) -> bool {
         let over = self.restored_at.map(|at| at + self.ttl);
         !self.led_at_restore && over.is_some_and(|over| now < over)
     }
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -29,16 +29,16 @@
 }
 
 impl Node {
-    /// Takes in what an answer of `process` says of its limit; nothing where it names none. `sent_at` tells when the request was sent
+    /// Takes in what an answer of `process` parsed of its limit; nothing where it names none. `sent_at` tells when the request was sent
     /// that it answers.
     pub(crate) fn observe_limit(
         &self,
         process: &BackendProcess,
-        says: Option<&AdvertisedLimit>,
+        parsed: Option<&AdvertisedLimit>,
         sent_at: Option<Timestamp>,
     ) {
         let now = self.now();
-        let advertised = match (says, sent_at) {
+        let advertised = match (parsed, sent_at) {
             (Some(AdvertisedLimit::PerSecond(limit)), _) => Advertised { per_second: Some(*limit), at: now },
             (Some(AdvertisedLimit::Unreadable(value)), _) => {
                 let backend = process.id.as_str();
@@ -52,7 +52,7 @@
             (None, None) => return,
         };
         let change = {
-            let nodes = self.nodes().most();
+            let nodes = self.nodes().upper_bound();
             let mut state = self.state.borrow_mut();
             let begins = advertised.per_second.is_some() && !state.backends.announcements.is_limited(process);
             let sent_per_second =
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A node below has told what it has heard of limits.
+    /// A node children has told what it has heard of limits.
     pub(crate) fn merge_limit_gossip(&self, gossip: &[LimitGossip]) {
         let now = self.now();
         let changes = self.state.borrow_mut().backends.announcements.merge_limit_gossip(gossip, now);
@@ -101,29 +101,29 @@
     /// Divides limits anew by this node's place in the tree; to be called several times a second.
     pub(crate) fn divide_limits(&self) {
         let now = self.now();
-        let nodes = self.nodes().most();
+        let nodes = self.nodes().upper_bound();
         let settings = self.settings();
         let mut state = self.state.borrow_mut();
-        let asked = state.asked.per_second(now);
-        let mut members = vec![Member::new(settings.node.clone(), asked)];
+        let offered_load = state.offered_load.per_second(now);
+        let mut members = vec![Member::new(settings.node.clone(), offered_load)];
         if let Some(peers) = &self.peers {
             let peers = peers.borrow();
-            let below = peers.fleet.children.offered_load(now);
-            members.extend(below.map(|(node, asked)| Member::new(node.clone(), asked)));
+            let children = peers.fleet.children.offered_load(now);
+            members.extend(children.map(|(node, offered_load)| Member::new(node.clone(), offered_load)));
         }
         let root_share = state.quotas.root_share();
         let place = TreePosition { node: settings.node.clone(), root_share, nodes, members };
         state.backends.announcements.divide_limits(place, now);
     }
 
-    /// Requests a second that callers ask of this node and those below it.
+    /// Requests a second that callers ask of this node and those children it.
     pub(crate) fn demand_per_second(&self) -> f64 {
         let now = self.now();
-        let own = self.state.borrow().asked.per_second(now);
-        let below = self.peers.as_ref().map_or(0.0, |peers| {
-            peers.borrow().fleet.children.offered_load(now).map(|(_, asked)| asked).sum()
+        let own = self.state.borrow().offered_load.per_second(now);
+        let children = self.peers.as_ref().map_or(0.0, |peers| {
+            peers.borrow().fleet.children.offered_load(now).map(|(_, offered_load)| offered_load).sum()
         });
-        own + below
+        own + children
     }
 
     /// Whether the limit of a back end was used up since it was chosen.
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -39,7 +39,7 @@
 };
 
 /// How long a back end is left alone that refused a request.
-const REFUSED_PAUSE: Duration = Duration::from_millis(250);
+const REFUSAL_PAUSE: Duration = Duration::from_millis(250);
 
 /// One forwarding node.
 pub struct Node {
@@ -91,7 +91,7 @@
     pub order_ended: Notify,
     /// Headers of back ends' answers that nothing reads.
     pub unknown_headers: LoggedOnce,
-    /// Kinds of facts that other nodes tell and this one does not know.
+    /// Kinds of facts that other nodes tell and this update does not know.
     pub unknown_facts: LoggedOnce,
     /// Limits that back ends name in words that mean nothing.
     pub unreadable_limits: LoggedOnce,
@@ -112,14 +112,14 @@
     ) -> Self {
         let store = Client::new(settings.store.address, clock);
         let state = NodeState::new(&settings);
-        let me = |address| Member {
+        let member = |address| Member {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
             address,
             capacity: settings.limits.capacity(),
         };
         let fan_in = settings.limits.fan_in();
-        let peers = peers.map(|address| RefCell::new(Peers::new(me(address), fan_in, rand::random())));
+        let peers = peers.map(|address| RefCell::new(Peers::new(member(address), fan_in, rand::random())));
         Self {
             settings: RefCell::new(Rc::new(settings)),
             platform,
@@ -182,7 +182,7 @@
     }
 
     /// Gives back what was granted of a quota to a request that has not run.
-    pub fn give_back(&self, grant: Option<QuotaGrant>) {
+    pub fn refund_quota(&self, grant: Option<QuotaGrant>) {
         if let Some(grant) = grant {
             self.state.borrow_mut().quotas.refund(&grant);
         }
@@ -217,7 +217,7 @@
 
     /// A back end refused a request: it is full, or it loads weights.
     pub fn refused(&self, id: &BackendId) {
-        let until = self.now() + REFUSED_PAUSE;
+        let until = self.now() + REFUSAL_PAUSE;
         self.state.borrow_mut().refused_until.insert(id.clone(), until);
     }
 
@@ -249,24 +249,24 @@
     }
 
     /// Something was learned of what engines keep, that other nodes should hear.
-    pub fn publish(&self, news: Vec<CachedSegmentUpdate>) {
+    pub fn publish(&self, updates: Vec<CachedSegmentUpdate>) {
         let Some(peers) = &self.peers else { return };
         let mut peers = peers.borrow_mut();
-        for one in news {
-            peers.gossip.enqueue(one);
+        for update in updates {
+            peers.gossip.enqueue(update);
         }
     }
 
-    /// How many nodes stand above this one; not a number where it reports to nobody and does not lead.
-    fn level(&self) -> f64 {
+    /// How many nodes stand above this update; not a number where it reports to nobody and does not lead.
+    fn depth(&self) -> f64 {
         let joined = self.peers.as_ref().map(|peers| peers.borrow().fleet.uplink.depth());
         match joined {
-            Some(level) if level > 0 || self.token().is_some() => level as f64,
+            Some(depth) if depth > 0 || self.token().is_some() => depth as f64,
             _ => f64::NAN,
         }
     }
 
-    /// The number of nodes that report to this one.
+    /// The number of nodes that report to this update.
     fn children(&self) -> usize {
         self.peers.as_ref().map_or(0, |peers| peers.borrow().fleet.children.len())
     }
@@ -290,7 +290,7 @@
 
     /// The time in which answers of a back end have lately begun, the slow ones included. A node of many meets each back
     /// end too seldom to know its own time, and takes that of any: a second try while all are busy makes them busier.
-    pub fn slowest(&self, backend: &BackendId) -> Duration {
+    pub fn slow_latency(&self, backend: &BackendId) -> Duration {
         let (now, state) = (self.now(), self.state.borrow());
         match self.counted() {
             Some(nodes) if nodes as usize > FULL_SCAN_MAX_NODES => state.chooser.loads.slowest(now),
@@ -299,16 +299,16 @@
     }
 
     /// The share of a route whose turn it is.
-    pub fn share(&self, route: &Route) -> Option<ServiceId> {
+    pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
         let turn = self.state.borrow_mut().wheel.pick(route)?;
         route.split.get(turn).map(|share| share.service.clone())
     }
 
     /// Chooses the back end for a request.
-    pub fn place(&self, ask: RouteRequest<'_>) -> Option<Choice> {
+    pub fn choose_backend(&self, request: RouteRequest<'_>) -> Option<Choice> {
         let settings = self.settings();
         let nodes = self.nodes();
-        self.state.borrow().place(ask, &settings.zone, nodes, self.now())
+        self.state.borrow().choose_backend(request, &settings.zone, nodes, self.now())
     }
 
     /// Drops what has grown old.
@@ -343,7 +343,7 @@
             gauge("paddlemount_forward_configuration_age_seconds", age),
             gauge("paddlemount_forward_configuration_version", version as f64),
             gauge("paddlemount_forward_nodes", self.counted().map_or(f64::NAN, f64::from)),
-            gauge("paddlemount_forward_level", self.level()),
+            gauge("paddlemount_forward_level", self.depth()),
             gauge("paddlemount_forward_children", self.children() as f64),
             gauge("paddlemount_forward_root_age_seconds", self.root_age()),
             gauge("paddlemount_forward_running", self.running.get() as f64),
@@ -352,7 +352,7 @@
             gauge("paddlemount_forward_held_requests", quarantine.count_held() as f64),
             gauge("paddlemount_forward_suspected_requests", quarantine.count_suspected() as f64),
             gauge("paddlemount_forward_oldest_hold_seconds", self.oldest_hold(self.now()).as_secs_f64()),
-            gauge("paddlemount_forward_named_age_seconds", named_age(&state, self.now())),
+            gauge("paddlemount_forward_named_age_seconds", target_age(&state, self.now())),
             gauge("paddlemount_forward_log_lines_dropped", self.journal.dropped() as f64),
         ];
         gauges.into_iter().chain(self.announced_gauges()).collect()
@@ -361,7 +361,7 @@
 
 /// How long ago the oldest name of weights in force was given, at most, in seconds: infinite where nobody knows, and not a
 /// number where there is none.
-fn named_age(state: &NodeState, now: Timestamp) -> f64 {
-    let Some(naming) = state.rollout.target_versions.oldest_in_force() else { return f64::NAN };
-    naming.age(now).map_or(f64::INFINITY, |age| age.as_secs_f64())
+fn target_age(state: &NodeState, now: Timestamp) -> f64 {
+    let Some(target) = state.rollout.target_versions.oldest_in_force() else { return f64::NAN };
+    target.age(now).map_or(f64::INFINITY, |age| age.as_secs_f64())
 }
--- a/crates/forward/src/node_state.rs
+++ b/crates/forward/src/node_state.rs
@@ -31,9 +31,9 @@
 /// NodeCount up to which each knows by itself enough of what is under way to weigh all back ends.
 pub(crate) const FULL_SCAN_MAX_NODES: usize = 8;
 /// How long unused parts must be kept for copies of runs to be worth their room.
-const KEPT_LONG_ENOUGH: Duration = Duration::from_secs(14);
+const MIN_COPY_RETENTION: Duration = Duration::from_secs(14);
 /// The time in which the rate of callers' requests fades to a third.
-const ASKED_FADES: Duration = Duration::from_secs(5);
+const OFFERED_LOAD_DECAY: Duration = Duration::from_secs(5);
 /// The least margin between the bound of named weights and the time from which older ones get no request.
 const WEIGHTS_MARGIN: Duration = Duration::from_millis(900);
 
@@ -75,9 +75,9 @@
     misdirected_budget: Option<WindowBudget>,
     pub(crate) refused_until: BTreeMap<BackendId, Timestamp>,
     /// Requests that callers ask of this node.
-    pub(crate) asked: RecentRate,
+    pub(crate) offered_load: RecentRate,
     /// When refused callers of services come back whose back ends are limited.
-    pub(crate) returns: BTreeMap<ServiceId, RetryAfterSchedule>,
+    pub(crate) retry_schedules: BTreeMap<ServiceId, RetryAfterSchedule>,
     /// Drawn evenly from 0 to 1: which nodes have one more repeat, or connection to a back end, than others.
     pub(crate) share_draw: f64,
     /// How long a back end that has said itself that it leaves gets requests where nobody else is left.
@@ -126,7 +126,7 @@
     }
 
     /// The greatest number that may act.
-    pub fn most(self) -> u32 {
+    pub fn upper_bound(self) -> u32 {
         self.known().unwrap_or(self.assumed).max(1)
     }
 }
@@ -165,8 +165,8 @@
             refusals: BTreeMap::new(),
             misdirected_budget: None,
             refused_until: BTreeMap::new(),
-            asked: RecentRate::new(ASKED_FADES),
-            returns: BTreeMap::new(),
+            offered_load: RecentRate::new(OFFERED_LOAD_DECAY),
+            retry_schedules: BTreeMap::new(),
             share_draw: rand::random(),
             departing_use: settings.bounds.departing_use(),
         }
@@ -178,11 +178,11 @@
         let Some(engine) = traits.and_then(|service| service.engine.as_ref()) else { return false };
         let engines = self.backends.usable(service).count() as u64;
         engine.copies
-            && self.chooser.prefixes.retention(engine.cache_tokens * engines, now) >= KEPT_LONG_ENOUGH
+            && self.chooser.prefixes.retention(engine.cache_tokens * engines, now) >= MIN_COPY_RETENTION
     }
 
     /// Tokens that the caches of all engines have room for.
-    pub(crate) fn cache_room(&self) -> u64 {
+    pub(crate) fn cache_capacity(&self) -> u64 {
         let services = self.table.iter().flat_map(|table| table.services());
         let rooms = services.filter_map(|(name, service)| {
             let engine = service.engine.as_ref()?;
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -17,15 +17,15 @@
 };
 
 /// How long an engine may take to answer.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// The pause before an engine that is at work is asked again.
-const AGAIN: Duration = Duration::from_millis(200);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// The pause before an engine that is at work is process again.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// The first look at an engine after an order that it took.
-const FIRST_LOOK: Duration = Duration::from_millis(500);
+const FIRST_CHECK_DELAY: Duration = Duration::from_millis(500);
 /// The pause between two looks whether another engine may load.
-const TURN_PAUSE: Duration = Duration::from_millis(25);
+const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// How long one engine is worked on before others get their turn.
-const LONGEST: Duration = Duration::from_secs(9);
+const MAX_UPDATE_TIME: Duration = Duration::from_secs(9);
 
 /// Begins with as many engines as may load at once.
 pub fn start_updates(node: &Rc<Node>) {
@@ -35,16 +35,16 @@
         let chooser = &state.chooser;
         let (backends, now) = (&state.backends, node.now());
         // One that wants nothing from this node gets no order either; it is looked at again when its rest is over.
-        let awake =
+        let available =
             |backend: &&Backend| backends.announcements.backed_off_until(&backend.entry, now).is_none();
-        state.rollout.begin(backends.iter().filter(awake), |id| chooser.loads.total_requests(id), now)
+        state.rollout.begin(backends.iter().filter(available), |id| chooser.loads.total_requests(id), now)
     };
     let Some(token) = node.token().filter(|_| !targets.is_empty()) else {
         release(node, &targets);
         return;
     };
     // Other nodes are told with the next answer to their reports; those that do not hear of it learn it from refusals.
-    let until = node.now() + LONGEST;
+    let until = node.now() + MAX_UPDATE_TIME;
     for target in &targets {
         node.state.borrow_mut().backends.set_loading_until(&target.backend, Some(until));
     }
@@ -52,11 +52,11 @@
         let node = Rc::clone(node);
         tokio::task::spawn_local(async move {
             let began = node.now();
-            let outcome = bring(&node, &mut target, token, began).await;
-            tell(&node, &target, None, token, outcome, began);
+            let outcome = update_engine(&node, &mut target, token, began).await;
+            log_order(&node, &target, None, token, outcome, began);
             release(&node, std::slice::from_ref(&target));
-            if !holds(&node, &target) {
-                set_aside(&node, &target.backend);
+            if !has_target(&node, &target) {
+                postpone(&node, &target.backend);
             }
             node.order_ended.notify_one();
         });
@@ -64,7 +64,7 @@
 }
 
 /// An engine that did not answer, or refused: it is tried again after a pause, and gets no requests meanwhile either.
-fn set_aside(node: &Node, id: &BackendId) {
+fn postpone(node: &Node, id: &BackendId) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     state.rollout.postpone(id, now);
@@ -80,11 +80,16 @@
 }
 
 /// Brings one engine to its version. What happened to an order whose answer is lost is read from the engine's report.
-async fn bring(node: &Node, target: &mut Target, token: FencingToken, began: Timestamp) -> &'static str {
+async fn update_engine(
+    node: &Node,
+    target: &mut Target,
+    token: FencingToken,
+    began: Timestamp,
+) -> &'static str {
     let address = address_of(node, &target.backend);
     let Some(address) = address else { return "gone" };
     let engine = Client::new(address, node.clock);
-    while node.now().saturating_since(began) < LONGEST {
+    while node.now().saturating_since(began) < MAX_UPDATE_TIME {
         if node.token() != Some(token) {
             return "leadership lost";
         }
@@ -92,7 +97,7 @@
         if let Some(newest) = node.state.borrow().rollout.newest(&target.model) {
             target.version = newest;
         }
-        let Some(report) = report(node, &engine, &target.backend).await else {
+        let Some(report) = fetch_report(node, &engine, &target.backend).await else {
             // It may be dead, and must not keep others waiting.
             return "no report";
         };
@@ -101,19 +106,19 @@
                 node.observe_weights(&target.backend, &target.model, target.version);
                 return "done";
             }
-            Step::Wait | Step::Drain => tokio::time::sleep(AGAIN).await,
+            Step::Wait | Step::Drain => tokio::time::sleep(POLL_INTERVAL).await,
             Step::Order { sequence, mode } => {
-                match order(node, &engine, target, token, sequence, mode).await {
+                match send_order(node, &engine, target, token, sequence, mode).await {
                     Some(OrderAnswer::Accepted) => {}
                     Some(OrderAnswer::AlreadyHolds) => return "held already",
                     Some(OrderAnswer::Fenced) => return "fenced",
                     Some(OrderAnswer::OtherBackend) => return "another back end",
                     Some(OrderAnswer::Rejected(_)) => return "rejected",
-                    Some(OrderAnswer::Conflict) | None => tokio::time::sleep(AGAIN).await,
+                    Some(OrderAnswer::Conflict) | None => tokio::time::sleep(POLL_INTERVAL).await,
                 }
             }
         }
-        if holds(node, target) {
+        if has_target(node, target) {
             return "done";
         }
     }
@@ -131,26 +136,26 @@
 /// Waits until the registry tells of the version, or it is time to ask the engine itself.
 async fn wait_for_version(node: &Node, target: &Target) {
     let began = node.now();
-    while node.now().saturating_since(began) < FIRST_LOOK * 2 && !holds(node, target) {
-        tokio::time::sleep(AGAIN / 4).await;
+    while node.now().saturating_since(began) < FIRST_CHECK_DELAY * 2 && !has_target(node, target) {
+        tokio::time::sleep(POLL_INTERVAL / 4).await;
     }
 }
 
-fn holds(node: &Node, target: &Target) -> bool {
+fn has_target(node: &Node, target: &Target) -> bool {
     let state = node.state.borrow();
     let Some(backend) = state.backends.get(&target.backend) else { return true };
     backend.entry.weights.get(&target.model).is_some_and(|version| *version >= target.version)
 }
 
-async fn report(node: &Node, engine: &Client, id: &BackendId) -> Option<EngineReport> {
-    let asked = node.process_of(id);
-    let answer = engine.call(node.platform.report_request(), PATIENCE).await.ok()?;
+async fn fetch_report(node: &Node, engine: &Client, id: &BackendId) -> Option<EngineReport> {
+    let process = node.process_of(id);
+    let answer = engine.call(node.platform.report_request(), CALL_TIMEOUT).await.ok()?;
     let report = node.platform.report_answer(&answer).ok();
-    node.observe_call(&asked, &answer, report.as_ref().is_some_and(|report| report.leaving));
+    node.observe_call(&process, &answer, report.as_ref().is_some_and(|report| report.leaving));
     report
 }
 
-async fn order(
+async fn send_order(
     node: &Node,
     engine: &Client,
     target: &Target,
@@ -158,7 +163,7 @@
     sequence: u64,
     mode: LoadMode,
 ) -> Option<OrderAnswer> {
-    let _turn = LoadTurn::take(node, token).await?;
+    let _permit = LoadPermit::take(node, token).await?;
     let began = node.now();
     let order = WeightsOrder {
         backend: target.backend.clone(),
@@ -169,10 +174,10 @@
         token,
         sequence,
     };
-    let asked = node.process_of(&target.backend);
-    let answer = engine.call(node.platform.order_request(&order), PATIENCE).await;
+    let process = node.process_of(&target.backend);
+    let answer = engine.call(node.platform.order_request(&order), CALL_TIMEOUT).await;
     let answer = answer.ok().map(|answer| {
-        node.observe_call(&asked, &answer, false);
+        node.observe_call(&process, &answer, false);
         node.platform.order_answer(&answer)
     });
     let outcome = match answer {
@@ -185,7 +190,7 @@
         None => "unclear",
     };
     node.metrics.count(Counter::Orders(outcome));
-    tell(node, target, Some(sequence), token, outcome, began);
+    log_order(node, target, Some(sequence), token, outcome, began);
     if answer == Some(OrderAnswer::Accepted) {
         wait_for_version(node, target).await;
     }
@@ -194,29 +199,29 @@
 
 /// One of the few engines that load at the same time: loads that wait for each other take longer than loads one after
 /// the other.
-struct LoadTurn<'a>(&'a Node);
+struct LoadPermit<'a>(&'a Node);
 
-impl<'a> LoadTurn<'a> {
+impl<'a> LoadPermit<'a> {
     /// Waits for a turn; none where the leadership was lost meanwhile.
     async fn take(node: &'a Node, token: FencingToken) -> Option<Self> {
         while node.token() == Some(token) {
-            if node.loading.get() < most_loads(node) {
+            if node.loading.get() < max_loads(node) {
                 node.loading.set(node.loading.get() + 1);
                 return Some(Self(node));
             }
-            tokio::time::sleep(TURN_PAUSE).await;
+            tokio::time::sleep(PERMIT_POLL_INTERVAL).await;
         }
         None
     }
 }
 
-impl Drop for LoadTurn<'_> {
+impl Drop for LoadPermit<'_> {
     fn drop(&mut self) {
         self.0.loading.set(self.0.loading.get().saturating_sub(1));
     }
 }
 
-fn most_loads(node: &Node) -> usize {
+fn max_loads(node: &Node) -> usize {
     let state = node.state.borrow();
     let engines = state
         .backends
@@ -225,7 +230,7 @@
     state.rollout.max_concurrent_loads(engines.count())
 }
 
-fn tell(
+fn log_order(
     node: &Node,
     target: &Target,
     sequence: Option<u64>,
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -16,14 +16,18 @@
     announcements::spread,
     answers::{AnswerBody, Reason, Refusal, error_answer, whole},
     attempts::{AttemptFailure, strip_connection_headers},
-    exchange::{Exchange, LEAST_TIME},
+    exchange::{Exchange, MIN_ATTEMPT_TIME},
     journal::Event,
     metrics::Counter,
 };
 
 impl Exchange {
     /// Decides what follows a try without answer; an answer where nothing does.
-    pub(crate) fn after(&mut self, choice: &Choice, ended: AttemptFailure) -> Option<Response<AnswerBody>> {
+    pub(crate) fn after_failure(
+        &mut self,
+        choice: &Choice,
+        ended: AttemptFailure,
+    ) -> Option<Response<AnswerBody>> {
         let next = self.decide(choice, &ended);
         match next {
             NextAction::Retry => None,
@@ -31,7 +35,7 @@
                 let answer = ended.answer?;
                 Some(self.pass_on_failure(answer))
             }
-            NextAction::Refuse => Some(self.give_up(self.why_none(Reason::NotTaken))),
+            NextAction::Refuse => Some(self.give_up(self.no_backend_refusal(Reason::NotTaken))),
             NextAction::Fail => Some(self.give_up(Reason::AnswerLost)),
         }
     }
@@ -39,7 +43,7 @@
     /// Decides what follows a try without answer, and tells it.
     pub fn decide(&mut self, choice: &Choice, ended: &AttemptFailure) -> NextAction {
         let now = self.node.now();
-        let time_left = self.give_up_at.saturating_since(now) >= LEAST_TIME;
+        let time_left = self.give_up_at.saturating_since(now) >= MIN_ATTEMPT_TIME;
         let (node, service) = (Rc::clone(&self.node), self.service.clone());
         let mut misdirected_retry = None;
         let budget = || {
@@ -94,7 +98,7 @@
     }
 
     /// Why no back end gets the request, where nothing is wrong with all of them it is `otherwise`.
-    pub(crate) fn why_none(&self, otherwise: Reason) -> Refusal {
+    pub(crate) fn no_backend_refusal(&self, otherwise: Reason) -> Refusal {
         let model = self.head.prompt.as_ref().map(|prompt| &prompt.model);
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
@@ -104,7 +108,7 @@
         match state.next_opening(&self.service, model, now) {
             Some(Opening { at, per_second: Some(per_second) }) => {
                 self.node.metrics.count(Counter::RefusedForLimits);
-                let schedule = state.returns.entry(self.service.clone()).or_default();
+                let schedule = state.retry_schedules.entry(self.service.clone()).or_default();
                 let retry_after = Some(spread(schedule.next(at, per_second, now)));
                 Refusal { reason: Reason::BackendsLimited, retry_after }
             }
@@ -133,7 +137,7 @@
 
     /// The answer for a request that is given up, as far as what may have happened allows it.
     pub(crate) fn give_up(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
-        let time_up = self.node.now() + LEAST_TIME >= self.give_up_at;
+        let time_up = self.node.now() + MIN_ATTEMPT_TIME >= self.give_up_at;
         let refusal = match attempt::action_without_retry(self.route.kind, self.spent) {
             NextAction::Fail if time_up => Reason::TimeUp.into(),
             NextAction::Fail => Reason::AnswerLost.into(),
@@ -145,7 +149,7 @@
         self.refuse(refusal)
     }
 
-    /// Refuses the request, or says that it may have run, as `reason` has it.
+    /// Refuses the request, or parsed that it may have run, as `reason` has it.
     pub(crate) fn refuse(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
         let refusal = refusal.into();
         self.account.reason = Some(refusal.reason);
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -23,29 +23,29 @@
 };
 
 /// The pause between two reports.
-const PERIOD: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// The log of a node above that has not answered yet: the first report is short, as all may send theirs at once.
 const NO_LOG: u64 = 0;
 /// How long the node above may take to answer.
-const PATIENCE: Duration = Duration::from_millis(600);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a node may take to take this one in, or to refer it: all nodes may ask the root at the same moment.
-const JOIN_PATIENCE: Duration = Duration::from_millis(1_500);
+const JOIN_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// What a root of half a processor needs to answer one node that asks to be taken in. NodeCount that start spread out by it,
 /// for as many as are recorded.
-const JOIN_TIME: Duration = Duration::from_micros(500);
+const JOIN_COST: Duration = Duration::from_micros(500);
 /// How long a call to record the number of nodes may take.
-const RECORD_PATIENCE: Duration = Duration::from_millis(900);
+const RECORD_TIMEOUT: Duration = Duration::from_millis(900);
 /// The recorded number is replaced where there are more nodes than it by this factor.
-const RECORDED_AGAIN: (u32, u32) = (5, 4);
+const RECORD_GROWTH: (u32, u32) = (5, 4);
 
 /// Reports for as long as the process lives, where nodes talk to each other at all.
 pub async fn report(node: Rc<Node>) {
     let Some(peers) = &node.peers else { return };
     let mut link: Option<Link> = None;
     let mut counted = None;
-    let mut spread_out = false;
+    let mut delayed = false;
     loop {
-        let pause = PERIOD.mul_f64(0.9 + 0.2 * rand::random::<f64>());
+        let pause = REPORT_INTERVAL.mul_f64(0.9 + 0.2 * rand::random::<f64>());
         let _ = tokio::time::timeout(pause, node.leader_known.notified()).await;
         let now = node.now();
         let leads = node.token().is_some();
@@ -57,16 +57,16 @@
             node.journal.log(&Event::NodesCounted { nodes: counted, before });
         }
         let root = node.state.borrow().leader.as_ref().and_then(crate::node_state::Leader::contact);
-        let turn = peers.borrow_mut().fleet.uplink.next_step(root.as_ref(), leads, now);
-        match turn {
+        let step = peers.borrow_mut().fleet.uplink.next_step(root.as_ref(), leads, now);
+        match step {
             NextStep::Wait => {
                 link = None;
-                rest(&node, leads, now);
+                step_without_parent(&node, leads, now);
             }
-            NextStep::Join(_) if !spread_out => {
-                spread_out = true;
+            NextStep::Join(_) if !delayed => {
+                delayed = true;
                 let recorded = node.nodes().known().unwrap_or(0);
-                tokio::time::sleep(JOIN_TIME.mul_f64(f64::from(recorded) * rand::random::<f64>())).await;
+                tokio::time::sleep(JOIN_COST.mul_f64(f64::from(recorded) * rand::random::<f64>())).await;
             }
             NextStep::Join(contact) => {
                 link = None;
@@ -76,7 +76,7 @@
                 if link.as_ref().is_none_or(|link| link.parent != parent) {
                     let level = peers.borrow().fleet.uplink.depth();
                     node.journal.log(&Event::ParentChanged { parent: parent.node.as_str(), level });
-                    link = Some(Link::to(parent, &node));
+                    link = Some(Link::new(parent, &node));
                 }
                 if let Some(link) = link.as_ref().filter(|link| link.is_due(&node, now)) {
                     link.exchange(&node).await;
@@ -86,14 +86,14 @@
     }
 }
 
-/// The turn of a node that reports to nobody: the root, or one that knows nobody to ask.
-fn rest(node: &Rc<Node>, leads: bool, now: Timestamp) {
+/// The step of a node that reports to nobody: the root, or one that knows nobody to ask.
+fn step_without_parent(node: &Rc<Node>, leads: bool, now: Timestamp) {
     let Some(peers) = &node.peers else { return };
     if leads {
-        // What was learned anywhere becomes news for all.
+        // What was updates anywhere becomes news for all.
         let mut peers = peers.borrow_mut();
-        let learned = peers.gossip.drain();
-        peers.gossip.append(learned);
+        let updates = peers.gossip.drain();
+        peers.gossip.append(updates);
         let work = peers.fleet.work_of_others(now);
         node.state.borrow_mut().chooser.loads.set_others(work);
     } else {
@@ -108,7 +108,7 @@
     let nodes = node.nodes();
     let Some(counted) = nodes.counted.filter(|_| leads) else { return };
     let known = nodes.recorded.map_or(nodes.assumed, |recorded| recorded.max(nodes.assumed));
-    if u64::from(counted) * u64::from(RECORDED_AGAIN.1) <= u64::from(known) * u64::from(RECORDED_AGAIN.0) {
+    if u64::from(counted) * u64::from(RECORD_GROWTH.1) <= u64::from(known) * u64::from(RECORD_GROWTH.0) {
         return;
     }
     // It counts as recorded at once: a call that failed is not made again before more nodes are counted.
@@ -116,7 +116,7 @@
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         // Calls are counted with how they ended; without the record nodes that start assume fewer.
-        let _ = call_store(&node, &StoreCall::RecordFleetSize { nodes: counted }, RECORD_PATIENCE).await;
+        let _ = call_store(&node, &StoreCall::RecordFleetSize { nodes: counted }, RECORD_TIMEOUT).await;
     });
 }
 
@@ -125,7 +125,7 @@
     let Some(peers) = &node.peers else { return };
     let calls = Client::new(contact.address, node.clock);
     let request = peers.borrow().fleet.join_request(node.now());
-    let answer: Result<JoinAnswer, String> = ask(&calls, JOIN_PATH, &request, JOIN_PATIENCE).await;
+    let answer: Result<JoinAnswer, String> = post(&calls, JOIN_PATH, &request, JOIN_TIMEOUT).await;
     let now = node.now();
     let mut peers = peers.borrow_mut();
     let uplink = &mut peers.fleet.uplink;
@@ -138,7 +138,7 @@
             uplink.failed(&contact.node, now);
         }
     }
-    // What follows is not to wait for the next turn.
+    // What follows is not to wait for the next step.
     node.leader_known.notify_one();
 }
 
@@ -149,22 +149,22 @@
     /// The log of the node above, and the number of the last news taken from it.
     cursor: Cell<(u64, u64)>,
     /// The last news of runs that the node above has taken; another node above is told all that is remembered.
-    runs_told: Cell<u64>,
+    runs_reported: Cell<u64>,
     /// What the node above goes by, as it told last.
-    in_force: Cell<Option<AppliedVersions>>,
+    parent_versions: Cell<Option<AppliedVersions>>,
     /// When the last report was sent, and whether requests were under way then.
     sent: Cell<Option<(Timestamp, bool)>>,
 }
 
 impl Link {
-    fn to(parent: Contact, node: &Node) -> Self {
+    fn new(parent: Contact, node: &Node) -> Self {
         let calls = Client::new(parent.address, node.clock);
         Self {
             parent,
             calls,
             cursor: Cell::new((NO_LOG, 0)),
-            runs_told: Cell::new(0),
-            in_force: Cell::new(None),
+            runs_reported: Cell::new(0),
+            parent_versions: Cell::new(None),
             sent: Cell::new(None),
         }
     }
@@ -173,23 +173,23 @@
     /// of a thousand has less than one request a second, half of the reports would say nothing.
     fn is_due(&self, node: &Node, now: Timestamp) -> bool {
         let Some((sent_at, was_busy)) = self.sent.get() else { return true };
-        let tells = node.peers.as_ref().is_some_and(|peers| {
+        let has_updates = node.peers.as_ref().is_some_and(|peers| {
             let peers = peers.borrow();
             peers.gossip.has_pending() || !peers.fleet.children.is_empty()
         });
-        let tells = tells || node.state.borrow().backends.announcements.has_pending_gossip(now);
+        let has_updates = has_updates || node.state.borrow().backends.announcements.has_pending_gossip(now);
         let lacks = node.state.borrow().revision.is_none() || node.history_lost.get();
         let busy = was_busy || node.running.get() > 0;
         let idle = now.saturating_since(sent_at) < node.settings().bounds.idle_report_interval();
-        tells || lacks || busy || !idle
+        has_updates || lacks || busy || !idle
     }
 
     async fn exchange(&self, node: &Node) {
         let sent_at = node.now();
         self.sent.set(Some((sent_at, node.running.get() > 0)));
         let Some((report, runs_upto)) = self.report_of(node) else { return };
-        let (told_news, revision) = (!report.cache_updates.is_empty(), report.revision);
-        let answer: Result<Digest, String> = ask(&self.calls, EXCHANGE_PATH, &report, PATIENCE).await;
+        let (sent_updates, revision) = (!report.cache_updates.is_empty(), report.revision);
+        let answer: Result<Digest, String> = post(&self.calls, EXCHANGE_PATH, &report, REPORT_TIMEOUT).await;
         node.metrics.observe(Distribution::PeerCall, node.now().saturating_since(sent_at));
         let digest = match answer {
             Ok(digest) => digest,
@@ -197,12 +197,12 @@
         };
         let lacks = digest.snapshot || node.state.borrow().revision.is_none();
         self.take(node, digest, revision, sent_at);
-        self.runs_told.set(runs_upto);
-        if let Some(peers) = node.peers.as_ref().filter(|_| told_news) {
+        self.runs_reported.set(runs_upto);
+        if let Some(peers) = node.peers.as_ref().filter(|_| sent_updates) {
             peers.borrow_mut().gossip.acknowledge();
         }
         if lacks || node.history_lost.get() {
-            snapshot::take(node, &self.calls).await;
+            snapshot::fetch(node, &self.calls).await;
         }
     }
 
@@ -210,11 +210,12 @@
     fn report_of(&self, node: &Node) -> Option<(Report, u64)> {
         let now = node.now();
         let offered_load = node.demand_per_second();
-        let newer_facts = self.in_force.get().map(|theirs| node.newer_facts_for(theirs)).unwrap_or_default();
+        let newer_facts =
+            self.parent_versions.get().map(|theirs| node.newer_facts_for(theirs)).unwrap_or_default();
         let mut state = node.state.borrow_mut();
         let mut peers = node.peers.as_ref()?.borrow_mut();
         let (log, cursor) = self.cursor.get();
-        let runs = state.quarantine.report(self.runs_told.get(), MAX_REPORTED_EVENTS, now);
+        let runs = state.quarantine.report(self.runs_reported.get(), MAX_REPORTED_EVENTS, now);
         let report = Report {
             runs: runs.report,
             sender: peers.fleet.local_member().clone(),
@@ -238,14 +239,14 @@
     fn take(&self, node: &Node, digest: Digest, revision: Option<Revision>, sent_at: Timestamp) {
         node.metrics.count(Counter::PeerCalls("answered"));
         self.cursor.set((digest.log, digest.cursor));
-        self.in_force.set(Some(digest.applied));
+        self.parent_versions.set(Some(digest.applied));
         if let Some(peers) = &node.peers {
             let mut peers = peers.borrow_mut();
             let uplink = &mut peers.fleet.uplink;
             let now = node.now();
             let under_way = now.saturating_since(sent_at);
-            let rooted_before = digest.root_age_ms.map(|age| Duration::from_millis(age) + under_way);
-            if !uplink.update_path(digest.path.clone(), rooted_before, now) {
+            let root_age = digest.root_age_ms.map(|age| Duration::from_millis(age) + under_way);
+            if !uplink.update_path(digest.path.clone(), root_age, now) {
                 let problem = "it stands below this node".to_owned();
                 node.journal.log(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
             } else if let Some(to) = digest.refer.clone() {
@@ -267,11 +268,11 @@
 }
 
 /// Sends a message and reads the answer.
-async fn ask<A: DeserializeOwned>(
+async fn post<A: DeserializeOwned>(
     calls: &Client,
     path: &'static str,
     message: &impl Serialize,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<A, String> {
     let body = serde_json::to_vec(message).map_err(|error| error.to_string())?;
     let mut request = Request::new(Bytes::from(body));
@@ -279,7 +280,7 @@
     *request.uri_mut() = http::Uri::from_static(path);
     let kind = HeaderValue::from_static("application/json");
     request.headers_mut().insert(header::CONTENT_TYPE, kind);
-    let answer = calls.call(request, patience).await.map_err(|error| error.to_string())?;
+    let answer = calls.call(request, timeout).await.map_err(|error| error.to_string())?;
     match answer.status() {
         StatusCode::OK => serde_json::from_slice(answer.body()).map_err(|error| error.to_string()),
         status => Err(format!("refused with status {status}")),
--- a/crates/forward/src/peers/digest_updates.rs
+++ b/crates/forward/src/peers/digest_updates.rs
@@ -1,4 +1,4 @@
-//! Takes in what the node above has told.
+//! Takes in what the node above has reported.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::node::Node;
 
-/// How long engines that were told to load weights get no requests, where nothing more is heard of them.
-const LOADING: Duration = Duration::from_millis(1_500);
+/// How long engines that were reported to load weights get no requests, where nothing more is heard of them.
+const LOADING_TTL: Duration = Duration::from_millis(1_500);
 
 impl Node {
     /// Takes in the answer to a report that was sent at `sent_at` and named `revision`. What it tells of load and quotas
@@ -22,15 +22,15 @@
         let Some(peers) = &self.peers else { return };
         {
             let mut state = self.state.borrow_mut();
-            for news in &digest.cache_updates {
-                state.chooser.apply_gossip(news, now);
+            for update in &digest.cache_updates {
+                state.chooser.apply_gossip(update, now);
             }
             state.chooser.loads.set_others(digest.work.clone());
             match &digest.quotas {
                 Some(quotas) => state.quotas.report_answered(quotas, sent_at, now),
                 None => state.quotas.report_failed(),
             }
-            state.backends.set_loading(&digest.loading, sent_at + LOADING);
+            state.backends.set_loading(&digest.loading, sent_at + LOADING_TTL);
         }
         {
             let mut peers = peers.borrow_mut();
@@ -46,7 +46,7 @@
         self.receive_newer_facts(&digest.newer_facts);
     }
 
-    /// Takes in what the store has told another node. It counts from when the report was sent, less the age that the
+    /// Takes in what the store has reported another node. It counts from when the report was sent, less the age that the
     /// proof then had at the other node: so an answer that was long under way proves nothing recent.
     fn take_relay(&self, relay: StoreRelay, revision: Option<Revision>, sent_at: Timestamp) {
         let age = Duration::from_millis(relay.age_ms);
@@ -75,23 +75,23 @@
         }
     }
 
-    /// Goes by what another node has told of the registry, where this one does not ask it itself.
-    pub(crate) fn follow_registry(&self, told: RegistryState) {
+    /// Goes by what another node has reported of the registry, where this one does not ask it itself.
+    pub(crate) fn follow_registry(&self, reported: RegistryState) {
         let now = self.now();
-        self.state.borrow_mut().backends.registry.follow(told, now);
+        self.state.borrow_mut().backends.registry.follow(reported, now);
     }
 
-    /// Whether another node has lately passed on what the store told, and recently enough proved.
+    /// Whether another node has timeout passed on what the store reported, and recently enough proved.
     pub fn has_recent_relay(&self) -> bool {
         let within = self.settings().bounds.max_relay_age();
         self.receives_relays() && self.state.borrow().freshness.is_within(within, self.now())
     }
 
-    /// Whether another node has lately passed on what the store told, however old that was.
+    /// Whether another node has timeout passed on what the store reported, however old that was.
     pub fn receives_relays(&self) -> bool {
-        let lately = self.settings().bounds.relay_timeout();
+        let timeout = self.settings().bounds.relay_timeout();
         let Some(peers) = &self.peers else { return false };
-        let told_at = peers.borrow().relayed_at;
-        told_at.is_some_and(|at| self.now().saturating_since(at) < lately)
+        let relayed_at = peers.borrow().relayed_at;
+        relayed_at.is_some_and(|at| self.now().saturating_since(at) < timeout)
     }
 }
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -28,15 +28,15 @@
 };
 
 /// The largest report that is read, in bytes.
-const LARGEST_REPORT: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 /// The pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Takes reports for as long as the process lives.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -56,15 +56,15 @@
 async fn answer(node: &Rc<Node>, request: Request<Incoming>) -> Response<AnswerBody> {
     let path = request.uri().path().to_owned();
     if path == SNAPSHOT_PATH {
-        return snapshot::give(node);
+        return snapshot::serve(node);
     }
-    let Ok(body) = Limited::new(request.into_body(), LARGEST_REPORT).collect().await else {
+    let Ok(body) = Limited::new(request.into_body(), MAX_REPORT_BYTES).collect().await else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let body = body.to_bytes();
     match path.as_str() {
-        EXCHANGE_PATH => answer_to(&body, |report| take_report(node, report)),
-        JOIN_PATH => answer_to(&body, |request| Some(take_in(node, &request))),
+        EXCHANGE_PATH => answer_to(&body, |report| receive_report(node, report)),
+        JOIN_PATH => answer_to(&body, |request| Some(admit(node, &request))),
         _ => status(StatusCode::NOT_FOUND),
     }
 }
@@ -79,7 +79,7 @@
 }
 
 /// Decides on a node that asks to be taken in. A node without a way to what the store tells is no help to others.
-fn take_in(node: &Node, request: &JoinRequest) -> JoinAnswer {
+fn admit(node: &Node, request: &JoinRequest) -> JoinAnswer {
     let now = node.now();
     let leads = node.token().is_some();
     let Some(peers) = &node.peers else { return JoinAnswer::Refused };
@@ -96,7 +96,7 @@
 
 /// Takes a report in. None is taken of a node that stands above this one: reports go round in no circle, whatever the
 /// nodes believe of who leads. A node that is not known, as after a restart of this one, is taken in or referred.
-fn take_report(node: &Node, report: Report) -> Option<Digest> {
+fn receive_report(node: &Node, report: Report) -> Option<Digest> {
     let now = node.now();
     let peers = node.peers.as_ref()?;
     if peers.borrow().fleet.uplink.is_self_or_ancestor(&report.sender.node) {
@@ -114,7 +114,7 @@
             join_capacity: report.join_capacity,
             unresponsive: Vec::new(),
         };
-        match take_in(node, &request) {
+        match admit(node, &request) {
             JoinAnswer::Accepted => {
                 peers.borrow_mut().fleet.children.record_report(&report, now);
             }
@@ -140,9 +140,9 @@
     node.merge_limit_gossip(&report.limits);
     let newer_facts = node.newer_facts_for(report.applied);
     let mut state = node.state.borrow_mut();
-    for news in &report.cache_updates {
-        state.chooser.apply_gossip(news, now);
-        peers.gossip.enqueue(news.clone());
+    for update in &report.cache_updates {
+        state.chooser.apply_gossip(update, now);
+        peers.gossip.enqueue(update.clone());
     }
     let child = report.sender.node;
     let passed_over =
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -27,12 +27,12 @@
 /// The age of a snapshot's proof, in milliseconds, when its answer was written.
 const AGE_MS: HeaderName = HeaderName::from_static("paddlemount-proof-age-ms");
 /// How long a snapshot serves other nodes. What has changed since is told with the next reports.
-const KEPT: Duration = Duration::from_secs(1);
+const SNAPSHOT_TTL: Duration = Duration::from_secs(1);
 /// Snapshots are given to one in so many of the nodes that may report here at once. Each is about a megabyte for ten
 /// thousand back ends: three of them take a link of 20 Mbit/s 1.2 s, ten of them one of 200 Mbit/s 0.4 s.
-const GIVEN_PART: usize = 2;
+const CHILDREN_PER_SNAPSHOT: usize = 2;
 /// How long a snapshot may take.
-const PATIENCE: Duration = Duration::from_secs(3);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A snapshot as it is sent.
 #[derive(Clone, Debug)]
@@ -54,9 +54,9 @@
 }
 
 /// Holds one of the snapshots that may be given at once.
-struct Given(Rc<Node>);
+struct SnapshotPermit(Rc<Node>);
 
-impl Drop for Given {
+impl Drop for SnapshotPermit {
     fn drop(&mut self) {
         self.0.snapshots_given.set(self.0.snapshots_given.get().saturating_sub(1));
     }
@@ -64,9 +64,9 @@
 
 /// Answers with a snapshot; refuses where this node does not know all itself, what it knows is old, or it gives enough of
 /// them already.
-pub(super) fn give(node: &Rc<Node>) -> Response<AnswerBody> {
+pub(super) fn serve(node: &Rc<Node>) -> Response<AnswerBody> {
     let now = node.now();
-    let most = (node.settings().limits.fan_in() / GIVEN_PART).max(1);
+    let most = (node.settings().limits.fan_in() / CHILDREN_PER_SNAPSHOT).max(1);
     let free = node.snapshots_given.get() < most;
     let Some(snapshot) = current(node, now).filter(|_| free) else {
         let mut refusal = Response::new(whole(Bytes::new()));
@@ -78,14 +78,14 @@
     let age = now.saturating_since(snapshot.proved_at).as_millis() as u64 + 1;
     let mut answer = Response::new(whole(snapshot.body));
     answer.headers_mut().insert(AGE_MS, HeaderValue::from(age));
-    with_guard(answer, Given(Rc::clone(node)))
+    with_guard(answer, SnapshotPermit(Rc::clone(node)))
 }
 
 /// The last snapshot, or a new one where that is old.
 fn current(node: &Node, now: Timestamp) -> Option<Snapshot> {
     let peers = node.peers.as_ref()?;
     let known = peers.borrow().snapshot.clone();
-    if let Some(known) = known.filter(|known| now.saturating_since(known.made_at) < KEPT) {
+    if let Some(known) = known.filter(|known| now.saturating_since(known.made_at) < SNAPSHOT_TTL) {
         return Some(known);
     }
     let made = make(node, now)?;
@@ -107,11 +107,11 @@
 }
 
 /// Asks the node above for a snapshot, and takes it in where nothing newer is known by then.
-pub(super) async fn take(node: &Node, calls: &Client) {
+pub(super) async fn fetch(node: &Node, calls: &Client) {
     let sent_at = node.now();
     let mut request = Request::new(Bytes::new());
     *request.uri_mut() = http::Uri::from_static(SNAPSHOT_PATH);
-    let Ok(answer) = calls.call(request, PATIENCE).await else { return };
+    let Ok(answer) = calls.call(request, SNAPSHOT_TIMEOUT).await else { return };
     if answer.status() != StatusCode::OK {
         return;
     }
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -24,11 +24,11 @@
 };
 
 /// The pause between two looks at the settings file, readiness and old connections.
-const HOUSEKEEPING: Duration = Duration::from_millis(1_000);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The pause between two looks whether all has ended.
-const END_PAUSE: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for the last log lines.
-const LAST_LINES: Duration = Duration::from_millis(120);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(120);
 
 /// Why the process could not start.
 #[derive(Debug, thiserror::Error)]
@@ -50,7 +50,7 @@
     move |source| StartError::System { what, source }
 }
 
-/// Runs a forwarding node until it is told to stop.
+/// Runs a forwarding node until it is metrics_node to stop.
 pub fn run(path: PathBuf, platform: Box<dyn Platform>) -> Result<(), StartError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(system("runtime"))?;
@@ -76,10 +76,10 @@
     let advertised = peers_address.map(|address| listen.peers_advertised.unwrap_or(address));
     let node = Rc::new(Node::new(settings, platform, clock, journal, advertised));
     let (stage, stage_seen) = watch::channel(StopStage::Serving);
-    let doors = Callers::new(Rc::clone(&node), stage_seen);
+    let caller_server = Callers::new(Rc::clone(&node), stage_seen);
     let addresses =
         Addresses::of(&callers, &readiness, metrics.as_ref(), peers_address).map_err(system("addresses"))?;
-    tell_start(&node, addresses);
+    log_start(&node, addresses);
     tokio::task::spawn_local(store_feed::run(Rc::clone(&node)));
     if let Some(peers) = peers {
         tokio::task::spawn_local(peers::server::serve(Rc::clone(&node), peers));
@@ -88,20 +88,24 @@
     tokio::task::spawn_local(cache_feed::run(Rc::clone(&node)));
     tokio::task::spawn_local(quarantine::run(Rc::clone(&node)));
     tokio::task::spawn_local(target_record::run(Rc::clone(&node)));
-    tokio::task::spawn_local(keep_house(Rc::clone(&node), path, hangup));
+    tokio::task::spawn_local(housekeeping(Rc::clone(&node), path, hangup));
     let leading = tokio::task::spawn_local(leadership::run(Rc::clone(&node)));
-    tokio::task::spawn_local(doors.clone().serve(callers));
-    let asked = Rc::clone(&node);
-    tokio::task::spawn_local(ingress::serve_simple(readiness, move || ingress::readiness_answer(&asked)));
+    tokio::task::spawn_local(caller_server.clone().serve(callers));
+    let readiness_node = Rc::clone(&node);
+    tokio::task::spawn_local(ingress::serve_simple(readiness, move || {
+        ingress::readiness_answer(&readiness_node)
+    }));
     if let Some(metrics) = metrics {
-        let told = Rc::clone(&node);
-        tokio::task::spawn_local(ingress::serve_simple(metrics, move || ingress::metrics_answer(&told)));
+        let metrics_node = Rc::clone(&node);
+        tokio::task::spawn_local(ingress::serve_simple(metrics, move || {
+            ingress::metrics_answer(&metrics_node)
+        }));
     }
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    stop(&node, &stage, &doors).await;
+    stop(&node, &stage, &caller_server).await;
     // The lease has been given up meanwhile, where the store answers.
     leading.abort();
     Ok(())
@@ -132,7 +136,7 @@
     }
 }
 
-fn tell_start(node: &Node, addresses: Addresses) {
+fn log_start(node: &Node, addresses: Addresses) {
     node.journal.log(&Event::Started {
         zone: node.settings().zone.as_str(),
         callers: addresses.callers,
@@ -154,26 +158,26 @@
     stage.send_replace(StopStage::Closing);
     node.journal.log(&Event::CallersClosing { open: callers.open(), running: node.running.get() });
     while !callers.are_drained() && node.now() < planned.ends_at {
-        tokio::time::sleep(END_PAUSE).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     let after_ms = node.now().saturating_since(began).as_millis() as u64;
     node.journal.log(&Event::Stopped { running: node.running.get(), after_ms });
     // Requests that are cut tell their own lines while lines are still written.
     node.grace_is_over.set(true);
     stage.send_replace(StopStage::Ended);
-    tokio::time::sleep(LAST_LINES).await;
+    tokio::time::sleep(LOG_FLUSH_TIME).await;
 }
 
 /// Follows the settings file, tells changes of readiness, and drops what has grown old.
-async fn keep_house(node: Rc<Node>, path: PathBuf, mut hangup: Signal) {
+async fn housekeeping(node: Rc<Node>, path: PathBuf, mut hangup: Signal) {
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     let mut ready = None;
     loop {
-        let asked = tokio::select! {
-            () = tokio::time::sleep(HOUSEKEEPING) => false,
+        let forced = tokio::select! {
+            () = tokio::time::sleep(HOUSEKEEPING_INTERVAL) => false,
             _ = hangup.recv() => true,
         };
-        reload(&node, &path, &mut text, asked);
+        reload(&node, &path, &mut text, forced);
         node.sweep();
         let readiness = node.readiness();
         if ready != Some(readiness) {
@@ -188,11 +192,11 @@
     }
 }
 
-/// Reads the settings again. Ones that cannot be used are told, and those before them hold on.
-fn reload(node: &Node, path: &std::path::Path, text: &mut String, asked: bool) {
+/// Reads the settings again. Ones that cannot be used are metrics_node, and those before them hold on.
+fn reload(node: &Node, path: &std::path::Path, text: &mut String, forced: bool) {
     let read = std::fs::read_to_string(path);
     let changed = read.as_ref().is_ok_and(|new| new != text);
-    if !changed && !asked {
+    if !changed && !forced {
         return;
     }
     let parsed = match &read {
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -33,22 +33,22 @@
     store_feed::{StoreError, call_store},
 };
 
-/// How long a back end that lives may need to take a connection.
-const LOOK: Duration = Duration::from_millis(300);
+/// How long a back end that connection may need to take a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a new connection must stay open: one that leads to a back end which has ended, over something that takes
 /// connections in its place, is closed at once.
-const STAYS_OPEN: Duration = Duration::from_millis(100);
+const PROBE_TIME: Duration = Duration::from_millis(100);
 /// How long an answer of the store may take.
-const PATIENCE: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// The pause before a call to the store is made again.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Calls to the store that wait; beyond them the oldest are given up. All nodes still tell each other.
-const MOST_WAITING: usize = 64;
+const MAX_PENDING: usize = 64;
 
 /// A change of what the metadata store keeps.
 #[derive(Clone, Debug)]
 pub(crate) enum Change {
-    Keep(QuarantinedRequest),
+    Hold(QuarantinedRequest),
     Release(RequestFingerprint),
 }
 
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct PendingWork {
     /// Runs that broke, by back ends that are being looked at.
-    looked_at: RefCell<BTreeMap<BackendId, Vec<Crash>>>,
+    probing: RefCell<BTreeMap<BackendId, Vec<Crash>>>,
     changes: RefCell<VecDeque<Change>>,
     changed: Notify,
 }
@@ -64,14 +64,14 @@
 impl Node {
     /// The connection to a back end ended under a run.
     pub fn report_broken_run(self: &Rc<Self>, crash: Crash, address: SocketAddr) {
-        let mut looked_at = self.quarantine_work.looked_at.borrow_mut();
-        if let Some(others) = looked_at.get_mut(&crash.engine) {
+        let mut probing = self.quarantine_work.probing.borrow_mut();
+        if let Some(others) = probing.get_mut(&crash.engine) {
             others.push(crash);
             return;
         }
         let backend = crash.engine.clone();
-        looked_at.insert(backend.clone(), vec![crash]);
-        tokio::task::spawn_local(look_at(Rc::clone(self), backend, address));
+        probing.insert(backend.clone(), vec![crash]);
+        tokio::task::spawn_local(probe(Rc::clone(self), backend, address));
     }
 
     /// A run came to its end.
@@ -82,7 +82,7 @@
     }
 
     fn release(&self, fingerprint: RequestFingerprint) {
-        self.tell_release(&fingerprint, "a run came to its end");
+        self.log_release(&fingerprint, "a run came to its end");
         self.change(Change::Release(fingerprint));
     }
 
@@ -103,9 +103,9 @@
 
     /// The node above tells what is held back.
     pub fn apply_quarantine_digest(&self, digest: QuarantineDigest) {
-        let news = self.state.borrow_mut().quarantine.receive_digest(digest, self.now());
-        for fingerprint in news {
-            self.tell_hold(
+        let new = self.state.borrow_mut().quarantine.receive_digest(digest, self.now());
+        for fingerprint in new {
+            self.log_hold(
                 &HeldLine { fingerprint: fingerprint.to_string(), ..HeldLine::default() },
                 HoldSource::Parent,
             );
@@ -114,9 +114,9 @@
 
     /// The metadata store tells that a request is held back.
     pub fn apply_stored_hold(&self, request: &QuarantinedRequest) {
-        let news = self.state.borrow_mut().quarantine.add_stored_hold(request.fingerprint, self.now());
-        if news {
-            self.tell_hold(&HeldLine::from(request), HoldSource::Stored);
+        let new = self.state.borrow_mut().quarantine.add_stored_hold(request.fingerprint, self.now());
+        if new {
+            self.log_hold(&HeldLine::from(request), HoldSource::Stored);
         }
     }
 
@@ -124,7 +124,7 @@
     pub fn apply_stored_release(&self, fingerprint: &RequestFingerprint) {
         let known = self.state.borrow_mut().quarantine.remove_stored_hold(fingerprint, self.now());
         if known {
-            self.tell_release(fingerprint, "the store holds it no longer");
+            self.log_release(fingerprint, "the store holds it no longer");
         }
     }
 
@@ -141,11 +141,11 @@
         let ended = self.state.borrow_mut().quarantine.sweep(self.now());
         for fingerprint in ended {
             self.state.borrow_mut().held.remove(&fingerprint);
-            self.tell_release(&fingerprint, "its time is over");
+            self.log_release(&fingerprint, "its time is over");
         }
     }
 
-    fn crash_found(&self, crash: Crash) {
+    fn record_crash(&self, crash: Crash) {
         self.metrics.count(Counter::RunsCrashed);
         self.journal.log(&Event::RunCrashed {
             fingerprint: crash.fingerprint.to_string(),
@@ -162,26 +162,26 @@
 
     /// Concludes what is to be held back, where this node hears of all crashes that others hear of.
     pub(crate) fn conclude_quarantine(&self) {
-        let me = self.settings().node.clone();
-        let held = self.state.borrow_mut().quarantine.conclude(&me, self.now());
+        let node = self.settings().node.clone();
+        let held = self.state.borrow_mut().quarantine.conclude(&node, self.now());
         for request in held {
-            self.tell_hold(&HeldLine::from(&request), HoldSource::Counted);
+            self.log_hold(&HeldLine::from(&request), HoldSource::Counted);
             // The store may come back from a copy without it before it has told that it keeps it.
             self.state.borrow_mut().held.insert(request.fingerprint, request.clone());
-            self.change(Change::Keep(request));
+            self.change(Change::Hold(request));
         }
     }
 
     pub(crate) fn change(&self, change: Change) {
         let mut changes = self.quarantine_work.changes.borrow_mut();
-        if changes.len() >= MOST_WAITING {
+        if changes.len() >= MAX_PENDING {
             changes.pop_front();
         }
         changes.push_back(change);
         self.quarantine_work.changed.notify_one();
     }
 
-    fn tell_hold(&self, line: &HeldLine, by: HoldSource) {
+    fn log_hold(&self, line: &HeldLine, by: HoldSource) {
         self.metrics.count(Counter::RequestsHeld);
         self.journal.log(&Event::RequestHeld {
             held: line,
@@ -190,7 +190,7 @@
         });
     }
 
-    fn tell_release(&self, fingerprint: &RequestFingerprint, why: &'static str) {
+    fn log_release(&self, fingerprint: &RequestFingerprint, why: &'static str) {
         self.journal.log(&Event::RequestReleased { fingerprint: fingerprint.to_string(), why });
     }
 
@@ -209,27 +209,27 @@
 }
 
 /// Looks whether a back end still takes connections; where it does, the runs broke off of something else.
-async fn look_at(node: Rc<Node>, backend: BackendId, address: SocketAddr) {
-    let lives = takes_connections(&node, address).await;
-    let broken = node.quarantine_work.looked_at.borrow_mut().remove(&backend).unwrap_or_default();
-    match lives {
+async fn probe(node: Rc<Node>, backend: BackendId, address: SocketAddr) {
+    let connection = open_probe(&node, address).await;
+    let broken = node.quarantine_work.probing.borrow_mut().remove(&backend).unwrap_or_default();
+    match connection {
         Some(connection) => node.pool.borrow_mut().put(&backend, connection, node.now()),
         None => {
             node.health(&backend, HealthEvent::Failed, true);
             node.pool.borrow_mut().close(&backend);
-            broken.into_iter().for_each(|crash| node.crash_found(crash));
+            broken.into_iter().for_each(|crash| node.record_crash(crash));
         }
     }
 }
 
 /// A connection that has come up and stays open, where one does.
-async fn takes_connections(node: &Node, address: SocketAddr) -> Option<Connection> {
-    let connection = Connection::open(address, LOOK, node.now()).await.ok()?;
-    tokio::time::sleep(STAYS_OPEN).await;
+async fn open_probe(node: &Node, address: SocketAddr) -> Option<Connection> {
+    let connection = Connection::open(address, CONNECT_TIMEOUT, node.now()).await.ok()?;
+    tokio::time::sleep(PROBE_TIME).await;
     connection.is_ready().then_some(connection)
 }
 
-/// Writes conclusions to the metadata store, for as long as the process lives.
+/// Writes conclusions to the metadata store, for as long as the process connection.
 pub async fn run(node: Rc<Node>) {
     loop {
         let next = node.quarantine_work.changes.borrow_mut().pop_front();
@@ -239,7 +239,7 @@
         };
         if let Err(error) = write(&node, &change).await {
             node.journal.log(&Event::QuarantineNotWritten { problem: error.to_string() });
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             if is_wanted(&node, &change) {
                 node.quarantine_work.changes.borrow_mut().push_front(change);
             }
@@ -250,27 +250,27 @@
 /// Whether a change that failed is still to be made.
 fn is_wanted(node: &Node, change: &Change) -> bool {
     match change {
-        Change::Keep(request) => node.held_for(&request.fingerprint).is_some(),
+        Change::Hold(request) => node.held_for(&request.fingerprint).is_some(),
         Change::Release(fingerprint) => node.held_for(fingerprint).is_none(),
     }
 }
 
 async fn write(node: &Node, change: &Change) -> Result<(), StoreError> {
     let request = match change {
-        Change::Keep(request) => request.clone(),
+        Change::Hold(request) => request.clone(),
         Change::Release(fingerprint) => {
-            call_store(node, &StoreCall::Release(*fingerprint), PATIENCE).await?;
+            call_store(node, &StoreCall::Release(*fingerprint), CALL_TIMEOUT).await?;
             return Ok(());
         }
     };
-    let granted = call_store(node, &StoreCall::Grant { ttl: HOLD_DURATION }, PATIENCE).await?;
+    let granted = call_store(node, &StoreCall::Grant { ttl: HOLD_DURATION }, CALL_TIMEOUT).await?;
     let StoreAnswer::Lease { lease, .. } = granted else { return Err(StoreError::Unexpected) };
     let hold = StoreCall::Hold { request: Box::new(request), lease };
     // Where no answer comes the hold may be kept: ending its lease would release the request at all nodes.
-    match call_store(node, &hold, PATIENCE).await? {
+    match call_store(node, &hold, CALL_TIMEOUT).await? {
         StoreAnswer::Done { .. } => Ok(()),
         // It is kept already, by this node's last call or another node: this lease binds nothing.
-        StoreAnswer::Conflict => call_store(node, &StoreCall::End(lease), PATIENCE).await.map(|_| ()),
+        StoreAnswer::Conflict => call_store(node, &StoreCall::End(lease), CALL_TIMEOUT).await.map(|_| ()),
         _ => Err(StoreError::Unexpected),
     }
 }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -24,11 +24,11 @@
 };
 
 /// How long a resumable stream may be silent, in multiples of the pause that its route calls good.
-const SILENCE_GAPS: u32 = 5;
+const STALL_GAPS: u32 = 5;
 /// The same for routes that name no such pause.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// The silence before a resumable stream's first event, in multiples of its route's target.
-const FIRST_SILENCE_TARGETS: u32 = 2;
+const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The stall_timeout before a resumable stream's first event, in multiples of its route's target.
+const FIRST_EVENT_TARGETS: u32 = 2;
 
 /// Why a stream ends before it is whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -55,20 +55,20 @@
     has_event: bool,
     /// Whether an event has come of any run.
     has_passed_on: bool,
-    waits_on: bool,
+    waits_to_end: bool,
     /// When something was last heard of the back end.
-    heard_at: Timestamp,
+    received_at: Timestamp,
     done: bool,
 }
 
 /// What came of waiting for the back end.
-enum Heard {
+enum Received {
     Data(Bytes),
     End,
     Broken(String),
-    Silent,
+    Stalled,
     /// Nothing came for longer than a good pause.
-    Pause,
+    Slow,
     /// The back end's weights are too old for a request that has not begun.
     Outdated,
     TimeUp,
@@ -102,7 +102,7 @@
 
     fn new(exchange: Exchange, choice: Choice, begun: AttemptAnswer, last_event: Option<u64>) -> Self {
         let splitter = EventSplitter::resuming_after(last_event);
-        let heard_at = exchange.node.now();
+        let received_at = exchange.node.now();
         Self {
             exchange,
             choice,
@@ -112,8 +112,8 @@
             splitter,
             has_event: false,
             has_passed_on: false,
-            waits_on: false,
-            heard_at,
+            waits_to_end: false,
+            received_at,
             done: false,
         }
     }
@@ -140,17 +140,17 @@
             return None;
         }
         loop {
-            match self.hear().await {
-                Heard::Data(data) => {
-                    self.heard_at = self.exchange.node.now();
+            match self.receive().await {
+                Received::Data(data) => {
+                    self.received_at = self.exchange.node.now();
                     let whole = self.splitter.push(&data);
                     if !whole.is_empty() {
-                        self.exchange.part();
+                        self.exchange.record_chunk();
                         self.first_event();
                         return Some(Ok(whole));
                     }
                 }
-                Heard::End => {
+                Received::End => {
                     if let Some(result) = self.end() {
                         return result;
                     }
@@ -159,70 +159,72 @@
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::Broken(detail) => {
+                Received::Broken(detail) => {
                     if !self.resume_without_run(AttemptFailure::broken(detail)).await {
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::Pause if !self.exchange.node.is_ejected(&self.choice.backend) => {}
+                Received::Slow if !self.exchange.node.is_ejected(&self.choice.backend) => {}
                 // Silence alone ends nothing: without another back end the stream is waited for to its end.
-                Heard::Silent | Heard::Pause if !self.exchange.has_another() => self.waits_on = true,
-                Heard::Silent | Heard::Pause => {
+                Received::Stalled | Received::Slow if !self.exchange.has_alternative() => {
+                    self.waits_to_end = true
+                }
+                Received::Stalled | Received::Slow => {
                     if !self.resume(AttemptFailure::unclear("silent".into())).await {
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::Outdated => {
+                Received::Outdated => {
                     if !self.resume_without_run(AttemptFailure::unclear(OUTDATED.into())).await {
                         return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::TimeUp => return Some(Err(self.give_up("time_up", RelayError::TimeUp))),
+                Received::TimeUp => return Some(Err(self.give_up("time_up", RelayError::TimeUp))),
             }
         }
     }
 
-    async fn hear(&mut self) -> Heard {
+    async fn receive(&mut self) -> Received {
         let give_up_at = self.exchange.give_up_at;
-        let silent_at = self.silent_at();
+        let stalled_at = self.stalled_at();
         let node = &self.exchange.node;
-        let until = silent_at.map_or(give_up_at, |at| at.min(give_up_at));
-        // A back end that fails others is given less time: it is looked at again before its silence is certain.
-        let look_at = silent_at.map(|_| node.now() + self.good_pause());
-        let until = look_at.map_or(until, |at| at.min(until));
-        let Some(begun) = &mut self.begun else { return Heard::Broken("nothing has begun".into()) };
-        let begins_at = (!self.has_event).then_some(&self.choice);
-        match node.wait(begins_at, until, begun.body.frame()).await {
-            Waited::Done(Some(Ok(frame))) => Heard::Data(frame.into_data().unwrap_or_default()),
-            Waited::Done(Some(Err(error))) => Heard::Broken(error.to_string()),
-            Waited::Done(None) => Heard::End,
-            Waited::Outdated => Heard::Outdated,
-            Waited::TimeUp if silent_at.is_some_and(|at| at <= until) => Heard::Silent,
-            Waited::TimeUp if until < give_up_at => Heard::Pause,
-            Waited::TimeUp => Heard::TimeUp,
+        let until = stalled_at.map_or(give_up_at, |at| at.min(give_up_at));
+        // A back end that fails others is given less time: it is looked at again before its stall_timeout is certain.
+        let recheck_at = stalled_at.map(|_| node.now() + self.slow_after());
+        let until = recheck_at.map_or(until, |at| at.min(until));
+        let Some(begun) = &mut self.begun else { return Received::Broken("nothing has begun".into()) };
+        let starting_at = (!self.has_event).then_some(&self.choice);
+        match node.wait(starting_at, until, begun.body.frame()).await {
+            Waited::Done(Some(Ok(frame))) => Received::Data(frame.into_data().unwrap_or_default()),
+            Waited::Done(Some(Err(error))) => Received::Broken(error.to_string()),
+            Waited::Done(None) => Received::End,
+            Waited::Outdated => Received::Outdated,
+            Waited::TimeUp if stalled_at.is_some_and(|at| at <= until) => Received::Stalled,
+            Waited::TimeUp if until < give_up_at => Received::Slow,
+            Waited::TimeUp => Received::TimeUp,
         }
     }
 
     /// When another back end is asked, where the route allows that.
-    fn silent_at(&self) -> Option<Timestamp> {
+    fn stalled_at(&self) -> Option<Timestamp> {
         let route = &self.exchange.route;
         let resumable = is_resumable(route.kind) && self.exchange.spent.sent < route.attempts;
         let copied = self.has_event && self.choice.copy_to.is_some();
-        if self.waits_on || !(resumable || copied) {
+        if self.waits_to_end || !(resumable || copied) {
             return None;
         }
-        let silence = if self.has_event {
-            route.target_gap.map_or(SILENCE, |gap| gap * SILENCE_GAPS)
+        let stall_timeout = if self.has_event {
+            route.target_gap.map_or(STALL_TIMEOUT, |gap| gap * STALL_GAPS)
         } else {
-            let usual = self.exchange.node.slowest(&self.choice.backend) * 3 / 2;
-            (route.target_latency * FIRST_SILENCE_TARGETS).max(usual)
+            let usual = self.exchange.node.slow_latency(&self.choice.backend) * 3 / 2;
+            (route.target_latency * FIRST_EVENT_TARGETS).max(usual)
         };
-        Some(self.heard_at + silence)
+        Some(self.received_at + stall_timeout)
     }
 
     /// The longest pause that is still good, with some slack.
-    fn good_pause(&self) -> Duration {
-        self.exchange.route.target_gap.unwrap_or(SILENCE / SILENCE_GAPS) * 6 / 5
+    fn slow_after(&self) -> Duration {
+        self.exchange.route.target_gap.unwrap_or(STALL_TIMEOUT / STALL_GAPS) * 6 / 5
     }
 
     fn first_event(&mut self) {
@@ -232,9 +234,9 @@
         self.has_event = true;
         self.has_passed_on = true;
         if let Some(begun) = &mut self.begun {
-            begun.work.first_part();
+            begun.work.record_first_chunk();
         }
-        self.exchange.first_part(&self.choice);
+        self.exchange.record_first_chunk(&self.choice);
     }
 
     /// The body has ended. Nothing is given where its end cannot be a stream's.
@@ -244,7 +246,7 @@
             return None;
         }
         self.done = true;
-        self.exchange.conclude(STREAMED);
+        self.exchange.set_outcome(STREAMED);
         self.exchange.run_completed();
         let node = &self.exchange.node;
         node.pool.borrow_mut().put(&begun.work.backend, begun.connection, node.now());
@@ -254,7 +256,7 @@
 
     /// Lets another back end go on; the run before has ended, or must not begin any more.
     async fn resume_without_run(&mut self, ended: AttemptFailure) -> bool {
-        self.let_go();
+        self.release_run();
         self.resume(ended).await
     }
 
@@ -264,20 +266,20 @@
         self.exchange.spent.may_have_run = true;
         let known = self.exchange.account.choice.clone();
         let resumed = if is_resumable(self.exchange.route.kind) {
-            self.go_on_elsewhere(ended).await
+            self.resume_elsewhere(ended).await
         } else {
-            self.go_on_from_copy(ended).await
+            self.resume_from_copy(ended).await
         };
         if resumed {
             return true;
         }
         // Nobody else takes the stream: the silent run is waited for to its end.
         self.exchange.account.choice = known;
-        self.waits_on = true;
+        self.waits_to_end = true;
         self.begun.is_some()
     }
 
-    async fn go_on_elsewhere(&mut self, mut ended: AttemptFailure) -> bool {
+    async fn resume_elsewhere(&mut self, mut ended: AttemptFailure) -> bool {
         let mut asked = self.choice.clone();
         loop {
             if self.exchange.decide(&asked, &ended) != NextAction::Retry {
@@ -286,10 +288,10 @@
             if self.exchange.held_for().is_some() {
                 return false;
             }
-            let Some(choice) = self.exchange.place() else { return false };
+            let Some(choice) = self.exchange.choose_backend() else { return false };
             let resume = Resume { after: self.splitter.last_id(), continues: None };
             asked = choice.clone();
-            ended = match self.ask(choice, resume).await {
+            ended = match self.attempt_resume(choice, resume).await {
                 Ok(()) => return true,
                 Err(ended) => ended,
             };
@@ -297,7 +299,7 @@
     }
 
     /// Goes on where a copy of the run's memory is: that is the same run, and no second one.
-    async fn go_on_from_copy(&mut self, ended: AttemptFailure) -> bool {
+    async fn resume_from_copy(&mut self, ended: AttemptFailure) -> bool {
         let Some((next, run)) = self.exchange.copy_of(&self.choice).filter(|_| self.has_event) else {
             self.exchange.decide(&self.choice, &ended);
             return false;
@@ -309,7 +311,7 @@
         }
         let resume = Resume { after: self.splitter.last_id(), continues: Some(run) };
         let holder = next.clone();
-        match self.ask(next, resume).await {
+        match self.attempt_resume(next, resume).await {
             Ok(()) => true,
             Err(ended) if self.begun.is_some() => {
                 self.exchange.decide(&holder, &ended);
@@ -324,11 +326,11 @@
     }
 
     /// Asks another back end to go on, and lets the run before go once that one has begun or may have.
-    async fn ask(&mut self, choice: Choice, resume: Resume) -> Result<(), AttemptFailure> {
+    async fn attempt_resume(&mut self, choice: Choice, resume: Resume) -> Result<(), AttemptFailure> {
         let node = Rc::clone(&self.exchange.node);
-        let begins_at = (!self.has_event).then_some(&self.choice);
+        let starting_at = (!self.has_event).then_some(&self.choice);
         let attempt = self.exchange.attempt(&choice, resume);
-        let result = node.attempt_beside(&mut self.begun, begins_at, attempt).await;
+        let result = node.attempt_beside(&mut self.begun, starting_at, attempt).await;
         let result = match result {
             Ok(begun) if !begun.head.status.is_success() => {
                 Err(AttemptFailure::unclear(format!("status {}", begun.head.status)))
@@ -337,14 +339,14 @@
         };
         match result {
             Ok(begun) => {
-                self.let_go();
+                self.release_run();
                 self.take_over(choice, begun);
                 Ok(())
             }
             Err(ended) => {
                 // Only what has certainly not begun leaves the run before to itself.
                 if !matches!(ended.end, AttemptEnd::NotSent | AttemptEnd::NotRun | AttemptEnd::Misdirected) {
-                    self.let_go();
+                    self.release_run();
                 }
                 Err(ended)
             }
@@ -352,13 +354,13 @@
     }
 
     /// The run before is left, with what it has sent of an event.
-    fn let_go(&mut self) {
+    fn release_run(&mut self) {
         self.begun = None;
         self.splitter.finish();
     }
 
     fn take_over(&mut self, choice: Choice, begun: AttemptAnswer) {
-        self.exchange.resumed();
+        self.exchange.record_resume();
         // A copy goes on in the run that the caller has events of; any other run begins anew.
         self.has_event &= !is_resumable(self.exchange.route.kind);
         if !self.has_passed_on {
@@ -366,13 +368,13 @@
         }
         self.choice = choice;
         self.begun = Some(begun);
-        self.heard_at = self.exchange.node.now();
+        self.received_at = self.exchange.node.now();
     }
 
     fn give_up(&mut self, outcome: &'static str, error: RelayError) -> RelayError {
         self.begun = None;
         self.done = true;
-        self.exchange.conclude(outcome);
+        self.exchange.set_outcome(outcome);
         error
     }
 }
--- a/crates/forward/src/response_wait.rs
+++ b/crates/forward/src/response_wait.rs
@@ -12,7 +12,7 @@
 
 /// How long a silent run is kept while another back end is asked. A refusal comes within some milliseconds; a back end that
 /// has said nothing by then may have begun, and two runs of one stream must not go on side by side.
-const KEPT_BESIDE: Duration = Duration::from_millis(300);
+const OVERLAP_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What came of a wait.
 pub(crate) enum Waited<T> {
@@ -31,13 +31,13 @@
         self.state.borrow().rollout.begin_by(&scope.model, scope.weights)
     }
 
-    /// Whether a request must not begin any more at the back end `begins_at`; never where it begins at none.
-    pub(crate) fn is_outdated(&self, begins_at: Option<&Choice>) -> bool {
-        let begin_by = begins_at.and_then(|choice| self.begin_by(choice));
+    /// Whether a request must not begin any more at the back end `starting_at`; never where it begins at none.
+    pub(crate) fn is_outdated(&self, starting_at: Option<&Choice>) -> bool {
+        let begin_by = starting_at.and_then(|choice| self.begin_by(choice));
         begin_by.is_some_and(|begin_by| begin_by <= self.now())
     }
 
-    /// What comes of `awaited` by `until`. Where it tells that a request has begun at the back end `begins_at`, the wait
+    /// What comes of `awaited` by `until`. Where it tells that a request has begun at the back end `starting_at`, the wait
     /// ends as soon as that one's weights are too old, also where newer ones are named meanwhile.
     ///
     /// Nothing shows when a whole answer's run has begun. One that began in time is broken off too where it lasts past that
@@ -45,22 +45,22 @@
     /// and lets runs begin on weights that are too old.
     pub(crate) async fn wait<T>(
         &self,
-        begins_at: Option<&Choice>,
+        starting_at: Option<&Choice>,
         until: Timestamp,
         awaited: impl Future<Output = T>,
     ) -> Waited<T> {
         let mut awaited = std::pin::pin!(awaited);
         loop {
             let named = self.target_announced.notified();
-            let begin_by = begins_at.and_then(|choice| self.begin_by(choice));
-            let look_at = begin_by.map_or(until, |at| at.min(until));
+            let begin_by = starting_at.and_then(|choice| self.begin_by(choice));
+            let recheck_at = begin_by.map_or(until, |at| at.min(until));
             tokio::select! {
                 biased;
                 done = awaited.as_mut() => return Waited::Done(done),
-                () = self.clock.sleep_until(look_at) => {}
+                () = self.clock.sleep_until(recheck_at) => {}
                 () = named => continue,
             }
-            if self.is_outdated(begins_at) {
+            if self.is_outdated(starting_at) {
                 return Waited::Outdated;
             }
             if self.now() >= until {
@@ -70,17 +70,17 @@
     }
 
     /// What comes of `attempt` at another back end. A silent run is kept meanwhile, for a short time and only while it may
-    /// still begin at `begins_at`.
+    /// still begin at `starting_at`.
     pub async fn attempt_beside<K, T>(
         &self,
         kept: &mut Option<K>,
-        begins_at: Option<&Choice>,
+        starting_at: Option<&Choice>,
         attempt: impl Future<Output = T>,
     ) -> T {
         let mut attempt = std::pin::pin!(attempt);
-        if !self.is_outdated(begins_at) {
-            let until = self.now() + KEPT_BESIDE;
-            if let Waited::Done(result) = self.wait(begins_at, until, attempt.as_mut()).await {
+        if !self.is_outdated(starting_at) {
+            let until = self.now() + OVERLAP_TIMEOUT;
+            if let Waited::Done(result) = self.wait(starting_at, until, attempt.as_mut()).await {
                 return result;
             }
         }
--- a/crates/forward/src/settings/figures.rs
+++ b/crates/forward/src/settings/figures.rs
@@ -5,7 +5,7 @@
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 /// The greatest figure that is accepted: all whole numbers up to it are exact as fractions.
-const GREATEST: f64 = 9_007_199_254_740_992.0;
+const MAX_FIGURE: f64 = 9_007_199_254_740_992.0;
 
 /// A figure that is not negative, rounded down. A bound that is rounded down is kept a little too well.
 pub fn whole<'de, D, T>(deserializer: D) -> Result<T, D::Error>
@@ -14,7 +14,7 @@
     T: TryFrom<u64>,
 {
     let figure = f64::deserialize(deserializer)?;
-    if !(0.0..=GREATEST).contains(&figure) {
+    if !(0.0..=MAX_FIGURE).contains(&figure) {
         return Err(D::Error::custom(format!("{figure} is no figure of 0 or more")));
     }
     T::try_from(figure as u64).map_err(|_| D::Error::custom(format!("{figure} is too great")))
@@ -23,7 +23,7 @@
 /// A time in seconds, as milliseconds.
 pub fn seconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let figure = f64::deserialize(deserializer)? * MS_PER_SECOND;
-    if !(0.0..=GREATEST).contains(&figure) {
+    if !(0.0..=MAX_FIGURE).contains(&figure) {
         return Err(D::Error::custom("a time must be 0 s or more"));
     }
     Ok(figure as u64)
--- a/crates/forward/src/store_feed.rs
+++ b/crates/forward/src/store_feed.rs
@@ -22,28 +22,28 @@
 };
 
 /// How long an answer may take beyond what was asked to wait.
-const PATIENCE: Duration = Duration::from_millis(1_200);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// The pause after a failed call; grows with each further failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_STEP: Duration = Duration::from_millis(100);
 /// The longest pause after a failed call.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// The least time between two watches of the leader, whose orders wait for news.
-const LEADER_GATHER: Duration = Duration::from_millis(200);
+const LEADER_WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The pause between two looks whether other nodes still pass on what the store tells.
-const RELAYED_LOOK: Duration = Duration::from_millis(100);
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause between two looks who leads, while nobody is known to.
-const LEADER_LOOK: Duration = Duration::from_millis(300);
+const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// How much later a small machine first looks who leads, and by how much they spread out: a strong one leads by then, so
 /// that hundreds of small ones find it by one look each.
-const SMALL_LOOKS_AFTER: Duration = Duration::from_millis(700);
-const SMALL_LOOKS_SPREAD: Duration = Duration::from_millis(600);
-/// Pages that a node lists before it waits for a snapshot from another one. All of a store of a hundred back ends lies on
+const SMALL_NODE_DELAY: Duration = Duration::from_millis(700);
+const SMALL_NODE_JITTER: Duration = Duration::from_millis(600);
+/// Pages that a node lists before it delay for a snapshot from another one. All of a store of a hundred back ends lies on
 /// one or two; of ten thousand on fifty.
-const PAGES_ALONE: u32 = 2;
+const PAGES_BEFORE_SNAPSHOT: u32 = 2;
 /// How long the pages listed so far are added to. The changes since the first one are asked for once all are there, and the
 /// store keeps a history of 20 s.
-const LISTING_HOLDS: Duration = Duration::from_secs(8);
+const LISTING_TTL: Duration = Duration::from_secs(8);
 
 /// Why a call to the store brought nothing.
 #[derive(Debug, thiserror::Error)]
@@ -66,14 +66,10 @@
 }
 
 /// Makes one call to the store.
-pub async fn call_store(
-    node: &Node,
-    call: &StoreCall,
-    patience: Duration,
-) -> Result<StoreAnswer, StoreError> {
+pub async fn call_store(node: &Node, call: &StoreCall, timeout: Duration) -> Result<StoreAnswer, StoreError> {
     let began = node.now();
     let answer: Result<Response<Bytes>, CallError> =
-        node.store.call(node.platform.store_request(call), patience).await;
+        node.store.call(node.platform.store_request(call), timeout).await;
     node.metrics.observe(Distribution::StoreCall, node.now().saturating_since(began));
     let result = answer.map_err(StoreError::from).and_then(|answer| {
         node.observe_era(node.platform.store_era(&answer));
@@ -98,7 +94,7 @@
 
 /// Looks who leads, by a read that may be old and costs little.
 pub async fn find_leader(node: &Node) -> Result<(), StoreError> {
-    match call_store(node, &StoreCall::FindLeader, PATIENCE).await? {
+    match call_store(node, &StoreCall::FindLeader, CALL_TIMEOUT).await? {
         StoreAnswer::Facts { facts, .. } => {
             node.apply_leader(facts);
             Ok(())
@@ -117,11 +113,11 @@
         failing_since: None,
         listing: None,
         snapshot_awaited_until: None,
-        awaits_until: None,
+        relay_awaited_until: None,
     };
     loop {
-        let result = feed.turn().await;
-        feed.account(result).await;
+        let result = feed.step().await;
+        feed.record_result(result).await;
     }
 }
 
@@ -151,53 +147,53 @@
     /// Until when another node is given the time to give a snapshot.
     snapshot_awaited_until: Option<Timestamp>,
     /// Until when another node is given the time to tell what follows what this one knows; none before it knows all.
-    awaits_until: Option<Timestamp>,
+    relay_awaited_until: Option<Timestamp>,
 }
 
 impl Feed {
-    async fn turn(&mut self) -> Result<(), StoreError> {
+    async fn step(&mut self) -> Result<(), StoreError> {
         let known = self.node.state.borrow().revision;
-        let Some(known) = known else { return self.begin().await };
-        self.await_others_first();
+        let Some(known) = known else { return self.initial_sync().await };
+        self.start_relay_wait();
         if self.node.history_lost.get() {
-            return self.learn_anew().await;
+            return self.resync().await;
         }
         self.listing = None;
         if self.node.has_recent_relay() {
             return Ok(());
         }
-        if self.awaits_others() {
-            return self.await_others().await;
+        if self.awaits_relay() {
+            return self.await_relay().await;
         }
         self.watch(known).await
     }
 
-    /// Learns all for the first time. Where all nodes start for the first time no caller waits: all but the root are told.
-    async fn begin(&mut self) -> Result<(), StoreError> {
+    /// Learns all for the first time. Where all nodes start for the first time no caller delay: all but the root are told.
+    async fn initial_sync(&mut self) -> Result<(), StoreError> {
         let settings = self.node.settings();
         let leads = self.node.token().is_some();
-        let told_by = self.started_at + settings.bounds.initial_relay_timeout(true);
-        if settings.first_start && self.may_be_told(leads) && self.node.now() < told_by {
-            return self.look_for_leader(settings.limits.is_small()).await;
+        let relay_deadline = self.started_at + settings.bounds.initial_relay_timeout(true);
+        if settings.first_start && self.can_use_relay(leads) && self.node.now() < relay_deadline {
+            return self.await_first_relay(settings.limits.is_small()).await;
         }
         if !leads && self.awaits_snapshot() {
-            let _ = tokio::time::timeout(RELAYED_LOOK, self.node.store_known.notified()).await;
+            let _ = tokio::time::timeout(RELAY_CHECK_INTERVAL, self.node.store_known.notified()).await;
             return Ok(());
         }
         self.list(!leads && self.node.peers.is_some()).await
     }
 
     /// Learns all anew where the store has forgotten what has changed: a snapshot of the node above costs it nothing.
-    async fn learn_anew(&mut self) -> Result<(), StoreError> {
+    async fn resync(&mut self) -> Result<(), StoreError> {
         let until = self.snapshot_awaited_until.get_or_insert_with(|| snapshot_deadline(&self.node));
         if self.node.has_parent() && self.node.now() < *until {
-            let _ = tokio::time::timeout(RELAYED_LOOK, self.node.store_known.notified()).await;
+            let _ = tokio::time::timeout(RELAY_CHECK_INTERVAL, self.node.store_known.notified()).await;
             return Ok(());
         }
         self.list(false).await
     }
 
-    fn may_be_told(&self, leads: bool) -> bool {
+    fn can_use_relay(&self, leads: bool) -> bool {
         self.node.peers.is_some() && !leads
     }
 
@@ -205,46 +201,46 @@
         self.listing.is_some() && self.snapshot_awaited_until.is_some_and(|until| self.node.now() < until)
     }
 
-    async fn look_for_leader(&self, is_small: bool) -> Result<(), StoreError> {
+    async fn await_first_relay(&self, is_small: bool) -> Result<(), StoreError> {
         if is_small {
-            let first_look = SMALL_LOOKS_AFTER + SMALL_LOOKS_SPREAD.mul_f64(rand::random::<f64>());
-            let waits = (self.started_at + first_look).saturating_since(self.node.now());
-            tokio::time::sleep(waits).await;
+            let first_check = SMALL_NODE_DELAY + SMALL_NODE_JITTER.mul_f64(rand::random::<f64>());
+            let delay = (self.started_at + first_check).saturating_since(self.node.now());
+            tokio::time::sleep(delay).await;
         }
         if self.node.state.borrow().leader.is_none() {
             find_leader(&self.node).await?;
         }
-        let _ = tokio::time::timeout(LEADER_LOOK, self.node.store_known.notified()).await;
+        let _ = tokio::time::timeout(LEADER_CHECK_INTERVAL, self.node.store_known.notified()).await;
         Ok(())
     }
 
     /// Gives others, once, the time to tell what follows what this node has learned.
-    fn await_others_first(&mut self) {
-        if self.awaits_until.is_none() && self.node.peers.is_some() {
-            self.awaits_until =
+    fn start_relay_wait(&mut self) {
+        if self.relay_awaited_until.is_none() && self.node.peers.is_some() {
+            self.relay_awaited_until =
                 Some(self.node.now() + self.node.settings().bounds.initial_relay_timeout(false));
         }
     }
 
     /// Whether this node has lately begun, and another one may soon tell it what follows its listing.
-    fn awaits_others(&self) -> bool {
+    fn awaits_relay(&self) -> bool {
         let leads = self.node.token().is_some();
-        !leads && self.awaits_until.is_some_and(|until| self.node.now() < until)
+        !leads && self.relay_awaited_until.is_some_and(|until| self.node.now() < until)
     }
 
     /// Looks for the leader where none is known; whoever is known is reported to meanwhile.
-    async fn await_others(&mut self) -> Result<(), StoreError> {
+    async fn await_relay(&mut self) -> Result<(), StoreError> {
         if self.node.state.borrow().leader.is_none() {
             find_leader(&self.node).await?;
-            tokio::time::sleep(LEADER_LOOK).await;
+            tokio::time::sleep(LEADER_CHECK_INTERVAL).await;
         }
         Ok(())
     }
 
     async fn watch(&mut self, after: Revision) -> Result<(), StoreError> {
-        let wait = self.wait();
+        let wait = self.watch_wait();
         let sent_at = self.node.now();
-        let answer = call_store(&self.node, &StoreCall::Watch { after, wait }, wait + PATIENCE).await?;
+        let answer = call_store(&self.node, &StoreCall::Watch { after, wait }, wait + CALL_TIMEOUT).await?;
         match answer {
             // Another node has passed on more meanwhile.
             StoreAnswer::Facts { .. } if self.node.state.borrow().revision != Some(after) => Ok(()),
@@ -261,11 +257,11 @@
         }
     }
 
-    /// Lists page by page; where `may_be_told`, others may tell the rest after the first few. A failed page is asked for
+    /// Lists page by page; where `can_use_relay`, others may tell the rest after the first few. A failed page is asked for
     /// again, and those before it stay.
-    async fn list(&mut self, may_be_told: bool) -> Result<(), StoreError> {
+    async fn list(&mut self, can_use_relay: bool) -> Result<(), StoreError> {
         let now = self.node.now();
-        self.listing.take_if(|listing| now.saturating_since(listing.sent_at) >= LISTING_HOLDS);
+        self.listing.take_if(|listing| now.saturating_since(listing.sent_at) >= LISTING_TTL);
         let listing = self.listing.get_or_insert_with(|| Listing {
             sent_at: now,
             revision: None,
@@ -275,7 +271,7 @@
         });
         loop {
             let call = StoreCall::List { after: listing.after.clone() };
-            match call_store(&self.node, &call, PATIENCE).await? {
+            match call_store(&self.node, &call, CALL_TIMEOUT).await? {
                 StoreAnswer::Facts { revision, .. } if listing.is_of_another_era(revision) => {
                     self.listing = None;
                     return Ok(());
@@ -291,7 +287,7 @@
             if listing.after.is_none() {
                 break;
             }
-            if may_be_told && listing.pages == PAGES_ALONE {
+            if can_use_relay && listing.pages == PAGES_BEFORE_SNAPSHOT {
                 self.node.apply_partial_listing(
                     listing.facts.clone(),
                     listing.revision.unwrap_or_default(),
@@ -302,12 +298,12 @@
             }
         }
         match self.listing.take() {
-            Some(listing) => self.take_listing(listing),
+            Some(listing) => self.finish_listing(listing),
             None => Ok(()),
         }
     }
 
-    fn take_listing(&self, listing: Listing) -> Result<(), StoreError> {
+    fn finish_listing(&self, listing: Listing) -> Result<(), StoreError> {
         let revision = listing.revision.unwrap_or_default();
         let known = self.node.state.borrow().revision;
         if known.is_some_and(|known| known.era() > revision.era()) {
@@ -323,32 +319,32 @@
     }
 
     /// The least time between two watches, in which changes gather: each answer costs a call.
-    fn gather(&self) -> Duration {
+    fn watch_interval(&self) -> Duration {
         if self.node.state.borrow().revision.is_none() || self.node.history_lost.get() {
             Duration::ZERO
-        } else if self.proves_for_others() {
-            LEADER_GATHER
-        } else if self.node.has_recent_relay() || self.awaits_others() {
-            RELAYED_LOOK
+        } else if self.serves_others() {
+            LEADER_WATCH_INTERVAL
+        } else if self.node.has_recent_relay() || self.awaits_relay() {
+            RELAY_CHECK_INTERVAL
         } else {
             self.node.settings().bounds.gather()
         }
     }
 
     /// Whether this node asks the store for others too: it leads, or others report to it while nobody else tells it.
-    fn proves_for_others(&self) -> bool {
+    fn serves_others(&self) -> bool {
         let Some(peers) = &self.node.peers else { return false };
         self.node.token().is_some()
             || (!self.node.has_recent_relay() && !peers.borrow().fleet.children.is_empty())
     }
 
-    /// How long one watch waits. A leader's answers are proof for others too, who hear of them a little later.
-    fn wait(&self) -> Duration {
+    /// How long one watch delay. A leader's answers are proof for others too, who hear of them a little later.
+    fn watch_wait(&self) -> Duration {
         let bounds = self.node.settings().bounds;
-        if self.proves_for_others() { bounds.leader_watch_wait() } else { bounds.watch_wait() }
+        if self.serves_others() { bounds.leader_watch_wait() } else { bounds.watch_wait() }
     }
 
-    async fn account(&mut self, result: Result<(), StoreError>) {
+    async fn record_result(&mut self, result: Result<(), StoreError>) {
         let now = self.node.now();
         match result {
             Ok(()) => {
@@ -357,7 +353,7 @@
                     self.node.journal.log(&Event::StoreRegained { after_ms });
                 }
                 self.failures = 0;
-                tokio::time::sleep(self.gather()).await;
+                tokio::time::sleep(self.watch_interval()).await;
             }
             Err(error) => {
                 if self.failing_since.is_none() {
@@ -370,8 +366,8 @@
                     });
                 }
                 self.failures += 1;
-                let pause = FIRST_PAUSE * self.failures.min(16);
-                tokio::time::sleep(pause.min(LONGEST_PAUSE)).await;
+                let pause = RETRY_STEP * self.failures.min(16);
+                tokio::time::sleep(pause.min(MAX_RETRY_PAUSE)).await;
             }
         }
     }
--- a/crates/forward/src/store_restore.rs
+++ b/crates/forward/src/store_restore.rs
@@ -13,7 +13,7 @@
 use crate::{journal::Event, metrics::Counter, node::Node, quarantine::Change};
 
 /// How long after the store's return a listing may lack what nodes write again.
-const SETTLES: Duration = Duration::from_secs(10);
+const SETTLING_TIME: Duration = Duration::from_secs(10);
 
 impl Node {
     /// An answer of the store told its era, where it tells any. One of before is late, and no news.
@@ -43,13 +43,13 @@
 
     /// Whether the store came back from a copy a short while ago.
     pub(crate) fn is_restored_lately(&self) -> bool {
-        let settling = |at: Timestamp| self.now().saturating_since(at) < SETTLES;
+        let settling = |at: Timestamp| self.now().saturating_since(at) < SETTLING_TIME;
         self.restored_at.get().is_some_and(settling)
     }
 
     /// Writes again what is held back, where a copy of the store may lack it. What is there already stays as it is.
     pub(crate) fn rewrite_holds(&self) {
         let held: Vec<_> = self.state.borrow().held.values().cloned().collect();
-        held.into_iter().for_each(|request| self.change(Change::Keep(request)));
+        held.into_iter().for_each(|request| self.change(Change::Hold(request)));
     }
 }
