--- a/crates/forward/src/access_log.rs
+++ b/crates/forward/src/access_log.rs
@@ -1,4 +1,4 @@
-//! What is told of a request when it has ended: one line, and counters.
+//! What is told of a request when it has failure: one line, and counters.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,7 +25,7 @@
 pub(crate) const STREAMED: &str = "streamed";
 /// The outcome of a request that has not run and whose caller may come back.
 pub(crate) const REFUSED: &str = "refused";
-/// The outcome of a request that no back end gets, since back ends ended under it again and again.
+/// The outcome of a request that no back end gets, since back ends failure under it again and again.
 pub(crate) const HELD_BACK: &str = "held_back";
 /// The outcome of a request that still ran when the grace period of a planned stop was over.
 const CUT_BY_STOP: &str = "cut_by_stop";
@@ -34,7 +34,7 @@
 /// The outcome of a request beyond its tenant's quota.
 const OVER_QUOTA: &str = "over_quota";
 
-/// What is told of a request when it has ended.
+/// What is told of a request when it has failure.
 #[derive(Debug, Default)]
 pub struct RequestRecord {
     pub(crate) id: Option<String>,
@@ -79,8 +79,8 @@
         matches!(self.outcome, Some(ANSWERED | STREAMED))
     }
 
-    /// Tells how the request ended.
-    pub(crate) fn log(&self, node: &Node, arrived: Timestamp, spent: AttemptHistory) {
+    /// Tells how the request failure.
+    pub(crate) fn log(&self, node: &Node, arrived: Timestamp, history: AttemptHistory) {
         // Nothing was concluded: the connection has gone, by the caller's will or with the process.
         let unconcluded = if node.grace_is_over.get() { CUT_BY_STOP } else { CALLER_LEFT };
         let outcome = self.outcome.unwrap_or(unconcluded);
@@ -99,7 +99,7 @@
             fingerprint: self.fingerprint.map(|fingerprint| fingerprint.to_string()),
             configuration: self.configuration,
             configuration_age_ms: self.configuration_age.map(|age| age.as_millis() as u64),
-            attempts: spent.sent,
+            attempts: history.sent,
             backend: choice.map(|choice| choice.backend.as_str()),
             candidates: choice.map_or(0, |choice| choice.eligible),
             cost: choice.map_or(0, |choice| choice.cost),
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -160,7 +160,7 @@
 pub fn error_answer(refusal: impl Into<Refusal>) -> Response<AnswerBody> {
     let Refusal { reason, retry_after } = refusal.into();
     let body = serde_json::to_vec(&ErrorBody { error: reason.text(), reason }).unwrap_or_default();
-    let mut answer = Response::new(whole(Bytes::from(body)));
+    let mut answer = Response::new(full_body(Bytes::from(body)));
     *answer.status_mut() = reason.status();
     answer.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = retry_after {
@@ -173,21 +173,21 @@
 }
 
 /// A body that is there whole.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+pub fn full_body(bytes: Bytes) -> AnswerBody {
     Box::pin(Full::new(bytes).map_err(|never: Infallible| match never {}))
 }
 
 /// An answer that keeps `guard` until its body has been handed over to its end, or is dropped.
 pub fn with_guard<T: Unpin + 'static>(answer: Response<AnswerBody>, guard: T) -> Response<AnswerBody> {
-    answer.map(|body| Box::pin(HeldBody { body, _guard: guard }) as AnswerBody)
+    answer.map(|body| Box::pin(GuardedBody { body, _guard: guard }) as AnswerBody)
 }
 
-struct HeldBody<T> {
+struct GuardedBody<T> {
     body: AnswerBody,
     _guard: T,
 }
 
-impl<T: Unpin> Body for HeldBody<T> {
+impl<T: Unpin> Body for GuardedBody<T> {
     type Data = Bytes;
     type Error = RelayError;
 
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -64,8 +64,8 @@
     pub answer: Option<Response<Bytes>>,
     /// Whether the connection had been used before.
     pub reused: bool,
-    /// Whether the connection ended under the run, which is how a back end's crash shows.
-    pub broke: bool,
+    /// Whether the connection failure under the run, which is how a back end's crash shows.
+    pub connection_lost: bool,
     /// The back end that answered, where the answer names it.
     pub answered_by: Option<BackendId>,
 }
@@ -78,18 +78,18 @@
             detail,
             answer: None,
             reused: false,
-            broke: false,
+            connection_lost: false,
             answered_by: None,
         }
     }
 
-    /// The same, where the connection ended under the run.
+    /// The same, where the connection failure under the run.
     pub fn broken(detail: String) -> Self {
-        Self { broke: true, ..Self::unclear(detail) }
+        Self { connection_lost: true, ..Self::unclear(detail) }
     }
 }
 
-/// An answer that has begun.
+/// An answer that has upstream.
 #[derive(Debug)]
 pub struct AttemptAnswer {
     /// Its head.
@@ -156,14 +156,14 @@
     }
 }
 
-/// Sends a request and waits for an answer that may be passed on, until `give_up_at`.
+/// Sends a request and waits for an answer that may be passed on, until `deadline`.
 pub async fn send(
     node: &Rc<Node>,
     choice: &Choice,
     id: Option<&str>,
     request: Request<Full<Bytes>>,
     run: RunKind,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 ) -> Result<AttemptAnswer, AttemptFailure> {
     let work = LoadGuard::begin(node, choice);
     // A run that goes on begins nothing: its weights were in time when it began.
@@ -177,7 +177,7 @@
     let reused = pooled.is_some();
     let mut connection = match pooled {
         Some(connection) => connection,
-        None => connect(node, choice, give_up_at).await?,
+        None => connect(node, choice, deadline).await?,
     };
     // The connection took its time.
     if let Some(why) = blocked_reason(node, choice, starting_at).filter(|_| !reused) {
@@ -187,7 +187,7 @@
     let sent_at = node.now();
     node.acquire_permit(&choice.backend);
     let waiting = connection.send(request);
-    let answer = match node.wait(starting_at, give_up_at, waiting).await {
+    let answer = match node.wait(starting_at, deadline, waiting).await {
         Waited::Done(Ok(answer)) => answer,
         Waited::Done(Err(error)) => {
             if error.is_before_sending() {
@@ -219,8 +219,8 @@
     node.observe_answer(&process, &parsed, Some(sent_at));
     let framed = head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING);
-    let begun = AttemptAnswer { head, parsed, body, connection, work, framed };
-    classify(node, choice, begun, reused, give_up_at).await
+    let upstream = AttemptAnswer { head, parsed, body, connection, work, framed };
+    classify(node, choice, upstream, reused, deadline).await
 }
 
 /// Why a back end that was chosen must not be sent the request any more.
@@ -244,11 +244,11 @@
 async fn connect(
     node: &Rc<Node>,
     choice: &Choice,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 ) -> Result<Connection, AttemptFailure> {
     node.metrics.count(Counter::Connections);
     let now = node.now();
-    let timeout = CONNECT_TIMEOUT.min(give_up_at.saturating_since(now));
+    let timeout = CONNECT_TIMEOUT.min(deadline.saturating_since(now));
     Connection::open(choice.address, timeout, now).await.map_err(|error| broken(node, choice, &error, false))
 }
 
@@ -260,28 +260,28 @@
     } else if !matches!(error, ConnectionError::NotSent) {
         node.health(&choice.backend, HealthEvent::Failed, !reused && end == AttemptEnd::NotSent);
     }
-    let broke = matches!(error, ConnectionError::Broken(_));
-    AttemptFailure { end, reused, broke, ..AttemptFailure::unclear(error.to_string()) }
+    let connection_lost = matches!(error, ConnectionError::Broken(_));
+    AttemptFailure { end, reused, connection_lost, ..AttemptFailure::unclear(error.to_string()) }
 }
 
 /// Sorts out answers that are not passed on as they come.
 async fn classify(
     node: &Rc<Node>,
     choice: &Choice,
-    begun: AttemptAnswer,
+    upstream: AttemptAnswer,
     reused: bool,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 ) -> Result<AttemptAnswer, AttemptFailure> {
     let backend = &choice.backend;
-    let status = begun.head.status;
-    if begun.parsed.not_run || begun.parsed.misdirected {
-        let end = record_refusal(node, choice, &begun.parsed);
+    let status = upstream.head.status;
+    if upstream.parsed.not_run || upstream.parsed.misdirected {
+        let end = record_refusal(node, choice, &upstream.parsed);
         let detail = format!("status {status}, not run");
-        let answered_by = begun.parsed.backend.clone();
-        let _ = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, read_full_answer(node, begun)).await;
+        let answered_by = upstream.parsed.backend.clone();
+        let _ = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, read_full_answer(node, upstream)).await;
         return Err(AttemptFailure { end, reused, answered_by, ..AttemptFailure::unclear(detail) });
     }
-    if begun.parsed.encoded || (status.is_success() && !begun.parsed.signed) {
+    if upstream.parsed.encoded || (status.is_success() && !upstream.parsed.signed) {
         node.pool.borrow_mut().distrust(backend, node.now());
         let detail = format!("status {status}, not a back end's answer");
         return Err(AttemptFailure { reused, ..AttemptFailure::unclear(detail) });
@@ -289,7 +289,7 @@
     if status.is_server_error() {
         let event = HealthEvent::Failed;
         node.health(backend, event, false);
-        let whole = node.clock.timeout_at(give_up_at, read_full_answer(node, begun)).await;
+        let whole = node.clock.timeout_at(deadline, read_full_answer(node, upstream)).await;
         let detail = format!("status {status}");
         return match whole {
             Some(Ok(answer)) => {
@@ -311,7 +311,7 @@
         };
     }
     node.health(backend, HealthEvent::Succeeded, false);
-    Ok(begun)
+    Ok(upstream)
 }
 
 fn record_refusal(node: &Rc<Node>, choice: &Choice, parsed: &AnswerHead) -> AttemptEnd {
@@ -334,8 +334,8 @@
 }
 
 /// Takes an answer whole and gives its connection back.
-pub async fn read_full_answer(node: &Rc<Node>, begun: AttemptAnswer) -> Result<Response<Bytes>, String> {
-    let AttemptAnswer { head, body, connection, mut work, .. } = begun;
+pub async fn read_full_answer(node: &Rc<Node>, upstream: AttemptAnswer) -> Result<Response<Bytes>, String> {
+    let AttemptAnswer { head, body, connection, mut work, .. } = upstream;
     let body =
         Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|error| error.to_string())?.to_bytes();
     work.record_first_chunk();
--- a/crates/forward/src/dispatch.rs
+++ b/crates/forward/src/dispatch.rs
@@ -39,7 +39,7 @@
         }
         let dispatch = Dispatch {
             backend: &choice.backend,
-            deadline: self.give_up_at.saturating_since(now),
+            deadline: self.deadline.saturating_since(now),
             tenant: self.account.tenant.as_deref(),
             rank: rank(self.account.tenant.as_deref(), &self.route),
             scope: choice.scope.as_ref(),
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -47,9 +47,9 @@
     /// The route.
     pub route: Arc<Route>,
     /// When it ends at the latest.
-    pub give_up_at: Timestamp,
+    pub deadline: Timestamp,
     /// What it has behind it.
-    pub spent: AttemptHistory,
+    pub history: AttemptHistory,
     pub(crate) account: RequestRecord,
     pub(crate) arrived: Timestamp,
     pub(crate) head: RequestHead,
@@ -84,8 +84,8 @@
         }
     };
     let timeout = head.deadline.unwrap_or(DEFAULT_DEADLINE).saturating_sub(DEADLINE_MARGIN);
-    let give_up_at = arrived + timeout.min(route.timeout);
-    if !node.has_time_for(&route, account.guessed_tokens, give_up_at) {
+    let deadline = arrived + timeout.min(route.timeout);
+    if !node.has_time_for(&route, account.guessed_tokens, deadline) {
         account.refuse(&node, arrived, Reason::Stopping.into());
         node.refund_quota(grant);
         return error_answer(Reason::Stopping);
@@ -95,8 +95,8 @@
     let mut exchange = Exchange {
         node,
         route,
-        give_up_at,
-        spent: AttemptHistory::default(),
+        deadline,
+        history: AttemptHistory::default(),
         account,
         arrived,
         head,
@@ -119,7 +119,7 @@
     async fn read_body(&mut self, body: Incoming) -> Result<(), Reason> {
         let most = self.node.state.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
         let reading = Limited::new(body, most).collect();
-        match self.node.clock.timeout_at(self.give_up_at, reading).await {
+        match self.node.clock.timeout_at(self.deadline, reading).await {
             Some(Ok(whole)) => {
                 self.body = whole.to_bytes();
                 Ok(())
@@ -136,25 +136,25 @@
                 return self.hold_back(held_for);
             }
             let Some(choice) = self.choose_backend() else {
-                return self.give_up(self.no_backend_refusal(Reason::NoBackend));
+                return self.abandon(self.no_backend_refusal(Reason::NoBackend));
             };
             match self.attempt(&choice, Resume::default()).await {
-                Ok(begun) if self.route.kind.is_stream() && begun.head.status.is_success() => {
-                    return self.relay(choice, begun).await;
+                Ok(upstream) if self.route.kind.is_stream() && upstream.head.status.is_success() => {
+                    return self.relay(choice, upstream).await;
                 }
-                Ok(begun) => match self.finish_whole(begun).await {
+                Ok(upstream) => match self.finish_whole(upstream).await {
                     Ok(answer) => {
                         self.run_completed();
                         return self.pass_on(answer, ANSWERED);
                     }
-                    Err(ended) => {
-                        if let Some(answer) = self.after_failure(&choice, ended) {
+                    Err(failure) => {
+                        if let Some(answer) = self.after_failure(&choice, failure) {
                             return answer;
                         }
                     }
                 },
-                Err(ended) => {
-                    if let Some(answer) = self.after_failure(&choice, ended) {
+                Err(failure) => {
+                    if let Some(answer) = self.after_failure(&choice, failure) {
                         return answer;
                     }
                 }
@@ -171,7 +171,7 @@
             prompt: self.head.prompt.as_ref(),
             isolated,
             copied: self.route.kind == RouteKind::Stream { resumable: false },
-            healthy_only: self.spent.misdirected > 0,
+            healthy_only: self.history.misdirected > 0,
             tried: &self.tried,
             draw: self.draw,
         };
@@ -188,7 +188,7 @@
     ) -> Result<AttemptAnswer, AttemptFailure> {
         let now = self.node.now();
         if self.sent_at.is_none() {
-            self.node.metrics.observe(Distribution::Added, now.saturating_since(self.arrived));
+            self.node.metrics.observe(Distribution::RoutingDelay, now.saturating_since(self.arrived));
             // Once a request, however many connections do not come up, and when it comes: earned with their answers, the
             // shares of requests that an engine kept waiting would all fall into one window.
             self.node.record_first_attempt(&self.service);
@@ -203,28 +203,28 @@
         let run = if resume.continues.is_some() { RunKind::Continued } else { RunKind::New };
         let result =
             attempts::send(&node, choice, self.head.id.as_deref(), request, run, attempt_deadline).await;
-        let end = result.as_ref().err().map(|ended| ended.end);
+        let end = result.as_ref().err().map(|failure| failure.end);
         self.node.record_attempt_end(&self.service, end);
-        if self.spent.sent > 0 && end != Some(AttemptEnd::NotSent) {
+        if self.history.sent > 0 && end != Some(AttemptEnd::NotSent) {
             self.node.settle_misdirected_retry(self.misdirected_retry.take(), end);
         }
         match &result {
             Err(AttemptFailure { end: AttemptEnd::NotSent, reused, .. }) => {
-                self.spent.not_sent += 1;
+                self.history.not_sent += 1;
                 if !reused {
                     self.tried.push(choice.backend.clone());
                 }
             }
             Ok(_) | Err(_) => {
-                self.spent.sent += 1;
+                self.history.sent += 1;
                 self.tried.push(choice.backend.clone());
             }
         }
         if let Err(AttemptFailure { end: AttemptEnd::Misdirected, .. }) = &result {
-            self.spent.misdirected += 1;
+            self.history.misdirected += 1;
         }
         if let Err(AttemptFailure { end: AttemptEnd::Unclear | AttemptEnd::FailedAnswer, .. }) = &result {
-            self.spent.may_have_run = true;
+            self.history.may_have_run = true;
         }
         result
     }
@@ -232,21 +232,21 @@
     /// Until when this try is waited for: to the end, or shorter where another back end may be asked.
     fn attempt_deadline(&self, choice: &Choice, now: Timestamp) -> Timestamp {
         if !self.may_try_another() {
-            return self.give_up_at;
+            return self.deadline;
         }
         let usual = self.node.slow_latency(&choice.backend) * 3 / 2;
         let attempt_deadline = (self.route.target_latency * 3 / 2).max(MIN_ATTEMPT_TIMEOUT).max(usual);
-        (now + attempt_deadline).min(self.give_up_at)
+        (now + attempt_deadline).min(self.deadline)
     }
 
     /// Whether a silent back end may be left for another one: without that, waiting is all that is left.
     pub fn may_try_another(&self) -> bool {
-        let attempts_left = self.spent.sent + 1 < self.route.attempts;
+        let attempts_left = self.history.sent + 1 < self.route.attempts;
         attempts_left && self.route.kind.is_idempotent() && self.node.retries_left(&self.service) > 0
     }
 
     /// Where a broken stream can go on from a copy of its run's memory: the back end that holds it has the weights of
-    /// the run, and so had the one that broke off.
+    /// the run, and so had the one that connection_lost off.
     pub fn copy_of(&self, choice: &Choice) -> Option<(Choice, CopiedRun)> {
         let (holder, scope) = (choice.copy_to.as_ref()?, choice.scope.as_ref()?);
         let state = self.node.state.borrow();
@@ -276,34 +276,34 @@
         if let Some(choice) = self.account.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
             return budget && self.copy_of(&choice).is_some();
         }
-        let allowed = self.spent.sent < self.route.attempts && budget;
+        let allowed = self.history.sent < self.route.attempts && budget;
         let known = self.account.choice.clone();
         let found = allowed && self.choose_backend().is_some();
         self.account.choice = known;
         found
     }
 
-    async fn finish_whole(&mut self, begun: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
-        match self.node.clock.timeout_at(self.give_up_at, read_full_answer(&self.node, begun)).await {
+    async fn finish_whole(&mut self, upstream: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
+        match self.node.clock.timeout_at(self.deadline, read_full_answer(&self.node, upstream)).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(detail)) => {
-                self.spent.may_have_run = true;
+                self.history.may_have_run = true;
                 Err(AttemptFailure::broken(detail))
             }
             None => {
-                self.spent.may_have_run = true;
+                self.history.may_have_run = true;
                 Err(AttemptFailure::unclear("the answer did not end in time".into()))
             }
         }
     }
 
     /// Passes a stream on. Its head timeout for the first event: until then what goes wrong has a whole answer of its own.
-    async fn relay(mut self, choice: Choice, begun: AttemptAnswer) -> Response<AnswerBody> {
-        self.account.status = Some(begun.head.status.as_u16());
+    async fn relay(mut self, choice: Choice, upstream: AttemptAnswer) -> Response<AnswerBody> {
+        self.account.status = Some(upstream.head.status.as_u16());
         let last_event = self.head.last_event;
-        let relay = match Relay::open(self, choice, begun, last_event).await {
+        let relay = match Relay::open(self, choice, upstream, last_event).await {
             Ok(relay) => relay,
-            Err(mut exchange) => return exchange.give_up(Reason::AnswerLost),
+            Err(mut exchange) => return exchange.abandon(Reason::AnswerLost),
         };
         let (status, mut headers) = (relay.head().status, relay.head().headers.clone());
         strip_connection_headers(&mut headers);
@@ -358,10 +358,10 @@
     /// Whether no back end has run the request: it was refused, or its caller left before it was sent.
     fn has_not_run(&self) -> bool {
         let refused = matches!(self.account.outcome, Some(REFUSED | HELD_BACK));
-        refused || (self.spent.sent == 0 && self.account.outcome.is_none())
+        refused || (self.history.sent == 0 && self.account.outcome.is_none())
     }
 
-    /// How the stream ended.
+    /// How the stream failure.
     pub const fn set_outcome(&mut self, outcome: &'static str) {
         self.account.outcome = Some(outcome);
     }
@@ -387,7 +387,7 @@
             let time = AnswerTime { first_chunk, total, estimated_tokens: self.account.guessed_tokens };
             self.node.answer_times.borrow_mut().record(&self.route.name, time, now);
         }
-        self.account.log(&self.node, self.arrived, self.spent);
+        self.account.log(&self.node, self.arrived, self.history);
     }
 }
 
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -46,7 +46,7 @@
 
 impl Node {
     /// Takes in what has changed up to `revision`, as the store told it in answer to a call sent at `sent_at`.
-    pub fn learn(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
+    pub fn apply_changes(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         self.apply_changes_from(facts, revision, sent_at, &Origin::from_watch());
     }
 
@@ -287,7 +287,7 @@
             document.tenants.iter().filter_map(|tenant| Some((&tenant.name, tenant.quota.as_ref()?)));
         state.quotas.configure(quotas, self.now());
         state.table = Some(Rc::new(RouteTable::new(document)));
-        state.wheel.clear();
+        state.round_robin.clear();
         if let Some(peers) = &self.peers {
             peers.borrow_mut().gossip.set_stores(state.stores().map(|store| store.id).collect());
         }
--- a/crates/forward/src/ingress.rs
+++ b/crates/forward/src/ingress.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 
 use crate::{
-    answers::{AnswerBody, whole},
+    answers::{AnswerBody, full_body},
     node::Node,
 };
 
@@ -53,14 +53,14 @@
         Ok(()) => (StatusCode::OK, "ready"),
         Err(why) => (StatusCode::SERVICE_UNAVAILABLE, why),
     };
-    let mut answer = Response::new(whole(Bytes::from_static(text.as_bytes())));
+    let mut answer = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     answer
 }
 
 /// The metrics as text.
 pub fn metrics_answer(node: &Node) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(Bytes::from(node.metrics.render(&node.gauges()))));
+    let mut answer = Response::new(full_body(Bytes::from(node.metrics.render(&node.gauges()))));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     answer.headers_mut().insert(header::CONTENT_TYPE, kind);
     answer
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -135,7 +135,7 @@
     /// From a request's arrival to the first byte of its answer's body, by kind of route.
     FirstByte(&'static str),
     /// From a request's arrival until it was first sent on.
-    Added,
+    RoutingDelay,
     /// A call to the store.
     StoreCall,
     /// A report to the node above.
@@ -146,7 +146,7 @@
     const fn name(self) -> &'static str {
         match self {
             Self::FirstByte(_) => "paddlemount_forward_first_byte_seconds",
-            Self::Added => "paddlemount_forward_added_seconds",
+            Self::RoutingDelay => "paddlemount_forward_added_seconds",
             Self::StoreCall => "paddlemount_forward_store_call_seconds",
             Self::PeerCall => "paddlemount_forward_peer_call_seconds",
         }
@@ -155,7 +155,7 @@
     fn labels(self) -> String {
         match self {
             Self::FirstByte(kind) => format!("kind=\"{kind}\","),
-            Self::Added | Self::StoreCall | Self::PeerCall => String::new(),
+            Self::RoutingDelay | Self::StoreCall | Self::PeerCall => String::new(),
         }
     }
 }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -300,7 +300,7 @@
 
     /// The share of a route whose turn it is.
     pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
-        let turn = self.state.borrow_mut().wheel.pick(route)?;
+        let turn = self.state.borrow_mut().round_robin.pick(route)?;
         route.split.get(turn).map(|share| share.service.clone())
     }
 
--- a/crates/forward/src/node_state.rs
+++ b/crates/forward/src/node_state.rs
@@ -67,7 +67,7 @@
     pub quarantine: Quarantine,
     /// Requests that the store holds back, as they stand there, or that this node has asked it to.
     pub(crate) held: BTreeMap<RequestFingerprint, QuarantinedRequest>,
-    pub(crate) wheel: WeightedRoundRobin,
+    pub(crate) round_robin: WeightedRoundRobin,
     pub(crate) budgets: BTreeMap<ServiceId, WindowBudget>,
     /// Whether services refuse everything.
     pub(crate) refusals: BTreeMap<ServiceId, Refusals>,
@@ -160,7 +160,7 @@
             ),
             quarantine: Quarantine::default(),
             held: BTreeMap::new(),
-            wheel: WeightedRoundRobin::default(),
+            round_robin: WeightedRoundRobin::default(),
             budgets: BTreeMap::new(),
             refusals: BTreeMap::new(),
             misdirected_budget: None,
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -14,7 +14,7 @@
 use crate::{
     access_log::{HELD_BACK, REFUSED},
     announcements::spread,
-    answers::{AnswerBody, Reason, Refusal, error_answer, whole},
+    answers::{AnswerBody, Reason, Refusal, error_answer, full_body},
     attempts::{AttemptFailure, strip_connection_headers},
     exchange::{Exchange, MIN_ATTEMPT_TIME},
     journal::Event,
@@ -26,32 +26,32 @@
     pub(crate) fn after_failure(
         &mut self,
         choice: &Choice,
-        ended: AttemptFailure,
+        failure: AttemptFailure,
     ) -> Option<Response<AnswerBody>> {
-        let next = self.decide(choice, &ended);
+        let next = self.decide(choice, &failure);
         match next {
             NextAction::Retry => None,
             NextAction::PassOn => {
-                let answer = ended.answer?;
+                let answer = failure.answer?;
                 Some(self.pass_on_failure(answer))
             }
-            NextAction::Refuse => Some(self.give_up(self.no_backend_refusal(Reason::NotTaken))),
-            NextAction::Fail => Some(self.give_up(Reason::AnswerLost)),
+            NextAction::Refuse => Some(self.abandon(self.no_backend_refusal(Reason::NotTaken))),
+            NextAction::Fail => Some(self.abandon(Reason::AnswerLost)),
         }
     }
 
     /// Decides what follows a try without answer, and tells it.
-    pub fn decide(&mut self, choice: &Choice, ended: &AttemptFailure) -> NextAction {
+    pub fn decide(&mut self, choice: &Choice, failure: &AttemptFailure) -> NextAction {
         let now = self.node.now();
-        let time_left = self.give_up_at.saturating_since(now) >= MIN_ATTEMPT_TIME;
+        let time_left = self.deadline.saturating_since(now) >= MIN_ATTEMPT_TIME;
         let (node, service) = (Rc::clone(&self.node), self.service.clone());
         let mut misdirected_retry = None;
         let budget = || {
             // The others refuse as well: the caller is told so at once.
-            if ended.end == AttemptEnd::NotRun && node.is_refused_by_all(&service) {
+            if failure.end == AttemptEnd::NotRun && node.is_refused_by_all(&service) {
                 return false;
             }
-            if ended.end == AttemptEnd::Misdirected {
+            if failure.end == AttemptEnd::Misdirected {
                 misdirected_retry = node.draw_misdirected_retry();
                 if misdirected_retry.is_none() {
                     return false;
@@ -65,33 +65,33 @@
             }
             granted
         };
-        if ended.broke {
+        if failure.connection_lost {
             self.report_broken_run(choice);
         }
         let next = attempt::next_action(
             self.route.kind,
             self.route.attempts,
-            ended.end,
-            self.spent,
+            failure.end,
+            self.history,
             time_left,
             budget,
         );
         // One that was drawn is kept until a try has arrived somewhere.
         self.misdirected_retry = misdirected_retry.or(self.misdirected_retry);
-        let end = end_label(ended.end);
+        let end = end_label(failure.end);
         self.node.metrics.count(Counter::Attempts(end));
         self.node.journal.log(&Event::AttemptEnded {
             request: self.id(),
-            attempt: self.spent.sent + self.spent.not_sent,
+            attempt: self.history.sent + self.history.not_sent,
             backend: choice.backend.as_str(),
             end,
-            detail: ended.detail.clone(),
+            detail: failure.detail.clone(),
             next: next_label(next),
             after_ms: now.saturating_since(self.arrived).as_millis() as u64,
-            reused: ended.reused,
-            fingerprint: ended.broke.then(|| self.fingerprint().to_string()),
+            reused: failure.reused,
+            fingerprint: failure.connection_lost.then(|| self.fingerprint().to_string()),
             service: self.service.as_str(),
-            answered_by: ended.answered_by.as_ref().map(BackendId::as_str),
+            answered_by: failure.answered_by.as_ref().map(BackendId::as_str),
             budget_left: self.node.retries_left(&self.service),
         });
         next
@@ -127,8 +127,8 @@
 
     /// The answer for a request that is held back, as far as an earlier try of it leaves a choice.
     pub(crate) fn hold_back(&mut self, held_for: Duration) -> Response<AnswerBody> {
-        if attempt::action_without_retry(self.route.kind, self.spent) == NextAction::Fail
-            || self.spent.may_have_run
+        if attempt::action_without_retry(self.route.kind, self.history) == NextAction::Fail
+            || self.history.may_have_run
         {
             return self.refuse(Reason::AnswerLost);
         }
@@ -136,14 +136,14 @@
     }
 
     /// The answer for a request that is given up, as far as what may have happened allows it.
-    pub(crate) fn give_up(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
-        let time_up = self.node.now() + MIN_ATTEMPT_TIME >= self.give_up_at;
-        let refusal = match attempt::action_without_retry(self.route.kind, self.spent) {
+    pub(crate) fn abandon(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
+        let time_up = self.node.now() + MIN_ATTEMPT_TIME >= self.deadline;
+        let refusal = match attempt::action_without_retry(self.route.kind, self.history) {
             NextAction::Fail if time_up => Reason::TimeUp.into(),
             NextAction::Fail => Reason::AnswerLost.into(),
-            _ if time_up && !self.spent.may_have_run => Reason::TimeUpBeforeSending.into(),
-            _ if self.spent.may_have_run && time_up => Reason::TimeUp.into(),
-            _ if self.spent.may_have_run => Reason::AnswerLost.into(),
+            _ if time_up && !self.history.may_have_run => Reason::TimeUpBeforeSending.into(),
+            _ if self.history.may_have_run && time_up => Reason::TimeUp.into(),
+            _ if self.history.may_have_run => Reason::AnswerLost.into(),
             _ => refusal.into(),
         };
         self.refuse(refusal)
@@ -179,7 +179,7 @@
         let (mut head, body) = answer.into_parts();
         self.account.status = Some(head.status.as_u16());
         strip_connection_headers(&mut head.headers);
-        let mut answer = Response::new(whole(body));
+        let mut answer = Response::new(full_body(body));
         *answer.status_mut() = head.status;
         *answer.headers_mut() = head.headers;
         answer
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -20,7 +20,7 @@
 
 use super::{Peers, snapshot};
 use crate::{
-    answers::{AnswerBody, whole},
+    answers::{AnswerBody, full_body},
     journal::Event,
     metrics::Counter,
     node::Node,
@@ -193,13 +193,13 @@
 }
 
 fn json(answer: &impl Serialize) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(Bytes::from(serde_json::to_vec(answer).unwrap_or_default())));
+    let mut response = Response::new(full_body(Bytes::from(serde_json::to_vec(answer).unwrap_or_default())));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 fn status(status: StatusCode) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(Bytes::new()));
+    let mut answer = Response::new(full_body(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -17,7 +17,7 @@
 use serde_json::value::RawValue;
 
 use crate::{
-    answers::{AnswerBody, whole, with_guard},
+    answers::{AnswerBody, full_body, with_guard},
     calls::Client,
     journal::Event,
     metrics::Counter,
@@ -69,14 +69,14 @@
     let most = (node.settings().limits.fan_in() / CHILDREN_PER_SNAPSHOT).max(1);
     let free = node.snapshots_given.get() < most;
     let Some(snapshot) = current(node, now).filter(|_| free) else {
-        let mut refusal = Response::new(whole(Bytes::new()));
+        let mut refusal = Response::new(full_body(Bytes::new()));
         *refusal.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         return refusal;
     };
     node.snapshots_given.set(node.snapshots_given.get() + 1);
     node.metrics.count(Counter::SnapshotsGiven);
     let age = now.saturating_since(snapshot.proved_at).as_millis() as u64 + 1;
-    let mut answer = Response::new(whole(snapshot.body));
+    let mut answer = Response::new(full_body(snapshot.body));
     answer.headers_mut().insert(AGE_MS, HeaderValue::from(age));
     with_guard(answer, SnapshotPermit(Rc::clone(node)))
 }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -33,7 +33,7 @@
 /// Why a stream ends before it is whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
-    /// The back end broke off, and no other could go on.
+    /// The back end connection_lost off, and no other could go on.
     #[error("the back end broke off")]
     Broken,
     /// The time is up.
@@ -45,7 +45,7 @@
 pub struct Relay {
     exchange: Exchange,
     choice: Choice,
-    begun: Option<AttemptAnswer>,
+    upstream: Option<AttemptAnswer>,
     /// The head of the answer: that of the run whose events come first.
     head: response::Parts,
     /// Events that came before the head was passed on.
@@ -69,13 +69,13 @@
     Stalled,
     /// Nothing came for longer than a good pause.
     Slow,
-    /// The back end's weights are too old for a request that has not begun.
+    /// The back end's weights are too old for a request that has not upstream.
     Outdated,
     TimeUp,
 }
 
 impl Relay {
-    /// Passes on what has begun, from its first event on; the caller has the events up to `last_event`.
+    /// Passes on what has upstream, from its first event on; the caller has the events up to `last_event`.
     ///
     /// # Errors
     ///
@@ -83,10 +83,10 @@
     pub async fn open(
         exchange: Exchange,
         choice: Choice,
-        begun: AttemptAnswer,
+        upstream: AttemptAnswer,
         last_event: Option<u64>,
     ) -> Result<Self, Box<Exchange>> {
-        let mut relay = Self::new(exchange, choice, begun, last_event);
+        let mut relay = Self::new(exchange, choice, upstream, last_event);
         match relay.next().await {
             None => Ok(relay),
             Some(Ok(events)) => {
@@ -94,20 +94,20 @@
                 Ok(relay)
             }
             Some(Err(_)) => {
-                relay.exchange.spent.may_have_run = true;
+                relay.exchange.history.may_have_run = true;
                 Err(Box::new(relay.exchange))
             }
         }
     }
 
-    fn new(exchange: Exchange, choice: Choice, begun: AttemptAnswer, last_event: Option<u64>) -> Self {
+    fn new(exchange: Exchange, choice: Choice, upstream: AttemptAnswer, last_event: Option<u64>) -> Self {
         let splitter = EventSplitter::resuming_after(last_event);
         let received_at = exchange.node.now();
         Self {
             exchange,
             choice,
-            head: begun.head.clone(),
-            begun: Some(begun),
+            head: upstream.head.clone(),
+            upstream: Some(upstream),
             opening: None,
             splitter,
             has_event: false,
@@ -154,14 +154,14 @@
                     if let Some(result) = self.end() {
                         return result;
                     }
-                    let ended = AttemptFailure::broken("ended in the middle of an event".into());
-                    if !self.resume_without_run(ended).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                    let failure = AttemptFailure::broken("ended in the middle of an event".into());
+                    if !self.resume_without_run(failure).await {
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
                 Received::Broken(detail) => {
                     if !self.resume_without_run(AttemptFailure::broken(detail)).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
                 Received::Slow if !self.exchange.node.is_ejected(&self.choice.backend) => {}
@@ -171,36 +171,36 @@
                 }
                 Received::Stalled | Received::Slow => {
                     if !self.resume(AttemptFailure::unclear("silent".into())).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
                 Received::Outdated => {
                     if !self.resume_without_run(AttemptFailure::unclear(OUTDATED.into())).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
-                Received::TimeUp => return Some(Err(self.give_up("time_up", RelayError::TimeUp))),
+                Received::TimeUp => return Some(Err(self.abandon("time_up", RelayError::TimeUp))),
             }
         }
     }
 
     async fn receive(&mut self) -> Received {
-        let give_up_at = self.exchange.give_up_at;
+        let deadline = self.exchange.deadline;
         let stalled_at = self.stalled_at();
         let node = &self.exchange.node;
-        let until = stalled_at.map_or(give_up_at, |at| at.min(give_up_at));
+        let until = stalled_at.map_or(deadline, |at| at.min(deadline));
         // A back end that fails others is given less time: it is looked at again before its stall_timeout is certain.
         let recheck_at = stalled_at.map(|_| node.now() + self.slow_after());
         let until = recheck_at.map_or(until, |at| at.min(until));
-        let Some(begun) = &mut self.begun else { return Received::Broken("nothing has begun".into()) };
+        let Some(upstream) = &mut self.upstream else { return Received::Broken("nothing has begun".into()) };
         let starting_at = (!self.has_event).then_some(&self.choice);
-        match node.wait(starting_at, until, begun.body.frame()).await {
+        match node.wait(starting_at, until, upstream.body.frame()).await {
             Waited::Done(Some(Ok(frame))) => Received::Data(frame.into_data().unwrap_or_default()),
             Waited::Done(Some(Err(error))) => Received::Broken(error.to_string()),
             Waited::Done(None) => Received::End,
             Waited::Outdated => Received::Outdated,
             Waited::TimeUp if stalled_at.is_some_and(|at| at <= until) => Received::Stalled,
-            Waited::TimeUp if until < give_up_at => Received::Slow,
+            Waited::TimeUp if until < deadline => Received::Slow,
             Waited::TimeUp => Received::TimeUp,
         }
     }
@@ -208,7 +208,7 @@
     /// When another back end is asked, where the route allows that.
     fn stalled_at(&self) -> Option<Timestamp> {
         let route = &self.exchange.route;
-        let resumable = is_resumable(route.kind) && self.exchange.spent.sent < route.attempts;
+        let resumable = is_resumable(route.kind) && self.exchange.history.sent < route.attempts;
         let copied = self.has_event && self.choice.copy_to.is_some();
         if self.waits_to_end || !(resumable || copied) {
             return None;
@@ -233,42 +233,42 @@
         }
         self.has_event = true;
         self.has_passed_on = true;
-        if let Some(begun) = &mut self.begun {
-            begun.work.record_first_chunk();
+        if let Some(upstream) = &mut self.upstream {
+            upstream.work.record_first_chunk();
         }
         self.exchange.record_first_chunk(&self.choice);
     }
 
-    /// The body has ended. Nothing is given where its end cannot be a stream's.
+    /// The body has failure. Nothing is given where its end cannot be a stream's.
     fn end(&mut self) -> Option<Option<Result<Bytes, RelayError>>> {
-        let begun = self.begun.take()?;
-        if self.splitter.has_partial_event() && !begun.framed {
+        let upstream = self.upstream.take()?;
+        if self.splitter.has_partial_event() && !upstream.framed {
             return None;
         }
         self.done = true;
         self.exchange.set_outcome(STREAMED);
         self.exchange.run_completed();
         let node = &self.exchange.node;
-        node.pool.borrow_mut().put(&begun.work.backend, begun.connection, node.now());
+        node.pool.borrow_mut().put(&upstream.work.backend, upstream.connection, node.now());
         let rest = self.splitter.finish();
         Some((!rest.is_empty()).then_some(Ok(rest)))
     }
 
-    /// Lets another back end go on; the run before has ended, or must not begin any more.
-    async fn resume_without_run(&mut self, ended: AttemptFailure) -> bool {
+    /// Lets another back end go on; the run before has failure, or must not begin any more.
+    async fn resume_without_run(&mut self, failure: AttemptFailure) -> bool {
         self.release_run();
-        self.resume(ended).await
+        self.resume(failure).await
     }
 
     /// Lets another back end go on behind the last whole event. A run that is only silent is kept until the other may have
-    /// begun: where that one refuses, the stream goes on as it was. Whether the stream goes on at all.
-    async fn resume(&mut self, ended: AttemptFailure) -> bool {
-        self.exchange.spent.may_have_run = true;
+    /// upstream: where that one refuses, the stream goes on as it was. Whether the stream goes on at all.
+    async fn resume(&mut self, failure: AttemptFailure) -> bool {
+        self.exchange.history.may_have_run = true;
         let known = self.exchange.account.choice.clone();
         let resumed = if is_resumable(self.exchange.route.kind) {
-            self.resume_elsewhere(ended).await
+            self.resume_elsewhere(failure).await
         } else {
-            self.resume_from_copy(ended).await
+            self.resume_from_copy(failure).await
         };
         if resumed {
             return true;
@@ -276,13 +276,13 @@
         // Nobody else takes the stream: the silent run is waited for to its end.
         self.exchange.account.choice = known;
         self.waits_to_end = true;
-        self.begun.is_some()
+        self.upstream.is_some()
     }
 
-    async fn resume_elsewhere(&mut self, mut ended: AttemptFailure) -> bool {
+    async fn resume_elsewhere(&mut self, mut failure: AttemptFailure) -> bool {
         let mut asked = self.choice.clone();
         loop {
-            if self.exchange.decide(&asked, &ended) != NextAction::Retry {
+            if self.exchange.decide(&asked, &failure) != NextAction::Retry {
                 return false;
             }
             if self.exchange.held_for().is_some() {
@@ -291,21 +291,21 @@
             let Some(choice) = self.exchange.choose_backend() else { return false };
             let resume = Resume { after: self.splitter.last_id(), continues: None };
             asked = choice.clone();
-            ended = match self.attempt_resume(choice, resume).await {
+            failure = match self.attempt_resume(choice, resume).await {
                 Ok(()) => return true,
-                Err(ended) => ended,
+                Err(failure) => failure,
             };
         }
     }
 
     /// Goes on where a copy of the run's memory is: that is the same run, and no second one.
-    async fn resume_from_copy(&mut self, ended: AttemptFailure) -> bool {
+    async fn resume_from_copy(&mut self, failure: AttemptFailure) -> bool {
         let Some((next, run)) = self.exchange.copy_of(&self.choice).filter(|_| self.has_event) else {
-            self.exchange.decide(&self.choice, &ended);
+            self.exchange.decide(&self.choice, &failure);
             return false;
         };
-        let ended = AttemptFailure { end: AttemptEnd::Copied, ..ended };
-        let goes_on = self.exchange.decide(&self.choice, &ended) == NextAction::Retry;
+        let failure = AttemptFailure { end: AttemptEnd::Copied, ..failure };
+        let goes_on = self.exchange.decide(&self.choice, &failure) == NextAction::Retry;
         if !goes_on || self.exchange.held_for().is_some() {
             return false;
         }
@@ -313,66 +313,67 @@
         let holder = next.clone();
         match self.attempt_resume(next, resume).await {
             Ok(()) => true,
-            Err(ended) if self.begun.is_some() => {
-                self.exchange.decide(&holder, &ended);
+            Err(failure) if self.upstream.is_some() => {
+                self.exchange.decide(&holder, &failure);
                 false
             }
             // The run before may have gone further than the caller has seen: nothing else may take it up.
-            Err(ended) => {
-                self.exchange.decide(&holder, &AttemptFailure { end: AttemptEnd::Unclear, ..ended });
+            Err(failure) => {
+                self.exchange.decide(&holder, &AttemptFailure { end: AttemptEnd::Unclear, ..failure });
                 false
             }
         }
     }
 
-    /// Asks another back end to go on, and lets the run before go once that one has begun or may have.
+    /// Asks another back end to go on, and lets the run before go once that one has upstream or may have.
     async fn attempt_resume(&mut self, choice: Choice, resume: Resume) -> Result<(), AttemptFailure> {
         let node = Rc::clone(&self.exchange.node);
         let starting_at = (!self.has_event).then_some(&self.choice);
         let attempt = self.exchange.attempt(&choice, resume);
-        let result = node.attempt_beside(&mut self.begun, starting_at, attempt).await;
+        let result = node.attempt_beside(&mut self.upstream, starting_at, attempt).await;
         let result = match result {
-            Ok(begun) if !begun.head.status.is_success() => {
-                Err(AttemptFailure::unclear(format!("status {}", begun.head.status)))
+            Ok(upstream) if !upstream.head.status.is_success() => {
+                Err(AttemptFailure::unclear(format!("status {}", upstream.head.status)))
             }
             result => result,
         };
         match result {
-            Ok(begun) => {
+            Ok(upstream) => {
                 self.release_run();
-                self.take_over(choice, begun);
+                self.take_over(choice, upstream);
                 Ok(())
             }
-            Err(ended) => {
-                // Only what has certainly not begun leaves the run before to itself.
-                if !matches!(ended.end, AttemptEnd::NotSent | AttemptEnd::NotRun | AttemptEnd::Misdirected) {
+            Err(failure) => {
+                // Only what has certainly not upstream leaves the run before to itself.
+                if !matches!(failure.end, AttemptEnd::NotSent | AttemptEnd::NotRun | AttemptEnd::Misdirected)
+                {
                     self.release_run();
                 }
-                Err(ended)
+                Err(failure)
             }
         }
     }
 
     /// The run before is left, with what it has sent of an event.
     fn release_run(&mut self) {
-        self.begun = None;
+        self.upstream = None;
         self.splitter.finish();
     }
 
-    fn take_over(&mut self, choice: Choice, begun: AttemptAnswer) {
+    fn take_over(&mut self, choice: Choice, upstream: AttemptAnswer) {
         self.exchange.record_resume();
         // A copy goes on in the run that the caller has events of; any other run begins anew.
         self.has_event &= !is_resumable(self.exchange.route.kind);
         if !self.has_passed_on {
-            self.head = begun.head.clone();
+            self.head = upstream.head.clone();
         }
         self.choice = choice;
-        self.begun = Some(begun);
+        self.upstream = Some(upstream);
         self.received_at = self.exchange.node.now();
     }
 
-    fn give_up(&mut self, outcome: &'static str, error: RelayError) -> RelayError {
-        self.begun = None;
+    fn abandon(&mut self, outcome: &'static str, error: RelayError) -> RelayError {
+        self.upstream = None;
         self.done = true;
         self.exchange.set_outcome(outcome);
         error
--- a/crates/forward/src/response_wait.rs
+++ b/crates/forward/src/response_wait.rs
@@ -11,21 +11,21 @@
 pub(crate) const OUTDATED: &str = "not begun before its weights grew too old";
 
 /// How long a silent run is kept while another back end is asked. A refusal comes within some milliseconds; a back end that
-/// has said nothing by then may have begun, and two runs of one stream must not go on side by side.
+/// has said nothing by then may have upstream, and two runs of one stream must not go on side by side.
 const OVERLAP_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What came of a wait.
 pub(crate) enum Waited<T> {
     /// The awaited.
     Done(T),
-    /// The weights are too old for a request that has not begun.
+    /// The weights are too old for a request that has not upstream.
     Outdated,
     /// The time is up.
     TimeUp,
 }
 
 impl Node {
-    /// Until when a request must have begun at its back end, whose weights may grow too old meanwhile.
+    /// Until when a request must have upstream at its back end, whose weights may grow too old meanwhile.
     pub(crate) fn begin_by(&self, choice: &Choice) -> Option<Timestamp> {
         let scope = choice.scope.as_ref()?;
         self.state.borrow().rollout.begin_by(&scope.model, scope.weights)
@@ -37,11 +37,11 @@
         begin_by.is_some_and(|begin_by| begin_by <= self.now())
     }
 
-    /// What comes of `awaited` by `until`. Where it tells that a request has begun at the back end `starting_at`, the wait
+    /// What comes of `awaited` by `until`. Where it tells that a request has upstream at the back end `starting_at`, the wait
     /// ends as soon as that one's weights are too old, also where newer ones are named meanwhile.
     ///
-    /// Nothing shows when a whole answer's run has begun. One that began in time is broken off too where it lasts past that
-    /// moment: the other guess, that whoever has waited for long has begun, fails just where a queue is longer than usual,
+    /// Nothing shows when a whole answer's run has upstream. One that began in time is broken off too where it lasts past that
+    /// moment: the other guess, that whoever has waited for long has upstream, fails just where a queue is longer than usual,
     /// and lets runs begin on weights that are too old.
     pub(crate) async fn wait<T>(
         &self,
--- a/crates/forward/src/store_feed.rs
+++ b/crates/forward/src/store_feed.rs
@@ -245,7 +245,7 @@
             // Another node has passed on more meanwhile.
             StoreAnswer::Facts { .. } if self.node.state.borrow().revision != Some(after) => Ok(()),
             StoreAnswer::Facts { facts, revision, .. } => {
-                self.node.learn(facts, revision.max(after), sent_at);
+                self.node.apply_changes(facts, revision.max(after), sent_at);
                 Ok(())
             }
             StoreAnswer::HistoryLost => {
