--- a/crates/forward/src/access_log.rs
+++ b/crates/forward/src/access_log.rs
@@ -1,4 +1,4 @@
-//! What is told of a request when it has failure: one line, and counters.
+//! The log line and the counters of a request that has ended.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,22 +19,22 @@
     node::Node,
 };
 
-/// The outcome of a request whose back end answered whole.
+/// The back end answered in full.
 pub(crate) const ANSWERED: &str = "answered";
-/// The outcome of a request whose stream was passed on to its end.
+/// The stream was relayed to its end.
 pub(crate) const STREAMED: &str = "streamed";
-/// The outcome of a request that has not run and whose caller may come back.
+/// The request did not run; the caller may retry.
 pub(crate) const REFUSED: &str = "refused";
-/// The outcome of a request that no back end gets, since back ends failure under it again and again.
+/// The request is quarantined because back ends crashed repeatedly while running it.
 pub(crate) const HELD_BACK: &str = "held_back";
-/// The outcome of a request that still ran when the grace period of a planned stop was over.
+/// The request was still running when the grace period of a planned stop ended.
 const CUT_BY_STOP: &str = "cut_by_stop";
-/// The outcome of a request whose caller closed its connection before the end.
+/// The caller closed its connection before the end.
 const CALLER_LEFT: &str = "caller_left";
-/// The outcome of a request beyond its tenant's quota.
+/// The request exceeds its tenant's quota.
 const OVER_QUOTA: &str = "over_quota";
 
-/// What is told of a request when it has failure.
+/// What is logged about a request once it has ended.
 #[derive(Debug, Default)]
 pub struct RequestRecord {
     pub(crate) id: Option<String>,
@@ -51,13 +51,13 @@
     pub(crate) first_at: Option<Timestamp>,
     pub(crate) chunk_at: Option<Timestamp>,
     pub(crate) longest_gap: Duration,
-    /// Tokens that the answer is guessed to have.
+    /// Estimated length of the answer.
     pub(crate) guessed_tokens: Option<u32>,
     pub(crate) resumed: u32,
 }
 
 impl RequestRecord {
-    /// The node itself refuses the request before any back end is chosen.
+    /// Records that the node refused the request before it chose a back end.
     pub(crate) fn refuse(
         &mut self,
         node: &Node,
@@ -74,14 +74,14 @@
         self.log(node, arrived, AttemptHistory::default());
     }
 
-    /// Whether the caller got a whole answer of a back end.
+    /// Whether the caller received a complete answer from a back end.
     pub(crate) fn is_served(&self) -> bool {
         matches!(self.outcome, Some(ANSWERED | STREAMED))
     }
 
-    /// Tells how the request failure.
+    /// Counts the request and logs how it ended.
     pub(crate) fn log(&self, node: &Node, arrived: Timestamp, history: AttemptHistory) {
-        // Nothing was concluded: the connection has gone, by the caller's will or with the process.
+        // Without an outcome, the connection was closed by the caller or with the process.
         let unconcluded = if node.grace_is_over.get() { CUT_BY_STOP } else { CALLER_LEFT };
         let outcome = self.outcome.unwrap_or(unconcluded);
         let kind = self.route.as_ref().map_or("none", |route| kind_label(route.kind));
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a request may be served, by the operator's document and how recent it is.
+//! Decides from the operator's document, and from its age, whether a request may be served.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,15 +19,15 @@
     ports::RequestHead,
 };
 
-/// A request that may be served.
+/// A request that passed admission.
 pub(crate) struct Admitted {
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceId,
-    /// What was granted of its tenant's quota, if the tenant has one.
+    /// What was charged to the tenant's quota, if it has one.
     pub(crate) grant: Option<QuotaGrant>,
 }
 
-/// Finds a request's route and tenant, and the service whose turn it is.
+/// Finds a request's route and tenant, and picks a service of the route.
 pub(crate) fn admit(
     node: &Node,
     parts: &request::Parts,
@@ -38,7 +38,7 @@
     let bounds = node.settings().bounds;
     let (table, age) = {
         let state = node.state.borrow();
-        // What was listed without proof may be old: nobody is served by it.
+        // Without a proof of freshness the table may be outdated, so nothing is served from it.
         let age = state.freshness.age(now).ok_or(Reason::NoConfiguration)?;
         (state.table.clone().ok_or(Reason::NoConfiguration)?, age)
     };
@@ -47,7 +47,7 @@
     let is_within = |bound: Duration| age < bound;
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
-    // What is unknown to old knowledge may only be unknown yet.
+    // An outdated table may lack a route or key that exists by now.
     let doubtful = !is_within(bounds.unverified_after());
     match table.admit(host, parts.uri.path(), head.key.as_deref()) {
         Admission::NoRoute | Admission::UnknownKey if doubtful => Err(Reason::ConfigurationTooOld.into()),
@@ -69,7 +69,7 @@
     }
 }
 
-/// Takes a request off its tenant's quota.
+/// Charges a request to its tenant's quota.
 fn charge(
     node: &Node,
     tenant: &Tenant,
--- a/crates/forward/src/announcements.rs
+++ b/crates/forward/src/announcements.rs
@@ -1,4 +1,5 @@
-//! What back ends announce of themselves in their answers, as a node hears it, tells it and goes by it.
+//! What back ends announce in their answers: draining, back-off and limits. A node observes it, shares it
+//! with other nodes and applies it.
 
 use std::time::Duration;
 
@@ -21,17 +22,15 @@
     ports::{AnswerHead, RequestedBackOff},
 };
 
-/// How it was source what a process announces.
+/// How an announcement reached this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnnouncementSource {
-    /// An answer of the process parsed so.
     Answer,
-    /// Another node has told it.
     Told,
 }
 
 impl AnnouncementSource {
-    /// Its name in log lines.
+    /// The name in log lines.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::Answer => "answer",
@@ -40,19 +39,21 @@
     }
 }
 
-/// When one of many callers that may come back after `least` is told to.
+/// Adds jitter to a retry delay of `least`, so that refused callers do not return together.
 pub(crate) fn spread(least: Duration) -> Duration {
     back_off::with_jitter(least, rand::random())
 }
 
 impl Node {
-    /// The process of a back end that something is being sent to. What its answer announces holds for that one.
+    /// The current process of a back end. An answer's announcements apply to the process that the request was
+    /// sent to.
     pub(crate) fn process_of(&self, id: &BackendId) -> BackendProcess {
         self.state.borrow().backends.process_of(id)
     }
 
-    /// Takes in what an answer of one of a back end's own interfaces announces, whose body may say as well that it leaves. Where
-    /// the interface refuses, that concerns no requests; for how long it wants to be left alone, if it parsed so.
+    /// Applies what a response of a back end's own interface announces; its body may announce draining too. A
+    /// refusal of such a call does not concern requests: the back-off it asks for is returned and not
+    /// applied.
     pub(crate) fn observe_call(
         &self,
         process: &BackendProcess,
@@ -69,9 +70,9 @@
         back_off
     }
 
-    /// Takes in what an answer of `process` announces, whatever else it parsed. Another process that answers in its place speaks
-    /// for itself only. `sent_at` tells when it was sent a request that it answers; answers of its own interfaces need not name a
-    /// limit that holds.
+    /// Applies what an answer of `process` announces, whatever its status. If another process answered, its
+    /// announcements are ignored. `sent_at` is when the request was sent; it is `None` for a back end's own
+    /// interfaces, which need not repeat a limit that is in force.
     pub(crate) fn observe_answer(
         &self,
         process: &BackendProcess,
@@ -99,7 +100,7 @@
         self.observe_limit(process, parsed.limit.as_ref(), sent_at);
     }
 
-    /// Other nodes have source that these processes leave.
+    /// Applies draining announcements received from other nodes.
     pub(crate) fn merge_draining_gossip(&self, processes: &[BackendProcess]) {
         for process in processes {
             self.observe_draining(process, AnnouncementSource::Told);
@@ -135,14 +136,15 @@
         }
     }
 
-    /// Whether a back end that was chosen may still be sent the request: it may have spoken while a connection came up.
+    /// Whether the chosen back end still accepts requests: it may have announced otherwise while a connection
+    /// was opened.
     pub(crate) fn still_accepts(&self, choice: &Choice) -> bool {
         let state = self.state.borrow();
         let known = state.backends.get(&choice.backend);
         known.is_some_and(|backend| state.takes_requests(backend, self.now()))
     }
 
-    /// Forgets what no longer holds, and tells whose back_off is over.
+    /// Removes expired announcements and logs back-offs that have ended.
     pub(crate) fn expire_announcements(&self) {
         let ended = self.state.borrow_mut().backends.announcements.expire(self.now());
         for backend in &ended {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// How many back ends back_off, leave and are limited now.
+    /// The numbers of back ends in back-off, draining and limited.
     pub(crate) fn announced_gauges(&self) -> [Gauge; 3] {
         let state = self.state.borrow();
         let resting = state.backends.announcements.count_backed_off(self.now());
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -1,6 +1,7 @@
-//! The node's own answers.
+//! Responses that the node generates itself.
 //!
-//! 503 promises that the request has not run and never will, and says when to come back. 502 and 504 promise nothing.
+//! 503 guarantees that the request has not run and will not run, and says when to retry. 502 and 504
+//! guarantee nothing.
 
 use std::{
     convert::Infallible,
@@ -18,53 +19,50 @@
 
 use crate::relay::RelayError;
 
-/// The body of any answer.
+/// The body of any response to a caller.
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = RelayError>>>;
 
-/// Why the node itself answers.
+/// Why the node answers a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// No configuration is known yet.
     NoConfiguration,
-    /// The configuration may be out of date: keys cannot be trusted, or a route may be new.
+    /// The configuration may be outdated: keys cannot be trusted, or a route may be missing.
     ConfigurationTooOld,
-    /// No route fits.
+    /// No route matches.
     NoRoute,
-    /// The route needs a key, and none that is known came.
+    /// The route needs a key, and the request carries no known one.
     UnknownKey,
-    /// The tenant's quota is used up.
     QuotaExceeded,
-    /// The tenant's quota counts tokens, and the request says in no readable form how many it uses.
+    /// The tenant's quota counts tokens, and the request does not state its tokens in a readable form.
     UsageMalformed,
-    /// The body is larger than the configuration allows.
     BodyTooLarge,
-    /// The caller broke off before its request was whole.
+    /// The caller's connection closed before the request was complete.
     RequestBroken,
-    /// No back end may get the request.
+    /// No back end is eligible.
     NoBackend,
-    /// All back ends have older weights than a request may begin on.
+    /// All back ends have older weights than a request may start on.
     OlderWeights,
-    /// All back ends that could serve the request have asked for a time without any.
+    /// All eligible back ends are in back-off.
     BackendsRest,
-    /// All back ends that could serve the request are limited, and the limits are used up.
+    /// All eligible back ends are limited, and the limits are used up.
     BackendsLimited,
-    /// No back end took the request.
+    /// No back end accepted the request.
     NotTaken,
-    /// The node is about to end, and answers of this route take longer than it has left.
+    /// The node is stopping, and answers of this route take longer than it has left.
     Stopping,
-    /// Back ends ended under the same request again and again: none gets it any more.
+    /// The request is quarantined because back ends crashed repeatedly while running it.
     HeldBack,
-    /// The time was up before a back end got the request.
+    /// The deadline passed before a back end received the request.
     TimeUpBeforeSending,
-    /// The time was up while a back end had the request.
+    /// The deadline passed while a back end had the request.
     TimeUp,
     /// The back end may have run the request, and its answer is lost.
     AnswerLost,
 }
 
 impl Reason {
-    /// The status that goes with it.
+    /// The status code of the response.
     pub const fn status(self) -> StatusCode {
         match self {
             Self::NoConfiguration
@@ -87,18 +85,18 @@
         }
     }
 
-    /// When a caller that is refused may come back.
+    /// How long a refused caller should wait before it retries; `None` if retrying is of no use.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            // The least of their times, where that is known.
+            // Used only if the time when a back end becomes available is unknown.
             Self::NoConfiguration | Self::NoBackend | Self::BackendsRest | Self::BackendsLimited => {
                 Some(Duration::from_millis(400))
             }
-            // One of them may have been given the named weights by then.
+            // By then an engine may have loaded the target version.
             Self::OlderWeights => Some(TYPICAL_LOAD_TIME),
             Self::ConfigurationTooOld => Some(Duration::from_millis(300)),
             Self::NotTaken | Self::QuotaExceeded => Some(Duration::from_millis(150)),
-            // Another node serves the caller at once.
+            // Another node can serve the caller at once.
             Self::TimeUpBeforeSending | Self::Stopping => Some(Duration::from_millis(50)),
             Self::HeldBack => Some(HOLD_DURATION),
             _ => None,
@@ -141,12 +139,11 @@
     reason: Reason,
 }
 
-/// A request that is not served, and when its caller may come back.
+/// A refused request, and when its caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
     pub reason: Reason,
-    /// When to come back; none where coming back is of no use.
+    /// How long to wait before a retry; `None` if retrying is of no use.
     pub retry_after: Option<Duration>,
 }
 
@@ -156,7 +153,7 @@
     }
 }
 
-/// The node's own answer to a request that it does not serve.
+/// The error response for a request that is not served.
 pub fn error_answer(refusal: impl Into<Refusal>) -> Response<AnswerBody> {
     let Refusal { reason, retry_after } = refusal.into();
     let body = serde_json::to_vec(&ErrorBody { error: reason.text(), reason }).unwrap_or_default();
@@ -172,12 +169,12 @@
     answer
 }
 
-/// A body that is there whole.
+/// A body that is complete in memory.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
     Box::pin(Full::new(bytes).map_err(|never: Infallible| match never {}))
 }
 
-/// An answer that keeps `guard` until its body has been handed over to its end, or is dropped.
+/// Attaches `guard` to a response; it is dropped with the body, at its end or before.
 pub fn with_guard<T: Unpin + 'static>(answer: Response<AnswerBody>, guard: T) -> Response<AnswerBody> {
     answer.map(|body| Box::pin(GuardedBody { body, _guard: guard }) as AnswerBody)
 }
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one back end.
+//! One attempt to send a request to one back end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,19 +20,18 @@
     response_wait::{OUTDATED, Waited},
 };
 
-/// The time in which a connection must come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The largest answer that is taken whole, in bytes.
+/// The largest body that is read into memory, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// How long the body of a refusal may take; a connection whose refusal takes longer is closed.
+/// How long the body of a refusal may take before its connection is closed.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What is told of a try at a back end that has meanwhile said that it leaves or rests.
+/// The detail of an attempt whose back end has begun to drain or to back off.
 const NOT_ACCEPTING: &str = "the back end takes no requests any more";
-/// What is told of a try at a back end whose limit others have used up meanwhile.
+/// The detail of an attempt whose back end's limit was used up after it was chosen.
 const LIMIT_USED_UP: &str = "the back end's limit is used up";
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [header::HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -44,34 +43,34 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Which run a try asks its back end for.
+/// What an attempt asks its back end to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunKind {
-    /// One that begins there.
+    /// A new run.
     New,
-    /// One that another back end began, and that goes on there from a copy of its memory.
+    /// A run that another back end began, continued from a copy of its memory.
     Continued,
 }
 
-/// Why a try has no answer to pass on.
+/// Why an attempt has no answer that can be relayed.
 #[derive(Debug)]
 pub struct AttemptFailure {
-    /// What is certain about it.
+    /// What is known about the run.
     pub end: AttemptEnd,
-    /// What happened, for people.
+    /// A description for log lines.
     pub detail: String,
-    /// A whole failure of the back end's own, which may be passed on.
+    /// A complete error response of the back end, which may be relayed.
     pub answer: Option<Response<Bytes>>,
-    /// Whether the connection had been used before.
+    /// Whether the attempt used a pooled connection.
     pub reused: bool,
-    /// Whether the connection failure under the run, which is how a back end's crash shows.
+    /// Whether the connection broke during the run, which may mean that the back end crashed.
     pub connection_lost: bool,
-    /// The back end that answered, where the answer names it.
+    /// The back end that answered, if the answer names it.
     pub answered_by: Option<BackendId>,
 }
 
 impl AttemptFailure {
-    /// The back end may have run the request, and will not be heard of it any more.
+    /// The back end may have run the request, and its outcome is unknown.
     pub fn unclear(detail: String) -> Self {
         Self {
             end: AttemptEnd::Unclear,
@@ -83,33 +82,30 @@
         }
     }
 
-    /// The same, where the connection failure under the run.
+    /// The same, after the connection broke during the run.
     pub fn broken(detail: String) -> Self {
         Self { connection_lost: true, ..Self::unclear(detail) }
     }
 }
 
-/// An answer that has upstream.
+/// An answer whose head has arrived.
 #[derive(Debug)]
 pub struct AttemptAnswer {
-    /// Its head.
     pub head: response::Parts,
-    /// What the head parsed.
+    /// What the platform reads from the head.
     pub parsed: AnswerHead,
-    /// Its body.
     pub body: Incoming,
-    /// The connection it comes on.
+    /// The connection that carries the body.
     pub connection: Connection,
-    /// The work that it is at the back end.
+    /// Counts the request as load on the back end.
     pub work: LoadGuard,
-    /// Whether the body's end can be told from a broken connection.
+    /// Whether the end of the body can be told from a broken connection.
     pub framed: bool,
 }
 
-/// The account of one request's work at a back end; ends with it.
+/// Counts one request as load on a back end until it is dropped.
 pub struct LoadGuard {
     node: Rc<Node>,
-    /// The back end.
     pub backend: BackendId,
     began: Timestamp,
     pending_prefill_tokens: Option<u64>,
@@ -134,7 +130,7 @@
         }
     }
 
-    /// The first part of the answer is here.
+    /// Records that the first part of the answer arrived.
     pub fn record_first_chunk(&mut self) {
         if let Some(tokens) = self.pending_prefill_tokens.take() {
             let now = self.node.now();
@@ -156,7 +152,7 @@
     }
 }
 
-/// Sends a request and waits for an answer that may be passed on, until `deadline`.
+/// Sends a request and waits until `deadline` for an answer that can be relayed.
 pub async fn send(
     node: &Rc<Node>,
     choice: &Choice,
@@ -166,9 +162,9 @@
     deadline: Timestamp,
 ) -> Result<AttemptAnswer, AttemptFailure> {
     let work = LoadGuard::begin(node, choice);
-    // A run that goes on begins nothing: its weights were in time when it began.
+    // A continued run does not start, so the age of its weights no longer matters.
     let starting_at = (run == RunKind::New).then_some(choice);
-    // Looked at before a connection is taken from the pool: one that is not used is closed.
+    // Checked before the pool is used, because a connection that is taken and not used is closed.
     if let Some(why) = blocked_reason(node, choice, starting_at) {
         return Err(not_sent(node, choice, why));
     }
@@ -179,7 +175,7 @@
         Some(connection) => connection,
         None => connect(node, choice, deadline).await?,
     };
-    // The connection took its time.
+    // Checked again, because opening a connection takes time.
     if let Some(why) = blocked_reason(node, choice, starting_at).filter(|_| !reused) {
         node.pool.borrow_mut().put(&choice.backend, connection, node.now());
         return Err(not_sent(node, choice, why));
@@ -196,7 +192,7 @@
             return Err(broken(node, choice, &error, reused));
         }
         Waited::Outdated => {
-            // This parsed nothing against the back end: it was not given its time.
+            // The request was aborted early, which says nothing about the back end's health.
             node.health(&choice.backend, HealthEvent::Inconclusive, false);
             return Err(AttemptFailure { reused, ..AttemptFailure::unclear(OUTDATED.into()) });
         }
@@ -215,7 +211,7 @@
             ..AttemptFailure::unclear("an answer to another request".into())
         });
     }
-    // On whatever it parsed of the request: the registry may be away, or tell of it much later.
+    // Announcements count whatever the status, since the registry may be unreachable or late.
     node.observe_answer(&process, &parsed, Some(sent_at));
     let framed = head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING);
@@ -223,7 +219,7 @@
     classify(node, choice, upstream, reused, deadline).await
 }
 
-/// Why a back end that was chosen must not be sent the request any more.
+/// Why the chosen back end must not receive the request any more, if so.
 fn blocked_reason(node: &Node, choice: &Choice, starting_at: Option<&Choice>) -> Option<&'static str> {
     if node.is_outdated(starting_at) {
         return Some(OUTDATED);
@@ -235,7 +231,7 @@
     (!node.still_accepts(choice)).then_some(NOT_ACCEPTING)
 }
 
-/// The back end's weights are too old, or it wants no requests. This parsed nothing against it, and it was not process.
+/// The request was held back by this node, which says nothing about the back end's health.
 fn not_sent(node: &Rc<Node>, choice: &Choice, why: &str) -> AttemptFailure {
     node.health(&choice.backend, HealthEvent::Inconclusive, false);
     AttemptFailure { end: AttemptEnd::NotSent, ..AttemptFailure::unclear(why.into()) }
@@ -254,7 +250,7 @@
 
 fn broken(node: &Rc<Node>, choice: &Choice, error: &ConnectionError, reused: bool) -> AttemptFailure {
     let end = if error.is_before_sending() { AttemptEnd::NotSent } else { AttemptEnd::Unclear };
-    // A kept connection that its peer closed parsed nothing of the back end.
+    // A pooled connection that the peer closed says nothing about the back end's health.
     if error.is_refusal() {
         node.health(&choice.backend, HealthEvent::Unreachable, false);
     } else if !matches!(error, ConnectionError::NotSent) {
@@ -264,7 +260,7 @@
     AttemptFailure { end, reused, connection_lost, ..AttemptFailure::unclear(error.to_string()) }
 }
 
-/// Sorts out answers that are not passed on as they come.
+/// Turns refusals, foreign answers and server errors into failures.
 async fn classify(
     node: &Rc<Node>,
     choice: &Choice,
@@ -333,7 +329,7 @@
     AttemptEnd::NotRun
 }
 
-/// Takes an answer whole and gives its connection back.
+/// Reads an answer to its end and returns the connection to the pool.
 pub async fn read_full_answer(node: &Rc<Node>, upstream: AttemptAnswer) -> Result<Response<Bytes>, String> {
     let AttemptAnswer { head, body, connection, mut work, .. } = upstream;
     let body =
@@ -343,7 +339,7 @@
     Ok(Response::from_parts(head, body))
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -362,7 +358,7 @@
     headers.remove(PROXY_CONNECTION);
 }
 
-/// How long the peer keeps the connection without use, where it parsed so.
+/// The peer's idle timeout, if its `Keep-Alive` header gives one.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/forward/src/caller_close.rs
+++ b/crates/forward/src/caller_close.rs
@@ -1,4 +1,5 @@
-//! When a caller's connection closes: the decision of `core`, made again whenever its input may have changed.
+//! Decides when a caller's connection closes, and decides again whenever an input of that decision may have
+//! changed.
 
 use paddlemount_core::forwarding::caller_connection::{
     ConnectionAction, ConnectionState, StopStage, next_action,
@@ -11,14 +12,15 @@
 /// How a connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseMode {
-    /// The HTTP library ends it, after what it may have begun meanwhile.
+    /// The HTTP library finishes what it has started, then closes.
     Graceful,
-    /// The library is left: it would wait for the rest of a head, or for what runs at the end of the process.
+    /// The connection is dropped: the HTTP library would wait for the rest of a head, or for a run that
+    /// outlasts the process.
     Immediate,
 }
 
 impl<H: ConnectionHost> CallerSocket<H> {
-    /// Waits until the connection is to close, in a planned stop that `stage` tells of.
+    /// Waits until the connection should close, given the `stage` of a planned stop.
     pub async fn until_close(&self, mut stage: watch::Receiver<StopStage>) -> CloseMode {
         loop {
             let current = *stage.borrow_and_update();
@@ -35,7 +37,8 @@
         }
     }
 
-    /// Decides on the connection. The system is asked for unread bytes only where nothing else keeps it open.
+    /// Decides about the connection. The kernel is asked for unread bytes only if nothing else keeps the
+    /// connection open.
     fn decide(&self, stage: StopStage) -> ConnectionAction {
         let (state, idle_timeout, now) = (self.state(), self.host().idle_timeout(), self.now());
         match next_action(state, stage, idle_timeout, now) {
@@ -51,8 +54,8 @@
 
     async fn wait_until(&self, at: Option<Timestamp>) {
         match at {
-            // One timer a connection, and no look at the clock between: a connection that rests longer since the machine
-            // was suspended harms nobody, and a node has thousands of them.
+            // A plain sleep keeps one timer per connection. After a suspend of the machine a connection may
+            // stay idle for longer, which is harmless.
             Some(at) => tokio::time::sleep(at.saturating_since(self.now())).await,
             None => std::future::pending().await,
         }
--- a/crates/forward/src/caller_stream.rs
+++ b/crates/forward/src/caller_stream.rs
@@ -1,4 +1,4 @@
-//! A caller's connection as bytes, and what has been seen on it.
+//! A caller's connection as a byte stream, and its observed state.
 
 use std::{
     cell::Cell,
@@ -21,60 +21,58 @@
     sync::Notify,
 };
 
-/// How long the node reads on after it has closed its side of a connection, unless the caller closes before.
+/// How long the node keeps reading after it has shut down its side, unless the caller closes first.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same in a planned stop, which it prolongs: long enough for what crosses the close on its way.
+/// The same during a planned stop, which it delays.
 const LINGER_TIMEOUT_AT_STOP: Duration = Duration::from_millis(100);
-/// Bytes that are read at once while lingering.
 const LINGER_READ_BYTES: usize = 4 << 10;
 
-/// What a caller's connection asks of the process that serves it.
+/// What a caller's connection needs from the process that serves it.
 pub trait ConnectionHost {
-    /// The clock by which connections count their rest.
+    /// The clock that measures idle time.
     fn clock(&self) -> SteadyClock;
 
-    /// How long callers may count on a connection that rests, by what is in force now.
+    /// The idle timeout that is currently configured.
     fn idle_timeout(&self) -> Duration;
 
-    /// Whether the process was told to stop.
+    /// Whether the process is stopping.
     fn is_stopping(&self) -> bool;
 
-    /// Bytes came after a connection had closed, and were not read.
+    /// Reports that bytes arrived after the connection had closed and were not read.
     fn report_closed_unread(&self, closed: &ClosedUnread);
 }
 
-/// A connection on which bytes came after it had closed.
+/// A connection on which bytes arrived after it had closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClosedUnread {
-    /// Bytes that came.
     pub bytes: usize,
     /// How long the connection had been open, in milliseconds.
     pub open_ms: u64,
-    /// Whether the process was stopping.
     pub stopping: bool,
 }
 
-/// A caller's connection, shared by what serves it and what decides when it closes.
+/// A caller's connection, shared by the code that serves it and the code that decides when it closes.
 pub struct CallerSocket<H> {
     stream: TcpStream,
     host: Rc<H>,
     opened_at: Timestamp,
-    /// Requests that are being active: from a whole head to the end of the answer's body.
+    /// Requests in progress, from a complete head to the end of the answer's body.
     active: Cell<usize>,
-    /// Bytes that came since the last whole head; above 0 without a request being active, a head is on its way.
+    /// Bytes received since the last complete head. If no request is active, a value above 0 means a partial
+    /// head.
     unparsed_bytes: Cell<usize>,
-    /// When the last byte came, or the last answer ended.
+    /// When the last byte arrived, or the last answer ended.
     last_activity: Cell<Timestamp>,
     /// When the connection opened, or the last answer on it ended.
     idle_since: Cell<Timestamp>,
-    /// Told when an answer has ended.
+    /// Notified when an answer has ended.
     pub request_ended: Notify,
 }
 
 impl<H: ConnectionHost> CallerSocket<H> {
-    /// Takes an accepted connection over.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream, host: Rc<H>) -> Rc<Self> {
-        // Without it small events wait for acknowledgements: slower, not wrong.
+        // A failure only makes small events slower.
         let _ = stream.set_nodelay(true);
         let now = host.clock().now();
         Rc::new(Self {
@@ -89,19 +87,19 @@
         })
     }
 
-    /// The connection as a stream of bytes for the HTTP library.
+    /// The connection as a byte stream for the HTTP library.
     pub fn stream(self: &Rc<Self>) -> CallerStream<H> {
         CallerStream(Rc::clone(self))
     }
 
-    /// A whole head is here. What is given holds the connection for active until it is dropped.
+    /// Records that a complete head has arrived. The guard marks the request as active until it is dropped.
     pub fn begin(self: &Rc<Self>) -> ActiveRequest<H> {
         self.unparsed_bytes.set(0);
         self.active.set(self.active.get() + 1);
         ActiveRequest(Rc::clone(self))
     }
 
-    /// What this process has seen on it; what lies unread in the socket is not looked at.
+    /// The observed state of the connection, without a look for unread bytes in the socket.
     pub fn state(&self) -> ConnectionState {
         let is_serving = self.active.get() > 0;
         ConnectionState {
@@ -113,14 +111,14 @@
         }
     }
 
-    /// Whether bytes lie unread in the socket, by the system's own word: what the runtime knows may be older.
+    /// Whether the socket has unread bytes. Asks the kernel, because the runtime's readiness may lag behind.
     pub fn is_readable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         matches!(socket2::SockRef::from(&self.stream).peek(&mut byte), Ok(count) if count > 0)
     }
 
-    /// CloseMode the node's side and reads on until the caller has closed its own. Closing at once would reset the connection
-    /// where bytes are unread or still on their way, and the reset overtakes the end of an answer.
+    /// Shuts down the node's side and reads on until the caller closes its own. Closing at once would reset
+    /// the connection if bytes are unread or in flight, and the reset can overtake the end of an answer.
     pub async fn close_gracefully(&self) {
         // The caller may have closed already.
         let _ = self.shut_down();
@@ -135,12 +133,12 @@
         }
     }
 
-    /// What serves the connection.
+    /// The process that serves the connection.
     pub fn host(&self) -> &H {
         &self.host
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         self.host.clock().now()
     }
@@ -149,7 +147,7 @@
     ///
     /// # Errors
     ///
-    /// Where the runtime ends.
+    /// If the runtime has shut down.
     pub async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
@@ -158,23 +156,24 @@
     ///
     /// # Errors
     ///
-    /// Where the runtime ends.
+    /// If the runtime has shut down.
     pub async fn writable(&self) -> io::Result<()> {
         self.stream.writable().await
     }
 
-    /// Reads what has come, as bytes of a request.
+    /// Reads available bytes as part of a request.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::WouldBlock`] where nothing has; others where the connection has broken.
+    /// [`ErrorKind::WouldBlock`] if there are none; other kinds if the connection is broken.
     pub fn try_read(&self, buffer: &mut impl BufMut) -> io::Result<usize> {
         let count = self.stream.try_read_buf(buffer)?;
         self.note_read(count);
         Ok(count)
     }
 
-    /// The same, by the system's own word: the runtime may not have heard yet of what has come.
+    /// Like [`try_read`](Self::try_read), but asks the kernel directly, because the runtime's readiness may
+    /// lag behind.
     ///
     /// # Errors
     ///
@@ -190,11 +189,11 @@
         self.last_activity.set(self.now());
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much as the socket accepts.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::WouldBlock`] where it takes nothing; others where the connection has broken.
+    /// [`ErrorKind::WouldBlock`] if it accepts nothing; other kinds if the connection is broken.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         self.stream.try_write(bytes)
     }
@@ -203,7 +202,7 @@
         socket2::SockRef::from(&self.stream).shutdown(Shutdown::Write)
     }
 
-    /// Reads until the caller has closed or the connection has broken, and counts what comes.
+    /// Reads until the caller closes or the connection breaks, and counts the bytes.
     async fn read_to_end(&self, count: &Cell<usize>) {
         let mut bytes = [0; LINGER_READ_BYTES];
         while self.stream.readable().await.is_ok() {
@@ -211,14 +210,13 @@
                 Ok(0) => break,
                 Ok(read) => count.set(count.get() + read),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                // A broken connection has nothing left to tell.
                 Err(_) => break,
             }
         }
     }
 }
 
-/// A request that is being active on a connection.
+/// Marks a request as active on its connection until dropped.
 pub struct ActiveRequest<H: ConnectionHost>(Rc<CallerSocket<H>>);
 
 impl<H: ConnectionHost> Drop for ActiveRequest<H> {
@@ -226,7 +224,7 @@
         let socket = &self.0;
         let now = socket.now();
         socket.active.set(socket.active.get().saturating_sub(1));
-        // The rest of the body belongs to the request that has been active.
+        // Any unread rest of the body belongs to the request that has ended.
         socket.unparsed_bytes.set(0);
         socket.last_activity.set(now);
         socket.idle_since.set(now);
@@ -234,7 +232,7 @@
     }
 }
 
-/// A caller's connection as a stream of bytes.
+/// A caller's connection as a byte stream.
 pub struct CallerStream<H>(Rc<CallerSocket<H>>);
 
 impl<H: ConnectionHost> AsyncRead for CallerStream<H> {
@@ -256,7 +254,7 @@
 }
 
 impl<H: ConnectionHost> CallerStream<H> {
-    /// Writes once the socket takes bytes.
+    /// Writes as soon as the socket accepts bytes.
     fn poll_once_writable(
         &self,
         context: &mut Context<'_>,
--- a/crates/forward/src/callers.rs
+++ b/crates/forward/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: taken, served, and closed only where nothing of a request is on them.
+//! Accepts and serves callers' connections, and closes them only while they carry no request.
 
 use std::{cell::Cell, convert::Infallible, rc::Rc, time::Duration};
 
@@ -22,40 +22,41 @@
     node::Node,
 };
 
-/// The pause after a connection could not be taken, as when descriptors have run out.
+/// The delay after a failed accept, for example when file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The least buffer that a head is read into, in bytes.
+/// The minimum read buffer of a connection, in bytes.
 const MIN_READ_BUFFER: usize = 16 << 10;
-/// The header by which callers are value how long they may count on a connection that rests.
+/// The header that advertises the idle timeout to callers.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Takes callers' connections, serves them, and counts those that are open.
+/// Accepts and serves callers' connections, and counts the open ones.
 #[derive(Clone)]
 pub struct Callers {
     node: Rc<Node>,
     stage: watch::Receiver<StopStage>,
     open: Rc<Cell<usize>>,
-    /// Whether connections may still be taken, be it only from the queue of a listener that is about to close.
+    /// Whether connections are still accepted, if only from the queue of a listener that is about to close.
     accepting: Rc<Cell<bool>>,
 }
 
 impl Callers {
-    /// Callers of `node`, whose planned stop `stage` tells of.
+    /// Serves callers of `node`; `stage` is the stage of its planned stop.
     pub fn new(node: Rc<Node>, stage: watch::Receiver<StopStage>) -> Self {
         Self { node, stage, open: Rc::default(), accepting: Rc::new(Cell::new(true)) }
     }
 
-    /// Whether no connection is open and none will be taken any more.
+    /// Whether no connection is open and none will be accepted.
     pub fn are_drained(&self) -> bool {
         !self.accepting.get() && self.open.get() == 0
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Takes callers until the stop has come to [`StopStage::Closing`], and those that had come by then.
+    /// Accepts connections until the stop reaches [`StopStage::Closing`], then those still in the listener's
+    /// queue.
     pub async fn serve(self, listener: TcpListener) {
         let mut closing = self.stage.clone();
         loop {
@@ -77,11 +78,11 @@
         self.accepting.set(false);
     }
 
-    /// Takes what waits in the listener's queue before it closes: the system would reset those connections, with
-    /// requests that may have lain there for as long as this process did not run.
+    /// Accepts the connections in the listener's queue before it closes, because the kernel would reset them
+    /// together with requests that may already be waiting in them.
     fn accept_queued(&self, listener: TcpListener) -> std::io::Result<()> {
         let listener = listener.into_std()?;
-        // The first error is that nothing waits any more.
+        // The first error means that the queue is empty.
         while let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(true)?;
             self.spawn_connection(TcpStream::from_std(stream)?);
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Serves requests until the caller has left, or the connection has rested for long enough to be closed.
+    /// Serves requests until the caller closes the connection or it has been idle for long enough to be
+    /// closed.
     async fn serve_requests(&mut self, socket: &Rc<CallerSocket<Node>>) {
         let (node, used, stage) = (Rc::clone(&self.node), Rc::clone(socket), self.stage.clone());
         let service = service_fn(move |request: Request<Incoming>| {
@@ -119,8 +121,7 @@
                 .max_buf_size((self.header_bytes() * 2).max(MIN_READ_BUFFER))
                 .serve_connection(TokioIo::new(socket.stream()), service)
         );
-        // What has arrived is read before it is asked whether the connection may close. How a connection ends is value by
-        // the requests on it.
+        // Received bytes are read before the connection may close. Its end is logged by the requests on it.
         let closes = tokio::select! {
             biased;
             _ = connection.as_mut() => return,
@@ -147,8 +148,8 @@
         self.clock
     }
 
-    /// By the configuration now in force: a caller goes by the newest one, not by the one under which its connection
-    /// opened.
+    /// The timeout of the current configuration, which callers go by, even if the connection was opened under
+    /// an older one.
     fn idle_timeout(&self) -> Duration {
         let state = self.state.borrow();
         state.table.as_ref().map(|table| table.limits()).unwrap_or_default().idle_timeout
@@ -178,7 +179,7 @@
     if *stage.borrow() != StopStage::Serving {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     } else if let Some(seconds) = kept_alive_for {
-        // Callers heed it: a planned stop then closes no connection that a request is about to come on.
+        // Lets callers avoid connections that a planned stop is about to close.
         let value = HeaderValue::from_str(&format!("timeout={seconds}"));
         answer.headers_mut().insert(KEEP_ALIVE, value.unwrap_or(HeaderValue::from_static("timeout=1")));
     }
--- a/crates/forward/src/calls.rs
+++ b/crates/forward/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls with whole bodies: to the metadata store, and to engines' own interfaces.
+//! HTTP calls with complete bodies: to the metadata store and to the own interfaces of engines.
 
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
@@ -11,28 +11,26 @@
     connection::{Connection, ConnectionError},
 };
 
-/// The time in which a connection for a call must come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The largest answer that is read, in bytes.
+/// The largest response that is read, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Idle connections kept to one address.
+/// Idle connections kept per address.
 const MAX_IDLE: usize = 3;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection failed.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    /// No whole answer came in time. What was asked for may have been done, or may yet be.
+    /// No complete response arrived in time. The call may have been executed, or may yet be.
     #[error("no answer within {0:?}")]
     Timeout(Duration),
-    /// The answer broke off or is too large.
+    /// The body broke off or is too large.
     #[error("no whole answer: {0}")]
     Body(String),
 }
 
-/// Calls to one address, over few kept connections.
+/// An HTTP client for one address with a few idle connections.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -41,12 +39,12 @@
 }
 
 impl Client {
-    /// Calls to `address`.
+    /// A client for `address`.
     pub const fn new(address: SocketAddr, clock: SteadyClock) -> Self {
         Self { address, clock, idle: RefCell::new(Vec::new()) }
     }
 
-    /// Makes a call. A connection on which an answer was lost is never used again.
+    /// Makes a call. A connection whose response was lost is not reused.
     pub async fn call(
         &self,
         request: Request<Bytes>,
--- a/crates/forward/src/connection.rs
+++ b/crates/forward/src/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to a back end or to the platform.
 //!
-//! A connection carries one request at a time. Dropping it closes the socket at once, which is how a try is
-//! cancelled: the back end sees the close and stops its work.
+//! A connection carries one request at a time. Dropping it closes the socket at once, which cancels the
+//! attempt: the back end sees the close and stops its work.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,28 +13,26 @@
 use paddlemount_protocol::time::Timestamp;
 use tokio::{net::TcpStream, task::JoinHandle};
 
-/// The time after which bytes that the peer did not acknowledge break the connection.
+/// How long sent bytes may stay unacknowledged before the connection breaks.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The pause before and between probes of a silent connection.
+/// The idle time before the first TCP keep-alive probe, and between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without answer that break the connection.
+/// Unanswered probes that break the connection.
 const KEEPALIVE_PROBES: u32 = 2;
-/// The most that is read ahead of what has been passed on, in bytes.
+/// How far reading may run ahead of the consumer, in bytes.
 const MAX_READ_AHEAD: usize = 64 << 10;
 
 /// Why a request got no answer on a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The connection did not come up.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    /// The connection did not come up in time.
+    /// The connection was not established in time.
     #[error("no connection in time")]
     ConnectTimeout,
-    /// The connection was closed before the first byte of the request was written.
     #[error("closed before the request was written")]
     NotSent,
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or the peer's bytes are not valid HTTP.
     #[error("broken: {0}")]
     Broken(hyper::Error),
 }
@@ -45,7 +43,7 @@
         !matches!(self, Self::Broken(_))
     }
 
-    /// Whether the other machine says that nobody listens there.
+    /// Whether the peer refused the connection because nothing listens there.
     pub fn is_refusal(&self) -> bool {
         matches!(self, Self::Connect(error) if error.kind() == std::io::ErrorKind::ConnectionRefused)
     }
@@ -56,14 +54,13 @@
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    /// When it was last in use.
     pub used_at: Timestamp,
-    /// How long the peer keeps it open without use, where it said so.
+    /// The peer's idle timeout, if it gave one.
     pub keep_alive: Option<Duration>,
 }
 
 impl Connection {
-    /// Opens a connection, or gives up after `timeout`.
+    /// Opens a connection, or fails after `timeout`.
     pub async fn open(
         address: SocketAddr,
         timeout: Duration,
@@ -81,7 +78,7 @@
             .await
             .map_err(ConnectionError::Broken)?;
         let task = tokio::task::spawn_local(async move {
-            // The error reaches whoever waits for the answer.
+            // The error also reaches the task that waits for the answer.
             let _ = connection.await;
         });
         Ok(Self { sender, task, used_at: now, keep_alive: None })
@@ -92,7 +89,7 @@
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Waits until an answer that was read to its end has left the connection free.
+    /// Waits until the connection is free after an answer was read to its end.
     pub async fn becomes_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
@@ -115,7 +112,7 @@
     }
 }
 
-/// Options without which a silent peer is not noticed. A system that lacks one serves all the same.
+/// Sets the options that detect an unresponsive peer. A system without one of them still serves.
 fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
--- a/crates/forward/src/dispatch.rs
+++ b/crates/forward/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The request of one try, as its back end gets it.
+//! Builds the request that an attempt sends to its back end.
 
 use bytes::Bytes;
 use http::{Request, header};
@@ -12,17 +12,17 @@
     ports::{CopiedRun, Dispatch},
 };
 
-/// From where a try goes on.
+/// From where an attempt resumes a stream.
 #[derive(Debug, Default)]
 pub struct Resume {
     /// The last event that the caller has.
     pub after: Option<u64>,
-    /// The run whose copied memory it goes on from.
+    /// The run to continue from its copied memory.
     pub continues: Option<CopiedRun>,
 }
 
 impl Exchange {
-    /// The caller's request with the platform's headers for the chosen back end, sent at `now`.
+    /// The caller's request, with the platform's headers for the chosen back end.
     pub(crate) fn request(&self, choice: &Choice, resume: &Resume, now: Timestamp) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.parts.method.clone();
