--- a/crates/forward/src/backend_updates.rs
+++ b/crates/forward/src/backend_updates.rs
@@ -1,4 +1,4 @@
-//! What a node takes in of back ends: entries, what answers show, and addresses that others have.
+//! Applies what is observed of back ends: entries, answers, and addresses taken over by others.
 
 use paddlemount_core::{
     forwarding::{
@@ -18,7 +18,7 @@
         let id = entry.id.clone();
         let AppliedEntry { change, replaced } = state.backends.apply_entry(entry, source);
         if change == EntryChange::Restarted {
-            // The process that was known has ended, with its connections and all that it kept.
+            // The known process has ended, with its connections and its cache.
             state.forget(&id);
             self.pool.borrow_mut().close(&id);
         }
@@ -30,26 +30,26 @@
         self.log_backend(&state, &id, change, revision);
     }
 
-    /// The answer to a try named another back end in place of the one that was chosen.
+    /// Handles an answer that named another back end in place of the chosen one.
     pub fn misdirected(&self, choice: &Choice, by: &BackendId) {
         let mut state = self.state.borrow_mut();
         if state.backends.observe_misdirected(&choice.backend, choice.address, by) {
             let replacement = Replacement { backend: choice.backend.clone(), by: by.clone() };
             self.drop_replaced(&mut state, &replacement, "answer");
         }
-        // It may have been taken to be replaced itself.
+        // That back end may have been considered replaced itself.
         self.track_health(&mut state, by);
         self.track_reactivated(&mut state);
     }
 
-    /// Follows the health of back ends again that have their address back.
+    /// Tracks the health of back ends that are in use again after a replacement.
     pub(crate) fn track_reactivated(&self, state: &mut NodeState) {
         for id in state.backends.take_reactivated() {
             self.track_health(state, &id);
         }
     }
 
-    /// Follows the health of a back end from now on. Those that were replaced count for no share of their pool.
+    /// Starts to track the health of a back end. Replaced ones do not count as part of their pool.
     fn track_health(&self, state: &mut NodeState, id: &BackendId) {
         let Some(known) = state.backends.get(id) else { return };
         if known.state != BackendState::Replaced {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Lets go of a back end whose address another process has.
+    /// Drops the state of a back end whose address belongs to another process.
     fn drop_replaced(&self, state: &mut NodeState, replacement: &Replacement, shown_by: &'static str) {
         state.forget(&replacement.backend);
         self.pool.borrow_mut().close(&replacement.backend);
@@ -70,7 +70,7 @@
         });
     }
 
-    /// The registry holds no entry of a back end any more.
+    /// Handles the removal of a back end's entry from the registry.
     pub fn remove_backend(&self, id: &BackendId, revision: Revision) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -102,7 +102,7 @@
             EntryChange::Restarted => "started_again",
             EntryChange::Removed | EntryChange::None => return,
         };
-        // What only adds to a back end is told by the nodes that ask the store for others: hundreds would tell the same.
+        // Additions are logged by the nodes that query the store; hundreds of others would log the same.
         if matches!(change, "appeared" | "updated") && self.receives_relays() {
             return;
         }
@@ -116,10 +116,10 @@
         });
     }
 
-    /// An answer, a report or a refusal showed the version that a back end runs on.
+    /// Records the version that a back end runs on, as shown by an answer, a report or a refusal.
     pub fn observe_weights(&self, id: &BackendId, model: &ModelId, version: WeightsVersion) {
-        // What is believed of its cache stays: the scope of cached parts names the version, so that nothing of the older
-        // one is asked for, and what other nodes have told of the newer one may have come first.
+        // The recorded cache is kept: its scopes include the version, so older ones are not looked up, and
+        // other nodes may already have reported segments of the newer one.
         self.state.borrow_mut().backends.observe_weights(id, model, version);
     }
 }
--- a/crates/forward/src/cache_feed.rs
+++ b/crates/forward/src/cache_feed.rs
@@ -1,4 +1,4 @@
-//! Follows the feeds in which engines and the stores of kept parts tell what parts of prompts they keep.
+//! Follows the feeds in which engines and cache stores report their cached segments.
 
 use std::{
     cell::RefCell,
@@ -25,18 +25,17 @@
 const POLL_WAIT: Duration = Duration::from_millis(1_000);
 /// How long an answer may take beyond that.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The least time between two calls, in which entries gather.
+/// The minimum interval between calls, in which entries accumulate.
 const POLL_INTERVAL: Duration = Duration::from_millis(140);
-/// The pause between two looks for feeds to follow.
+/// The interval at which the feeds to follow are selected.
 const SELECTION_INTERVAL: Duration = Duration::from_millis(300);
-/// The pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
-/// The pause where too many read a feed already.
+/// The pause if a feed has too many readers.
 const TOO_MANY_READERS_PAUSE: Duration = Duration::from_secs(5);
-/// The life of a process that was never heard of.
+/// The incarnation of a process that has not answered yet.
 const NO_INCARNATION: u64 = 0;
 
-/// Follows the feeds of engines and of the stores of kept parts, for as long as the process lives.
+/// Follows the feeds of engines and cache stores for the lifetime of the process.
 pub async fn run(node: Rc<Node>) {
     let feeds: Rc<RefCell<Feeds>> = Rc::default();
     loop {
@@ -50,28 +49,28 @@
                 feeds.borrow_mut().followed.remove(&source);
             });
         }
-        // After a start every moment without feeds is one in which parts are read again.
+        // After a start, each moment without feeds causes avoidable prefills.
         let _ = tokio::time::timeout(SELECTION_INTERVAL, node.feeds_known.notified()).await;
     }
 }
 
-/// Whose feed is to be followed: its name and address.
+/// The id and address of a feed's process.
 type Source = (BackendId, SocketAddr);
 
-/// The feeds of this node. Which of them it follows costs a select at all engines, so it is looked at only where these or the
-/// number of nodes have changed.
+/// The feeds of this node. The selection iterates over all engines, so it is repeated only after the engines
+/// or the number of nodes have changed.
 #[derive(Default)]
 struct Feeds {
     all: BTreeMap<BackendId, SocketAddr>,
     nodes: Option<u32>,
     wanted: BTreeSet<Source>,
     followed: BTreeSet<Source>,
-    /// Whether engines' feeds are worth following; not known before the first select.
+    /// Whether to follow engines' feeds; `None` before the first selection.
     include_engines: Option<bool>,
 }
 
 impl Feeds {
-    /// Looks whose feeds are to be followed now.
+    /// Selects the feeds to follow.
     fn select(&mut self, node: &Node) {
         let include_engines = should_follow_engines(node, self.include_engines);
         self.include_engines = Some(include_engines);
@@ -92,8 +91,8 @@
     }
 }
 
-/// Whether the feeds of engines are worth following, where they were `before`. Where all nodes start for the first time
-/// engines keep nothing yet; where this one alone starts it has missed what they have told.
+/// Whether to follow the feeds of engines, given whether they were followed `before`. On the first start of a
+/// fleet engines have nothing cached; a node that starts alone has missed their reports.
 fn should_follow_engines(node: &Node, before: Option<bool>) -> bool {
     let before = before.unwrap_or(!node.settings().first_start);
     let nodes = node.nodes().known().unwrap_or(1);
@@ -103,7 +102,7 @@
     should_follow_feeds(own * f64::from(nodes), state.cache_capacity(), before)
 }
 
-/// The engines, where theirs are wanted, and the stores that have a feed.
+/// The engines, if included, and the cache stores.
 fn sources(node: &Node, include_engines: bool) -> BTreeMap<BackendId, SocketAddr> {
     let state = node.state.borrow();
     let stores = state.stores().map(|store| (store.id, store.address));
@@ -117,7 +116,7 @@
     stores.chain(engines.map(|backend| (backend.entry.id.clone(), backend.entry.address))).collect()
 }
 
-/// Follows one feed for as long as it is this node's poll.
+/// Follows one feed while it is selected.
 async fn follow(node: Rc<Node>, source: &Source, feeds: &RefCell<Feeds>) {
     let calls = Client::new(source.1, node.clock);
     let mut feed =
@@ -179,7 +178,7 @@
         POLL_INTERVAL
     }
 
-    /// Learns anew all that is kept, where entries were lost.
+    /// Lists all cached segments again after entries were lost.
     async fn list(&mut self) -> Duration {
         let answer = self.calls.call(self.node.platform.cache_list_request(), CALL_TIMEOUT).await;
         let page = answer.ok().and_then(|answer| self.node.platform.cache_list_answer(&answer).ok());
--- a/crates/forward/src/candidates.rs
+++ b/crates/forward/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Describes the back ends of a service to the chooser, as a request needs them.
+//! Describes the back ends of a service to the chooser, as candidates for a request.
 
 use paddlemount_core::{
     forwarding::{
@@ -20,49 +20,47 @@
 
 use crate::node_state::{FULL_SCAN_MAX_NODES, NodeCount, NodeState};
 
-/// Connections to a back end that a node may have at least while it does not know how many nodes there are.
+/// The minimum number of connections per back end that a node may use while the number of nodes is unknown.
 const MIN_CONNECTIONS_UNCOUNTED: u32 = 6;
-/// Back ends that are weighed for a request at least.
+/// The minimum number of back ends that are compared for a request.
 const MIN_CONSIDERED: usize = 6;
-/// Back ends that are weighed for a request at most, where few of many are: further ones are hardly better than the best
-/// of these, and each costs time.
+/// The maximum number of back ends that are compared for a request in a large fleet, where further ones cost
+/// time and hardly improve the choice.
 const MAX_CONSIDERED: usize = 24;
 
-/// What is asked of [`crate::node::Node::choose_backend`].
+/// The input of [`crate::node::Node::choose_backend`].
 #[derive(Clone, Copy)]
 pub struct RouteRequest<'a> {
-    /// The service.
     pub service: &'a ServiceId,
-    /// The prompt, if any.
     pub prompt: Option<&'a Prompt>,
-    /// The isolated tenant, if it is one.
+    /// The tenant, if it is isolated.
     pub isolated: Option<&'a TenantId>,
-    /// Whether the run's memory is to be copied as it grows, where the engines can do that.
+    /// Whether to copy the run's memory while it grows, if the engines support that.
     pub copied: bool,
-    /// Whether only back ends against which nothing speaks may be chosen.
+    /// Whether only healthy back ends may be chosen.
     pub healthy_only: bool,
-    /// Back ends that have been tried.
+    /// Back ends that were tried already.
     pub tried: &'a [BackendId],
-    /// A number drawn for the request.
+    /// A random number drawn for the request.
     pub draw: u64,
 }
 
-/// The back ends of a service, as they look to one request.
+/// The back ends of a service, as seen by one request.
 #[derive(Clone, Copy)]
 struct View<'a> {
     state: &'a NodeState,
     pool: &'a Pool,
     request: RouteRequest<'a>,
     now: Timestamp,
-    /// The only back end that may be chosen, where one is to be probed.
+    /// The only eligible back end, if one is to be probed.
     only: Option<&'a BackendId>,
-    /// Whether only back ends against which nothing speaks are fit.
+    /// Whether only healthy back ends are eligible.
     strict: bool,
-    /// The oldest version of the weights that the request may begin on.
+    /// The oldest version of the weights that the request may start on.
     required: Option<WeightsVersion>,
-    /// The version that it rather begins on.
+    /// The oldest version that the request prefers.
     preferred: Option<WeightsVersion>,
-    /// Connections that a back end takes from all nodes together; none where there is no limit.
+    /// The maximum number of connections per back end over all nodes; `None` if unlimited.
     max_connections: Option<u32>,
     /// The nodes that share them.
     nodes: NodeCount,
@@ -105,7 +103,7 @@
         if request.healthy_only {
             return None;
         }
-        // Back ends that may be unfit are better than none, but not those that were tried.
+        // Back ends that may be unhealthy are better than none, but not those that were tried.
         self.chooser.choose(placement, &View { strict: false, ..strict })
     }
 
@@ -131,12 +129,12 @@
         }
     }
 
-    /// The oldest version of a model that a request may begin on.
+    /// The oldest version of a model that a request may start on.
     fn required(&self, model: &ModelId, now: Timestamp) -> Option<WeightsVersion> {
         self.rollout.required(model, self.chooser.loads.slowest(now), now)
     }
 
-    /// Whether a service has back ends, and all of them have older weights of a model than a request may begin on.
+    /// Whether a service has back ends, and all of them have older weights than a request may start on.
     pub(crate) fn has_only_older_weights(
         &self,
         service: &ServiceId,
@@ -147,13 +145,13 @@
         newest.is_some_and(|(newest, _)| Some(newest) < self.required(model, now))
     }
 
-    /// Whether a back end's own words allow that it is sent a request now.
+    /// Whether a back end's announcements allow sending it a request now.
     pub(crate) fn takes_requests(&self, backend: &Backend, now: Timestamp) -> bool {
         self.backends.takes_requests(backend, self.departing_use, now)
     }
 
-    /// When the first back end takes requests again that could serve a request of `service`, for `model` where it has a prompt; nothing
-    /// where any of them does now, as far as it has announced.
+    /// When the first back end that could serve a request of `service`, for `model` if it has a prompt,
+    /// accepts requests again; `None` if one accepts them now as far as announced.
     pub(crate) fn next_opening(
         &self,
         service: &ServiceId,
@@ -167,7 +165,8 @@
         self.backends.next_opening(fit, now)
     }
 
-    /// The version that this request rather begins on: as many requests prefer it as engines have it.
+    /// The oldest version that this request prefers. The share of requests with a preference equals the share
+    /// of engines with that version.
     fn preferred(
         &self,
         request: RouteRequest<'_>,
@@ -181,13 +180,13 @@
         prefers(request.draw, having, all).then_some(preferred)
     }
 
-    /// The connections that each back end of a service takes, where they are limited.
+    /// The maximum number of connections per back end of a service, if limited.
     fn max_connections(&self, service: &ServiceId) -> Option<u32> {
         let service = self.table.as_ref()?.service(service)?;
         Some(service.max_connections).filter(|most| *most > 0)
     }
 
-    /// A number from 0 to 1 that is the same for a back end as long as this process lives, and another one at each node.
+    /// A number from 0 to 1 that is constant for a back end during this process, and differs between nodes.
     fn draw_for(&self, id: &BackendId) -> f64 {
         rank_for(rank(id), self.share_draw.to_bits()) as f64 / u64::MAX as f64
     }
@@ -218,7 +217,7 @@
             && self.has_room(id)
     }
 
-    /// Whether nothing speaks against a back end for the moment.
+    /// Whether nothing known speaks against a back end at the moment.
     fn is_healthy(&self, backend: &Backend) -> bool {
         let (state, now, id) = (self.state, self.now, &backend.entry.id);
         let loading = self.request.prompt.is_some() && backend.is_loading(now);
@@ -230,7 +229,7 @@
             && !state.chooser.loads.is_suspect(id, now)
     }
 
-    /// Whether this node has connections left of its share of those that a back end takes.
+    /// Whether this node has connections left of its share for a back end.
     fn has_room(&self, id: &BackendId) -> bool {
         self.max_connections.is_none_or(|most| {
             let share = match self.nodes.known() {
@@ -269,7 +268,7 @@
     }
 }
 
-/// How many back ends a node weighs for a request: fewer, the more nodes choose among them.
+/// How many back ends to compare for a request: fewer, the more nodes choose among them.
 fn sample_size(backends: usize, nodes: NodeCount) -> Option<usize> {
     let known = nodes.known()? as usize;
     let share = backends * FULL_SCAN_MAX_NODES / known.max(1);
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Takes one request from its arrival to its answer.
+//! Serves one request, from its arrival to its answer.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -31,24 +31,22 @@
     relay::Relay,
 };
 
-/// How much sooner than the caller gives up its answer is sent.
+/// How much earlier than the caller's deadline the node answers.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(30);
-/// The deadline of a caller that names none and of a route without time-out.
+/// The deadline of a request whose caller states none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
-/// The least time that another try needs.
+/// The minimum time that another attempt needs.
 pub(crate) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(40);
-/// The least time that a try at a silent back end gets before another one is asked.
+/// The minimum time that an attempt gets before another back end is tried.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request that is being served.
 pub struct Exchange {
-    /// The node.
     pub node: Rc<Node>,
-    /// The route.
     pub route: Arc<Route>,
-    /// When it ends at the latest.
+    /// When the request is abandoned at the latest.
     pub deadline: Timestamp,
-    /// What it has behind it.
+    /// The attempts so far.
     pub history: AttemptHistory,
     pub(crate) account: RequestRecord,
     pub(crate) arrived: Timestamp,
@@ -59,9 +57,9 @@
     grant: Option<QuotaGrant>,
     tried: Vec<BackendId>,
     draw: u64,
-    /// When a misdirected_retry was drawn for the next try, which follows one that met a wrong address.
+    /// When the retry budget for misdirected requests was drawn on for the next attempt, if it was.
     pub(crate) misdirected_retry: Option<Timestamp>,
-    /// When the last try was sent.
+    /// When the latest attempt was sent.
     pub(crate) sent_at: Option<Timestamp>,
 }
 
@@ -180,7 +178,7 @@
         Some(choice)
     }
 
-    /// One try at the chosen back end.
+    /// Makes one attempt at the chosen back end.
     pub async fn attempt(
         &mut self,
         choice: &Choice,
@@ -189,8 +187,8 @@
         let now = self.node.now();
         if self.sent_at.is_none() {
             self.node.metrics.observe(Distribution::RoutingDelay, now.saturating_since(self.arrived));
-            // Once a request, however many connections do not come up, and when it comes: earned with their answers, the
-            // shares of requests that an engine kept waiting would all fall into one window.
+            // Recorded on the first send, once per request: recorded when answers end, the credit of requests
+            // that an engine kept waiting would all fall into one budget window.
             self.node.record_first_attempt(&self.service);
         }
         if choice.import_from.is_some() {
@@ -229,7 +227,8 @@
         result
     }
 
-    /// Until when this try is waited for: to the end, or shorter where another back end may be asked.
+    /// How long to wait for this attempt: less than the request's deadline only if another back end may be
+    /// tried.
     fn attempt_deadline(&self, choice: &Choice, now: Timestamp) -> Timestamp {
         if !self.may_try_another() {
             return self.deadline;
@@ -239,14 +238,14 @@
         (now + attempt_deadline).min(self.deadline)
     }
 
-    /// Whether a silent back end may be left for another one: without that, waiting is all that is left.
+    /// Whether an unresponsive back end may be abandoned for another one.
     pub fn may_try_another(&self) -> bool {
         let attempts_left = self.history.sent + 1 < self.route.attempts;
         attempts_left && self.route.kind.is_idempotent() && self.node.retries_left(&self.service) > 0
     }
 
-    /// Where a broken stream can go on from a copy of its run's memory: the back end that holds it has the weights of
-    /// the run, and so had the one that connection_lost off.
+    /// The back end from which a broken stream can continue, which holds a copy of the run's memory. It must
+    /// still have the weights of the run, and so must the back end that broke off.
     pub fn copy_of(&self, choice: &Choice) -> Option<(Choice, CopiedRun)> {
         let (holder, scope) = (choice.copy_to.as_ref()?, choice.scope.as_ref()?);
         let state = self.node.state.borrow();
@@ -270,7 +269,7 @@
         Some((next, run))
     }
 
-    /// Whether another back end could take a stream over now.
+    /// Whether another back end could take the stream over now.
     pub fn has_alternative(&mut self) -> bool {
         let budget = self.node.retries_left(&self.service) > 0;
         if let Some(choice) = self.account.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
@@ -297,7 +296,8 @@
         }
     }
 
-    /// Passes a stream on. Its head timeout for the first event: until then what goes wrong has a whole answer of its own.
+    /// Relays a stream. The head is held until the first event, so that a failure before it can still be
+    /// answered by an error response.
     async fn relay(mut self, choice: Choice, upstream: AttemptAnswer) -> Response<AnswerBody> {
         self.account.status = Some(upstream.head.status.as_u16());
         let last_event = self.head.last_event;
@@ -314,7 +314,7 @@
         answer
     }
 
-    /// The first part of the answer's body is here.
+    /// Records that the first part of the answer's body arrived.
     pub fn record_first_chunk(&mut self, choice: &Choice) {
         let now = self.node.now();
         if self.account.first_at.is_none() {
@@ -334,14 +334,14 @@
         }
     }
 
-    /// Compares sources of prefixes by how soon answers begin.
+    /// Records the time to the first event by the source of the prefix, for comparing sources.
     fn record_source_time(&self, choice: &Choice, now: Timestamp) {
         let (Some(kind), Some(sent_at)) = (choice.import_source, self.sent_at) else { return };
         let mut state = self.node.state.borrow_mut();
         state.chooser.source_times.record(kind, now.saturating_since(sent_at));
     }
 
-    /// A further part of a stream is here.
+    /// Records a further part of a stream.
     pub fn record_chunk(&mut self) {
         let now = self.node.now();
         if let Some(before) = self.account.chunk_at.replace(now) {
@@ -349,24 +349,24 @@
         }
     }
 
-    /// The stream goes on at another back end.
+    /// Records that the stream continues at another back end.
     pub fn record_resume(&mut self) {
         self.account.resumed += 1;
         self.node.metrics.count(Counter::Resumed);
     }
 
-    /// Whether no back end has run the request: it was refused, or its caller left before it was sent.
+    /// Whether no back end has run the request: it was refused, or the caller left before it was sent.
     fn has_not_run(&self) -> bool {
         let refused = matches!(self.account.outcome, Some(REFUSED | HELD_BACK));
         refused || (self.history.sent == 0 && self.account.outcome.is_none())
     }
 
-    /// How the stream failure.
+    /// Sets the outcome of the request.
     pub const fn set_outcome(&mut self, outcome: &'static str) {
         self.account.outcome = Some(outcome);
     }
 
-    /// The request's identity, for log lines.
+    /// The request's id, for log lines.
     pub fn id(&self) -> &str {
         self.head.id.as_deref().unwrap_or_default()
     }
@@ -391,7 +391,7 @@
     }
 }
 
-/// Whether a route's requests may be resumed at another back end.
+/// Whether streams of a route may be resumed at another back end.
 pub const fn is_resumable(kind: RouteKind) -> bool {
     matches!(kind, RouteKind::Stream { resumable: true })
 }
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -1,4 +1,4 @@
-//! What a node takes in: facts of the store, and what answers show.
+//! Applies facts from the store, as received from the store itself or from other nodes.
 
 use std::{collections::BTreeSet, rc::Rc};
 
@@ -14,22 +14,22 @@
 
 use crate::{journal::Event, node::Node, node_state::Leader, ports::Fact, recent_targets::proofs};
 
-/// What is known of how facts came here.
+/// How facts reached this node.
 struct Origin {
     learned: LearnedFrom,
-    /// Whether they come in the order of time.
+    /// Whether they are ordered updates or a listing.
     source: EntrySource,
-    /// What another node, or a leader's record in the store, proves of when versions were targets.
+    /// Proofs, by another node or by a leader's record in the store, of when target versions were announced.
     targets: Vec<TargetVersionProof>,
 }
 
 impl Origin {
-    /// A watch tells that a record was written, and not that it is still there: it proves nothing.
+    /// A watch shows that a record was written, but not that it still exists, so it proves nothing.
     const fn from_watch() -> Self {
         Self { learned: LearnedFrom::Watch, source: EntrySource::Update, targets: Vec::new() }
     }
 
-    /// A listing that began at `listed_at` shows the records that are there.
+    /// A listing that began at `listed_at` contains the records that exist.
     fn from_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
         let record = |fact: &Fact| match fact {
             Fact::TargetRecord(targets) => Some(targets.clone()),
@@ -45,13 +45,13 @@
 }
 
 impl Node {
-    /// Takes in what has changed up to `revision`, as the store told it in answer to a call sent at `sent_at`.
+    /// Applies the changes up to `revision` from the store's answer to a call sent at `sent_at`.
     pub fn apply_changes(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         self.apply_changes_from(facts, revision, sent_at, &Origin::from_watch());
     }
 
-    /// Takes in what has changed up to `revision`, as another node passed it on with a proof that counts from
-    /// `proved_at`, and how lately versions of weights were targets.
+    /// Applies the changes up to `revision` that another node relayed, with a proof that counts from
+    /// `proved_at` and the recently announced target versions.
     pub fn apply_relayed_changes(
         &self,
         facts: Vec<Fact>,
@@ -81,7 +81,7 @@
         state.confirm_targets(proved_at, &origin.targets);
     }
 
-    /// Takes in what another node goes by that only rises, whatever this one has read of the store.
+    /// Applies another node's facts whose versions only increase, whatever this node has read from the store.
     pub(crate) fn apply_newer_facts(&self, facts: Vec<Fact>, revision: Revision) {
         let origin = Origin::from_node(EntrySource::Update, Vec::new());
         let rising =
@@ -89,8 +89,8 @@
         rising.for_each(|fact| self.apply_fact(fact, revision, &origin));
     }
 
-    /// Takes in a part of what the store holds, which it told in answer to a call sent at `sent_at`: enough to serve by,
-    /// until the rest is known.
+    /// Applies the first pages of a listing that was sent at `sent_at`, which is enough to serve until the
+    /// rest is known.
     pub fn apply_partial_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         let origin = Origin::from_listing(LearnedFrom::FirstRead, &facts, sent_at);
         for fact in facts {
@@ -104,8 +104,8 @@
         self.leader_known.notify_one();
     }
 
-    /// Takes in all that the store held at `revision`, as a listing told that began at `sent_at`: what is not among
-    /// `facts` is gone. The nodes below are told what that has changed.
+    /// Applies a complete listing of the store at `revision`, sent at `sent_at`: entries that are not among
+    /// `facts` are removed. The differences are recorded for children.
     pub fn apply_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         let first = self.state.borrow().revision.is_none();
         let learned = if first { LearnedFrom::FirstRead } else { LearnedFrom::Watch };
@@ -113,7 +113,7 @@
         self.apply_complete(facts, revision, sent_at, &origin);
     }
 
-    /// The same, as another node gave it with a proof that counts from `proved_at`.
+    /// The same with a snapshot from another node, whose proof counts from `proved_at`.
     pub fn apply_snapshot(
         &self,
         facts: Vec<Fact>,
@@ -130,7 +130,7 @@
         let first = known.is_none();
         let restored = known.is_some_and(|known| known.era() < revision.era()) || self.is_restored_lately();
         for subject in self.missing_among(&facts) {
-            // Nobody released what only the copy lacks: it is written again.
+            // The hold was not released but lost by the restore, and is written again.
             if restored && matches!(subject, EntryKey::Quarantined(_)) {
                 continue;
             }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// What is known of and not told by `facts`, which tell all that the store holds.
+    /// Known entries that are not among `facts`, which list the whole store.
     fn missing_among(&self, facts: &[Fact]) -> Vec<EntryKey> {
         let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::subject).collect();
         let state = self.state.borrow();
@@ -177,7 +177,7 @@
         backends.chain(held).chain(leader).filter(|subject| !present.contains(subject)).collect()
     }
 
-    /// The store holds nothing of this any more.
+    /// Applies the removal of an entry.
     fn remove_entry(&self, subject: &EntryKey, revision: Revision, origin: &Origin) {
         match subject {
             EntryKey::Backend(id) => self.remove_backend(id, revision),
@@ -185,20 +185,20 @@
                 self.apply_fact(Fact::Released(*fingerprint), revision, origin)
             }
             EntryKey::Leader => self.apply_fact(Fact::NoLeader, revision, origin),
-            // These stay once they are there.
+            // These are never removed.
             EntryKey::Document | EntryKey::FleetSize | EntryKey::TargetWeights(_) => {}
         }
     }
 
-    /// Whether the nodes below may not know a fact of a listing, as far as this node can tell.
+    /// Whether a listed fact may be new to children.
     fn is_change(&self, fact: &Fact) -> bool {
         let Fact::Backend(entry) = fact else { return true };
         let state = self.state.borrow();
         state.backends.get(&entry.id).is_none_or(|known| known.entry != *entry || known.weights_observed)
     }
 
-    /// Takes in who leads, as a read told that may be old: only a leadership that began after all that is known is
-    /// news, since the end of an older one may be known already.
+    /// Applies the leader as read by a call whose answer may be outdated. Only a leadership that is newer
+    /// than all that is known counts, since an older one may have ended since.
     pub fn apply_leader(&self, facts: Vec<Fact>) {
         let mut state = self.state.borrow_mut();
         state.leader_checked = true;
@@ -225,7 +225,7 @@
             }
             Fact::NoLeader => self.state.borrow_mut().leader = None,
             Fact::FleetSize(nodes) => self.state.borrow_mut().fleet_size = Some(nodes),
-            // What it proves is part of how the facts came here.
+            // Handled by [`Origin::from_listing`].
             Fact::TargetRecord(_) => {}
             Fact::Quarantined(request) => {
                 self.apply_stored_hold(&request);
@@ -259,7 +259,7 @@
         origin.targets.iter().for_each(|proof| target_versions.merge_proof(proof));
         let now = self.now();
         let age = target_versions.newest(model).and_then(|naming| naming.age(now));
-        // Requests that wait at back ends may have to be taken back.
+        // Requests that are waiting at back ends may have to be withdrawn.
         self.target_announced.notify_waiters();
         let event = Event::WeightsNamed {
             model: model.as_str(),
--- a/crates/forward/src/facts.rs
+++ b/crates/forward/src/facts.rs
@@ -1,17 +1,17 @@
-//! Facts as other nodes tell them. A node of another version may tell of something that this one does not know.
+//! Parses facts from other nodes, which may run another version and send unknown kinds of facts.
 
 use crate::{journal::Event, metrics::Counter, node::Node, ports::Fact};
 
-/// Facts that were read, and the names of kinds that were passed over.
+/// Parsed facts, and the kinds of those that were skipped.
 #[derive(Debug, Default, PartialEq)]
 pub struct ReadFacts {
-    /// Those that were understood, in order.
+    /// The known facts, in order.
     pub facts: Vec<Fact>,
-    /// The kinds of the others, each as often as it came.
+    /// The kinds of the others, with repetitions.
     pub unknown: Vec<String>,
 }
 
-/// Reads a JSON list of facts. One that can't be read is passed over, and the others hold.
+/// Parses a JSON list of facts and skips those that cannot be parsed.
 pub fn read_facts(json: &[u8]) -> Result<ReadFacts, serde_json::Error> {
     if let Ok(facts) = serde_json::from_slice(json) {
         return Ok(ReadFacts { facts, unknown: Vec::new() });
@@ -27,15 +27,15 @@
     Ok(read)
 }
 
-/// The kind of a fact: its only key, or the text that stands for one without content.
+/// The kind of a fact: its only key, or the string of a fact without content.
 fn kind_of(value: &serde_json::Value) -> String {
     let key = value.as_object().and_then(|object| object.keys().next().cloned());
     key.or_else(|| value.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
 impl Node {
-    /// Reads facts that another node has told; counts what is passed over, and logs each kind once. Nothing where the list itself
-    /// can't be read.
+    /// Parses facts from another node; counts skipped facts and logs each unknown kind once. Returns `None`
+    /// if the list itself cannot be parsed.
     pub(crate) fn read_facts(&self, json: &[u8]) -> Option<ReadFacts> {
         let read = match read_facts(json) {
             Ok(read) => read,
@@ -53,8 +53,8 @@
         Some(read)
     }
 
-    /// The same, where all of them must be understood: what was passed over may be a change without which nothing proves that the
-    /// others are all that there is.
+    /// The same, but returns `None` if any fact was skipped: it may be a change without which the others do
+    /// not prove a complete state.
     pub(crate) fn read_all_facts(&self, json: &[u8]) -> Option<Vec<Fact>> {
         self.read_facts(json).filter(|read| read.unknown.is_empty()).map(|read| read.facts)
     }
--- a/crates/forward/src/ingress.rs
+++ b/crates/forward/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the answers to questions of readiness and for metrics.
+//! Listeners, and the responses for readiness and metrics.
 
 use std::{convert::Infallible, net::SocketAddr, time::Duration};
 
@@ -13,9 +13,9 @@
     node::Node,
 };
 
-/// New connections that wait to be taken.
+/// The maximum length of the queue of pending connections.
 const BACKLOG: u32 = 1_024;
-/// The pause after a connection could not be taken, as when descriptors have run out.
+/// The delay after a failed accept, for example when file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Opens a listener.
@@ -26,7 +26,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Answers every request on a listener with what `answer` gives.
+/// Answers every request on a listener with the response from `answer`.
 pub async fn serve_simple(
     listener: TcpListener,
     answer: impl Fn() -> Response<AnswerBody> + Clone + 'static,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The answer to the question whether callers should be sent here.
+/// The readiness response.
 pub fn readiness_answer(node: &Node) -> Response<AnswerBody> {
     let (status, text) = match node.readiness() {
         Ok(()) => (StatusCode::OK, "ready"),
@@ -58,7 +58,7 @@
     answer
 }
 
-/// The metrics as text.
+/// The metrics response, in the Prometheus text format.
 pub fn metrics_answer(node: &Node) -> Response<AnswerBody> {
     let mut answer = Response::new(full_body(Bytes::from(node.metrics.render(&node.gauges()))));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
--- a/crates/forward/src/journal.rs
+++ b/crates/forward/src/journal.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output, bounded and never blocking.
+//! Structured log lines on standard output, with a bounded queue and without blocking.
 //!
-//! Each line is one JSON object. Lines go through a bounded queue to a thread that writes them; where the reader of
-//! standard output stops, lines are dropped and counted, and the count is told in a line of its own. The library that
-//! the other commands log with writes where it is called, and would hold up the one thread that serves requests.
+//! Each line is a JSON object. Lines go through a bounded queue to a writer thread. If the reader of standard
+//! output stalls, lines are dropped, and a line of its own reports their number. A logger that writes in the
+//! calling thread would block the one thread that serves requests.
 
 use std::{
     io::Write,
@@ -20,14 +20,15 @@
 
 use crate::{answers::Reason, clock::SteadyClock};
 
-/// Lines that wait at most.
+/// The maximum number of queued lines.
 const QUEUE_LINES: usize = 4_096;
 /// How long the writer waits for further lines before it writes.
 const GATHER: Duration = Duration::from_millis(50);
-/// Bytes that are written at once, about.
+/// The approximate number of bytes per write.
 const BATCH_BYTES: usize = 64 << 10;
 
-/// What a line tells. Keys of callers are never among it. `docs/operations/logs.md` lists the fields of each event.
+/// The event of a log line. It never contains callers' keys. `docs/operations/logs.md` lists the fields of
+/// each event.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
@@ -40,33 +41,33 @@
         peers: Option<String>,
         software: &'static str,
     },
-    /// A signal to stop came.
+    /// A stop signal arrived.
     Stopping { running: usize },
-    /// Callers are no longer taken; idle connections close.
+    /// Connections of callers are no longer accepted, and idle ones close.
     CallersClosing { open: usize, running: usize },
-    /// A caller's connection could not be taken, as when descriptors have run out.
+    /// A caller's connection could not be accepted, for example when file descriptors have run out.
     CallerNotTaken { problem: String },
-    /// A caller's connection was closed with bytes in it that nobody had read.
+    /// A caller's connection was closed with unread bytes.
     ClosedUnread { bytes: usize, open_ms: u64, stopping: bool },
     /// The process ends.
     Stopped { running: usize, after_ms: u64 },
-    /// The settings file was read again.
+    /// The settings were reloaded.
     SettingsReloaded { changed: bool },
-    /// The settings file cannot be used; the settings before it hold on.
+    /// The settings file is invalid; the previous settings stay in force.
     SettingsRejected { problem: String },
-    /// The metadata store stopped answering, or answers nonsense.
+    /// The metadata store stopped answering, or its answers are invalid.
     StoreLost { call: &'static str, problem: String, age_ms: Option<u64> },
-    /// It answers again.
+    /// The store answers again.
     StoreRegained { after_ms: u64 },
-    /// The store forgot changes: all is listed anew.
+    /// The store was listed.
     StoreListed { items: usize, revision: u64 },
-    /// The store has come back from an older copy: what followed it is gone, and revisions are given out again.
+    /// The store was restored from a backup: later changes are lost, and revisions are assigned again.
     StoreRestored { era: u64, before: u64, revision: Option<u64> },
-    /// A configuration is in force here.
+    /// A configuration is in force.
     ConfigurationApplied { version: u64, before: Option<u64>, routes: usize, revision: u64 },
-    /// A configuration is older than the one in force, and is passed over.
+    /// A configuration is older than the one in force, and ignored.
     ConfigurationPassedOver { version: u64, in_force: u64 },
-    /// An item cannot be understood; what was known of it holds on, unless it was a back end's entry.
+    /// An entry could not be parsed. The previous state still holds, except for a back end's entry.
     ItemUnreadable { key: &'a str, problem: &'a str },
     /// A back end's entry changed.
     BackendChanged {
@@ -76,27 +77,27 @@
         weights: Option<u64>,
         revision: u64,
     },
-    /// Another process has a back end's address: it gets no work until its own entry changes.
+    /// Another process has a back end's address: it gets no requests until its own entry changes.
     BackendReplaced { backend: &'a str, by: &'a str, shown_by: &'static str },
-    /// A back end leaves, as an answer of it says or another node has told: it gets no work unless nobody else is left.
+    /// A back end is draining, by its own answer or by gossip: it gets requests only if no other is left.
     BackendLeaving { backend: &'a str, service: Option<&'a str>, heard: &'static str },
-    /// A back end has asked this node for a time without requests, or for more of it than it is granted.
+    /// A back end asked this node for a back-off, or for a longer one than it is granted.
     BackendRests { backend: &'a str, for_ms: u64, is_cut: bool },
-    /// A back end's time without requests is over.
+    /// A back end's back-off has ended.
     BackendRested { backend: &'a str },
-    /// A back end has asked for a time without requests in words that mean nothing: it gets none.
+    /// A back end asked for a back-off in a form that cannot be parsed; it is ignored.
     RestUnreadable { backend: &'a str, value: &'a str },
-    /// A back end takes so many requests a second from all nodes together; `own_per_second` are this node's part at the moment.
+    /// A back end advertised a limit over all nodes; `own_per_second` is this node's current share.
     BackendLimited { backend: &'a str, per_second: f64, own_per_second: f64, heard: &'static str },
-    /// A back end is limited no longer.
+    /// A back end is no longer limited.
     BackendUnlimited { backend: &'a str, heard: &'static str },
-    /// A back end has named a limit in words that mean nothing: what held before holds on.
+    /// A back end advertised a limit that cannot be parsed; the previous one stays in force.
     LimitUnreadable { backend: &'a str, value: &'a str },
-    /// Answers of back ends carry a header that nothing reads; told once for each name.
+    /// Answers of back ends carry an unknown header; logged once per name.
     AnswerHeaderUnknown { name: &'a str, backend: &'a str },
-    /// What a back end keeps is followed by its feed, or no longer.
+    /// A cache feed is followed, or no longer.
     FeedChanged { backend: &'a str, change: &'static str, detail: String },
-    /// A version of weights was named, `at_most_ms` ago at most where that is known.
+    /// A target version was announced, at most `at_most_ms` ago if known.
     WeightsNamed {
         model: &'a str,
         version: u64,
@@ -104,29 +105,29 @@
         learned: &'static str,
         at_most_ms: Option<u64>,
     },
-    /// Whether callers are taken has changed.
+    /// Readiness has changed.
     ReadinessChanged { ready: bool, why: &'static str, age_ms: Option<u64> },
-    /// Another node is reported to from now on; `level` nodes stand above.
+    /// The node has a new parent; `level` is the number of its ancestors.
     ParentChanged { parent: &'a str, level: usize },
-    /// A node that reported here is to report elsewhere.
+    /// A child was referred to another parent.
     ChildReferred { child: &'a str, to: &'a str },
-    /// All that the store holds was taken of the node above.
+    /// A snapshot of the store was taken from the parent.
     SnapshotTaken { items: usize, revision: u64, age_ms: u64 },
-    /// What the node above gave cannot be read; nothing of it is taken.
+    /// The parent's snapshot cannot be parsed, and is ignored.
     SnapshotUnreadable { bytes: usize },
-    /// What the node above told of the store cannot be read; nothing of it is taken.
+    /// Relayed changes of the store cannot be parsed, and are ignored.
     ChangesUnreadable { problem: String },
-    /// Another node tells of something that this one does not know; told once for each kind.
+    /// Another node sent an unknown kind of fact; logged once per kind.
     FactUnknown { kind: &'a str },
-    /// The node above did not answer a report.
+    /// The parent did not answer a report.
     ParentFailed { parent: &'a str, problem: String },
-    /// The number of nodes that may act, where it is known.
+    /// The known number of nodes changed.
     NodesCounted { nodes: Option<u32>, before: Option<u32> },
     /// This node leads.
     LeadershipGained { token: u64 },
     /// This node no longer leads.
     LeadershipLost { token: u64, why: &'static str },
-    /// An order was given, or its end is known.
+    /// An order was given, or an update has ended.
     Order {
         backend: &'a str,
         model: &'a str,
@@ -136,7 +137,7 @@
         outcome: &'a str,
         after_ms: u64,
     },
-    /// A try ended without an answer that could be passed on.
+    /// An attempt ended without an answer to relay.
     AttemptEnded {
         request: &'a str,
         attempt: u32,
@@ -151,15 +152,15 @@
         answered_by: Option<&'a str>,
         budget_left: u64,
     },
-    /// A back end ended while it ran a request.
+    /// A back end crashed while it ran a request.
     RunCrashed { fingerprint: String, route: &'a str, tenant: Option<&'a str>, backend: &'a str, ran_ms: u64 },
-    /// A run of a request that was suspected came to its end at a node below.
+    /// A run of a suspect request completed, as reported by a child.
     RunCleared { fingerprint: String },
-    /// Back ends ended under a request again and again: none gets it from now on.
+    /// A request is quarantined because back ends crashed repeatedly while running it.
     RequestHeld { held: &'a HeldLine, known_by: &'static str, for_s: u64 },
-    /// A request is no longer held back.
+    /// A request is no longer quarantined.
     RequestReleased { fingerprint: String, why: &'static str },
-    /// What is to be held back could not be written to the metadata store, and is tried again.
+    /// A hold could not be written to the metadata store; the write is retried.
     QuarantineNotWritten { problem: String },
     /// A request ended.
     Request(Box<RequestLine<'a>>),
@@ -167,75 +168,74 @@
     LinesDropped { count: u64 },
 }
 
-/// A request that ended, with the inputs that decided it.
+/// A request that ended, with the inputs of the routing decision.
 #[derive(Debug, Serialize)]
 pub struct RequestLine<'a> {
-    /// The caller's identity for this try.
+    /// The caller's id of the request.
     pub request: &'a str,
-    /// The route, where one fits.
+    /// The route, if one matches.
     pub route: Option<&'a str>,
-    /// The tenant.
     pub tenant: Option<&'a str>,
-    /// What the tenant's quota looked like where it refused the request.
+    /// The state of the tenant's quota, if it refused the request.
     pub quota: Option<QuotaLine>,
-    /// How it ended.
     pub outcome: &'static str,
-    /// The status that the caller got.
+    /// The status code that the caller received.
     pub status: Option<u16>,
     /// Why the node itself answered.
     pub reason: Option<Reason>,
-    /// What the caller asks for, where that is held back.
+    /// The request's fingerprint, if it is quarantined.
     pub fingerprint: Option<String>,
     /// The version of the configuration.
     pub configuration: Option<u64>,
-    /// The age of the proof that it is the newest.
+    /// The age of the proof that the configuration is current.
     pub configuration_age_ms: Option<u64>,
-    /// Back ends that were sent the request.
+    /// The number of back ends that were sent the request.
     pub attempts: u32,
-    /// The back end of the last try.
+    /// The back end of the last attempt.
     pub backend: Option<&'a str>,
-    /// Back ends that might have got it.
+    /// The number of eligible back ends.
     pub candidates: usize,
     /// The cost by which the back end was chosen.
     pub cost: u64,
-    /// Tokens that the back end was expected to read.
+    /// Tokens that the back end was expected to prefill.
     pub expected_tokens: u64,
-    /// Tokens of the prefix that it was believed to hold.
+    /// Tokens of the prefix that were expected in its cache.
     pub held_tokens: u32,
-    /// Tokens of the prefix that nobody was believed to keep.
+    /// Tokens of the prefix that were expected in no cache.
     pub cold_tokens: u32,
-    /// Tokens that the answer is guessed to have: by the caller, else the most that it allows.
+    /// Estimated length of the answer: by the caller, otherwise the maximum that it allows.
     pub guessed_tokens: Option<u32>,
-    /// The last shared part of the prompt.
+    /// The last shared segment of the prompt.
     pub subject: Option<String>,
-    /// Whether the back end is where such a part is read first.
+    /// Whether the back end is the preferred engine of that segment.
     pub at_home: bool,
-    /// Whether another back end or the store was named to import the prefix from.
+    /// Whether the prefix was to be imported from another back end or a store.
     pub imported: bool,
-    /// The version of the weights asked for.
+    /// The requested version of the weights.
     pub weights: Option<u64>,
     /// Milliseconds to the first byte of the answer's body.
     pub first_ms: Option<u64>,
-    /// The longest pause between two parts of a stream, in milliseconds.
+    /// The longest gap between two parts of a stream, in milliseconds.
     pub longest_gap_ms: u64,
     /// Milliseconds from the arrival to the end.
     pub total_ms: u64,
-    /// Times that a stream went on at another back end.
+    /// How often a stream continued at another back end.
     pub resumed: u32,
 }
 
-/// What decided that a tenant's quota is used up.
+/// The state of a quota that is used up.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct QuotaLine {
-    /// Units a second that the operator allows.
+    /// The quota in units per second.
     pub per_second: f64,
-    /// Units that might still be granted over all nodes that share the level; below 0 where too many were.
+    /// Units that may still be granted by all nodes that share the level; negative after too many grants.
     pub level: i64,
-    /// Units a second that callers ask for at these nodes.
+    /// The requested units per second at these nodes.
     pub demand: u64,
-    /// The part of all nodes that share the level.
+    /// The fraction of all nodes that share the level.
     pub part: f64,
-    /// Milliseconds since another node told; none where this node goes by what it and those below it have granted.
+    /// Milliseconds since another node's report; `None` if this node goes by its own and its descendants'
+    /// grants.
     pub told_age_ms: Option<u64>,
 }
 
@@ -251,18 +251,15 @@
     }
 }
 
-/// A request that is held back, and why; nothing but its fingerprint where only that is known.
+/// A quarantined request, and why; only its fingerprint if nothing else is known.
 #[derive(Debug, Default, Serialize)]
 pub struct HeldLine {
-    /// What the caller asks for.
     pub fingerprint: String,
-    /// The route.
     pub route: Option<String>,
-    /// The tenant.
     pub tenant: Option<String>,
-    /// The back ends that ended under it.
+    /// The back ends that crashed while running it.
     pub backends: Vec<String>,
-    /// The node that concluded it.
+    /// The node that quarantined it.
     pub found_by: Option<String>,
 }
 
@@ -287,7 +284,7 @@
     event: &'a Event<'a>,
 }
 
-/// Takes lines.
+/// Writes log lines in the background.
 #[derive(Debug)]
 pub struct Journal {
     node: String,
@@ -297,21 +294,21 @@
 }
 
 impl Journal {
-    /// A journal whose lines go to standard output.
+    /// A journal that writes to standard output.
     pub fn to_standard_output(node: &str, clock: SteadyClock) -> Self {
         Self::to(node, clock, std::io::stdout())
     }
 
-    /// A journal whose lines go to `output`, on a thread of its own.
+    /// A journal that writes to `output`, on its own thread.
     pub fn to(node: &str, clock: SteadyClock, output: impl Write + Send + 'static) -> Self {
         let (queue, lines) = sync_channel(QUEUE_LINES);
         let writer = std::thread::Builder::new().name("journal".into()).stack_size(64 << 10);
-        // Without the thread nothing is told, and the router serves on.
+        // Without the thread nothing is logged, and the router still serves.
         let _ = writer.spawn(move || write_lines(&lines, output));
         Self { node: node.into(), clock, queue, dropped: Arc::default() }
     }
 
-    /// Tells an event.
+    /// Logs an event, or counts it as dropped.
     pub fn log(&self, event: &Event<'_>) {
         let dropped = self.dropped.load(Ordering::Relaxed);
         if dropped > 0 && self.offer(&Event::LinesDropped { count: dropped }) {
@@ -322,7 +319,7 @@
         }
     }
 
-    /// Lines that were dropped and not yet told of.
+    /// Dropped lines that are not reported yet.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -353,7 +350,7 @@
             let Ok(line) = lines.try_recv() else { break };
             batch.extend_from_slice(&line);
         }
-        // A closed standard output loses lines, never requests.
+        // A closed standard output loses lines, but no requests.
         let _ = output.write_all(&batch).and_then(|()| output.flush());
         batch.clear();
         batch.shrink_to(BATCH_BYTES);
--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -1,7 +1,8 @@
-//! Holds the one lease under which orders are given to engines.
+//! Acquires and renews the lease under which orders are given to engines.
 //!
-//! A node asks for the lease only where the store has told it that nobody has it. The fencing token is the store's
-//! revision of the change that made it leader. The lease's life counts from when its grant or renewal was sent.
+//! A node requests the lease only if the store has told it that nobody holds it. The fencing token is the
+//! store's revision of the change that made the node leader. The lease's time to live counts from when its
+//! grant or renewal was sent.
 
 use std::{rc::Rc, time::Duration};
 
@@ -17,25 +18,23 @@
     store_feed::{StoreError, call_store, find_leader},
 };
 
-/// The pause between two looks at what is to be done.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an answer of the store may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// The lease's name in this node's own accounts.
+/// The lease's name for the lease holder.
 const LEASE_NAME: &str = "weights-orders";
-/// How much sooner than its lease ends a holder stops acting.
+/// How much earlier than its lease ends a holder stops acting.
 const LEASE_SAFETY_MARGIN: Duration = Duration::from_millis(150);
-/// How much longer a small machine delay: it should lead only where no other one can.
+/// How much longer a small machine waits, so that it leads only if no other one can.
 const SMALL_NODE_DELAY: Duration = Duration::from_millis(1_500);
-/// How long a node that was cut off from the others leaves the lease to them.
+/// How long a partitioned node leaves the lease to others.
 const STAND_BACK_TIME: Duration = Duration::from_secs(10);
-/// The longest time by which nodes jitter out when they ask for a free lease: the first of them is to be seen by most
-/// others before their step.
+/// The maximum jitter of requests for a free lease: most other nodes should see the first holder before they
+/// request it.
 const ACQUIRE_JITTER: Duration = Duration::from_millis(200);
 /// The same for small machines, of which there may be hundreds.
 const SMALL_NODE_JITTER: Duration = Duration::from_millis(1_000);
 
-/// Leads where nobody else does, for as long as the process lives.
+/// Takes part in the leadership for the lifetime of the process.
 pub async fn run(node: Rc<Node>) {
     let settings = node.settings();
     let ttl = Duration::from_millis(settings.bounds.lease_ms.max(settings.store.shortest_lease_ms));
@@ -53,7 +52,7 @@
     };
     while !leadership.node.is_stopping() {
         leadership.step().await;
-        // What can be done next is checked for at once where something has ended.
+        // An order that has ended may allow another one at once.
         let _ = tokio::time::timeout(POLL_INTERVAL, leadership.node.order_ended.notified()).await;
     }
     leadership.stop().await;
@@ -65,11 +64,11 @@
     ttl: Duration,
     lease: Option<StoreLease>,
     free_since: Option<Timestamp>,
-    /// When this node last led and heard nobody.
+    /// When this node last led without receiving reports.
     partitioned_at: Option<Timestamp>,
-    /// The last return of the store from a copy that has been acted on.
+    /// The latest restore of the store that was handled.
     restored_at: Option<Timestamp>,
-    /// Whether this node led then.
+    /// Whether this node led at that time.
     led_at_restore: bool,
 }
 
@@ -102,19 +101,19 @@
         }
     }
 
-    /// Whether this node leads and the others, which it had heard, hear it no longer.
+    /// Whether this node leads but no longer receives reports from nodes that reported before.
     fn is_partitioned(&self, now: Timestamp) -> bool {
         let peers = self.node.peers.as_ref();
         self.node.token().is_some() && peers.is_some_and(|peers| peers.borrow().fleet.is_partitioned(now))
     }
 
-    /// Gives the lease up to nodes that the others can reach.
+    /// Releases the lease to nodes that the others can reach.
     async fn yield_lease(&mut self, now: Timestamp) {
         self.partitioned_at = Some(now);
         self.stand_down("no other node reports here", now).await;
     }
 
-    /// The store has come back from a copy: whether that holds this node's lease is not known, and another may be given it.
+    /// Stands down after the store was restored: it may lack this node's lease and grant it to another node.
     async fn stand_down_for_restore(&mut self, now: Timestamp) {
         self.restored_at = self.node.restored_at.get();
         self.led_at_restore = self.holder.token(now).is_some();
@@ -139,15 +138,15 @@
         self.holder = LeaseHolder::new(settings, self.node.now());
     }
 
-    /// The token of an earlier process of this node, where that one leads by the store's latest word. It has ended, so
-    /// that nobody has to wait until its lease runs out.
+    /// The token of an earlier process of this node if that process is the recorded leader. It has ended, so
+    /// its lease need not expire first.
     fn own_token(&self) -> Option<FencingToken> {
         let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.local_member().address);
         let node = self.node.settings().node.clone();
         self.node.state.borrow().leader.as_ref().and_then(|leader| leader.token_of(&node, peers))
     }
 
-    /// Whether the store has told that nobody else leads, and this node's step to ask has come.
+    /// Whether nobody else leads as far as the store has told, and this node's delay is over.
     fn may_acquire(&mut self, now: Timestamp) -> bool {
         let state = self.node.state.borrow();
         let (checked, led) = (state.leader_checked, state.leader.is_some());
@@ -166,10 +165,10 @@
         now.saturating_since(since) >= delay + jitter.mul_f64(rand::random::<f64>())
     }
 
-    /// Whether somebody else has begun to lead since the store last told: a look costs less than a lease that is asked
-    /// for in vain.
+    /// Whether another node has become leader meanwhile. Reading that is cheaper than a lease that is
+    /// requested in vain.
     async fn has_new_leader(&self) -> bool {
-        // A look that fails is counted with the calls; whether the lease is free the store's own condition decides.
+        // A failed read is counted with the calls; the store's own condition decides about the lease.
         let _ = find_leader(&self.node).await;
         self.node.state.borrow().leader.is_some() && self.own_token().is_none()
     }
@@ -188,7 +187,7 @@
         let StoreAnswer::Lease { lease, ttl } = granted else { return Err(StoreError::Unexpected) };
         let holder = self.node.settings().node.clone();
         let peers = self.node.peers.as_ref().map(|peers| peers.borrow().fleet.local_member().address);
-        // Another node may have begun to lead since this one's step to ask came: that one is never replaced.
+        // Another node may have become leader meanwhile, and must not be replaced.
         let replaces = self.own_token();
         let call = StoreCall::Lead { replaces, holder: holder.clone(), peers, lease };
         let taken = call_store(&self.node, &call, CALL_TIMEOUT).await;
@@ -200,7 +199,7 @@
                 Ok(LeaseResult::Held { token, ttl_ms: ttl.as_millis() as u64 })
             }
             other => {
-                // It may have been taken, its answer lost: whatever hangs on this lease ends with it.
+                // The call may have succeeded without an answer; ending the lease undoes it.
                 let _ = call_store(&self.node, &StoreCall::End(lease), CALL_TIMEOUT).await;
                 other?;
                 Ok(LeaseResult::NotHeld)
@@ -226,7 +225,7 @@
         Ok(LeaseResult::NotHeld)
     }
 
-    /// Makes known until when this node certainly leads.
+    /// Publishes until when this node certainly leads.
     fn publish(&mut self, now: Timestamp) {
         let before = self.node.leading.get();
         let token = self.holder.token(now + LEASE_SAFETY_MARGIN).filter(|_| !self.awaits_old_lease(now));
@@ -247,8 +246,8 @@
         }
     }
 
-    /// Whether another node may still act as leader: one that has not heard of the store's return takes its lease for certain,
-    /// up to its end.
+    /// Whether another node may still act as leader: one that has not noticed the restore trusts its lease to
+    /// its end.
     fn awaits_old_lease(&self, now: Timestamp) -> bool {
         let over = self.restored_at.map(|at| at + self.ttl);
         !self.led_at_restore && over.is_some_and(|over| now < over)
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,33 +1,37 @@
-//! Forwards requests by the operator's routes: the servers, clients and loops around `core::forwarding`.
+//! The forwarding router: servers, clients and loops around `core::forwarding`, which route requests by the operator's
+//! document.
 //!
-//! What the surrounding platform speaks is behind [`ports`]; an implementation only translates. One thread does
-//! all work; what is shared is one [`node::Node`].
+//! The surrounding platform is accessed through [`ports`]; an adapter only translates. One thread does all the work, and
+//! its tasks share one [`node::Node`].
 //!
-//! | module | job |
+//! | module | content |
 //! |---|---|
-//! | [`settings`] | the process's settings, checked |
-//! | [`ports`] | what a platform's translation has to offer |
+//! | [`settings`] | the validated settings of the process |
+//! | [`ports`] | the interface of a platform adapter |
 //! | [`connection`], [`pool`] | connections to back ends |
-//! | [`calls`] | calls to the metadata store and to engines' own interfaces |
-//! | [`node`], [`node_state`], [`fact_updates`], `backend_updates` | what the node is, believes, and takes in |
+//! | [`calls`] | calls to the metadata store and to the own interfaces of engines |
+//! | [`node`], [`node_state`] | a node and its state |
+//! | [`fact_updates`], `backend_updates` | applies facts of the store, and what is observed of back ends |
 //! | [`candidates`] | describes back ends to the chooser |
-//! | [`announcements`] | what back ends say of themselves in their answers |
-//! | `limits` | limits that back ends name, divided over all nodes |
-//! | `unknown_headers`, `logged_once` | notes headers of back ends' answers that nothing reads, once each |
-//! | [`store_feed`], [`store_restore`] | follows the metadata store, also where that comes back from an older copy |
-//! | [`facts`] | reads facts that other nodes tell, also those of other versions |
-//! | `replica`, `recent_targets` | what is known of the store, as facts for other nodes, and how lately weights were named |
-//! | [`cache_feed`] | follows what engines and the store keep |
-//! | [`peers`] | what nodes tell each other |
-//! | [`leadership`], [`orders`] | holds the lease and gives orders for new weights |
-//! | `target_record` | records in the store that weights were named lately |
-//! | [`admission`] | route, tenant, and whether what is known may be trusted |
-//! | [`callers`], [`caller_stream`], [`caller_close`] | callers' connections: taken, served, closed |
-//! | [`ingress`], [`exchange`], [`attempts`], [`outcomes`], [`relay`] | takes requests, forwards them, decides what follows, passes streams on |
-//! | `response_wait` | ends waits at back ends whose weights have grown too old |
-//! | [`quarantine`], `runs` | which broken runs were crashes, and what is held back for them |
-//! | [`access_log`] | what is told of a request at its end |
-//! | [`answers`] | the node's own answers |
+//! | [`announcements`] | draining, back-off and limits that back ends announce in their answers |
+//! | `limits` | advertised limits, divided among all nodes |
+//! | `unknown_headers`, [`logged_once`] | logs unknown headers of back ends' answers, once each |
+//! | [`store_feed`], [`store_restore`] | follows the metadata store, also when it is restored from a backup |
+//! | [`facts`] | parses facts from other nodes, including those of other versions |
+//! | `replica`, `recent_targets` | the known state of the store as facts, and recently announced target versions |
+//! | [`cache_feed`] | follows the cached segments of engines and cache stores |
+//! | [`peers`] | the exchange between nodes |
+//! | [`leadership`], [`orders`] | holds the lease, and orders engines to load new weights |
+//! | `target_record` | records recently announced target versions in the store |
+//! | [`admission`] | route, tenant, quota, and the age of the configuration |
+//! | [`callers`], [`caller_stream`], [`caller_close`] | callers' connections: accepted, served, closed |
+//! | [`ingress`] | listeners, readiness and metrics |
+//! | [`exchange`], [`dispatch`], [`attempts`], [`outcomes`], [`relay`] | serves requests: sends, retries, relays streams |
+//! | `retries` | retry budgets |
+//! | [`response_wait`] | ends waits at back ends whose weights have become outdated |
+//! | [`quarantine`], `runs` | which broken runs were crashes, and which requests are quarantined for them |
+//! | [`access_log`] | the log line and counters of a request that has ended |
+//! | [`answers`] | responses that the node generates itself |
 //! | [`journal`] | structured log lines |
 //! | [`metrics`] | counters and histograms |
 //! | [`process`] | start, signals, stop |
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that back ends name: heard, told to other nodes, and kept to with every request that is sent.
+//! Rate limits advertised by back ends: observed, shared with other nodes, and applied to each request.
 
 use paddlemount_core::forwarding::{
     announcements::{
@@ -18,8 +18,8 @@
 };
 
 impl NodeState {
-    /// Requests a second that this node has lately sent to a back end like this one: the mean of its service, as one node of many
-    /// meets each back end too seldom.
+    /// The recent mean rate of this node's requests per back end of the same service. One of many nodes
+    /// reaches each single back end too rarely for a rate of its own.
     fn mean_rate_per_backend(&self, id: &BackendId, now: Timestamp) -> f64 {
         let service = self.backends.get(id).map(|backend| &backend.entry.service);
         let Some(pool) = service.and_then(|service| self.backends.pool(service)) else { return 0.0 };
@@ -29,8 +29,8 @@
 }
 
 impl Node {
-    /// Takes in what an answer of `process` parsed of its limit; nothing where it names none. `sent_at` tells when the request was sent
-    /// that it answers.
+    /// Applies the limit in an answer of `process`; `None` if it has none. `sent_at` is when the request was
+    /// sent that it answers.
     pub(crate) fn observe_limit(
         &self,
         process: &BackendProcess,
@@ -47,7 +47,7 @@
                 }
                 return;
             }
-            // What it answered before the limit was heard may have been said before it was named.
+            // An answer to a request sent earlier may predate the limit.
             (None, Some(sent_at)) => Advertised { per_second: None, at: sent_at },
             (None, None) => return,
         };
@@ -62,13 +62,13 @@
         if let Some(change) = change {
             self.log_limit_change(process, change, AnnouncementSource::Answer);
             if !matches!(change, LimitChange::Changed(_)) {
-                // The others send to it by what they know until they hear.
+                // Other nodes rely on the previous limit until they receive the gossip.
                 self.leader_known.notify_one();
             }
         }
     }
 
-    /// A node children has told what it has heard of limits.
+    /// Applies limits reported by a child.
     pub(crate) fn merge_limit_gossip(&self, gossip: &[LimitGossip]) {
         let now = self.now();
         let changes = self.state.borrow_mut().backends.announcements.merge_limit_gossip(gossip, now);
@@ -77,7 +77,8 @@
         }
     }
 
-    /// The node above has answered a report that was sent at `sent_at` with what it knows of limits, and this node's part of them.
+    /// Applies the parent's limits and this node's shares of them, from the answer to a report sent at
+    /// `sent_at`.
     pub(crate) fn apply_limit_grants(&self, grants: &[LimitGrant], sent_at: Timestamp) {
         let now = self.now();
         let changes = self.state.borrow_mut().backends.announcements.apply_limit_grants(grants, sent_at, now);
@@ -98,7 +99,7 @@
         self.journal.log(&event);
     }
 
-    /// Divides limits anew by this node's place in the tree; to be called several times a second.
+    /// Divides limits by this node's position in the tree. Must be called several times a second.
     pub(crate) fn divide_limits(&self) {
         let now = self.now();
         let nodes = self.nodes().upper_bound();
@@ -116,7 +117,7 @@
         state.backends.announcements.divide_limits(place, now);
     }
 
-    /// Requests a second that callers ask of this node and those children it.
+    /// The rate of callers' requests to this node and its descendants.
     pub(crate) fn demand_per_second(&self) -> f64 {
         let now = self.now();
         let own = self.state.borrow().offered_load.per_second(now);
@@ -131,13 +132,13 @@
         !self.state.borrow().backends.has_permit(backend, self.now())
     }
 
-    /// A request is being sent to a back end.
+    /// Takes a permit of a back end's limit for a request.
     pub(crate) fn acquire_permit(&self, backend: &BackendId) {
         let now = self.now();
         self.state.borrow_mut().backends.acquire_permit(backend, now);
     }
 
-    /// A request was not sent to a back end after all.
+    /// Returns the permit of a request that was not sent.
     pub(crate) fn release_permit(&self, backend: &BackendId) {
         self.state.borrow_mut().backends.release_permit(backend);
     }
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -4,67 +4,57 @@
 
 use paddlemount_core::forwarding::document::RouteKind;
 
-/// Upper bounds of the time distributions, in seconds.
+/// The histograms' bucket bounds, in seconds.
 const TIME_BUCKETS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 0.8, 1.5, 3.0, 6.0];
 
-/// What is counted.
+/// A counter, with its labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Counter {
     /// Requests by kind of route and outcome.
-    Requests {
-        /// The kind of route.
-        kind: &'static str,
-        /// How it ended.
-        outcome: &'static str,
-    },
-    /// Tries that ended without an answer to pass on, by how.
+    Requests { kind: &'static str, outcome: &'static str },
+    /// Attempts without an answer to relay, by how they ended.
     Attempts(&'static str),
-    /// Requests that were given to a second back end.
+    /// Requests that were sent to a second back end.
     Retries,
-    /// Answers that another back end, or one with other weights, got the request.
+    /// Answers stating that the request reached another back end, or one with other weights.
     Misdirected,
-    /// Refusals by which back ends asked for a time without requests.
+    /// Refusals in which back ends asked for a back-off.
     BackOffsRequested,
-    /// Requests that were refused since all back ends that could serve them are limited.
+    /// Requests refused because all eligible back ends are limited.
     RefusedForLimits,
-    /// Requests that were not sent to the back end that was chosen: its limit had been used up meanwhile.
+    /// Requests not sent to the chosen back end because its limit was used up meanwhile.
     DeferredForLimits,
-    /// Facts that other nodes told and this one does not know.
+    /// Facts from other nodes that this version does not know.
     UnknownFacts,
     /// Headers of back ends' answers that nothing reads.
     UnknownAnswerHeaders,
-    /// Streams that went on at another back end.
+    /// Streams that continued at another back end.
     Resumed,
-    /// Calls to the store by what they are for and how they ended.
-    StoreCalls {
-        /// What the call is for.
-        purpose: &'static str,
-        /// How it ended.
-        outcome: &'static str,
-    },
+    /// Calls to the store by purpose and outcome.
+    StoreCalls { purpose: &'static str, outcome: &'static str },
     /// Orders by outcome.
     Orders(&'static str),
-    /// Reports to the node above by outcome.
+    /// Reports to the parent by outcome.
     PeerCalls(&'static str),
-    /// Snapshots of the store that were given to other nodes.
+    /// Snapshots of the store sent to other nodes.
     SnapshotsGiven,
-    /// Snapshots of the store that were taken of another node.
+    /// Snapshots of the store taken from another node.
     SnapshotsTaken,
-    /// Returns of the store from an older copy.
+    /// Restores of the store from a backup.
     StoreRestores,
     /// New connections to back ends.
     Connections,
-    /// Requests whose prefix was to be imported.
+    /// Requests with a prefix to import.
     Imports,
-    /// Entries of reports on tenants' quotas that make no sense here: of unknown tenants, or with impossible figures.
+    /// Ignored entries of reports on quotas, with unknown tenants or impossible numbers.
     QuotaReportsIgnored,
-    /// Runs of this node's requests under which back ends ended.
+    /// Runs of this node's requests during which back ends crashed.
     RunsCrashed,
-    /// Runs of suspected requests that came to their end, as nodes below tell.
+    /// Completed runs of suspect requests, as reported by children.
     RunsCleared,
-    /// Requests of which this node learned that they are held back.
+    /// Requests that this node learned to be quarantined.
     RequestsHeld,
-    /// Callers' connections that were closed with bytes in them that nobody had read.
+    /// Callers' connections that were closed with unread bytes.
     ClosedUnread,
 }
 
@@ -129,16 +119,15 @@
     }
 }
 
-/// What is measured in time.
+/// A histogram of durations, with its label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distribution {
     /// From a request's arrival to the first byte of its answer's body, by kind of route.
     FirstByte(&'static str),
-    /// From a request's arrival until it was first sent on.
+    /// From a request's arrival until it was first sent to a back end.
     RoutingDelay,
-    /// A call to the store.
     StoreCall,
-    /// A report to the node above.
+    /// A report to the parent.
     PeerCall,
 }
 
@@ -174,27 +163,25 @@
     histograms: RefCell<BTreeMap<Distribution, Histogram>>,
 }
 
-/// A present value, told with the metrics.
+/// A current value that is exported with the metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct Gauge {
-    /// Its name.
     pub name: &'static str,
-    /// Its value.
     pub value: f64,
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Counts several.
+    /// Adds to a counter.
     pub fn add(&self, counter: Counter, number: u64) {
         *self.counters.borrow_mut().entry(counter).or_default() += number;
     }
 
-    /// Takes a time in.
+    /// Records a duration.
     pub fn observe(&self, distribution: Distribution, time: std::time::Duration) {
         let seconds = time.as_secs_f64();
         let mut histograms = self.histograms.borrow_mut();
@@ -206,7 +193,7 @@
         }
     }
 
-    /// The text of all metrics.
+    /// Renders all metrics as text.
     pub fn render(&self, gauges: &[Gauge]) -> String {
         let mut text = String::new();
         for (counter, value) in self.counters.borrow().iter() {
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -1,4 +1,4 @@
-//! One forwarding node: its parts, and questions about it.
+//! A forwarding node: the state shared by its tasks.
 
 use std::{
     cell::{Cell, RefCell},
@@ -38,71 +38,69 @@
     settings::ForwardSettings,
 };
 
-/// How long a back end is left alone that refused a request.
+/// How long a back end is avoided after it refused a request.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(250);
 
-/// One forwarding node.
+/// A forwarding node.
 pub struct Node {
-    /// Its settings; a reload replaces them.
+    /// The settings in force; a reload replaces them.
     pub settings: RefCell<Rc<ForwardSettings>>,
-    /// The platform's translation.
+    /// The adapter of the surrounding platform.
     pub platform: Box<dyn Platform>,
-    /// The steady clock.
     pub clock: SteadyClock,
-    /// Log lines.
     pub journal: Journal,
-    /// Counters and histograms.
     pub metrics: Metrics,
-    /// What it believes.
+    /// The node's view of the store, of back ends and of load.
     pub state: RefCell<NodeState>,
-    /// Idle connections to back ends.
     pub pool: RefCell<Pool>,
-    /// What is known of other nodes, where nodes talk to each other.
+    /// The state shared with other nodes, if the node has a peer address.
     pub peers: Option<RefCell<Peers>>,
-    /// Calls to the metadata store.
+    /// The client of the metadata store.
     pub store: Client,
-    /// The planned stop, once it has been told to stop.
+    /// The planned stop, once the node is stopping.
     pub planned_stop: Cell<Option<PlannedStop>>,
-    /// How long answers have lately taken.
+    /// Recent answer times by route.
     pub answer_times: RefCell<AnswerTimes>,
-    /// Whether the grace period of a planned stop is over.
+    /// Whether the grace period of a planned stop has ended.
     pub grace_is_over: Cell<bool>,
-    /// Requests that have not ended.
+    /// The number of requests in progress.
     pub running: Cell<usize>,
-    /// Engines that load weights by this node's orders, while it leads.
+    /// The number of engines that are loading weights by this node's orders.
     pub loading: Cell<usize>,
-    /// Whether the store has forgotten what followed this node's knowledge: all is to be learned anew.
+    /// Whether the store no longer has the history after this node's revision, so that the node must list it
+    /// again.
     pub history_lost: Cell<bool>,
-    /// How often the store has come back from an older copy, as it last said.
+    /// The latest era of the store: how often it was restored from a backup.
     pub store_era: Cell<Option<StoreEra>>,
-    /// When this node heard that it has.
+    /// When this node noticed the latest restore.
     pub restored_at: Cell<Option<Timestamp>>,
-    /// Snapshots of the store that are being given to other nodes.
+    /// The number of snapshots that are being sent to other nodes.
     pub snapshots_given: Cell<usize>,
-    /// Told where all of the store is known, by a listing or a snapshot.
+    /// Notified when the whole store is known, by a listing or a snapshot.
     pub store_known: Notify,
-    /// The same, for whoever follows the feeds of kept parts.
+    /// The same, for the task that follows cache feeds.
     pub feeds_known: Notify,
-    /// Told where something was learned of who leads.
+    /// Notified when the known leader may have changed, and when the next report to the parent should not
+    /// wait.
     pub leader_known: Notify,
-    /// Told where a version of weights was named: requests that wait may have to be taken back.
+    /// Notified when a target version is announced, because waiting requests may have to be withdrawn.
     pub target_announced: Notify,
-    /// Told where an order has ended.
+    /// Notified when an order to an engine has ended.
     pub order_ended: Notify,
-    /// Headers of back ends' answers that nothing reads.
+    /// Unknown headers of back ends' answers.
     pub unknown_headers: LoggedOnce,
-    /// Kinds of facts that other nodes tell and this update does not know.
+    /// Unknown kinds of facts from other nodes.
     pub unknown_facts: LoggedOnce,
-    /// Limits that back ends name in words that mean nothing.
+    /// Advertised limits that could not be parsed.
     pub unreadable_limits: LoggedOnce,
-    /// What is under way about requests under which back ends ended.
+    /// Pending work of the quarantine.
     pub quarantine_work: PendingWork,
-    /// The fencing token while this node leads, with the time until which its lease certainly holds.
+    /// The fencing token while this node leads, and the time until which its lease is certain.
     pub leading: Cell<Option<(FencingToken, Timestamp)>>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// A node with an empty state.
     pub fn new(
         settings: ForwardSettings,
         platform: Box<dyn Platform>,
@@ -152,7 +150,7 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -162,18 +160,18 @@
         Rc::clone(&self.settings.borrow())
     }
 
-    /// The fencing token, while this node certainly leads.
+    /// The fencing token, if this node certainly leads.
     pub fn token(&self) -> Option<FencingToken> {
         self.leading.get().filter(|(_, until)| self.now() < *until).map(|(token, _)| token)
     }
 
-    /// Whether it has been told to stop.
+    /// Whether the node is stopping.
     pub fn is_stopping(&self) -> bool {
         self.planned_stop.get().is_some()
     }
 
-    /// Whether a request of `route`, whose answer is guessed to have `guessed_tokens` and whose caller waits until
-    /// `waits_until`, can be answered before a planned stop ends.
+    /// Whether a request of `route` can be answered before a planned stop ends, given the estimated length of
+    /// its answer and the caller's deadline.
     pub fn has_time_for(&self, route: &Route, guessed_tokens: Option<u32>, waits_until: Timestamp) -> bool {
         let Some(stop) = self.planned_stop.get() else { return true };
         let now = self.now();
@@ -181,14 +179,14 @@
         stop.may_start(expected, waits_until.saturating_since(now), now)
     }
 
-    /// Gives back what was granted of a quota to a request that has not run.
+    /// Refunds the quota that was charged for a request that has not run.
     pub fn refund_quota(&self, grant: Option<QuotaGrant>) {
         if let Some(grant) = grant {
             self.state.borrow_mut().quotas.refund(&grant);
         }
     }
 
-    /// Whether callers should be sent here, and why not.
+    /// Whether the node is ready for callers, or why not.
     pub fn readiness(&self) -> Result<(), &'static str> {
         let state = self.state.borrow();
         if self.is_stopping() {
@@ -204,24 +202,24 @@
         Ok(())
     }
 
-    /// The store did not answer, or refused.
+    /// Records a failed or refused call to the store.
     pub fn store_failed(&self) {
         self.state.borrow_mut().backends.registry.failed();
     }
 
-    /// The store answered.
+    /// Records a call that the store answered.
     pub fn store_answered(&self) {
         let now = self.now();
         self.state.borrow_mut().backends.registry.answered(now);
     }
 
-    /// A back end refused a request: it is full, or it loads weights.
+    /// Records that a back end refused a request because it is full or loading weights.
     pub fn refused(&self, id: &BackendId) {
         let until = self.now() + REFUSAL_PAUSE;
         self.state.borrow_mut().refused_until.insert(id.clone(), until);
     }
 
-    /// Something learned of a back end's health. `certain` ejects it at once.
+    /// Records a health event of a back end. A `certain` failure ejects it at once.
     pub fn health(&self, id: &BackendId, event: HealthEvent<'_>, certain: bool) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -231,24 +229,24 @@
         }
     }
 
-    /// Whether a back end is left alone for what it has failed at.
+    /// Whether a back end is ejected because of failures.
     pub fn is_ejected(&self, id: &BackendId) -> bool {
         let verdict = self.state.borrow().health.availability(id, 0.0, self.now());
         matches!(verdict, Availability::Ejected { .. })
     }
 
-    /// The number of nodes as counted lately, where this node has heard of it.
+    /// The number of nodes as counted by the root, if a recent count is known.
     pub fn counted(&self) -> Option<u32> {
         self.peers.as_ref()?.borrow().fleet.node_count(self.now())
     }
 
-    /// The number of nodes, by all that is known of it.
+    /// What is known about the number of nodes.
     pub fn nodes(&self) -> NodeCount {
         let recorded = self.peers.as_ref().and_then(|_| self.state.borrow().fleet_size);
         NodeCount { counted: self.counted(), recorded, assumed: self.settings().limits.most_nodes }
     }
 
-    /// Something was learned of what engines keep, that other nodes should hear.
+    /// Queues changes of cached segments for gossip to other nodes.
     pub fn publish(&self, updates: Vec<CachedSegmentUpdate>) {
         let Some(peers) = &self.peers else { return };
         let mut peers = peers.borrow_mut();
@@ -257,7 +255,7 @@
         }
     }
 
-    /// How many nodes stand above this update; not a number where it reports to nobody and does not lead.
+    /// The number of ancestors; NaN if the node has no parent and does not lead.
     fn depth(&self) -> f64 {
         let joined = self.peers.as_ref().map(|peers| peers.borrow().fleet.uplink.depth());
         match joined {
@@ -266,12 +264,12 @@
         }
     }
 
-    /// The number of nodes that report to this update.
+    /// The number of nodes that report to this one.
     fn children(&self) -> usize {
         self.peers.as_ref().map_or(0, |peers| peers.borrow().fleet.children.len())
     }
 
-    /// How long ago the root was heard of, in seconds; not a number where it never was.
+    /// The age of the latest update from the root, in seconds; NaN if there was none.
     fn root_age(&self) -> f64 {
         let leads = self.token().is_some();
         let age =
@@ -279,7 +277,7 @@
         age.map_or(f64::NAN, |age| age.as_secs_f64())
     }
 
-    /// Looks at who is heard, for the part of the quotas that this node shares; to be called several times a second.
+    /// Updates this node's share of quotas. Must be called several times a second.
     pub fn tick_quotas(&self) {
         let nodes = self.nodes();
         let assumed = nodes.recorded.unwrap_or(nodes.assumed);
@@ -288,8 +286,8 @@
         self.state.borrow_mut().quotas.tick(place, now);
     }
 
-    /// The time in which answers of a back end have lately begun, the slow ones included. A node of many meets each back
-    /// end too seldom to know its own time, and takes that of any: a second try while all are busy makes them busier.
+    /// The recent high latency of a back end. In a large fleet each node has too few samples of one back end
+    /// and uses those of all, because retries while all are busy would add to the load.
     pub fn slow_latency(&self, backend: &BackendId) -> Duration {
         let (now, state) = (self.now(), self.state.borrow());
         match self.counted() {
@@ -298,7 +296,7 @@
         }
     }
 
-    /// The share of a route whose turn it is.
+    /// Picks a service of a route by the route's weights.
     pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
         let turn = self.state.borrow_mut().round_robin.pick(route)?;
         route.split.get(turn).map(|share| share.service.clone())
@@ -311,7 +309,7 @@
         self.state.borrow().choose_backend(request, &settings.zone, nodes, self.now())
     }
 
-    /// Drops what has grown old.
+    /// Removes expired state.
     pub fn sweep(&self) {
         let now = self.now();
         self.pool.borrow_mut().sweep(now);
@@ -332,7 +330,7 @@
         self.sweep_quarantine();
     }
 
-    /// Present values for the metrics.
+    /// The current values of the gauges.
     pub fn gauges(&self) -> Vec<Gauge> {
         let state = self.state.borrow();
         let age = state.freshness.age(self.now()).map_or(f64::NAN, |age| age.as_secs_f64());
@@ -359,8 +357,8 @@
     }
 }
 
-/// How long ago the oldest name of weights in force was given, at most, in seconds: infinite where nobody knows, and not a
-/// number where there is none.
+/// An upper bound of the age, in seconds, of the oldest target version in force: infinite if unknown, NaN if
+/// there is no target version.
 fn target_age(state: &NodeState, now: Timestamp) -> f64 {
     let Some(target) = state.rollout.target_versions.oldest_in_force() else { return f64::NAN };
     target.age(now).map_or(f64::INFINITY, |age| age.as_secs_f64())
--- a/crates/forward/src/node_state.rs
+++ b/crates/forward/src/node_state.rs
@@ -1,4 +1,4 @@
-//! What a forwarding node believes, and the back end that follows from it.
+//! What a forwarding node knows of the store, of back ends and of other nodes.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -28,111 +28,108 @@
 
 use crate::settings::ForwardSettings;
 
-/// NodeCount up to which each knows by itself enough of what is under way to weigh all back ends.
+/// Up to this number of nodes, each sees enough of the load to compare all back ends of a pool.
 pub(crate) const FULL_SCAN_MAX_NODES: usize = 8;
-/// How long unused parts must be kept for copies of runs to be worth their room.
+/// Copies of runs are made only if unused segments stay cached for at least this time.
 const MIN_COPY_RETENTION: Duration = Duration::from_secs(14);
-/// The time in which the rate of callers' requests fades to a third.
+/// The time constant with which the rate of callers' requests decays.
 const OFFERED_LOAD_DECAY: Duration = Duration::from_secs(5);
-/// The least margin between the bound of named weights and the time from which older ones get no request.
+/// The minimum margin before the bound on outdated weights from which they receive no requests.
 const WEIGHTS_MARGIN: Duration = Duration::from_millis(900);
 
-/// What a node believes.
+/// The state of a forwarding node.
 pub struct NodeState {
-    /// The configuration in force.
+    /// The routes and tenants of the configuration in force.
     pub table: Option<Rc<RouteTable>>,
-    /// How recent it is.
+    /// The age of the proof that the configuration is current.
     pub freshness: Freshness,
-    /// The back ends.
     pub backends: Backends,
-    /// Work under way and prefixes held.
+    /// Loads and cached prefixes of back ends.
     pub chooser: Chooser,
-    /// What answers have shown of back ends.
     pub health: Health,
-    /// The named versions of weights.
+    /// The target versions of weights.
     pub rollout: Rollout,
-    /// Who leads, where it is known that somebody does.
+    /// The leader, if one is known.
     pub leader: Option<Leader>,
-    /// Whether it has been looked who leads; until then nobody is known for another reason.
+    /// Whether the store has been asked for the leader; until then `leader` may be `None` though there is
+    /// one.
     pub leader_checked: bool,
-    /// The revision up to which all of the store is known; none as long as only a part of it is.
+    /// The revision up to which the whole store is known; `None` until a first complete listing.
     pub revision: Option<Revision>,
-    /// What has lately changed there.
+    /// Recent changes of the store, for children.
     pub changes: ChangeLog,
-    /// The number of nodes, as a root has recorded it.
+    /// The number of nodes as recorded in the store by a root.
     pub fleet_size: Option<u32>,
-    /// What is left of tenants' quotas.
     pub quotas: QuotaLedger,
-    /// Requests under which back ends ended.
+    /// Requests under which back ends crashed.
     pub quarantine: Quarantine,
-    /// Requests that the store holds back, as they stand there, or that this node has asked it to.
+    /// Quarantined requests as stored, or as this node has asked the store to hold them.
     pub(crate) held: BTreeMap<RequestFingerprint, QuarantinedRequest>,
     pub(crate) round_robin: WeightedRoundRobin,
     pub(crate) budgets: BTreeMap<ServiceId, WindowBudget>,
-    /// Whether services refuse everything.
+    /// Recent refusals by service.
     pub(crate) refusals: BTreeMap<ServiceId, Refusals>,
-    /// Repeats that may reach wrong addresses.
+    /// The budget of retries after misdirected attempts.
     misdirected_budget: Option<WindowBudget>,
     pub(crate) refused_until: BTreeMap<BackendId, Timestamp>,
-    /// Requests that callers ask of this node.
+    /// The rate of callers' requests to this node.
     pub(crate) offered_load: RecentRate,
-    /// When refused callers of services come back whose back ends are limited.
+    /// Retry times handed out to refused callers of services whose back ends are limited.
     pub(crate) retry_schedules: BTreeMap<ServiceId, RetryAfterSchedule>,
-    /// Drawn evenly from 0 to 1: which nodes have one more repeat, or connection to a back end, than others.
+    /// Drawn uniformly from 0 to 1; decides which nodes get the remainder of an uneven division.
     pub(crate) share_draw: f64,
-    /// How long a back end that has said itself that it leaves gets requests where nobody else is left.
+    /// How long a back end that announced draining is still used if no other is left.
     pub(crate) departing_use: Duration,
 }
 
 /// The node that leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
-    /// The node.
     pub holder: NodeId,
     /// The fencing token of its orders.
     pub token: FencingToken,
-    /// Where it takes other nodes' reports.
+    /// Where it accepts reports of other nodes.
     pub peers: Option<std::net::SocketAddr>,
 }
 
 impl Leader {
-    /// Where it is reached, if it talks to other nodes.
+    /// Its contact, if it accepts reports of other nodes.
     pub fn contact(&self) -> Option<Contact> {
         Some(Contact { node: self.holder.clone(), address: self.peers? })
     }
 
-    /// The token of this leadership, where it is that of a process of node `node` that other nodes reached at `peers`.
-    /// Only such a one may be replaced, by the node's next process.
+    /// The token of this leadership if it belongs to a process of `node` at the address `peers`. Only the
+    /// next process of the same node may replace such a leadership.
     pub fn token_of(&self, node: &NodeId, peers: Option<std::net::SocketAddr>) -> Option<FencingToken> {
         (self.holder == *node && self.peers == peers).then_some(self.token)
     }
 }
 
-/// How many nodes there are.
+/// What is known about the number of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeCount {
-    /// As counted by the root, where this node has heard of it.
+    /// The count of the root, if received.
     pub counted: Option<u32>,
-    /// As a root has recorded it in the store.
+    /// The number that a root recorded in the store.
     pub recorded: Option<u32>,
-    /// As the settings assume.
+    /// The number assumed by the settings.
     pub assumed: u32,
 }
 
 impl NodeCount {
-    /// The number, as far as it is known: what a root counts, or had counted before all nodes started again.
+    /// The number as counted by the root, or as recorded before all nodes restarted.
     pub fn known(self) -> Option<u32> {
         self.counted.or(self.recorded)
     }
 
-    /// The greatest number that may act.
+    /// The number to assume where each node gets a share.
     pub fn upper_bound(self) -> u32 {
         self.known().unwrap_or(self.assumed).max(1)
     }
 }
 
 impl NodeState {
-    /// Knows nothing yet.
+    /// An empty state.
     pub fn new(settings: &ForwardSettings) -> Self {
         let bound = settings.bounds.weights();
         let rollout = Rollout::new(RolloutSettings {
@@ -172,7 +169,7 @@
         }
     }
 
-    /// Whether engines copy runs, and have so much room that copies displace nothing that will be used again.
+    /// Whether engines support copies of runs and have enough cache that copies evict nothing useful.
     pub(crate) fn can_copy(&self, service: &ServiceId, now: Timestamp) -> bool {
         let traits = self.table.as_ref().and_then(|table| table.service(service));
         let Some(engine) = traits.and_then(|service| service.engine.as_ref()) else { return false };
@@ -181,7 +178,7 @@
             && self.chooser.prefixes.retention(engine.cache_tokens * engines, now) >= MIN_COPY_RETENTION
     }
 
-    /// Tokens that the caches of all engines have room for.
+    /// The total cache capacity of all engines, in tokens.
     pub(crate) fn cache_capacity(&self) -> u64 {
         let services = self.table.iter().flat_map(|table| table.services());
         let rooms = services.filter_map(|(name, service)| {
@@ -191,14 +188,14 @@
         rooms.sum()
     }
 
-    /// Whether a back end may get work and has these weights.
+    /// Whether a back end is ready and has these weights.
     pub fn has_weights(&self, id: &BackendId, model: &ModelId, version: WeightsVersion) -> bool {
         self.backends.get(id).is_some_and(|backend| {
             backend.state == BackendState::Ready && backend.entry.weights.get(model) == Some(&version)
         })
     }
 
-    /// The stores of kept parts that the configuration has, each under the name by which its feed is known.
+    /// The configured cache stores, each under the id of its feed.
     pub fn stores(&self) -> impl Iterator<Item = StoreEndpoint> + '_ {
         let services = self.table.iter().flat_map(|table| table.services());
         services.filter_map(|(name, service)| {
@@ -207,7 +204,7 @@
         })
     }
 
-    /// A back end is gone.
+    /// Removes all state of a back end that is gone.
     pub(crate) fn forget(&mut self, id: &BackendId) {
         self.chooser.forget(id);
         self.health.apply(id, HealthEvent::Removed, Timestamp::ZERO);
@@ -234,7 +231,7 @@
         budget
     }
 
-    /// The repeats that may reach wrong addresses, whatever service was asked for.
+    /// The budget of retries after misdirected attempts, shared by all services.
     pub(crate) fn misdirected_budget(
         &mut self,
         settings: &ForwardSettings,
@@ -254,7 +251,7 @@
     }
 }
 
-/// When a back end is left alone for what it has failed at.
+/// When back ends are ejected because of failures.
 pub(crate) fn health_settings() -> HealthSettings {
     HealthSettings {
         consecutive_failures: 3,
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -1,4 +1,4 @@
-//! Gives engines orders for new weights, while this node leads.
+//! Orders engines to load new weights, while this node leads.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,25 +16,24 @@
     ports::{OrderAnswer, WeightsOrder},
 };
 
-/// How long an engine may take to answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause before an engine that is at work is process again.
+/// The interval of polls of an engine that is loading.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The first look at an engine after an order that it took.
+/// The delay of the first poll after an accepted order.
 const FIRST_CHECK_DELAY: Duration = Duration::from_millis(500);
-/// The pause between two looks whether another engine may load.
+/// The interval of polls for a free load permit.
 const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// How long one engine is worked on before others get their turn.
+/// The maximum time that one engine's update may occupy.
 const MAX_UPDATE_TIME: Duration = Duration::from_secs(9);
 
-/// Begins with as many engines as may load at once.
+/// Starts updates of as many engines as may load at once.
 pub fn start_updates(node: &Rc<Node>) {
     let targets = {
         let mut state = node.state.borrow_mut();
         let state = &mut *state;
         let chooser = &state.chooser;
         let (backends, now) = (&state.backends, node.now());
-        // One that wants nothing from this node gets no order either; it is looked at again when its rest is over.
+        // An engine in back-off gets no order; it is selected again after the back-off.
         let available =
             |backend: &&Backend| backends.announcements.backed_off_until(&backend.entry, now).is_none();
         state.rollout.begin(backends.iter().filter(available), |id| chooser.loads.total_requests(id), now)
@@ -43,7 +42,8 @@
         release(node, &targets);
         return;
     };
-    // Other nodes are told with the next answer to their reports; those that do not hear of it learn it from refusals.
+    // Other nodes receive this with the answers to their reports; those that do not are refused by the
+    // engines.
     let until = node.now() + MAX_UPDATE_TIME;
     for target in &targets {
         node.state.borrow_mut().backends.set_loading_until(&target.backend, Some(until));
@@ -63,7 +63,7 @@
     }
 }
 
-/// An engine that did not answer, or refused: it is tried again after a pause, and gets no requests meanwhile either.
+/// Postpones an engine that did not answer or refused; it gets no requests meanwhile either.
 fn postpone(node: &Node, id: &BackendId) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
@@ -79,7 +79,8 @@
     }
 }
 
-/// Brings one engine to its version. What happened to an order whose answer is lost is read from the engine's report.
+/// Brings one engine to its target version. The outcome of an order without an answer is read from the
+/// engine's report.
 async fn update_engine(
     node: &Node,
     target: &mut Target,
@@ -93,12 +94,12 @@
         if node.token() != Some(token) {
             return "leadership lost";
         }
-        // A newer version may have been named meanwhile: one load then serves both.
+        // If a newer version was announced meanwhile, one load serves both.
         if let Some(newest) = node.state.borrow().rollout.newest(&target.model) {
             target.version = newest;
         }
         let Some(report) = fetch_report(node, &engine, &target.backend).await else {
-            // It may be dead, and must not keep others waiting.
+            // The engine may be dead and must not block others.
             return "no report";
         };
         match after_report(target, &report, node.now().saturating_since(began)) {
@@ -125,7 +126,7 @@
     "given up for now"
 }
 
-/// Where an engine is reached; nowhere once it is gone or leaves: weights would be loaded there for nobody.
+/// The address of an engine; `None` if it is gone or leaving, since loading weights there is of no use.
 fn address_of(node: &Node, id: &BackendId) -> Option<SocketAddr> {
     let state = node.state.borrow();
     let backend = state.backends.get(id)?;
@@ -133,7 +134,7 @@
     stays.then_some(backend.entry.address)
 }
 
-/// Waits until the registry tells of the version, or it is time to ask the engine itself.
+/// Waits until the registry shows the version, or until it is time to poll the engine itself.
 async fn wait_for_version(node: &Node, target: &Target) {
     let began = node.now();
     while node.now().saturating_since(began) < FIRST_CHECK_DELAY * 2 && !has_target(node, target) {
@@ -197,12 +198,11 @@
     answer
 }
 
-/// One of the few engines that load at the same time: loads that wait for each other take longer than loads one after
-/// the other.
+/// A permit to load. Concurrent loads slow each other down, so their number is limited.
 struct LoadPermit<'a>(&'a Node);
 
 impl<'a> LoadPermit<'a> {
-    /// Waits for a turn; none where the leadership was lost meanwhile.
+    /// Waits for a permit; `None` if the leadership was lost meanwhile.
     async fn take(node: &'a Node, token: FencingToken) -> Option<Self> {
         while node.token() == Some(token) {
             if node.loading.get() < max_loads(node) {
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows a try without answer, and the answer that a caller gets in the end.
+//! Decides how a request continues after a failed attempt, and builds its final answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,7 +22,7 @@
 };
 
 impl Exchange {
-    /// Decides what follows a try without answer; an answer where nothing does.
+    /// Handles a failed attempt. Returns the final answer, or `None` if another attempt follows.
     pub(crate) fn after_failure(
         &mut self,
         choice: &Choice,
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Decides what follows a try without answer, and tells it.
+    /// Decides how to continue after a failed attempt, and logs it.
     pub fn decide(&mut self, choice: &Choice, failure: &AttemptFailure) -> NextAction {
         let now = self.node.now();
         let time_left = self.deadline.saturating_since(now) >= MIN_ATTEMPT_TIME;
         let (node, service) = (Rc::clone(&self.node), self.service.clone());
         let mut misdirected_retry = None;
         let budget = || {
-            // The others refuse as well: the caller is told so at once.
+            // All other back ends refuse too, so the caller is refused at once.
             if failure.end == AttemptEnd::NotRun && node.is_refused_by_all(&service) {
                 return false;
             }
@@ -76,7 +76,7 @@
             time_left,
             budget,
         );
-        // One that was drawn is kept until a try has arrived somewhere.
+        // Kept until an attempt has reached some back end.
         self.misdirected_retry = misdirected_retry.or(self.misdirected_retry);
         let end = end_label(failure.end);
         self.node.metrics.count(Counter::Attempts(end));
@@ -97,7 +97,7 @@
         next
     }
 
-    /// Why no back end gets the request, where nothing is wrong with all of them it is `otherwise`.
+    /// The reason for which no back end is available; `otherwise` if none applies to all of them.
     pub(crate) fn no_backend_refusal(&self, otherwise: Reason) -> Refusal {
         let model = self.head.prompt.as_ref().map(|prompt| &prompt.model);
         let now = self.node.now();
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The answer for a request that is held back, as far as an earlier try of it leaves a choice.
+    /// The answer to a quarantined request, depending on its earlier attempts.
     pub(crate) fn hold_back(&mut self, held_for: Duration) -> Response<AnswerBody> {
         if attempt::action_without_retry(self.route.kind, self.history) == NextAction::Fail
             || self.history.may_have_run
@@ -135,7 +135,7 @@
         self.refuse(Refusal { reason: Reason::HeldBack, retry_after: Some(held_for) })
     }
 
-    /// The answer for a request that is given up, as far as what may have happened allows it.
+    /// The answer to an abandoned request, depending on whether it may have run.
     pub(crate) fn abandon(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
         let time_up = self.node.now() + MIN_ATTEMPT_TIME >= self.deadline;
         let refusal = match attempt::action_without_retry(self.route.kind, self.history) {
@@ -149,7 +149,7 @@
         self.refuse(refusal)
     }
 
-    /// Refuses the request, or parsed that it may have run, as `reason` has it.
+    /// Answers with an error response.
     pub(crate) fn refuse(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
         let refusal = refusal.into();
         self.account.reason = Some(refusal.reason);
@@ -168,7 +168,7 @@
         self.pass_on_inner(answer)
     }
 
-    /// Passes a back end's answer on.
+    /// Relays a back end's answer.
     pub(crate) fn pass_on(&mut self, answer: Response<Bytes>, outcome: &'static str) -> Response<AnswerBody> {
         self.account.outcome = Some(outcome);
         self.account.first_at = Some(self.node.now());
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Finds a place in the tree of nodes, and reports to the node above.
+//! Finds this node's place in the tree of nodes, and reports to the parent.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -22,23 +22,21 @@
     store_feed::call_store,
 };
 
-/// The pause between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// The log of a node above that has not answered yet: the first report is short, as all may send theirs at once.
+/// The log id before the first answer of a parent. That first report is short, because all nodes may send
+/// theirs at once.
 const NO_LOG: u64 = 0;
-/// How long the node above may take to answer.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a node may take to take this one in, or to refer it: all nodes may ask the root at the same moment.
+/// How long another node may take to admit or refer this one; all nodes may ask the root at once.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// What a root of half a processor needs to answer one node that asks to be taken in. NodeCount that start spread out by it,
-/// for as many as are recorded.
+/// The time that a root with half a processor needs per join request. Starting nodes spread their requests by
+/// it over the recorded number of nodes.
 const JOIN_COST: Duration = Duration::from_micros(500);
-/// How long a call to record the number of nodes may take.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(900);
-/// The recorded number is replaced where there are more nodes than it by this factor.
+/// The recorded number of nodes is replaced if the count exceeds it by this factor.
 const RECORD_GROWTH: (u32, u32) = (5, 4);
 
-/// Reports for as long as the process lives, where nodes talk to each other at all.
+/// Reports to the parent for the lifetime of the process, if peers are configured.
 pub async fn report(node: Rc<Node>) {
     let Some(peers) = &node.peers else { return };
     let mut link: Option<Link> = None;
@@ -86,11 +84,11 @@
     }
 }
 
-/// The step of a node that reports to nobody: the root, or one that knows nobody to ask.
+/// The step of a node without a parent: the root, or one that knows no node to join.
 fn step_without_parent(node: &Rc<Node>, leads: bool, now: Timestamp) {
     let Some(peers) = &node.peers else { return };
     if leads {
-        // What was updates anywhere becomes news for all.
+        // Changes from all nodes become gossip for all.
         let mut peers = peers.borrow_mut();
         let updates = peers.gossip.drain();
         peers.gossip.append(updates);
@@ -103,7 +101,7 @@
     record_size(node, leads);
 }
 
-/// Records how many nodes there are, where more of them share what is bounded than nodes that start would assume.
+/// Records the number of nodes if more of them share quotas and limits than starting nodes would assume.
 fn record_size(node: &Rc<Node>, leads: bool) {
     let nodes = node.nodes();
     let Some(counted) = nodes.counted.filter(|_| leads) else { return };
@@ -111,16 +109,16 @@
     if u64::from(counted) * u64::from(RECORD_GROWTH.1) <= u64::from(known) * u64::from(RECORD_GROWTH.0) {
         return;
     }
-    // It counts as recorded at once: a call that failed is not made again before more nodes are counted.
+    // Set at once, so that a failed call is not repeated before the count changes.
     node.state.borrow_mut().fleet_size = Some(counted);
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        // Calls are counted with how they ended; without the record nodes that start assume fewer.
+        // Failures show in the metrics of calls; without the record, starting nodes assume fewer.
         let _ = call_store(&node, &StoreCall::RecordFleetSize { nodes: counted }, RECORD_TIMEOUT).await;
     });
 }
 
-/// Asks a node to take this one in.
+/// Asks a node to admit this one.
 async fn join(node: &Node, contact: Contact) {
     let Some(peers) = &node.peers else { return };
     let calls = Client::new(contact.address, node.clock);
@@ -138,21 +136,21 @@
             uplink.failed(&contact.node, now);
         }
     }
-    // What follows is not to wait for the next step.
+    // The next step should not wait.
     node.leader_known.notify_one();
 }
 
-/// The way to the node above.
+/// The connection to a parent.
 struct Link {
     parent: Contact,
     calls: Client,
-    /// The log of the node above, and the number of the last news taken from it.
+    /// The parent's log id, and the position of the last update received from it.
     cursor: Cell<(u64, u64)>,
-    /// The last news of runs that the node above has taken; another node above is told all that is remembered.
+    /// The last run event that the parent has acknowledged; a new parent gets all remembered ones.
     runs_reported: Cell<u64>,
-    /// What the node above goes by, as it told last.
+    /// The versions that the parent last stated to have in force.
     parent_versions: Cell<Option<AppliedVersions>>,
-    /// When the last report was sent, and whether requests were under way then.
+    /// When the last report was sent, and whether requests were in progress then.
     sent: Cell<Option<(Timestamp, bool)>>,
 }
 
@@ -169,8 +167,8 @@
         }
     }
 
-    /// Whether it is time to report. A node without requests and without others below it has nothing to tell: where each
-    /// of a thousand has less than one request a second, half of the reports would say nothing.
+    /// Whether a report is due. A node without requests, children or updates reports less often, which saves
+    /// half of the reports in a large fleet with little traffic.
     fn is_due(&self, node: &Node, now: Timestamp) -> bool {
         let Some((sent_at, was_busy)) = self.sent.get() else { return true };
         let has_updates = node.peers.as_ref().is_some_and(|peers| {
@@ -206,7 +204,7 @@
         }
     }
 
-    /// What the node above is told, and up to which news of runs.
+    /// The report to the parent, and the last run event that it contains.
     fn report_of(&self, node: &Node) -> Option<(Report, u64)> {
         let now = node.now();
         let offered_load = node.demand_per_second();
@@ -267,7 +265,7 @@
     }
 }
 
-/// Sends a message and reads the answer.
+/// Posts a message and parses the answer.
 async fn post<A: DeserializeOwned>(
     calls: &Client,
     path: &'static str,
--- a/crates/forward/src/peers/digest_updates.rs
+++ b/crates/forward/src/peers/digest_updates.rs
@@ -1,4 +1,4 @@
-//! Takes in what the node above has reported.
+//! Applies digests from the parent.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 use crate::node::Node;
 
-/// How long engines that were reported to load weights get no requests, where nothing more is heard of them.
+/// How long engines that are reported to load weights get no requests without a further report.
 const LOADING_TTL: Duration = Duration::from_millis(1_500);
 
 impl Node {
-    /// Takes in the answer to a report that was sent at `sent_at` and named `revision`. What it tells of load and quotas
-    /// counts from then: the answer may have been long under way, or this process may have stood still.
+    /// Applies the answer to a report that was sent at `sent_at` and contained `revision`. Loads and quotas
+    /// in it count from `sent_at`, because the answer may have been delayed, or this process suspended.
     pub fn apply_digest(&self, digest: Digest, revision: Option<Revision>, sent_at: Timestamp) {
         let now = self.now();
         let Some(peers) = &self.peers else { return };
@@ -46,11 +46,11 @@
         self.receive_newer_facts(&digest.newer_facts);
     }
 
-    /// Takes in what the store has reported another node. It counts from when the report was sent, less the age that the
-    /// proof then had at the other node: so an answer that was long under way proves nothing recent.
+    /// Applies relayed changes of the store. Their proof counts from when the report was sent, less the
+    /// proof's age at the other node, so that a delayed answer proves nothing recent.
     fn take_relay(&self, relay: StoreRelay, revision: Option<Revision>, sent_at: Timestamp) {
         let age = Duration::from_millis(relay.age_ms);
-        // A node that is cut off from the store itself tells nothing that this one may act on.
+        // A node that has lost the store itself relays nothing to act on.
         let is_old = age >= self.settings().bounds.max_relay_age();
         if is_old || !is_still_applicable(revision, self.state.borrow().revision) {
             return;
@@ -75,19 +75,19 @@
         }
     }
 
-    /// Goes by what another node has reported of the registry, where this one does not ask it itself.
+    /// Applies another node's state of the registry.
     pub(crate) fn follow_registry(&self, reported: RegistryState) {
         let now = self.now();
         self.state.borrow_mut().backends.registry.follow(reported, now);
     }
 
-    /// Whether another node has timeout passed on what the store reported, and recently enough proved.
+    /// Whether another node has recently relayed the store with a recent proof.
     pub fn has_recent_relay(&self) -> bool {
         let within = self.settings().bounds.max_relay_age();
         self.receives_relays() && self.state.borrow().freshness.is_within(within, self.now())
     }
 
-    /// Whether another node has timeout passed on what the store reported, however old that was.
+    /// Whether another node has recently relayed the store, however old the proof was.
     pub fn receives_relays(&self) -> bool {
         let timeout = self.settings().bounds.relay_timeout();
         let Some(peers) = &self.peers else { return false };
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -1,16 +1,15 @@
-//! What forwarding nodes tell each other: how many they are, what they have under way, what engines keep, and what the
-//! metadata store has told.
+//! The exchange between forwarding nodes: their number, their load, cached segments and the state of the store.
 //!
-//! | module | job |
+//! | module | content |
 //! |---|---|
-//! | [`client`] | finds a place in the tree of nodes, and reports several times a second |
-//! | [`server`] | takes nodes in, takes their reports, and answers them |
-//! | [`digest_updates`] | takes in what the node above has told |
-//! | [`newer_facts`] | what neighbours tell each other after the store has come back from an older copy |
-//! | [`snapshot`] | gives and takes all that is known of the store |
+//! | [`client`] | finds a place in the tree of nodes, and reports to the parent several times a second |
+//! | [`server`] | admits other nodes, and answers their reports |
+//! | [`digest_updates`] | applies what the parent answers |
+//! | [`newer_facts`] | exchanges newer facts after the store was restored from a backup |
+//! | [`snapshot`] | transfers the whole known state of the store |
 //!
-//! What the store has told is passed on as facts, with the age of its proof. A node that hears of nobody, or of nothing
-//! recent, asks the store itself.
+//! The store's state is relayed as facts, with the age of their proof. A node without a relay, or without a recent
+//! one, queries the store itself.
 
 pub mod client;
 pub mod digest_updates;
@@ -23,28 +22,28 @@
 
 use crate::node::Node;
 
-/// What a node knows of the others, and what it has to pass on.
+/// What a node knows of other nodes, and what it passes on to them.
 #[derive(Debug)]
 pub struct Peers {
-    /// The others.
     pub fleet: Fleet,
-    /// News of what engines keep.
+    /// Changes of cached segments, for gossip.
     pub gossip: GossipLog,
-    /// When the last report was sent whose answer told what the store has told.
+    /// When the last report was sent whose answer relayed the store.
     pub relayed_at: Option<Timestamp>,
     /// The last snapshot that was made for other nodes.
     pub(crate) snapshot: Option<snapshot::Snapshot>,
 }
 
 impl Peers {
-    /// A node that knows nobody yet and takes in `fan_in` others; `log` is a number drawn for this process.
+    /// The state of a node that knows no other node and accepts up to `fan_in` children; `log` is a random
+    /// id.
     pub fn new(me: Member, fan_in: usize, log: u64) -> Self {
         Self { fleet: Fleet::new(me, fan_in), gossip: GossipLog::new(log), relayed_at: None, snapshot: None }
     }
 }
 
 impl Node {
-    /// Whether this node reports to another one.
+    /// Whether this node has a parent.
     pub(crate) fn has_parent(&self) -> bool {
         self.peers.as_ref().is_some_and(|peers| peers.borrow().fleet.uplink.parent().is_some())
     }
--- a/crates/forward/src/peers/newer_facts.rs
+++ b/crates/forward/src/peers/newer_facts.rs
@@ -1,10 +1,11 @@
-//! What neighbours tell each other after the store has come back from an older copy.
+//! Exchanges newer facts between neighbours after the store was restored from a backup.
 //!
-//! The document and the versions of weights that a node goes by only rise, whatever the copy shows. A node that has started since
-//! then knows of nothing but the copy, and changes are told between revisions alone: at the same revision there are none.
-//! Such a node would serve a key that has been taken away until the operator writes again. So neighbours name in
-//! each message what they go by, some 45 bytes; one that has seen the store come back tells a neighbour that goes by anything else
-//! what it may lack, from then on: how long the operator takes to write again is not known.
+//! The document and the target versions that a node applies only increase, whatever a restored store
+//! contains. A node that started after the restore knows only the backup, and changes are relayed between
+//! revisions, so at the same revision it would receive none and might accept a revoked key until the operator
+//! writes again. Therefore neighbours state their applied versions in each message, and a node that has seen
+//! the restore sends the facts that a neighbour with other versions may lack. It does so from then on,
+//! because the time of the operator's next write is unknown.
 
 use paddlemount_protocol::fleet::AppliedVersions;
 use xxhash_rust::xxh3::Xxh3;
@@ -12,7 +13,7 @@
 use crate::{node::Node, node_state::NodeState, ports::Fact};
 
 impl NodeState {
-    /// What this node goes by that only rises.
+    /// The versions applied by this node, which only increase.
     pub(crate) fn applied_versions(&self) -> AppliedVersions {
         let mut hash = Xxh3::new();
         for model in self.rollout.target_versions.models() {
@@ -23,7 +24,7 @@
         AppliedVersions { document: self.table.as_ref().map(|table| table.version()), weights: hash.digest() }
     }
 
-    /// What a neighbour that goes by `theirs` may lack, as a JSON list of facts; empty where it lacks nothing.
+    /// The facts that a neighbour with the versions `theirs` may lack, as a JSON list; empty if none.
     pub(crate) fn missing_facts(&self, theirs: AppliedVersions) -> String {
         let known = self.applied_versions();
         let document = self.document_fact().filter(|_| theirs.document < known.document);
@@ -34,8 +35,8 @@
 }
 
 impl Node {
-    /// What a neighbour that goes by `theirs` is told. Only a node that has seen the store come back knows more than any listing
-    /// tells.
+    /// The facts to send to a neighbour with the versions `theirs`. Only a node that has seen a restore can
+    /// know more than a listing shows.
     pub(super) fn newer_facts_for(&self, theirs: AppliedVersions) -> String {
         if self.restored_at.get().is_some() {
             self.state.borrow().missing_facts(theirs)
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes in what a neighbour went by when the store came back. What is older than what this node goes by changes nothing.
+    /// Applies a neighbour's newer facts. Those older than this node's have no effect.
     pub(super) fn receive_newer_facts(&self, rising: &str) {
         let known = self.state.borrow().revision;
         let (Some(revision), false) = (known, rising.is_empty()) else { return };
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Takes other nodes in, takes their reports, and answers them.
+//! Admits other nodes as children, and answers their reports.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -27,12 +27,10 @@
     node_state::NodeState,
 };
 
-/// The largest report that is read, in bytes.
 const MAX_REPORT_BYTES: usize = 1 << 20;
-/// The pause after a connection could not be taken.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Takes reports for as long as the process lives.
+/// Serves other nodes for the lifetime of the process.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -49,7 +47,7 @@
         let node = Rc::clone(&node);
         async move { Ok::<_, Infallible>(answer(&node, request).await) }
     });
-    // How a connection ends matters to nobody: the sender reports again.
+    // Errors of a connection are ignored: the sender reports again.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
@@ -69,7 +67,7 @@
     }
 }
 
-/// Reads a message and answers it; 409 where there is nothing to answer.
+/// Parses a message and answers it, or responds with 409 if there is no answer.
 fn answer_to<M: DeserializeOwned, A: Serialize>(
     body: &Bytes,
     answer: impl FnOnce(M) -> Option<A>,
@@ -78,7 +76,7 @@
     answer(message).map_or_else(|| status(StatusCode::CONFLICT), |answer| json(&answer))
 }
 
-/// Decides on a node that asks to be taken in. A node without a way to what the store tells is no help to others.
+/// Decides about a join request. A node without access to the store's state is of no use as a parent.
 fn admit(node: &Node, request: &JoinRequest) -> JoinAnswer {
     let now = node.now();
     let leads = node.token().is_some();
@@ -94,8 +92,8 @@
     }
 }
 
-/// Takes a report in. None is taken of a node that stands above this one: reports go round in no circle, whatever the
-/// nodes believe of who leads. A node that is not known, as after a restart of this one, is taken in or referred.
+/// Handles a report. Reports of ancestors are refused, so that reports cannot circulate whoever the nodes
+/// believe to lead. An unknown sender, as after a restart of this node, is admitted or referred.
 fn receive_report(node: &Node, report: Report) -> Option<Digest> {
     let now = node.now();
     let peers = node.peers.as_ref()?;
@@ -122,7 +120,7 @@
             JoinAnswer::Refused => return None,
         }
     }
-    // A planned stop leaves those below the time to find another place.
+    // A planned stop leaves children the time to find another parent.
     if node.is_stopping() && refer.is_none() {
         refer = peers.borrow().fleet.uplink.parent().cloned();
     }
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -1,7 +1,7 @@
-//! All that is known of the metadata store, given by one node to another.
+//! Transfers a snapshot of the metadata store from one node to another.
 //!
-//! A node that starts, or that was told nothing for long, takes a snapshot of the node above it in place of a listing of
-//! the store: the store then lists its content once for the whole fleet, not once for each node.
+//! A node that starts, or that has not received changes for long, takes a snapshot from its parent instead of
+//! listing the store. So the store is listed once per fleet rather than once per node.
 
 use std::{rc::Rc, time::Duration};
 
@@ -26,15 +26,14 @@
 
 /// The age of a snapshot's proof, in milliseconds, when its answer was written.
 const AGE_MS: HeaderName = HeaderName::from_static("paddlemount-proof-age-ms");
-/// How long a snapshot serves other nodes. What has changed since is told with the next reports.
+/// How long a snapshot is reused. Later changes follow with the next reports.
 const SNAPSHOT_TTL: Duration = Duration::from_secs(1);
-/// Snapshots are given to one in so many of the nodes that may report here at once. Each is about a megabyte for ten
-/// thousand back ends: three of them take a link of 20 Mbit/s 1.2 s, ten of them one of 200 Mbit/s 0.4 s.
+/// The number of possible children per concurrent transfer of a snapshot. A snapshot of ten thousand back
+/// ends has about a megabyte, so the transfers must fit the node's link.
 const CHILDREN_PER_SNAPSHOT: usize = 2;
-/// How long a snapshot may take.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A snapshot as it is sent.
+/// A serialized snapshot.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     body: Bytes,
@@ -42,18 +41,18 @@
     made_at: Timestamp,
 }
 
-/// What a snapshot tells, with facts as they are written or read.
+/// The content of a snapshot, with facts as they are written or read.
 #[derive(Debug, Serialize, Deserialize)]
 struct Content<F> {
     revision: Revision,
     registry: RegistryState,
     facts: F,
-    /// Versions of weights that were named lately.
+    /// Recently announced target versions.
     #[serde(default)]
     named: Vec<RecentTargetVersion>,
 }
 
-/// Holds one of the snapshots that may be given at once.
+/// Counts one of the concurrent transfers of snapshots.
 struct SnapshotPermit(Rc<Node>);
 
 impl Drop for SnapshotPermit {
@@ -62,8 +61,8 @@
     }
 }
 
-/// Answers with a snapshot; refuses where this node does not know all itself, what it knows is old, or it gives enough of
-/// them already.
+/// Answers with a snapshot. Refuses if this node does not know the whole store, if its proof is too old, or
+/// if too many transfers are in progress.
 pub(super) fn serve(node: &Rc<Node>) -> Response<AnswerBody> {
     let now = node.now();
     let most = (node.settings().limits.fan_in() / CHILDREN_PER_SNAPSHOT).max(1);
@@ -81,7 +80,7 @@
     with_guard(answer, SnapshotPermit(Rc::clone(node)))
 }
 
-/// The last snapshot, or a new one where that is old.
+/// The last snapshot, or a new one if that is too old.
 fn current(node: &Node, now: Timestamp) -> Option<Snapshot> {
     let peers = node.peers.as_ref()?;
     let known = peers.borrow().snapshot.clone();
@@ -106,7 +105,7 @@
     Some(Snapshot { body: Bytes::from(body), proved_at, made_at: now })
 }
 
-/// Asks the node above for a snapshot, and takes it in where nothing newer is known by then.
+/// Requests a snapshot from the parent, and applies it unless something newer is known by then.
 pub(super) async fn fetch(node: &Node, calls: &Client) {
     let sent_at = node.now();
     let mut request = Request::new(Bytes::new());
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to back ends, by the back end's identity.
+//! Idle connections to back ends, by the back end's id.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,13 +7,13 @@
 
 use crate::connection::Connection;
 
-/// The max_idle rest after which a connection is used again, where its peer names no time.
+/// The maximum idle time of a reused connection, unless the peer states its own.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
-/// How much earlier than its peer a connection is given up, so that no request crosses the peer's close.
+/// How much earlier than its peer the node closes a connection, so that no request races with the peer's
+/// close.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections connections for one back end.
 const MAX_IDLE_CONNECTIONS: usize = 24;
-/// How long connections of a back end aren't used again after it sent bytes that nobody asked for.
+/// How long connections to a back end are not reused after it sent unsolicited bytes.
 const DISTRUST_TIME: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
@@ -22,21 +22,21 @@
     distrusted_until: Timestamp,
 }
 
-/// Idle connections.
+/// Idle connections to back ends.
 #[derive(Debug, Default)]
 pub struct Pool {
     by_backend: BTreeMap<BackendId, BackendConnections>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last, if one is fit for use.
+    /// Takes the most recently used connection, if one is usable.
     pub fn take(&mut self, backend: &BackendId, now: Timestamp) -> Option<Connection> {
         let connections = self.by_backend.get_mut(backend)?;
         connections.idle.retain(|connection| is_usable(connection, now));
         connections.idle.pop()
     }
 
-    /// Gives a connection back whose last answer was read to its end.
+    /// Returns a connection whose last answer was read to its end.
     pub fn put(&mut self, backend: &BackendId, mut connection: Connection, now: Timestamp) {
         let connections = self.by_backend.entry(backend.clone()).or_default();
         if now < connections.distrusted_until || connections.idle.len() >= MAX_IDLE_CONNECTIONS {
@@ -46,7 +46,7 @@
         connections.idle.push(connection);
     }
 
-    /// A back end has sent bytes that belong to no request: its connections are closed, and for a while none is reused.
+    /// Closes the connections to a back end that sent unsolicited bytes, and reuses none for a while.
     pub fn distrust(&mut self, backend: &BackendId, now: Timestamp) {
         let connections = self.by_backend.entry(backend.clone()).or_default();
         connections.idle.clear();
@@ -58,7 +58,7 @@
         self.by_backend.remove(backend);
     }
 
-    /// Closes connections that are no longer fit for use.
+    /// Closes connections that are no longer usable.
     pub fn sweep(&mut self, now: Timestamp) {
         for connections in self.by_backend.values_mut() {
             connections.idle.retain(|connection| is_usable(connection, now));
--- a/crates/forward/src/ports/heads.rs
+++ b/crates/forward/src/ports/heads.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers, in the product's terms.
+//! Typed heads of requests and answers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,45 +10,43 @@
 };
 use paddlemount_protocol::identity::WeightsVersion;
 
-/// What a caller's head says, in the product's terms.
+/// What the head of a caller's request says.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// The caller's identity for this try.
+    /// The caller's id of the request.
     pub id: Option<String>,
-    /// The key that it carries.
+    /// The API key.
     pub key: Option<String>,
     /// How long the caller waits.
     pub deadline: Option<Duration>,
-    /// The tokens that it uses, as far as it says.
+    /// The tokens that the request uses, as far as it states them.
     pub usage: TokenUsage,
-    /// What it says of its prompt.
+    /// The description of its prompt.
     pub prompt: Option<Prompt>,
-    /// The last event that it has, of a stream that it resumes.
+    /// The last event that the caller has, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What is decided about a request that goes to a back end.
+/// The routing decision for a request that is sent to a back end.
 #[derive(Clone, Debug)]
 pub struct Dispatch<'a> {
-    /// The back end.
     pub backend: &'a BackendId,
     /// How long the back end may take.
     pub deadline: Duration,
-    /// The tenant, if the request has one.
     pub tenant: Option<&'a Tenant>,
-    /// Its rank at an engine, 0 being the highest.
+    /// The request's rank at an engine; 0 is the highest.
     pub rank: u8,
-    /// The scope of cached parts.
+    /// The scope of cached segments.
     pub scope: Option<&'a CacheScope>,
-    /// Whom to import the prefix from.
+    /// The back end to import the prefix from.
     pub import_from: Option<SocketAddr>,
-    /// Whom to hand the shared parts to.
+    /// The cache store to save shared segments to.
     pub save_to: Option<SocketAddr>,
-    /// Whom to copy the run's memory to as it grows.
+    /// The back end to copy the run's memory to while it grows.
     pub copy_to: Option<SocketAddr>,
-    /// The run whose copied memory the request goes on from.
+    /// The run to continue from its copied memory.
     pub continues: Option<&'a CopiedRun>,
-    /// The last event that the caller has, where the node itself resumes a stream.
+    /// The last event that the caller has, if the node itself resumes a stream.
     pub resume_after: Option<u64>,
 }
 
@@ -57,51 +55,51 @@
 pub struct CopiedRun {
     /// The address of the back end that ran it.
     pub address: SocketAddr,
-    /// The caller's identity for its try.
+    /// The caller's id of its request.
     pub request_id: String,
 }
 
 /// What the head of a back end's answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerHead {
-    /// The request that it answers.
+    /// The id of the request that it answers.
     pub request_id: Option<String>,
     /// Whether a back end has signed it.
     pub signed: bool,
-    /// Whether the back end says that it did not run the request.
+    /// Whether the back end states that it did not run the request.
     pub not_run: bool,
-    /// Whether another back end, or one with other weights, got the request.
+    /// Whether the request reached another back end, or one with other weights.
     pub misdirected: bool,
-    /// The back end that answered, where it says so.
+    /// The back end that answered, if stated.
     pub backend: Option<BackendId>,
     /// The version of the weights it runs on.
     pub weights: Option<WeightsVersion>,
-    /// Whether the body is in an encoding that nobody asked for.
+    /// Whether the body has an encoding that was not requested.
     pub encoded: bool,
-    /// Whether the back end says that it is leaving.
+    /// Whether the back end states that it is leaving.
     pub leaving: bool,
-    /// For how long the back end wants no requests, where it refuses this one and says so.
+    /// How long the back end wants no requests, if it refuses this one and says so.
     pub back_off: Option<RequestedBackOff>,
-    /// The requests a second that the back end takes from all nodes together, where it names them.
+    /// The requests per second that the back end accepts from all nodes together, if stated.
     pub limit: Option<AdvertisedLimit>,
-    /// Headers that the translation does not understand.
+    /// Headers that the adapter does not know.
     pub unknown: Vec<HeaderName>,
 }
 
-/// For how long a back end wants no requests, as it says.
+/// The back-off that a back end asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestedBackOff {
-    /// So long from its answer on.
+    /// A time that counts from its answer.
     For(Duration),
-    /// What it says has no meaning.
+    /// A value that could not be parsed.
     Unreadable(String),
 }
 
-/// The requests a second that a back end takes, as it says.
+/// The rate limit that a back end advertises.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdvertisedLimit {
-    /// So many, a finite number of at least 0.
+    /// Requests per second, finite and at least 0.
     PerSecond(f64),
-    /// What it says has no meaning.
+    /// A value that could not be parsed.
     Unreadable(String),
 }
--- a/crates/forward/src/ports/mod.rs
+++ b/crates/forward/src/ports/mod.rs
@@ -1,7 +1,7 @@
-//! What a platform's translation has to offer.
+//! The interface that a platform adapter implements.
 //!
-//! An implementation turns typed calls into HTTP requests, HTTP answers into typed facts, and a caller's head into the
-//! product's terms. It keeps no state, sets no timer, repeats nothing and chooses nothing.
+//! An adapter translates typed calls into HTTP requests, HTTP responses into typed facts, and request heads
+//! into typed values. It keeps no state, sets no timers, does not retry and makes no choices.
 
 mod heads;
 
@@ -26,7 +26,7 @@
 
 pub use heads::{AdvertisedLimit, AnswerHead, CopiedRun, Dispatch, RequestHead, RequestedBackOff};
 
-/// The identity of a lease that the store has granted.
+/// The id of a lease granted by the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLease(pub u64);
 
@@ -40,58 +40,52 @@
         /// How long to wait for a change.
         wait: Duration,
     },
-    /// Lists what exists, one page.
+    /// Lists one page of all entries.
     List {
-        /// The last key of the page before.
+        /// The last key of the previous page.
         after: Option<String>,
     },
-    /// Reads who leads. The answer may be old, and costs little.
+    /// Reads the leader. The answer may be outdated, and the call is cheap.
     FindLeader,
-    /// Asks for a lease.
+    /// Requests a lease.
     Grant {
-        /// Its life without renewal.
+        /// Its time to live.
         ttl: Duration,
     },
-    /// Renews a lease.
     Renew(StoreLease),
-    /// Ends a lease and removes what is bound to it.
+    /// Ends a lease and removes the entries bound to it.
     End(StoreLease),
-    /// Takes the leadership, bound to a lease, where nobody has it or an earlier process of this node had it.
+    /// Acquires leadership, bound to a lease, if nobody has it or an earlier process of this node has it.
     Lead {
         /// The token of that earlier process.
         replaces: Option<FencingToken>,
-        /// Who takes it.
+        /// The node that acquires it.
         holder: NodeId,
-        /// Where it takes other nodes' reports.
+        /// Where it accepts reports of other nodes.
         peers: Option<SocketAddr>,
-        /// The lease.
         lease: StoreLease,
     },
-    /// Records how many nodes there are, for those that start before they are counted.
+    /// Records the number of nodes, for nodes that start before they are counted.
     RecordFleetSize {
-        /// The number.
         nodes: u32,
     },
-    /// Records how lately a version of weights was named, bound to a lease.
+    /// Records how recently a target version was announced, bound to a lease.
     RecordTarget {
-        /// The version, and how long ago it was named at most when the lease is over.
+        /// The version, and an upper bound of its age when the lease ends.
         target: RecentTargetVersion,
-        /// The lease.
         lease: StoreLease,
     },
-    /// Holds a request back at all nodes for as long as a lease lasts, where none does so yet.
+    /// Quarantines a request at all nodes while a lease lasts, unless it is already.
     Hold {
-        /// The request.
         request: Box<QuarantinedRequest>,
-        /// The lease.
         lease: StoreLease,
     },
-    /// Holds a request back no longer.
+    /// Releases a request from quarantine.
     Release(RequestFingerprint),
 }
 
 impl StoreCall {
-    /// What the call is for, as metrics name it.
+    /// The call's purpose as a metric label.
     pub const fn purpose(&self) -> &'static str {
         match self {
             Self::Watch { .. } => "watch",
@@ -109,41 +103,37 @@
     }
 }
 
-/// What the store answered.
+/// An answer of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreAnswer {
     /// Facts, up to a revision.
     Facts {
-        /// What is now so, in order.
+        /// The facts in order.
         facts: Vec<Fact>,
-        /// The revision up to which it was told.
+        /// The revision up to which they are complete.
         revision: Revision,
-        /// The last key, where there are further pages.
+        /// The last key, if there are further pages.
         more_after: Option<String>,
     },
-    /// The changes after the asked revision are no longer known: list anew.
+    /// The changes after the requested revision are gone: list again.
     HistoryLost,
-    /// A lease is granted or renewed.
+    /// A lease was granted or renewed.
     Lease {
-        /// The lease.
         lease: StoreLease,
-        /// Its life from the call's arrival.
+        /// Its time to live from the arrival of the call.
         ttl: Duration,
     },
     /// The change was made.
-    Done {
-        /// Its revision.
-        revision: Revision,
-    },
+    Done { revision: Revision },
     /// The condition did not hold; nothing was done.
     Conflict,
-    /// There is no such lease.
+    /// The lease does not exist.
     NoLease,
     /// Nothing was done: too many calls, or an outage.
     Refused(StatusCode),
 }
 
-/// A fact that the store told. NodeCount pass facts on to each other as JSON.
+/// A fact from the store. Nodes pass facts on to each other as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fact {
@@ -151,51 +141,44 @@
     Document(Box<Document>),
     /// A back end's entry.
     Backend(BackendEntry),
-    /// A back end's entry is gone.
+    /// A back end's entry was removed.
     BackendGone(BackendId),
-    /// The operator has named a version of a model's weights.
+    /// The operator announced a target version of a model's weights.
     #[serde(rename = "weights_named")]
-    TargetVersion {
-        /// The model.
-        model: ModelId,
-        /// The version.
-        version: WeightsVersion,
-    },
-    /// A node has the leadership.
+    TargetVersion { model: ModelId, version: WeightsVersion },
+    /// A node leads.
     Leader {
-        /// The node.
         holder: NodeId,
         /// The fencing token of its orders.
         token: FencingToken,
-        /// Where it takes other nodes' reports.
+        /// Where it accepts reports of other nodes.
         peers: Option<SocketAddr>,
     },
-    /// Nobody has the leadership.
+    /// No node leads.
     NoLeader,
-    /// A root has counted so many nodes.
+    /// The number of nodes that a root recorded.
     FleetSize(u32),
-    /// A leader has recorded how lately a version of weights was named: before what a listing proves that shows the record.
+    /// A leader recorded how recently a target version was announced. The age counts back from the proof of
+    /// the listing that contains the record.
     #[serde(rename = "naming_record")]
     TargetRecord(RecentTargetVersion),
-    /// A request is held back.
+    /// A request is quarantined.
     #[serde(rename = "held")]
     Quarantined(Box<QuarantinedRequest>),
-    /// A request is no longer held back.
+    /// A request is no longer quarantined.
     Released(RequestFingerprint),
-    /// An item could not be understood. What was known of it before still holds, unless it is a back end's entry: that
-    /// one names none any more.
+    /// An entry could not be parsed. The previous state still holds, except that a back end's entry counts as
+    /// removed.
     Unreadable {
-        /// The item's key.
         key: String,
-        /// What is wrong with it.
         problem: String,
-        /// The back end whose entry it would be.
+        /// The back end whose entry it is, if it is one.
         backend: Option<BackendId>,
     },
 }
 
 impl Fact {
-    /// What it is about; nothing where it tells of no state.
+    /// The entry that the fact is about; `None` if it describes no state.
     pub fn subject(&self) -> Option<EntryKey> {
         Some(match self {
             Self::Document(_) => EntryKey::Document,
@@ -206,120 +189,117 @@
             Self::FleetSize(_) => EntryKey::FleetSize,
             Self::Quarantined(request) => EntryKey::Quarantined(request.fingerprint),
             Self::Released(fingerprint) => EntryKey::Quarantined(*fingerprint),
-            // NodeCount tell each other what follows from it.
+            // Nodes share the proofs derived from it instead.
             Self::TargetRecord(_) => return None,
             Self::Unreadable { backend, .. } => EntryKey::Backend(backend.clone()?),
         })
     }
 }
 
-/// An answer that could not be understood.
+/// An answer that could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidAnswer(pub String);
 
-/// An order to an engine.
+/// An order to an engine to load weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsOrder {
-    /// The engine.
     pub backend: BackendId,
-    /// The model.
     pub model: ModelId,
-    /// The version.
     pub version: WeightsVersion,
-    /// What becomes of the requests that run there.
+    /// What happens to the requests that run there.
     pub mode: LoadMode,
-    /// Who gives the order.
+    /// The node that gives the order.
     pub holder: NodeId,
     /// The token of its leadership.
     pub token: FencingToken,
-    /// The number of orders that the engine has taken, as a condition.
+    /// The number of orders that the engine must have accepted so far.
     pub sequence: u64,
 }
 
-/// What an engine answered to an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The engine executes it.
     Accepted,
-    /// It held already.
+    /// The engine has these weights already.
     AlreadyHolds,
-    /// Another order is under way, or others were taken before.
+    /// Another order is in progress, or the sequence number does not match.
     Conflict,
-    /// A higher fencing token was seen.
+    /// The engine has seen a higher fencing token.
     Fenced,
     /// Another back end has the address.
     OtherBackend,
-    /// It makes no sense to the engine.
+    /// The engine cannot execute it.
     Rejected(StatusCode),
 }
 
-/// Entries of a feed of kept parts.
+/// Entries of a cache feed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheFeedPage {
-    /// The life of the process that keeps them; another one keeps nothing of what was told before.
+    /// The incarnation of the process; another incarnation has none of the earlier segments.
     pub incarnation: u64,
-    /// From where to read on.
+    /// The position to read from next.
     pub next: u64,
-    /// Entries were lost before these.
+    /// Whether entries before these were lost.
     pub gap: bool,
-    /// What is kept now, in order.
+    /// The cached segments, in order.
     pub segments: Vec<CachedSegment>,
 }
 
-/// An answer of a feed of kept parts.
+/// An answer of a cache feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedAnswer {
-    /// Entries.
     Page(CacheFeedPage),
-    /// Too many read the feed already.
+    /// The feed has too many readers.
     TooManyReaders,
 }
 
-/// A platform's translation.
+/// The adapter of a platform.
 pub trait Platform {
-    /// A call to the store as an HTTP request.
+    /// The HTTP request of a call to the store.
     fn store_request(&self, call: &StoreCall) -> Request<Bytes>;
 
-    /// How often the store has come back from an older copy, by any of its answers; none where it tells nothing of it.
+    /// How often the store was restored from a backup, as any of its answers tells; `None` if this one does
+    /// not.
     fn store_era(&self, answer: &Response<Bytes>) -> Option<StoreEra>;
 
-    /// The store's answer to `call`.
+    /// Parses the store's answer to `call`.
     fn store_answer(&self, call: &StoreCall, answer: &Response<Bytes>) -> Result<StoreAnswer, InvalidAnswer>;
 
-    /// A request for an engine's report.
+    /// The request for an engine's report.
     fn report_request(&self) -> Request<Bytes>;
 
-    /// An engine's report.
+    /// Parses an engine's report.
     fn report_answer(&self, answer: &Response<Bytes>) -> Result<EngineReport, InvalidAnswer>;
 
-    /// An order to an engine.
+    /// The request that carries an order to an engine.
     fn order_request(&self, order: &WeightsOrder) -> Request<Bytes>;
 
-    /// An engine's answer to an order.
+    /// Parses an engine's answer to an order.
     fn order_answer(&self, answer: &Response<Bytes>) -> OrderAnswer;
 
-    /// A request for a feed's entries behind `after`, that waits for some.
+    /// The request for a feed's entries after `after`; the feed waits up to `wait` for some.
     fn feed_request(&self, after: u64, wait: Duration) -> Request<Bytes>;
 
-    /// A feed's entries.
+    /// Parses entries of a feed.
     fn feed_answer(&self, answer: &Response<Bytes>) -> Result<FeedAnswer, InvalidAnswer>;
 
-    /// A request for all that is kept.
+    /// The request for all cached segments.
     fn cache_list_request(&self) -> Request<Bytes>;
 
-    /// All that is kept.
+    /// Parses the list of all cached segments.
     fn cache_list_answer(&self, answer: &Response<Bytes>) -> Result<CacheFeedPage, InvalidAnswer>;
 
-    /// What a caller's head says.
+    /// Reads the head of a caller's request.
     fn read_request(&self, headers: &HeaderMap) -> RequestHead;
 
-    /// Sets the headers of a request to a back end; `headers` holds the caller's, less those of the connection.
+    /// Sets the headers of a request to a back end. `headers` holds the caller's, without hop-by-hop headers.
     fn write_request(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
 
-    /// What the head of a back end's answer says.
+    /// Reads the head of a back end's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 }
 
-/// Versions of weights by model, as reports and entries tell them.
+/// Versions of weights by model, as in reports and entries.
 pub type WeightsByModel = BTreeMap<ModelId, WeightsVersion>;
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -23,34 +23,28 @@
     store_feed, target_record,
 };
 
-/// The pause between two looks at the settings file, readiness and old connections.
+/// The interval of checks of the settings file, of readiness and of expired state.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The pause between two looks whether all has ended.
+/// The interval of checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the last log lines.
+/// Time for the last log lines to be written.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(120);
 
 /// Why the process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address cannot be listened on, or signals cannot be taken.
+    /// An address is not available, or signals cannot be handled.
     #[error("cannot start: {what}: {source}")]
-    System {
-        /// What failed.
-        what: &'static str,
-        /// Why.
-        source: io::Error,
-    },
+    System { what: &'static str, source: io::Error },
 }
 
 fn system(what: &'static str) -> impl Fn(io::Error) -> StartError {
     move |source| StartError::System { what, source }
 }
 
-/// Runs a forwarding node until it is metrics_node to stop.
+/// Runs a forwarding node until it receives a signal to stop.
 pub fn run(path: PathBuf, platform: Box<dyn Platform>) -> Result<(), StartError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(system("runtime"))?;
@@ -59,7 +53,7 @@
 }
 
 async fn run_node(path: PathBuf, platform: Box<dyn Platform>) -> Result<(), StartError> {
-    // First of all: a signal without a listener ends the process.
+    // Installed first, because a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(system("signals"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(system("signals"))?;
     let hangup = signal(SignalKind::hangup()).map_err(system("signals"))?;
@@ -106,12 +100,12 @@
         _ = interrupt.recv() => {}
     }
     stop(&node, &stage, &caller_server).await;
-    // The lease has been given up meanwhile, where the store answers.
+    // The lease has been released by then if the store answers.
     leading.abort();
     Ok(())
 }
 
-/// Where the process listens, also where its settings left the port to the system.
+/// The addresses on which the process listens, with the ports that the system assigned.
 struct Addresses {
     callers: String,
     readiness: String,
@@ -147,7 +141,8 @@
     });
 }
 
-/// Readiness goes first; callers are taken until they have been sent elsewhere; what runs gets the grace period.
+/// Readiness is withdrawn first; connections are accepted until callers have gone elsewhere; running requests
+/// get the grace period.
 async fn stop(node: &Rc<Node>, stage: &watch::Sender<StopStage>, callers: &Callers) {
     let began = node.now();
     let planned = PlannedStop::with_grace_period(began, node.settings().bounds.grace());
@@ -162,13 +157,13 @@
     }
     let after_ms = node.now().saturating_since(began).as_millis() as u64;
     node.journal.log(&Event::Stopped { running: node.running.get(), after_ms });
-    // Requests that are cut tell their own lines while lines are still written.
+    // Requests that are cut off still log their lines.
     node.grace_is_over.set(true);
     stage.send_replace(StopStage::Ended);
     tokio::time::sleep(LOG_FLUSH_TIME).await;
 }
 
-/// Follows the settings file, tells changes of readiness, and drops what has grown old.
+/// Watches the settings file, logs changes of readiness, and removes expired state.
 async fn housekeeping(node: Rc<Node>, path: PathBuf, mut hangup: Signal) {
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     let mut ready = None;
@@ -192,7 +187,7 @@
     }
 }
 
-/// Reads the settings again. Ones that cannot be used are metrics_node, and those before them hold on.
+/// Reloads the settings. If they are invalid, the previous ones stay in force.
 fn reload(node: &Node, path: &std::path::Path, text: &mut String, forced: bool) {
     let read = std::fs::read_to_string(path);
     let changed = read.as_ref().is_ok_and(|new| new != text);
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -1,7 +1,7 @@
-//! Finds out which broken runs were crashes, and keeps what is concluded of them.
+//! Finds out which broken runs were crashes, and maintains the resulting quarantine.
 //!
-//! A connection that ends under a run may have many causes. So its back end is looked at: one to which no connection comes
-//! up, or none that stays open, has ended. What the runs that it was working on then count for is decided by [`Quarantine`].
+//! A connection may break during a run for many reasons, so the back end is probed: it has crashed if no new
+//! connection opens and stays open. How its runs then count is decided by [`Quarantine`].
 //!
 //! [`Quarantine`]: paddlemount_core::quarantine::Quarantine
 
@@ -33,36 +33,35 @@
     store_feed::{StoreError, call_store},
 };
 
-/// How long a back end that connection may need to take a connection.
+/// How long a running back end may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a new connection must stay open: one that leads to a back end which has ended, over something that takes
-/// connections in its place, is closed at once.
+/// How long a probe's connection must stay open. A proxy that accepts connections for a crashed back end
+/// closes them at once.
 const PROBE_TIME: Duration = Duration::from_millis(100);
-/// How long an answer of the store may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// The pause before a call to the store is made again.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Calls to the store that wait; beyond them the oldest are given up. All nodes still tell each other.
+/// The maximum number of queued changes to the store; beyond it, the oldest are dropped. The nodes still
+/// share them with each other.
 const MAX_PENDING: usize = 64;
 
-/// A change of what the metadata store keeps.
+/// A change of the holds in the metadata store.
 #[derive(Clone, Debug)]
 pub(crate) enum Change {
     Hold(QuarantinedRequest),
     Release(RequestFingerprint),
 }
 
-/// What is under way.
+/// Pending work: probes and changes to the store.
 #[derive(Debug, Default)]
 pub struct PendingWork {
-    /// Runs that broke, by back ends that are being looked at.
+    /// Broken runs, by the back ends that are being probed.
     probing: RefCell<BTreeMap<BackendId, Vec<Crash>>>,
     changes: RefCell<VecDeque<Change>>,
     changed: Notify,
 }
 
 impl Node {
-    /// The connection to a back end ended under a run.
+    /// Handles a connection to a back end that broke during a run.
     pub fn report_broken_run(self: &Rc<Self>, crash: Crash, address: SocketAddr) {
         let mut probing = self.quarantine_work.probing.borrow_mut();
         if let Some(others) = probing.get_mut(&crash.engine) {
@@ -74,7 +73,7 @@
         tokio::task::spawn_local(probe(Rc::clone(self), backend, address));
     }
 
-    /// A run came to its end.
+    /// Records a completed run.
     pub fn run_completed(&self, fingerprint: RequestFingerprint) {
         if self.state.borrow_mut().quarantine.record_completion(fingerprint, self.now()) {
             self.release(fingerprint);
@@ -86,7 +85,7 @@
         self.change(Change::Release(fingerprint));
     }
 
-    /// A node below tells of runs.
+    /// Handles a report of runs from a child.
     pub fn receive_run_report(&self, report: RunReport) {
         let completed: Vec<RequestFingerprint> =
             report.completed.iter().map(|completed| completed.fingerprint).collect();
@@ -101,7 +100,7 @@
         }
     }
 
-    /// The node above tells what is held back.
+    /// Applies the parent's quarantine.
     pub fn apply_quarantine_digest(&self, digest: QuarantineDigest) {
         let new = self.state.borrow_mut().quarantine.receive_digest(digest, self.now());
         for fingerprint in new {
@@ -112,7 +111,7 @@
         }
     }
 
-    /// The metadata store tells that a request is held back.
+    /// Applies a hold from the metadata store.
     pub fn apply_stored_hold(&self, request: &QuarantinedRequest) {
         let new = self.state.borrow_mut().quarantine.add_stored_hold(request.fingerprint, self.now());
         if new {
@@ -120,7 +119,7 @@
         }
     }
 
-    /// The metadata store no longer holds a request back.
+    /// Applies a release from the metadata store.
     pub fn apply_stored_release(&self, fingerprint: &RequestFingerprint) {
         let known = self.state.borrow_mut().quarantine.remove_stored_hold(fingerprint, self.now());
         if known {
@@ -128,7 +127,7 @@
         }
     }
 
-    /// The metadata store was listed anew and holds back only these.
+    /// Releases all stored holds that a listing of the metadata store does not contain.
     pub fn apply_listed_holds(&self, present: &[RequestFingerprint]) {
         let known: Vec<RequestFingerprint> = self.state.borrow().quarantine.stored_holds().copied().collect();
         for fingerprint in known.iter().filter(|fingerprint| !present.contains(fingerprint)) {
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Forgets crashes and holds whose time is over.
+    /// Removes expired crashes and holds.
     pub fn sweep_quarantine(&self) {
         let ended = self.state.borrow_mut().quarantine.sweep(self.now());
         for fingerprint in ended {
@@ -160,13 +159,13 @@
         }
     }
 
-    /// Concludes what is to be held back, where this node hears of all crashes that others hear of.
+    /// Quarantines requests if this node receives the crashes of all nodes.
     pub(crate) fn conclude_quarantine(&self) {
         let node = self.settings().node.clone();
         let held = self.state.borrow_mut().quarantine.conclude(&node, self.now());
         for request in held {
             self.log_hold(&HeldLine::from(&request), HoldSource::Counted);
-            // The store may come back from a copy without it before it has told that it keeps it.
+            // The store may be restored from a backup without the hold before it has confirmed it.
             self.state.borrow_mut().held.insert(request.fingerprint, request.clone());
             self.change(Change::Hold(request));
         }
@@ -194,21 +193,21 @@
         self.journal.log(&Event::RequestReleased { fingerprint: fingerprint.to_string(), why });
     }
 
-    /// How long a request is still held back; nothing where it is not.
+    /// How long a request stays quarantined; `None` if it is not.
     pub fn held_for(&self, fingerprint: &RequestFingerprint) -> Option<Duration> {
         let now = self.now();
         let held = self.state.borrow().quarantine.held(fingerprint, now)?;
         Some(held.until.saturating_since(now))
     }
 
-    /// For how long the oldest request has been held back.
+    /// How long the oldest hold has lasted.
     pub(crate) fn oldest_hold(&self, now: Timestamp) -> Duration {
         let oldest = self.state.borrow().quarantine.oldest_held();
         oldest.map_or(Duration::ZERO, |since| now.saturating_since(since))
     }
 }
 
-/// Looks whether a back end still takes connections; where it does, the runs broke off of something else.
+/// Probes a back end. If it still accepts connections, the runs broke for another reason.
 async fn probe(node: Rc<Node>, backend: BackendId, address: SocketAddr) {
     let connection = open_probe(&node, address).await;
     let broken = node.quarantine_work.probing.borrow_mut().remove(&backend).unwrap_or_default();
@@ -222,14 +221,14 @@
     }
 }
 
-/// A connection that has come up and stays open, where one does.
+/// Opens a connection and returns it if it stays open.
 async fn open_probe(node: &Node, address: SocketAddr) -> Option<Connection> {
     let connection = Connection::open(address, CONNECT_TIMEOUT, node.now()).await.ok()?;
     tokio::time::sleep(PROBE_TIME).await;
     connection.is_ready().then_some(connection)
 }
 
-/// Writes conclusions to the metadata store, for as long as the process connection.
+/// Writes changes to the metadata store for the lifetime of the process.
 pub async fn run(node: Rc<Node>) {
     loop {
         let next = node.quarantine_work.changes.borrow_mut().pop_front();
@@ -247,7 +246,7 @@
     }
 }
 
-/// Whether a change that failed is still to be made.
+/// Whether a failed change should still be made.
 fn is_wanted(node: &Node, change: &Change) -> bool {
     match change {
         Change::Hold(request) => node.held_for(&request.fingerprint).is_some(),
@@ -266,10 +265,11 @@
     let granted = call_store(node, &StoreCall::Grant { ttl: HOLD_DURATION }, CALL_TIMEOUT).await?;
     let StoreAnswer::Lease { lease, .. } = granted else { return Err(StoreError::Unexpected) };
     let hold = StoreCall::Hold { request: Box::new(request), lease };
-    // Where no answer comes the hold may be kept: ending its lease would release the request at all nodes.
+    // Without an answer the hold may have been stored, so its lease is left alone: ending it would release
+    // the request at all nodes.
     match call_store(node, &hold, CALL_TIMEOUT).await? {
         StoreAnswer::Done { .. } => Ok(()),
-        // It is kept already, by this node's last call or another node: this lease binds nothing.
+        // The hold exists already, so this lease has nothing bound to it.
         StoreAnswer::Conflict => call_store(node, &StoreCall::End(lease), CALL_TIMEOUT).await.map(|_| ()),
         _ => Err(StoreError::Unexpected),
     }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, event by event, and resumes it at another back end where the route allows it.
+//! Relays a stream of events and resumes it at another back end if the route allows that.
 
 use std::{rc::Rc, time::Duration};
 
@@ -23,63 +23,63 @@
     response_wait::{OUTDATED, Waited},
 };
 
-/// How long a resumable stream may be silent, in multiples of the pause that its route calls good.
+/// How long a resumable stream may stall, in multiples of its route's target gap.
 const STALL_GAPS: u32 = 5;
-/// The same for routes that name no such pause.
+/// The same for routes without a target gap.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The stall_timeout before a resumable stream's first event, in multiples of its route's target.
+/// How long a resumable stream may take to its first event, in multiples of its route's target latency.
 const FIRST_EVENT_TARGETS: u32 = 2;
 
-/// Why a stream ends before it is whole.
+/// Why a stream ends early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
-    /// The back end connection_lost off, and no other could go on.
+    /// The back end broke off, and no other could continue.
     #[error("the back end broke off")]
     Broken,
-    /// The time is up.
     #[error("the time is up")]
     TimeUp,
 }
 
-/// A stream that is being passed on. Dropping it, as when the caller has left, closes the back end's connection.
+/// A stream that is being relayed. Dropping it, for example because the caller left, closes the back end's
+/// connection.
 pub struct Relay {
     exchange: Exchange,
     choice: Choice,
     upstream: Option<AttemptAnswer>,
     /// The head of the answer: that of the run whose events come first.
     head: response::Parts,
-    /// Events that came before the head was passed on.
+    /// Events received before the head was sent to the caller.
     opening: Option<Bytes>,
     splitter: EventSplitter,
-    /// Whether an event has come of the present run.
+    /// Whether the current run has sent an event.
     has_event: bool,
-    /// Whether an event has come of any run.
+    /// Whether any run has sent an event.
     has_passed_on: bool,
     waits_to_end: bool,
-    /// When something was last heard of the back end.
+    /// When data last arrived from the back end.
     received_at: Timestamp,
     done: bool,
 }
 
-/// What came of waiting for the back end.
+/// The result of waiting for the back end.
 enum Received {
     Data(Bytes),
     End,
     Broken(String),
     Stalled,
-    /// Nothing came for longer than a good pause.
+    /// Nothing arrived for longer than the target gap.
     Slow,
-    /// The back end's weights are too old for a request that has not upstream.
+    /// The back end's weights are outdated, and the request has not started.
     Outdated,
     TimeUp,
 }
 
 impl Relay {
-    /// Passes on what has upstream, from its first event on; the caller has the events up to `last_event`.
+    /// Starts to relay an answer and waits for its first event; the caller has the events up to `last_event`.
     ///
     /// # Errors
     ///
-    /// Gives the request back where no event came: the caller has no head yet, and can be told by a whole answer.
+    /// Returns the exchange if no event arrived, so that it can be answered by an error response.
     pub async fn open(
         exchange: Exchange,
         choice: Choice,
@@ -123,7 +123,7 @@
         &self.head
     }
 
-    /// The stream as the body of an answer.
+    /// The stream as a response body.
     pub fn into_body(self) -> AnswerBody {
         let parts = stream::unfold(self, |mut relay| async move {
             let part = relay.next().await?;
@@ -165,7 +165,7 @@
                     }
                 }
                 Received::Slow if !self.exchange.node.is_ejected(&self.choice.backend) => {}
-                // Silence alone ends nothing: without another back end the stream is waited for to its end.
+                // Without an alternative back end, a stalled stream is waited for until its deadline.
                 Received::Stalled | Received::Slow if !self.exchange.has_alternative() => {
                     self.waits_to_end = true
                 }
@@ -189,7 +189,7 @@
         let stalled_at = self.stalled_at();
         let node = &self.exchange.node;
         let until = stalled_at.map_or(deadline, |at| at.min(deadline));
-        // A back end that fails others is given less time: it is looked at again before its stall_timeout is certain.
+        // Rechecked early, because less time is given to a back end that was ejected meanwhile.
         let recheck_at = stalled_at.map(|_| node.now() + self.slow_after());
         let until = recheck_at.map_or(until, |at| at.min(until));
         let Some(upstream) = &mut self.upstream else { return Received::Broken("nothing has begun".into()) };
@@ -205,7 +205,7 @@
         }
     }
 
-    /// When another back end is asked, where the route allows that.
+    /// When the stream counts as stalled, if another back end could take it over.
     fn stalled_at(&self) -> Option<Timestamp> {
         let route = &self.exchange.route;
         let resumable = is_resumable(route.kind) && self.exchange.history.sent < route.attempts;
@@ -222,7 +222,7 @@
         Some(self.received_at + stall_timeout)
     }
 
-    /// The longest pause that is still good, with some slack.
+    /// The target gap plus some slack.
     fn slow_after(&self) -> Duration {
         self.exchange.route.target_gap.unwrap_or(STALL_TIMEOUT / STALL_GAPS) * 6 / 5
     }
@@ -239,7 +239,7 @@
         self.exchange.record_first_chunk(&self.choice);
     }
 
-    /// The body has failure. Nothing is given where its end cannot be a stream's.
+    /// Handles the end of the body. Returns `None` if the stream was cut off.
     fn end(&mut self) -> Option<Option<Result<Bytes, RelayError>>> {
         let upstream = self.upstream.take()?;
         if self.splitter.has_partial_event() && !upstream.framed {
@@ -254,14 +254,15 @@
         Some((!rest.is_empty()).then_some(Ok(rest)))
     }
 
-    /// Lets another back end go on; the run before has failure, or must not begin any more.
+    /// Resumes the stream elsewhere after the current run has ended or must not start any more.
     async fn resume_without_run(&mut self, failure: AttemptFailure) -> bool {
         self.release_run();
         self.resume(failure).await
     }
 
-    /// Lets another back end go on behind the last whole event. A run that is only silent is kept until the other may have
-    /// upstream: where that one refuses, the stream goes on as it was. Whether the stream goes on at all.
+    /// Resumes the stream at another back end after the last complete event. A stalled run is kept until the
+    /// other one may have started; if that one refuses, the stream continues as before. Returns whether the
+    /// stream continues at all.
     async fn resume(&mut self, failure: AttemptFailure) -> bool {
         self.exchange.history.may_have_run = true;
         let known = self.exchange.account.choice.clone();
@@ -273,7 +274,7 @@
         if resumed {
             return true;
         }
-        // Nobody else takes the stream: the silent run is waited for to its end.
+        // No other back end takes the stream, so the stalled run is waited for until its deadline.
         self.exchange.account.choice = known;
         self.waits_to_end = true;
         self.upstream.is_some()
@@ -298,7 +299,7 @@
         }
     }
 
-    /// Goes on where a copy of the run's memory is: that is the same run, and no second one.
+    /// Continues from a copy of the run's memory, which counts as the same run.
     async fn resume_from_copy(&mut self, failure: AttemptFailure) -> bool {
         let Some((next, run)) = self.exchange.copy_of(&self.choice).filter(|_| self.has_event) else {
             self.exchange.decide(&self.choice, &failure);
@@ -317,7 +318,7 @@
                 self.exchange.decide(&holder, &failure);
                 false
             }
-            // The run before may have gone further than the caller has seen: nothing else may take it up.
+            // The previous run may have got further than the caller has seen, so no other run may follow it.
             Err(failure) => {
                 self.exchange.decide(&holder, &AttemptFailure { end: AttemptEnd::Unclear, ..failure });
                 false
@@ -325,7 +326,8 @@
         }
     }
 
-    /// Asks another back end to go on, and lets the run before go once that one has upstream or may have.
+    /// Asks another back end to continue, and releases the previous run once the other has started or may
+    /// have.
     async fn attempt_resume(&mut self, choice: Choice, resume: Resume) -> Result<(), AttemptFailure> {
         let node = Rc::clone(&self.exchange.node);
         let starting_at = (!self.has_event).then_some(&self.choice);
@@ -344,7 +346,7 @@
                 Ok(())
             }
             Err(failure) => {
-                // Only what has certainly not upstream leaves the run before to itself.
+                // The previous run is kept only if the other certainly has not started.
                 if !matches!(failure.end, AttemptEnd::NotSent | AttemptEnd::NotRun | AttemptEnd::Misdirected)
                 {
                     self.release_run();
@@ -354,7 +356,7 @@
         }
     }
 
-    /// The run before is left, with what it has sent of an event.
+    /// Releases the current run and discards its partial event.
     fn release_run(&mut self) {
         self.upstream = None;
         self.splitter.finish();
@@ -362,7 +364,7 @@
 
     fn take_over(&mut self, choice: Choice, upstream: AttemptAnswer) {
         self.exchange.record_resume();
-        // A copy goes on in the run that the caller has events of; any other run begins anew.
+        // A copy continues the run whose events the caller has; any other run starts anew.
         self.has_event &= !is_resumable(self.exchange.route.kind);
         if !self.has_passed_on {
             self.head = upstream.head.clone();
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the metadata store, as facts for nodes that do not ask the store themselves.
+//! This node's knowledge of the metadata store as facts, for nodes that do not query the store themselves.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,12 @@
 use crate::{node_state::NodeState, ports::Fact};
 
 impl NodeState {
-    /// The present state of some subjects.
+    /// The current state of the given entries.
     pub(crate) fn facts_about(&self, subjects: &BTreeSet<&EntryKey>) -> Vec<Fact> {
         subjects.iter().filter_map(|subject| self.fact_about(subject)).collect()
     }
 
-    /// All that the store holds, as far as this node knows.
+    /// All entries of the store, as far as known.
     pub(crate) fn all_facts(&self) -> Vec<Fact> {
         let single = [self.document_fact(), self.fleet_size.map(Fact::FleetSize)].into_iter().flatten();
         let leader = self.leader.iter().map(|_| self.leader_fact());
@@ -43,7 +43,6 @@
         }
     }
 
-    /// The operator's document.
     pub(crate) fn document_fact(&self) -> Option<Fact> {
         let table = self.table.as_ref()?;
         Some(Fact::Document(Box::new(table.document().clone())))
@@ -58,7 +57,7 @@
         }
     }
 
-    /// The versions of all models' weights that were named.
+    /// The target versions of all models.
     pub(crate) fn weights_facts(&self) -> impl Iterator<Item = Fact> {
         self.rollout.target_versions.models().filter_map(|model| self.weights_fact(model))
     }
@@ -69,11 +68,12 @@
     }
 }
 
-/// A back end's entry; nothing where the registry holds none any more. One that was replaced is told as the registry has
-/// it: the nodes below conclude by themselves who has its address, and none of them takes over another's mistake.
+/// The entry of a back end; `None` if the registry no longer contains it. A replaced back end is included as
+/// registered: the receivers decide by themselves who has its address, so that an error of one node does not
+/// spread.
 fn entry_fact(backend: &Backend) -> Option<Fact> {
     let leaving = match backend.state {
-        // Of those that depart nodes tell each other beside.
+        // Draining announcements are shared separately.
         BackendState::Ready | BackendState::Departing { .. } | BackendState::Replaced => false,
         BackendState::Leaving => true,
         BackendState::Suspect { .. } => return None,
--- a/crates/forward/src/response_wait.rs
+++ b/crates/forward/src/response_wait.rs
@@ -1,4 +1,4 @@
-//! Waits for a back end, for as long as a request may still begin on its weights.
+//! Waits for a back end while a request may still start on its weights.
 
 use std::time::Duration;
 
@@ -7,42 +7,42 @@
 
 use crate::node::Node;
 
-/// What a request is told that waited for too long, for log lines.
+/// The detail of an attempt that waited for too long.
 pub(crate) const OUTDATED: &str = "not begun before its weights grew too old";
 
-/// How long a silent run is kept while another back end is asked. A refusal comes within some milliseconds; a back end that
-/// has said nothing by then may have upstream, and two runs of one stream must not go on side by side.
+/// How long a stalled run is kept while another back end is tried. Refusals arrive within milliseconds; a
+/// back end that has not answered by then may have started, and two runs of one stream must not run side by
+/// side.
 const OVERLAP_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What came of a wait.
+/// The result of a wait.
 pub(crate) enum Waited<T> {
-    /// The awaited.
     Done(T),
-    /// The weights are too old for a request that has not upstream.
+    /// The back end's weights are outdated, and the request has not started.
     Outdated,
-    /// The time is up.
     TimeUp,
 }
 
 impl Node {
-    /// Until when a request must have upstream at its back end, whose weights may grow too old meanwhile.
+    /// The time by which a request must have started at its back end, whose weights may become outdated.
     pub(crate) fn begin_by(&self, choice: &Choice) -> Option<Timestamp> {
         let scope = choice.scope.as_ref()?;
         self.state.borrow().rollout.begin_by(&scope.model, scope.weights)
     }
 
-    /// Whether a request must not begin any more at the back end `starting_at`; never where it begins at none.
+    /// Whether a request must not start any more at the back end `starting_at`; `false` if it starts at none.
     pub(crate) fn is_outdated(&self, starting_at: Option<&Choice>) -> bool {
         let begin_by = starting_at.and_then(|choice| self.begin_by(choice));
         begin_by.is_some_and(|begin_by| begin_by <= self.now())
     }
 
-    /// What comes of `awaited` by `until`. Where it tells that a request has upstream at the back end `starting_at`, the wait
-    /// ends as soon as that one's weights are too old, also where newer ones are named meanwhile.
+    /// Waits for `awaited` until `until`. If that is the start of a request at the back end `starting_at`,
+    /// the wait also ends when the weights there become outdated, even if a newer version is announced
+    /// meanwhile.
     ///
-    /// Nothing shows when a whole answer's run has upstream. One that began in time is broken off too where it lasts past that
-    /// moment: the other guess, that whoever has waited for long has upstream, fails just where a queue is longer than usual,
-    /// and lets runs begin on weights that are too old.
+    /// The start of a run with a complete answer is not visible, so a run that lasts past that moment is
+    /// aborted even if it started in time. Assuming that it had started would let runs start on outdated
+    /// weights whenever a queue is long.
     pub(crate) async fn wait<T>(
         &self,
         starting_at: Option<&Choice>,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// What comes of `attempt` at another back end. A silent run is kept meanwhile, for a short time and only while it may
-    /// still begin at `starting_at`.
+    /// Waits for `attempt` at another back end. The stalled run in `kept` is held meanwhile, but only for a
+    /// short time and only while it may still start at `starting_at`.
     pub async fn attempt_beside<K, T>(
         &self,
         kept: &mut Option<K>,
--- a/crates/forward/src/retries.rs
+++ b/crates/forward/src/retries.rs
@@ -1,8 +1,8 @@
-//! What a node sends beside the first try of each request.
+//! Retry budgets: what a node may send beyond the first attempt of each request.
 //!
-//! A repeat draws on the budget of the service that was asked for. Where the address belongs to another process by now, it
-//! arrives at another service, whose own allowance may be the slack alone: such repeats draw on a budget of the whole node as
-//! well, which earns nothing and has the node's part of the slack.
+//! A retry draws on the budget of the requested service. If the address belongs to another process by now,
+//! the retry arrives at another service, whose own allowance may be the slack alone. So such retries also
+//! draw on a node-wide budget, which earns no credit and has the node's share of the slack.
 
 use paddlemount_core::forwarding::attempt::AttemptEnd;
 use paddlemount_protocol::{identity::ServiceId, time::Timestamp};
@@ -18,22 +18,23 @@
         state.budget(service, &settings, nodes).try_retry(self.now())
     }
 
-    /// Retries that the budget of a service would still grant.
+    /// The retries that the budget of a service still allows.
     pub fn retries_left(&self, service: &ServiceId) -> u64 {
         let settings = self.settings();
         let nodes = self.nodes();
-        // Also before any request of the service has arrived: the first one that meets a silent back end may leave it.
+        // Valid before any request of the service has arrived, so that the first request may leave an
+        // unresponsive back end.
         self.state.borrow_mut().budget(service, &settings, nodes).remaining(self.now())
     }
 
-    /// A request for a service is being sent for the first time.
+    /// Credits the retry budget of a service with a request that is sent for the first time.
     pub fn record_first_attempt(&self, service: &ServiceId) {
         let settings = self.settings();
         let nodes = self.nodes();
         self.state.borrow_mut().budget(service, &settings, nodes).record_request(self.now());
     }
 
-    /// A try of a request for a service has ended so; `end` is none where its answer has begun.
+    /// Records how an attempt for a service ended; `end` is `None` if its answer has begun.
     pub fn record_attempt_end(&self, service: &ServiceId, end: Option<AttemptEnd>) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -47,13 +48,13 @@
         }
     }
 
-    /// Whether all back ends of a service lately refuse.
+    /// Whether all back ends of a service have refused recently.
     pub fn is_refused_by_all(&self, service: &ServiceId) -> bool {
         let state = self.state.borrow();
         state.refusals.get(service).is_some_and(|refusals| refusals.all_refuse(self.now()))
     }
 
-    /// Draws on the repeats that may reach a wrong address; when that was, for giving it back.
+    /// Draws on the budget of misdirected retries. Returns the time of the draw, which a refund needs.
     pub fn draw_misdirected_retry(&self) -> Option<Timestamp> {
         let settings = self.settings();
         let nodes = self.nodes();
@@ -62,7 +63,7 @@
         granted.then_some(now)
     }
 
-    /// A repeat has ended, for which a misdirected_retry had been drawn or not.
+    /// Settles a retry that has ended, with the time of its draw if it was drawn for.
     pub fn settle_misdirected_retry(&self, drawn_at: Option<Timestamp>, end: Option<AttemptEnd>) {
         let settings = self.settings();
         let nodes = self.nodes();
--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -1,4 +1,4 @@
-//! What one request tells of its runs, for finding requests under which back ends end.
+//! Reports the runs of a request to the quarantine.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::exchange::Exchange;
 
 impl Exchange {
-    /// How long what the caller asks for is still held back; nothing where it is not.
+    /// How long this request stays quarantined; `None` if it is not.
     pub(crate) fn held_for(&mut self) -> Option<Duration> {
         if !self.node.state.borrow().quarantine.may_be_held(self.origin().hash()) {
             return None;
@@ -23,14 +23,14 @@
         Some(held_for)
     }
 
-    /// The run came to its end: the request does no back end harm.
+    /// Reports a completed run, which clears the request.
     pub(crate) fn run_completed(&self) {
         self.node.run_completed(self.fingerprint());
     }
 
-    /// The connection ended under the run.
+    /// Reports that the connection broke during the run.
     pub(crate) fn report_broken_run(&self, choice: &Choice) {
-        // The planned end of a back end, which cuts what lasts too long, is no crash: three in turn held ordinary requests back.
+        // A planned stop of a back end cuts off long runs and is not a crash.
         if self.node.state.borrow().backends.is_leaving(&choice.backend) {
             return;
         }
@@ -45,7 +45,7 @@
         self.node.report_broken_run(crash, choice.address);
     }
 
-    /// What the caller asks for, the same each time it comes back.
+    /// Identifies the request; the same for each retry by its caller.
     pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         self.origin().fingerprint(&self.body)
     }
--- a/crates/forward/src/settings/figures.rs
+++ b/crates/forward/src/settings/figures.rs
@@ -1,13 +1,12 @@
-//! Reads figures of the settings file, which may be whole numbers or fractions.
+//! Parses numbers of the settings file, which may be integers or fractions.
 
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
-/// The greatest figure that is accepted: all whole numbers up to it are exact as fractions.
+/// The greatest accepted number: integers up to it are exact as `f64`.
 const MAX_FIGURE: f64 = 9_007_199_254_740_992.0;
 
-/// A figure that is not negative, rounded down. A bound that is rounded down is kept a little too well.
+/// A number that is not negative, rounded down. Rounding a bound down errs on the safe side.
 pub fn whole<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -20,7 +19,7 @@
     T::try_from(figure as u64).map_err(|_| D::Error::custom(format!("{figure} is too great")))
 }
 
-/// A time in seconds, as milliseconds.
+/// A time in seconds, converted to milliseconds.
 pub fn seconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let figure = f64::deserialize(deserializer)? * MS_PER_SECOND;
     if !(0.0..=MAX_FIGURE).contains(&figure) {
