--- a/crates/forward/src/settings/mod.rs
+++ b/crates/forward/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The process's settings: a TOML file, checked whole before anything starts.
+//! The settings of the process: a TOML file that is validated before anything starts.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -13,37 +13,34 @@
 pub struct ForwardSettings {
     /// The node's name; unique among the nodes.
     pub node: NodeId,
-    /// Its zone.
     pub zone: ZoneId,
-    /// Whether all nodes start for the first time: no caller is waiting yet.
+    /// Whether all nodes start for the first time, so that no caller is waiting yet.
     #[serde(default)]
     pub first_start: bool,
-    /// Where it listens.
     pub listen: ListenSettings,
-    /// The metadata store.
     pub store: StoreSettings,
-    /// Bounds that the operator has set.
+    /// The operator's bounds.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// What the node allows itself.
+    /// What the node may use.
     #[serde(default)]
     pub limits: LimitSettings,
 }
 
-/// Where the node listens.
+/// The addresses on which the node listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct ListenSettings {
     /// For callers.
     pub callers: SocketAddr,
-    /// For whoever asks whether the node takes callers.
+    /// For readiness checks.
     pub readiness: SocketAddr,
-    /// For metrics; none where they are not told.
+    /// For metrics; `None` if they are not exported.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// For other nodes; none where nodes tell each other nothing.
+    /// For other nodes; `None` if nodes do not communicate.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
-    /// Where other nodes reach that, if it is another address than the one listened on.
+    /// The address at which other nodes reach `peers`, if it differs.
     #[serde(default)]
     pub peers_advertised: Option<SocketAddr>,
 }
@@ -51,25 +48,24 @@
 /// The metadata store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct StoreSettings {
-    /// Its address.
     pub address: SocketAddr,
-    /// The shortest life of a lease that it grants, in milliseconds.
+    /// The shortest lease that it grants, in milliseconds.
     #[serde(default, deserialize_with = "figures::whole")]
     pub shortest_lease_ms: u64,
 }
 
-/// Bounds that the operator has set. Times are in milliseconds. Where the operator sets none, a cautious one holds.
-/// Figures may be fractions, which are rounded down.
+/// The operator's bounds, in milliseconds unless stated otherwise, with cautious defaults. Fractions are
+/// rounded down.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct BoundSettings {
-    /// A changed configuration is in force after this time.
+    /// The time after which a changed configuration is in force.
     #[serde(deserialize_with = "figures::whole")]
     pub configuration_ms: u64,
-    /// A removed key is refused after this time, also by a node that cannot reach the store.
+    /// The time after which a removed key is refused, even by a node that cannot reach the store.
     #[serde(deserialize_with = "figures::whole")]
     pub revocation_ms: u64,
-    /// Whether keys are refused where it is not known that they still hold.
+    /// Whether keys are refused while it is uncertain that they are still valid.
     pub revocation_fails_closed: bool,
     /// The time from a stop signal to the end of the process; in seconds in the file.
     #[serde(rename = "grace_s", deserialize_with = "figures::seconds")]
@@ -79,44 +75,46 @@
     /// The window over which retries are counted; in seconds in the file.
     #[serde(rename = "retry_window_s", deserialize_with = "figures::seconds")]
     pub retry_window_ms: u64,
-    /// Retries of a service beyond its share, in a window, over all nodes.
+    /// Retries of a service beyond its share, per window over all nodes.
     #[serde(deserialize_with = "figures::whole")]
     pub retry_slack: u32,
     /// The window over which tenants' quotas are counted; in seconds in the file.
     #[serde(rename = "quota_window_s", deserialize_with = "figures::seconds")]
     pub quota_window_ms: u64,
-    /// The share of a tenant's quota that may run beyond it.
+    /// The share of a tenant's quota by which it may be exceeded.
     pub quota_overage: f64,
-    /// Units of a tenant's quota that may run beyond that in a window.
+    /// Units per window by which a tenant's quota may be exceeded beyond that.
     pub quota_slack: f64,
-    /// The life of the lease on orders.
+    /// The time to live of the lease on orders.
     #[serde(deserialize_with = "figures::whole")]
     pub lease_ms: u64,
-    /// No request begins on an older version after this time from when a newer one was named.
+    /// The time after the announcement of a target version from which no request starts on an older one.
     #[serde(deserialize_with = "figures::whole")]
     pub weights_ms: u64,
-    /// A back end that is leaving gets no request after this time.
+    /// The time after which a back end that is leaving receives no requests.
     #[serde(deserialize_with = "figures::whole")]
     pub drain_ms: u64,
 }
 
-/// What the node allows itself.
+/// The resources that the node may use, and its limits on concurrent loads.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct LimitSettings {
-    /// The number of nodes that share the retry slack and the back ends' connections, where it isn't known.
+    /// The number of nodes assumed to share the retry slack and the back ends' connections while it is
+    /// unknown.
     #[serde(deserialize_with = "figures::whole")]
     pub most_nodes: u32,
-    /// What the machine's link carries, in Mbit/s.
+    /// The bandwidth of the machine's link, in Mbit/s.
     pub link_mbps: f64,
     /// The process's share of a processor.
     pub processor_share: f64,
-    /// Descriptors that the process may open.
+    /// The number of file descriptors that the process may open.
     #[serde(deserialize_with = "figures::whole")]
     pub descriptors: u32,
-    /// Back ends of a pool that may load weights at the same time, where `loads_share` gives fewer.
+    /// The minimum for the number of back ends of a pool that load weights at once, if `loads_share` gives
+    /// fewer.
     pub loads_at_once: usize,
-    /// Back ends of a pool that may load weights at the same time, as a share of the pool.
+    /// The share of a pool's back ends that may load weights at once.
     pub loads_share: f64,
 }
 
@@ -133,16 +131,16 @@
     }
 }
 
-/// The link of a machine that other nodes had better not depend on, in Mbit/s.
+/// Below this bandwidth, in Mbit/s, other nodes should not depend on the machine.
 const SMALL_LINK_MBPS: f64 = 50.0;
 
 impl LimitSettings {
-    /// What the machine can carry, compared with others.
+    /// The machine's capacity, for comparison with other nodes.
     pub fn capacity(&self) -> u32 {
         (self.link_mbps * self.processor_share).clamp(0.0, 1e9) as u32
     }
 
-    /// How many other nodes report to this one at most.
+    /// The maximum number of nodes that report to this one.
     pub fn fan_in(&self) -> usize {
         fan_in(self.processor_share, self.link_mbps)
     }
@@ -153,39 +151,29 @@
     }
 }
 
-/// Why settings are not accepted.
+/// Why settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("cannot read settings file {path}: {source}")]
-    Read {
-        /// The file.
-        path: String,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// The file is no TOML, or a value has the wrong form.
+    Read { path: String, source: std::io::Error },
+    /// The file is not valid TOML, or a value has the wrong type.
     #[error("settings: {0}")]
     Form(#[from] toml::de::Error),
-    /// A value cannot be used.
+    /// A value is out of range.
     #[error("settings: {key} {problem}")]
-    Value {
-        /// The key.
-        key: &'static str,
-        /// What is wrong with its value.
-        problem: &'static str,
-    },
+    Value { key: &'static str, problem: &'static str },
 }
 
 impl ForwardSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| SettingsError::Read { path: path.display().to_string(), source })?;
         Self::parse(&text)
     }
 
-    /// Reads and checks a text. Unknown keys are passed over.
+    /// Parses and validates a text. Unknown keys are ignored.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text)?;
         settings.check()?;
@@ -260,18 +248,18 @@
         Duration::from_millis(self.grace_ms)
     }
 
-    /// The time after which no request may begin on older weights than the named ones.
+    /// The time after which no request may start on weights older than the target version.
     pub fn weights(&self) -> Duration {
         Duration::from_millis(self.weights_ms)
     }
 
-    /// How long a back end that is leaving may still be sent requests where nobody else is left. The other half of its time is
-    /// for the answers.
+    /// How long a back end that is leaving may still receive requests if no other is left. The other half of
+    /// its time is for the answers.
     pub fn departing_use(&self) -> Duration {
         Duration::from_millis(self.drain_ms / 2)
     }
 
-    /// How much more than a tenant's quota may run.
+    /// By how much tenants' quotas may be exceeded.
     pub fn quotas(&self) -> QuotaBounds {
         QuotaBounds {
             window: Duration::from_millis(self.quota_window_ms),
@@ -280,59 +268,59 @@
         }
     }
 
-    /// The age at which the configuration is too old for a request that carries a key.
+    /// The age at which the configuration is too old for a request with a key.
     pub fn stale_after(&self) -> Duration {
         Duration::from_millis(self.revocation_ms.saturating_sub(self.revocation_ms / 25))
     }
 
-    /// The age at which an unknown route or key may only be unknown yet.
+    /// The age at which an unknown route or key may be missing only because the configuration is outdated.
     pub fn unverified_after(&self) -> Duration {
         Duration::from_millis(self.configuration_ms * 3 / 2)
     }
 
-    /// How long changes gather between two watches of the store.
+    /// How long changes accumulate between two watches of the store.
     pub fn gather(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 4).clamp(100, 1_000))
     }
 
-    /// The age up to which what another node passes on of the store is enough: a node whose leader has lost the store
-    /// must still hear of a change in time by asking the store itself.
+    /// The maximum age of the proof of a relayed state. A node whose leader has lost the store must still
+    /// learn of a change in time by querying the store itself.
     pub fn max_relay_age(&self) -> Duration {
         Duration::from_millis(self.configuration_ms.min(self.revocation_ms) * 13 / 20)
     }
 
-    /// How long one watch of a leader waits, whose answers are proof for others too.
+    /// How long a watch of a leader waits, whose answers are also proof for other nodes.
     pub fn leader_watch_wait(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 5).clamp(100, 1_000))
     }
 
-    /// How long after a report a node waits for the next one's answer before it asks the store itself.
+    /// How long after a report a node waits for the next answer before it queries the store itself.
     pub fn relay_timeout(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 4).clamp(300, 900))
     }
 
-    /// How long after its listing a node waits to be told by another node, before it watches the store itself. What it
-    /// has listed is certain for as long; where nobody waits for it yet, it may wait for longer.
+    /// How long a node waits for a relay after its listing before it watches the store itself. The listing
+    /// stays valid for that time; on the first start no caller waits, so the wait may be longer.
     pub fn initial_relay_timeout(&self, first_start: bool) -> Duration {
         let bound = self.configuration_ms.min(self.revocation_ms);
         if first_start { Duration::from_millis(bound) } else { Duration::from_millis(bound * 3 / 10) }
     }
 
-    /// How long a snapshot of another node is waited for, and at most as long again: some reports, and with the longer bounds
-    /// of large fleets some tenths of a second for a megabyte on a link of 20 Mbit/s. A change must come in time where
-    /// nobody gives one.
+    /// How long to wait for a snapshot, up to twice this time. It allows for several reports and for the
+    /// transfer of a megabyte over a slow link, while changes must still arrive in time if no node provides
+    /// one.
     pub fn snapshot_timeout(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 5).clamp(200, 1_500))
     }
 
-    /// How long a node that has nothing to tell may leave the node above without a report. What is told to it grows older by
-    /// as much: a tenth of the bound leaves time for it on each of four levels, and is less than half of the time after which
-    /// a node that is told nothing asks the store itself.
+    /// The interval of reports of a node without updates. State relayed to it ages by as much: a tenth of the
+    /// bound leaves time for each of four levels, and is less than half of the time after which a node
+    /// without a relay queries the store itself.
     pub fn idle_report_interval(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 10).clamp(200, 500))
     }
 
-    /// How long one watch of the store waits: its answer is the proof that what is known is recent.
+    /// How long a watch of the store waits; its answer proves that the known state is recent.
     pub fn watch_wait(&self) -> Duration {
         Duration::from_millis((self.revocation_ms * 2 / 5).clamp(200, 5_000))
     }
--- a/crates/forward/src/store_feed.rs
+++ b/crates/forward/src/store_feed.rs
@@ -1,11 +1,12 @@
-//! Follows the metadata store: one long watch after the other, and a listing where history is lost.
+//! Follows the metadata store with consecutive long-poll watches, and lists it where history is lost.
 //!
-//! The watch brings news at once. Its answer is also the proof that nothing else has changed since it was asked.
+//! A watch returns changes at once. Its answer also proves that nothing else has changed since it was sent.
 //!
-//! A listing of a large store costs many calls, which all nodes would make at the same moment where all start or history is
-//! lost. So a node that is not the root makes the first few of them alone: these hold the operator's document, who leads and
-//! some back ends, by which it serves at once. The rest it takes as a snapshot from the node that it reports to
-//! ([`crate::peers`]). Where nobody gives one it lists on from where it was.
+//! Listing a large store takes many calls, and all nodes would make them at the same moment when all start or
+//! when history is lost. So a node other than the root lists only the first few pages by itself: they contain
+//! the operator's document, the leader and some back ends, which is enough to start serving. The rest comes
+//! as a snapshot from its parent ([`crate::peers`]). If no node provides one, the listing continues where it
+//! stopped.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,51 +22,48 @@
     ports::{Fact, InvalidAnswer, StoreAnswer, StoreCall},
 };
 
-/// How long an answer may take beyond what was asked to wait.
+/// How long an answer may take beyond the requested wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The pause after a failed call; grows with each further failure.
+/// The pause after a failed call, times the number of consecutive failures.
 const RETRY_STEP: Duration = Duration::from_millis(100);
-/// The longest pause after a failed call.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// The least time between two watches of the leader, whose orders wait for news.
+/// The minimum interval between watches of the leader, whose orders depend on changes.
 const LEADER_WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The pause between two looks whether other nodes still pass on what the store tells.
+/// The interval of checks whether other nodes still relay the store.
 const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause between two looks who leads, while nobody is known to.
+/// The interval of reads of the leader while none is known.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// How much later a small machine first looks who leads, and by how much they spread out: a strong one leads by then, so
-/// that hundreds of small ones find it by one look each.
+/// A small machine delays its first read of the leader by this and by a random part of the jitter. A stronger
+/// machine usually leads by then, so hundreds of small ones need one read each.
 const SMALL_NODE_DELAY: Duration = Duration::from_millis(700);
 const SMALL_NODE_JITTER: Duration = Duration::from_millis(600);
-/// Pages that a node lists before it delay for a snapshot from another one. All of a store of a hundred back ends lies on
-/// one or two; of ten thousand on fifty.
+/// Pages that a node lists before it waits for a snapshot. A store with a hundred back ends has one or two
+/// pages, one with ten thousand has fifty.
 const PAGES_BEFORE_SNAPSHOT: u32 = 2;
-/// How long the pages listed so far are added to. The changes since the first one are asked for once all are there, and the
-/// store keeps a history of 20 s.
+/// How long an incomplete listing is continued. The changes since its first page are requested at the end,
+/// and the store keeps 20 s of history.
 const LISTING_TTL: Duration = Duration::from_secs(8);
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No answer came.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer makes no sense.
     #[error("the answer makes no sense: {0}")]
     InvalidAnswer(#[from] InvalidAnswer),
-    /// The store refused; nothing was done.
+    /// The store refused the call; nothing was done.
     #[error("refused with status {0}")]
     Refused(http::StatusCode),
-    /// The answer is older than the copy from which the store has come back.
+    /// The answer predates the latest restore of the store.
     #[error("an answer of before the store's return")]
     OlderCopy,
-    /// An answer of another kind than asked for.
+    /// An answer of another type than the call expects.
     #[error("an answer of another kind")]
     Unexpected,
 }
 
-/// Makes one call to the store.
+/// Makes a call to the store.
 pub async fn call_store(node: &Node, call: &StoreCall, timeout: Duration) -> Result<StoreAnswer, StoreError> {
     let began = node.now();
     let answer: Result<Response<Bytes>, CallError> =
@@ -92,7 +90,7 @@
     result
 }
 
-/// Looks who leads, by a read that may be old and costs little.
+/// Reads the leader. The answer may be outdated, and the call is cheap.
 pub async fn find_leader(node: &Node) -> Result<(), StoreError> {
     match call_store(node, &StoreCall::FindLeader, CALL_TIMEOUT).await? {
         StoreAnswer::Facts { facts, .. } => {
@@ -103,7 +101,7 @@
     }
 }
 
-/// Follows the store for as long as the process lives.
+/// Follows the store for the lifetime of the process.
 pub async fn run(node: Rc<Node>) {
     let started_at = node.now();
     let mut feed = Feed {
@@ -121,7 +119,8 @@
     }
 }
 
-/// Pages that were listed so far. They form no snapshot: the watch goes on from the revision of the first.
+/// The pages of an incomplete listing. They are not a consistent snapshot, so the watch starts at the
+/// revision of the first page.
 struct Listing {
     sent_at: Timestamp,
     revision: Option<Revision>,
@@ -131,7 +130,7 @@
 }
 
 impl Listing {
-    /// Whether a page of this revision cannot belong to it: the store has come back from a copy meanwhile.
+    /// Whether a page does not belong to the listing because the store was restored meanwhile.
     fn is_of_another_era(&self, page: Revision) -> bool {
         self.revision.is_some_and(|first| first.era() != page.era())
     }
@@ -142,11 +141,10 @@
     started_at: Timestamp,
     failures: u32,
     failing_since: Option<Timestamp>,
-    /// A listing that has not come to its end.
     listing: Option<Listing>,
-    /// Until when another node is given the time to give a snapshot.
+    /// Until when to wait for a snapshot from another node.
     snapshot_awaited_until: Option<Timestamp>,
-    /// Until when another node is given the time to tell what follows what this one knows; none before it knows all.
+    /// Until when to wait for relayed changes; `None` until the whole store is known.
     relay_awaited_until: Option<Timestamp>,
 }
 
@@ -168,7 +166,8 @@
         self.watch(known).await
     }
 
-    /// Learns all for the first time. Where all nodes start for the first time no caller delay: all but the root are told.
+    /// Learns the whole store for the first time. On the first start of a fleet no caller waits, so all nodes
+    /// but the root wait for a relay.
     async fn initial_sync(&mut self) -> Result<(), StoreError> {
         let settings = self.node.settings();
         let leads = self.node.token().is_some();
@@ -183,7 +182,8 @@
         self.list(!leads && self.node.peers.is_some()).await
     }
 
-    /// Learns all anew where the store has forgotten what has changed: a snapshot of the node above costs it nothing.
+    /// Learns the whole store again after it dropped the history. A snapshot of the parent saves it a
+    /// listing.
     async fn resync(&mut self) -> Result<(), StoreError> {
         let until = self.snapshot_awaited_until.get_or_insert_with(|| snapshot_deadline(&self.node));
         if self.node.has_parent() && self.node.now() < *until {
@@ -214,7 +214,7 @@
         Ok(())
     }
 
-    /// Gives others, once, the time to tell what follows what this node has learned.
+    /// Starts, once, the time in which other nodes may relay the changes after this node's listing.
     fn start_relay_wait(&mut self) {
         if self.relay_awaited_until.is_none() && self.node.peers.is_some() {
             self.relay_awaited_until =
@@ -222,13 +222,13 @@
         }
     }
 
-    /// Whether this node has lately begun, and another one may soon tell it what follows its listing.
+    /// Whether this node has started recently, so that another node may soon relay changes to it.
     fn awaits_relay(&self) -> bool {
         let leads = self.node.token().is_some();
         !leads && self.relay_awaited_until.is_some_and(|until| self.node.now() < until)
     }
 
-    /// Looks for the leader where none is known; whoever is known is reported to meanwhile.
+    /// Reads the leader if none is known, so that this node can report to it.
     async fn await_relay(&mut self) -> Result<(), StoreError> {
         if self.node.state.borrow().leader.is_none() {
             find_leader(&self.node).await?;
@@ -242,7 +242,7 @@
         let sent_at = self.node.now();
         let answer = call_store(&self.node, &StoreCall::Watch { after, wait }, wait + CALL_TIMEOUT).await?;
         match answer {
-            // Another node has passed on more meanwhile.
+            // Another node has relayed more meanwhile.
             StoreAnswer::Facts { .. } if self.node.state.borrow().revision != Some(after) => Ok(()),
             StoreAnswer::Facts { facts, revision, .. } => {
                 self.node.apply_changes(facts, revision.max(after), sent_at);
@@ -257,8 +257,8 @@
         }
     }
 
-    /// Lists page by page; where `can_use_relay`, others may tell the rest after the first few. A failed page is asked for
-    /// again, and those before it stay.
+    /// Lists page by page. If `can_use_relay`, it stops after the first few pages to wait for a snapshot.
+    /// After a failure, it resumes with the failed page.
     async fn list(&mut self, can_use_relay: bool) -> Result<(), StoreError> {
         let now = self.node.now();
         self.listing.take_if(|listing| now.saturating_since(listing.sent_at) >= LISTING_TTL);
@@ -309,7 +309,7 @@
         if known.is_some_and(|known| known.era() > revision.era()) {
             return Err(StoreError::OlderCopy);
         }
-        // Another node may have passed on more meanwhile.
+        // Another node may have relayed more meanwhile.
         if known.is_none_or(|known| known <= revision) {
             let items = listing.facts.len();
             self.node.apply_listing(listing.facts, revision, listing.sent_at);
@@ -318,7 +318,7 @@
         Ok(())
     }
 
-    /// The least time between two watches, in which changes gather: each answer costs a call.
+    /// The minimum interval between watches, in which changes accumulate, since each answer costs a call.
     fn watch_interval(&self) -> Duration {
         if self.node.state.borrow().revision.is_none() || self.node.history_lost.get() {
             Duration::ZERO
@@ -331,14 +331,15 @@
         }
     }
 
-    /// Whether this node asks the store for others too: it leads, or others report to it while nobody else tells it.
+    /// Whether this node also watches for others: it leads, or it has children and receives no relay itself.
     fn serves_others(&self) -> bool {
         let Some(peers) = &self.node.peers else { return false };
         self.node.token().is_some()
             || (!self.node.has_recent_relay() && !peers.borrow().fleet.children.is_empty())
     }
 
-    /// How long one watch delay. A leader's answers are proof for others too, who hear of them a little later.
+    /// How long a watch waits. A leader's answers also serve as proof for other nodes, which receive them a
+    /// little later.
     fn watch_wait(&self) -> Duration {
         let bounds = self.node.settings().bounds;
         if self.serves_others() { bounds.leader_watch_wait() } else { bounds.watch_wait() }
@@ -373,7 +374,8 @@
     }
 }
 
-/// Until when a snapshot is waited for from now on. Those that wait in vain spread out, not to list at the same moment.
+/// Until when to wait for a snapshot. The random part keeps nodes that get none from listing at the same
+/// moment.
 fn snapshot_deadline(node: &Node) -> Timestamp {
     let awaited = node.settings().bounds.snapshot_timeout();
     node.now() + awaited.mul_f64(1.0 + rand::random::<f64>())
--- a/crates/forward/src/store_restore.rs
+++ b/crates/forward/src/store_restore.rs
@@ -1,10 +1,11 @@
-//! A metadata store that has come back from an older copy.
+//! Handles a metadata store that was restored from a backup.
 //!
-//! What nodes wrote there since the copy was made is gone, leases too, and revisions are given out again. A node hears of it from
-//! whatever answer says it first. What protects stays as it is known: versions of the document and of weights only rise, and
-//! requests that were held back stay held. Whoever leads has no certain lease any more and stands down; the next leader waits until
-//! the lease of one that has not heard of it is over, and writes again what is held back. What was known under revisions of before
-//! is continued by a listing, never by the same number.
+//! The restore loses everything written since the backup, including leases, and revisions are assigned again.
+//! A node detects it by the era in any answer. Protective state is kept: versions of the document and of
+//! weights only increase, and quarantined requests stay quarantined. The leader's lease is no longer certain,
+//! so it stands down; the next leader waits until the lease of a leader that has not noticed the restore is
+//! over, and writes the holds again. Knowledge of an older era is continued by a listing, never by the same
+//! revision number.
 
 use std::time::Duration;
 
@@ -12,11 +13,11 @@
 
 use crate::{journal::Event, metrics::Counter, node::Node, quarantine::Change};
 
-/// How long after the store's return a listing may lack what nodes write again.
+/// How long after a restore a listing may lack entries that nodes are writing again.
 const SETTLING_TIME: Duration = Duration::from_secs(10);
 
 impl Node {
-    /// An answer of the store told its era, where it tells any. One of before is late, and no news.
+    /// Handles the era in an answer of the store. An older era belongs to a delayed answer and is ignored.
     pub(crate) fn observe_era(&self, era: Option<StoreEra>) {
         let Some(era) = era else { return };
         let known = self.state.borrow().revision;
@@ -30,7 +31,7 @@
         self.restored_at.set(Some(now));
         {
             let mut state = self.state.borrow_mut();
-            // Entries that the copy lacks are written again within seconds.
+            // Entries that the backup lacks are written again within seconds.
             state.backends.registry.failed();
             state.leader = None;
             state.leader_checked = false;
@@ -41,13 +42,13 @@
         self.order_ended.notify_one();
     }
 
-    /// Whether the store came back from a copy a short while ago.
+    /// Whether the store was restored recently.
     pub(crate) fn is_restored_lately(&self) -> bool {
         let settling = |at: Timestamp| self.now().saturating_since(at) < SETTLING_TIME;
         self.restored_at.get().is_some_and(settling)
     }
 
-    /// Writes again what is held back, where a copy of the store may lack it. What is there already stays as it is.
+    /// Writes all holds again, which a restored store may lack. Existing ones stay unchanged.
     pub(crate) fn rewrite_holds(&self) {
         let held: Vec<_> = self.state.borrow().held.values().cloned().collect();
         held.into_iter().for_each(|request| self.change(Change::Hold(request)));
--- a/crates/forward/src/target_record.rs
+++ b/crates/forward/src/target_record.rs
@@ -1,10 +1,12 @@
-//! Records in the metadata store that a version of weights was announced lately, for nodes that all start again.
+//! Records in the metadata store that a target version was announced recently, for the case that all nodes
+//! restart.
 //!
-//! A node that starts cannot know since when a version has been announced, and takes it for old until another node tells. Where
-//! all start at the same moment nobody can. So the leader writes down each name that it hears of, bound to a lease of half
-//! the bound of older weights. Whoever lists the store and finds the record knows by the store's own clock that the name
-//! is no older than that lease and the age that it had when the lease was granted; where it is gone, the name counts as old.
-//! While the store is down leases may wait: the record then proves nothing of the time of that outage.
+//! A node that starts cannot know when a target version was announced, and assumes that it is old until
+//! another node says otherwise. If all nodes restart at once, none can. So the leader records each announced
+//! target version, bound to a lease of half the bound on outdated weights. A node whose listing contains the
+//! record knows, by the store's clock, that the target version is no older than that lease plus its age when
+//! the lease was granted. Without a record it counts as old. Leases may be suspended during an outage of the
+//! store, so the record proves nothing about that time.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -20,20 +22,18 @@
     store_feed::{StoreError, call_store},
 };
 
-/// The lease of a record, as a part of the bound of older weights.
+/// The lease of a record is the bound on outdated weights divided by this.
 const LEASE_FRACTION: u32 = 2;
-/// How long a call may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// The pause between two looks whether something is to be recorded: after a failed call, or where this node has begun to
-/// lead.
+/// The interval of checks for unrecorded targets, after a failed call or when this node becomes leader.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Records names for as long as the process lives.
+/// Records announced targets for the lifetime of the process.
 pub async fn run(node: Rc<Node>) {
     let mut recorded = BTreeMap::new();
     let mut restored_at = None;
     loop {
-        // A copy of the store may lack what was recorded.
+        // A restored store may lack earlier records.
         if restored_at != node.restored_at.get() {
             restored_at = node.restored_at.get();
             recorded.clear();
@@ -41,7 +41,7 @@
         let announced = node.target_announced.notified();
         for proof in unrecorded_targets(&node, &recorded) {
             let (model, version) = (proof.model.clone(), proof.version);
-            // A call that failed is counted with how it ended, and made again while the name is recent enough.
+            // A failed call is counted in the metrics, and repeated while the target is recent.
             if record(&node, proof).await.is_ok() {
                 recorded.insert(model, version);
             }
@@ -54,7 +54,8 @@
     node.settings().bounds.weights() / LEASE_FRACTION
 }
 
-/// The names that this node, while it leads, has proof of and has not recorded: the newest of each model, where it may help.
+/// The newest announced target version of each model, where this node leads, has a recent proof of it and has
+/// not recorded it.
 fn unrecorded_targets(node: &Node, recorded: &BTreeMap<ModelId, WeightsVersion>) -> Vec<TargetVersionProof> {
     if node.token().is_none() {
         return Vec::new();
@@ -69,11 +70,11 @@
     recent.into_iter().filter(|proof| is_newest(proof) && is_new(proof)).collect()
 }
 
-/// Writes one record. A record that comes late, after that of a newer version, ends with its own lease.
+/// Writes one record. A late record, after that of a newer version, ends with its own lease.
 async fn record(node: &Node, proof: TargetVersionProof) -> Result<(), StoreError> {
     let granted = call_store(node, &StoreCall::Grant { ttl: lease_time(node) }, CALL_TIMEOUT).await?;
     let StoreAnswer::Lease { lease, ttl } = granted else { return Err(StoreError::Unexpected) };
-    // The lease runs from before this moment, so that the name was no older when it was granted.
+    // The lease counts from an earlier moment, so the age at its grant was no greater.
     let age = node.now().saturating_since(proof.at);
     let target = RecentTargetVersion {
         model: proof.model,
--- a/crates/forward/src/unknown_headers.rs
+++ b/crates/forward/src/unknown_headers.rs
@@ -1,4 +1,4 @@
-//! Headers of back ends' answers that nothing reads: what they say is told once, so that it is noticed on the first day.
+//! Logs each unknown header of back ends' answers once, so that new ones are noticed.
 
 use http::HeaderName;
 use paddlemount_core::forwarding::backends::BackendId;
@@ -6,8 +6,8 @@
 use crate::{journal::Event, metrics::Counter, node::Node};
 
 impl Node {
-    /// Counts headers of an answer of `backend` that nothing reads, and logs each name once. Values stay out of the log: they
-    /// may be a caller's.
+    /// Counts the unknown headers of an answer of `backend`, and logs each name once. Values are not logged,
+    /// because they may be a caller's.
     pub(crate) fn note_unknown_headers(&self, backend: &BackendId, names: &[HeaderName]) {
         for name in names {
             self.metrics.count(Counter::UnknownAnswerHeaders);
--- a/crates/forward/tests/journal.rs
+++ b/crates/forward/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Log lines are bounded and hold nothing up.
+//! The journal drops and counts lines instead of blocking when its output stalls.
 
 use std::{
     io::Write,
@@ -16,14 +16,14 @@
     bytes: Vec<u8>,
 }
 
-/// An output that stops until it is let go.
+/// An output that stalls until it is released.
 #[derive(Clone, Default)]
-struct Stopped {
+struct StalledOutput {
     output: Arc<Mutex<Output>>,
     changed: Arc<Condvar>,
 }
 
-impl Write for Stopped {
+impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let output = self.output.lock().unwrap();
         let mut output = self.changed.wait_while(output, |output| !output.open).unwrap();
@@ -36,44 +36,44 @@
     }
 }
 
-impl Stopped {
-    fn let_go(&self) {
+impl StalledOutput {
+    fn release(&self) {
         self.output.lock().unwrap().open = true;
         self.changed.notify_all();
     }
 
-    /// Lines that were written, and lines that were told to be lost.
-    fn written_and_lost(&self) -> (u64, u64) {
+    /// The number of written lines, and the number reported as dropped.
+    fn written_and_dropped(&self) -> (u64, u64) {
         let text = String::from_utf8(self.output.lock().unwrap().bytes.clone()).unwrap();
         let lines = text.lines().map(|line| serde_json::from_str::<serde_json::Value>(line).unwrap());
-        lines.fold((0, 0), |(written, lost), line| match line["event"].as_str() {
-            Some("lines_dropped") => (written, lost + line["count"].as_u64().unwrap()),
-            _ => (written + 1, lost),
+        lines.fold((0, 0), |(written, dropped_lines), line| match line["event"].as_str() {
+            Some("lines_dropped") => (written, dropped_lines + line["count"].as_u64().unwrap()),
+            _ => (written + 1, dropped_lines),
         })
     }
 }
 
 #[test]
-fn a_reader_that_stops_loses_lines_and_each_of_them_is_counted() {
-    let output = Stopped::default();
+fn a_stalled_reader_loses_lines_and_each_of_them_is_counted() {
+    let output = StalledOutput::default();
     let journal = Journal::to("n", clock::start(), output.clone());
-    let mut told = 0;
-    while told < 20_000 || journal.dropped() == 0 {
+    let mut logged = 0;
+    while logged < 20_000 || journal.dropped() == 0 {
         journal.log(&Event::Stopping { running: 0 });
-        told += 1;
+        logged += 1;
     }
-    output.let_go();
+    output.release();
     // Once there is room again, the next line is preceded by the count.
     while journal.dropped() > 0 {
         journal.log(&Event::Stopping { running: 0 });
-        told += 1;
+        logged += 1;
         std::thread::yield_now();
     }
     loop {
-        let (written, lost) = output.written_and_lost();
-        assert!(written + lost <= told);
-        if written + lost == told {
-            assert!(lost > 0);
+        let (written, dropped_lines) = output.written_and_dropped();
+        assert!(written + dropped_lines <= logged);
+        if written + dropped_lines == logged {
+            assert!(dropped_lines > 0);
             return;
         }
         std::thread::yield_now();
--- a/crates/forward/tests/leader.rs
+++ b/crates/forward/tests/leader.rs
@@ -1,4 +1,4 @@
-//! Whose leadership a node may take over.
+//! A node may replace the leadership only of an earlier process of its own.
 
 use paddlemount_forward::node_state::Leader;
 use paddlemount_protocol::identity::{FencingToken, NodeId};
--- a/crates/forward/tests/log_lines.rs
+++ b/crates/forward/tests/log_lines.rs
@@ -1,8 +1,8 @@
-//! The page on log lines tells the fields that the code writes.
+//! The page on log lines lists exactly the fields that the code writes.
 
 use std::{collections::BTreeSet, fs, path::Path};
 
-/// The names of the events and their fields, from the source of the enumeration and of the request's line.
+/// The names of the events and their fields, parsed from the source of `Event` and `RequestLine`.
 fn from_source(source: &str) -> Vec<(String, BTreeSet<String>)> {
     let body = source.split("pub enum Event<'a> {").nth(1).expect("the events are there");
     let body = body.split("\n}\n").next().expect("the events end");
@@ -61,9 +61,9 @@
     let top = Path::new(env!("CARGO_MANIFEST_DIR"));
     let source = fs::read_to_string(top.join("src/journal.rs")).expect("the source can be read");
     let page = fs::read_to_string(top.join("../../docs/operations/logs.md")).expect("the page can be read");
-    let (mut told, mut written) = (from_page(&page), from_source(&source));
-    told.sort();
+    let (mut documented, mut written) = (from_page(&page), from_source(&source));
+    documented.sort();
     written.sort();
     assert!(written.len() > 15);
-    assert_eq!(told, written);
+    assert_eq!(documented, written);
 }
