--- a/crates/forward/src/access_log.rs
+++ b/crates/forward/src/access_log.rs
@@ -107,7 +107,9 @@
             held_tokens: choice.map_or(0, |choice| choice.cached_tokens),
             cold_tokens: choice.map_or(0, |choice| choice.uncached_tokens),
             guessed_tokens: self.guessed_tokens,
-            subject: choice.and_then(|choice| choice.last_shared_segment).map(|part| format!("{:x}", part.0)),
+            subject: choice
+                .and_then(|choice| choice.last_shared_segment)
+                .map(|segment| format!("{:x}", segment.0)),
             at_home: choice.is_some_and(|choice| choice.is_preferred),
             imported: choice.is_some_and(|choice| choice.import_from.is_some()),
             weights: choice.and_then(|choice| choice.scope.as_ref()).map(|scope| scope.weights.0),
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -32,7 +32,7 @@
     node: &Node,
     parts: &request::Parts,
     head: &RequestHead,
-    account: &mut RequestRecord,
+    record: &mut RequestRecord,
 ) -> Result<Admitted, Refusal> {
     let now = node.now();
     let bounds = node.settings().bounds;
@@ -42,26 +42,26 @@
         let age = state.freshness.age(now).ok_or(Reason::NoConfiguration)?;
         (state.table.clone().ok_or(Reason::NoConfiguration)?, age)
     };
-    account.configuration = Some(table.version());
-    account.configuration_age = Some(age);
+    record.configuration = Some(table.version());
+    record.configuration_age = Some(age);
     let is_within = |bound: Duration| age < bound;
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     // An outdated table may lack a route or key that exists by now.
-    let doubtful = !is_within(bounds.unverified_after());
+    let unverified = !is_within(bounds.unverified_after());
     match table.admit(host, parts.uri.path(), head.key.as_deref()) {
-        Admission::NoRoute | Admission::UnknownKey if doubtful => Err(Reason::ConfigurationTooOld.into()),
+        Admission::NoRoute | Admission::UnknownKey if unverified => Err(Reason::ConfigurationTooOld.into()),
         Admission::NoRoute => Err(Reason::NoRoute.into()),
         Admission::UnknownKey => Err(Reason::UnknownKey.into()),
         Admission::Admitted { route, tenant } => {
-            account.route = Some(Arc::clone(&route));
-            account.tenant.clone_from(&tenant);
+            record.route = Some(Arc::clone(&route));
+            record.tenant.clone_from(&tenant);
             if tenant.is_some() && bounds.revocation_fails_closed && !is_within(bounds.stale_after()) {
                 return Err(Reason::ConfigurationTooOld.into());
             }
             let service = node.pick_service(&route).ok_or(Reason::NoBackend)?;
             let grant = match &tenant {
-                Some(tenant) => charge(node, tenant, head, account)?,
+                Some(tenant) => charge(node, tenant, head, record)?,
                 None => None,
             };
             Ok(Admitted { route, service, grant })
@@ -74,14 +74,14 @@
     node: &Node,
     tenant: &Tenant,
     head: &RequestHead,
-    account: &mut RequestRecord,
+    record: &mut RequestRecord,
 ) -> Result<Option<QuotaGrant>, Refusal> {
     let Some(quota) = &tenant.quota else { return Ok(None) };
     let units = quota.units(head.usage).ok_or(Reason::UsageMalformed)?;
     let now = node.now();
     let mut state = node.state.borrow_mut();
     state.quotas.admit(&tenant.name, units, rand::random(), now).map_err(|refusal| {
-        account.quota = state.quotas.view(&tenant.name, now);
+        record.quota = state.quotas.view(&tenant.name, now);
         Refusal { reason: Reason::QuotaExceeded, retry_after: Some(refusal.retry_after) }
     })
 }
--- a/crates/forward/src/announcements.rs
+++ b/crates/forward/src/announcements.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnnouncementSource {
     Answer,
-    Told,
+    Gossip,
 }
 
 impl AnnouncementSource {
@@ -34,7 +34,7 @@
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::Answer => "answer",
-            Self::Told => "told",
+            Self::Gossip => "told",
         }
     }
 }
@@ -103,7 +103,7 @@
     /// Applies draining announcements received from other nodes.
     pub(crate) fn merge_draining_gossip(&self, processes: &[BackendProcess]) {
         for process in processes {
-            self.observe_draining(process, AnnouncementSource::Told);
+            self.observe_draining(process, AnnouncementSource::Gossip);
         }
     }
 
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -27,7 +27,7 @@
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The detail of an attempt whose back end has begun to drain or to back off.
-const NOT_ACCEPTING: &str = "the back end takes no requests any more";
+const NOT_ACCEPTING: &str = "the back end no longer accepts requests";
 /// The detail of an attempt whose back end's limit was used up after it was chosen.
 const LIMIT_USED_UP: &str = "the back end's limit is used up";
 
@@ -285,9 +285,9 @@
     if status.is_server_error() {
         let event = HealthEvent::Failed;
         node.health(backend, event, false);
-        let whole = node.clock.timeout_at(deadline, read_full_answer(node, upstream)).await;
+        let result = node.clock.timeout_at(deadline, read_full_answer(node, upstream)).await;
         let detail = format!("status {status}");
-        return match whole {
+        return match result {
             Some(Ok(answer)) => {
                 let answer = Some(answer);
                 Err(AttemptFailure {
@@ -298,11 +298,11 @@
                 })
             }
             Some(Err(_)) => {
-                Err(AttemptFailure { reused, ..AttemptFailure::broken(format!("{detail}, broken off")) })
+                Err(AttemptFailure { reused, ..AttemptFailure::broken(format!("{detail}, incomplete body")) })
             }
             None => Err(AttemptFailure {
                 reused,
-                ..AttemptFailure::unclear(format!("{detail}, not whole in time"))
+                ..AttemptFailure::unclear(format!("{detail}, body incomplete in time"))
             }),
         };
     }
@@ -341,14 +341,14 @@
 
 /// Removes hop-by-hop headers.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name.as_str());
     }
     for name in CONNECTION_HEADERS {
--- a/crates/forward/src/calls.rs
+++ b/crates/forward/src/calls.rs
@@ -26,7 +26,7 @@
     #[error("no answer within {0:?}")]
     Timeout(Duration),
     /// The body broke off or is too large.
-    #[error("no whole answer: {0}")]
+    #[error("incomplete answer: {0}")]
     Body(String),
 }
 
@@ -62,8 +62,8 @@
         }
         let answer = connection.send(Request::from_parts(parts, Full::new(body))).await?;
         let (parts, body) = answer.into_parts();
-        let whole = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-        let body = whole.map_err(|error| CallError::Body(error.to_string()))?.to_bytes();
+        let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let body = collected.map_err(|error| CallError::Body(error.to_string()))?.to_bytes();
         self.recycle(connection).await;
         Ok(Response::from_parts(parts, body))
     }
--- a/crates/forward/src/dispatch.rs
+++ b/crates/forward/src/dispatch.rs
@@ -40,8 +40,8 @@
         let dispatch = Dispatch {
             backend: &choice.backend,
             deadline: self.deadline.saturating_since(now),
-            tenant: self.account.tenant.as_deref(),
-            rank: rank(self.account.tenant.as_deref(), &self.route),
+            tenant: self.record.tenant.as_deref(),
+            rank: rank(self.record.tenant.as_deref(), &self.route),
             scope: choice.scope.as_ref(),
             import_from: choice.import_from,
             save_to: choice.save_to.as_ref().map(|store| store.address),
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -48,7 +48,7 @@
     pub deadline: Timestamp,
     /// The attempts so far.
     pub history: AttemptHistory,
-    pub(crate) account: RequestRecord,
+    pub(crate) record: RequestRecord,
     pub(crate) arrived: Timestamp,
     pub(crate) head: RequestHead,
     pub(crate) parts: request::Parts,
@@ -68,23 +68,23 @@
     let arrived = node.now();
     let (parts, body) = request.into_parts();
     let head = node.platform.read_request(&parts.headers);
-    let mut account = RequestRecord {
+    let mut record = RequestRecord {
         id: head.id.clone(),
         guessed_tokens: head.prompt.as_ref().map(|prompt| prompt.output_tokens),
         ..RequestRecord::default()
     };
-    let admitted = admit(&node, &parts, &head, &mut account);
+    let admitted = admit(&node, &parts, &head, &mut record);
     let Admitted { route, service, grant } = match admitted {
         Ok(admitted) => admitted,
         Err(refusal) => {
-            account.refuse(&node, arrived, refusal);
+            record.refuse(&node, arrived, refusal);
             return error_answer(refusal);
         }
     };
     let timeout = head.deadline.unwrap_or(DEFAULT_DEADLINE).saturating_sub(DEADLINE_MARGIN);
     let deadline = arrived + timeout.min(route.timeout);
-    if !node.has_time_for(&route, account.guessed_tokens, deadline) {
-        account.refuse(&node, arrived, Reason::Stopping.into());
+    if !node.has_time_for(&route, record.guessed_tokens, deadline) {
+        record.refuse(&node, arrived, Reason::Stopping.into());
         node.refund_quota(grant);
         return error_answer(Reason::Stopping);
     }
@@ -95,7 +95,7 @@
         route,
         deadline,
         history: AttemptHistory::default(),
-        account,
+        record,
         arrived,
         head,
         parts,
@@ -118,8 +118,8 @@
         let most = self.node.state.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
         let reading = Limited::new(body, most).collect();
         match self.node.clock.timeout_at(self.deadline, reading).await {
-            Some(Ok(whole)) => {
-                self.body = whole.to_bytes();
+            Some(Ok(collected)) => {
+                self.body = collected.to_bytes();
                 Ok(())
             }
             Some(Err(error)) if error.is::<LengthLimitError>() => Err(Reason::BodyTooLarge),
@@ -163,7 +163,7 @@
     /// Chooses a back end that has not been tried.
     pub fn choose_backend(&mut self) -> Option<Choice> {
         let isolated =
-            self.account.tenant.as_ref().filter(|tenant| tenant.isolated).map(|tenant| &tenant.name);
+            self.record.tenant.as_ref().filter(|tenant| tenant.isolated).map(|tenant| &tenant.name);
         let request = RouteRequest {
             service: &self.service,
             prompt: self.head.prompt.as_ref(),
@@ -174,7 +174,7 @@
             draw: self.draw,
         };
         let choice = self.node.choose_backend(request)?;
-        self.account.choice = Some(choice.clone());
+        self.record.choice = Some(choice.clone());
         Some(choice)
     }
 
@@ -272,13 +272,13 @@
     /// Whether another back end could take the stream over now.
     pub fn has_alternative(&mut self) -> bool {
         let budget = self.node.retries_left(&self.service) > 0;
-        if let Some(choice) = self.account.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
+        if let Some(choice) = self.record.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
             return budget && self.copy_of(&choice).is_some();
         }
         let allowed = self.history.sent < self.route.attempts && budget;
-        let known = self.account.choice.clone();
+        let known = self.record.choice.clone();
         let found = allowed && self.choose_backend().is_some();
-        self.account.choice = known;
+        self.record.choice = known;
         found
     }
 
@@ -291,7 +291,7 @@
             }
             None => {
                 self.history.may_have_run = true;
-                Err(AttemptFailure::unclear("the answer did not end in time".into()))
+                Err(AttemptFailure::unclear("the answer was not complete in time".into()))
             }
         }
     }
@@ -299,7 +299,7 @@
     /// Relays a stream. The head is held until the first event, so that a failure before it can still be
     /// answered by an error response.
     async fn relay(mut self, choice: Choice, upstream: AttemptAnswer) -> Response<AnswerBody> {
-        self.account.status = Some(upstream.head.status.as_u16());
+        self.record.status = Some(upstream.head.status.as_u16());
         let last_event = self.head.last_event;
         let relay = match Relay::open(self, choice, upstream, last_event).await {
             Ok(relay) => relay,
@@ -317,8 +317,8 @@
     /// Records that the first part of the answer's body arrived.
     pub fn record_first_chunk(&mut self, choice: &Choice) {
         let now = self.node.now();
-        if self.account.first_at.is_none() {
-            self.account.first_at = Some(now);
+        if self.record.first_at.is_none() {
+            self.record.first_at = Some(now);
             let kind = kind_label(self.route.kind);
             self.node.metrics.observe(Distribution::FirstByte(kind), now.saturating_since(self.arrived));
         }
@@ -344,26 +344,26 @@
     /// Records a further part of a stream.
     pub fn record_chunk(&mut self) {
         let now = self.node.now();
-        if let Some(before) = self.account.chunk_at.replace(now) {
-            self.account.longest_gap = self.account.longest_gap.max(now.saturating_since(before));
+        if let Some(before) = self.record.chunk_at.replace(now) {
+            self.record.longest_gap = self.record.longest_gap.max(now.saturating_since(before));
         }
     }
 
     /// Records that the stream continues at another back end.
     pub fn record_resume(&mut self) {
-        self.account.resumed += 1;
+        self.record.resumed += 1;
         self.node.metrics.count(Counter::Resumed);
     }
 
     /// Whether no back end has run the request: it was refused, or the caller left before it was sent.
     fn has_not_run(&self) -> bool {
-        let refused = matches!(self.account.outcome, Some(REFUSED | HELD_BACK));
-        refused || (self.history.sent == 0 && self.account.outcome.is_none())
+        let refused = matches!(self.record.outcome, Some(REFUSED | HELD_BACK));
+        refused || (self.history.sent == 0 && self.record.outcome.is_none())
     }
 
     /// Sets the outcome of the request.
     pub const fn set_outcome(&mut self, outcome: &'static str) {
-        self.account.outcome = Some(outcome);
+        self.record.outcome = Some(outcome);
     }
 
     /// The request's id, for log lines.
@@ -380,14 +380,14 @@
         if let Some(drawn_at) = self.misdirected_retry.take() {
             self.node.settle_misdirected_retry(Some(drawn_at), None);
         }
-        if self.account.is_served() {
+        if self.record.is_served() {
             let now = self.node.now();
             let total = now.saturating_since(self.arrived);
-            let first_chunk = self.account.first_at.map_or(total, |at| at.saturating_since(self.arrived));
-            let time = AnswerTime { first_chunk, total, estimated_tokens: self.account.guessed_tokens };
+            let first_chunk = self.record.first_at.map_or(total, |at| at.saturating_since(self.arrived));
+            let time = AnswerTime { first_chunk, total, estimated_tokens: self.record.guessed_tokens };
             self.node.answer_times.borrow_mut().record(&self.route.name, time, now);
         }
-        self.account.log(&self.node, self.arrived, self.history);
+        self.record.log(&self.node, self.arrived, self.history);
     }
 }
 
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -258,7 +258,7 @@
         }
         origin.targets.iter().for_each(|proof| target_versions.merge_proof(proof));
         let now = self.now();
-        let age = target_versions.newest(model).and_then(|naming| naming.age(now));
+        let age = target_versions.newest(model).and_then(|target| target.age(now));
         // Requests that are waiting at back ends may have to be withdrawn.
         self.target_announced.notify_waiters();
         let event = Event::WeightsNamed {
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -73,7 +73,7 @@
         let now = self.now();
         let changes = self.state.borrow_mut().backends.announcements.merge_limit_gossip(gossip, now);
         for (process, change) in &changes {
-            self.log_limit_change(process, *change, AnnouncementSource::Told);
+            self.log_limit_change(process, *change, AnnouncementSource::Gossip);
         }
     }
 
@@ -83,12 +83,12 @@
         let now = self.now();
         let changes = self.state.borrow_mut().backends.announcements.apply_limit_grants(grants, sent_at, now);
         for (process, change) in &changes {
-            self.log_limit_change(process, *change, AnnouncementSource::Told);
+            self.log_limit_change(process, *change, AnnouncementSource::Gossip);
         }
     }
 
-    fn log_limit_change(&self, process: &BackendProcess, change: LimitChange, heard: AnnouncementSource) {
-        let (backend, heard) = (process.id.as_str(), heard.name());
+    fn log_limit_change(&self, process: &BackendProcess, change: LimitChange, source: AnnouncementSource) {
+        let (backend, heard) = (process.id.as_str(), source.name());
         let event = match change {
             LimitChange::Began(per_second) | LimitChange::Changed(per_second) => {
                 let own = self.state.borrow().backends.announcements.own_rate(process);
--- a/crates/forward/src/node_state.rs
+++ b/crates/forward/src/node_state.rs
@@ -199,8 +199,8 @@
     pub fn stores(&self) -> impl Iterator<Item = StoreEndpoint> + '_ {
         let services = self.table.iter().flat_map(|table| table.services());
         services.filter_map(|(name, service)| {
-            let kept = service.cache_store.as_ref()?;
-            Some(StoreEndpoint { id: BackendId::from(name.as_str()), address: kept.address })
+            let cache_store = service.cache_store.as_ref()?;
+            Some(StoreEndpoint { id: BackendId::from(name.as_str()), address: cache_store.address })
         })
     }
 
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -152,10 +152,10 @@
     /// Answers with an error response.
     pub(crate) fn refuse(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
         let refusal = refusal.into();
-        self.account.reason = Some(refusal.reason);
+        self.record.reason = Some(refusal.reason);
         let answer = error_answer(refusal);
-        self.account.status = Some(answer.status().as_u16());
-        self.account.outcome = Some(match (refusal.reason, refusal.retry_after) {
+        self.record.status = Some(answer.status().as_u16());
+        self.record.outcome = Some(match (refusal.reason, refusal.retry_after) {
             (Reason::HeldBack, _) => HELD_BACK,
             (_, Some(_)) => REFUSED,
             (_, None) => "failed",
@@ -164,20 +164,20 @@
     }
 
     fn pass_on_failure(&mut self, answer: Response<Bytes>) -> Response<AnswerBody> {
-        self.account.outcome = Some("backend_failure");
+        self.record.outcome = Some("backend_failure");
         self.pass_on_inner(answer)
     }
 
     /// Relays a back end's answer.
     pub(crate) fn pass_on(&mut self, answer: Response<Bytes>, outcome: &'static str) -> Response<AnswerBody> {
-        self.account.outcome = Some(outcome);
-        self.account.first_at = Some(self.node.now());
+        self.record.outcome = Some(outcome);
+        self.record.first_at = Some(self.node.now());
         self.pass_on_inner(answer)
     }
 
     fn pass_on_inner(&mut self, answer: Response<Bytes>) -> Response<AnswerBody> {
         let (mut head, body) = answer.into_parts();
-        self.account.status = Some(head.status.as_u16());
+        self.record.status = Some(head.status.as_u16());
         strip_connection_headers(&mut head.headers);
         let mut answer = Response::new(full_body(body));
         *answer.status_mut() = head.status;
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -185,7 +185,7 @@
     async fn exchange(&self, node: &Node) {
         let sent_at = node.now();
         self.sent.set(Some((sent_at, node.running.get() > 0)));
-        let Some((report, runs_upto)) = self.report_of(node) else { return };
+        let Some((report, runs_up_to)) = self.report_of(node) else { return };
         let (sent_updates, revision) = (!report.cache_updates.is_empty(), report.revision);
         let answer: Result<Digest, String> = post(&self.calls, EXCHANGE_PATH, &report, REPORT_TIMEOUT).await;
         node.metrics.observe(Distribution::PeerCall, node.now().saturating_since(sent_at));
@@ -195,7 +195,7 @@
         };
         let lacks = digest.snapshot || node.state.borrow().revision.is_none();
         self.take(node, digest, revision, sent_at);
-        self.runs_reported.set(runs_upto);
+        self.runs_reported.set(runs_up_to);
         if let Some(peers) = node.peers.as_ref().filter(|_| sent_updates) {
             peers.borrow_mut().gossip.acknowledge();
         }
@@ -245,7 +245,7 @@
             let under_way = now.saturating_since(sent_at);
             let root_age = digest.root_age_ms.map(|age| Duration::from_millis(age) + under_way);
             if !uplink.update_path(digest.path.clone(), root_age, now) {
-                let problem = "it stands below this node".to_owned();
+                let problem = "it is a descendant of this node".to_owned();
                 node.journal.log(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
             } else if let Some(to) = digest.refer.clone() {
                 uplink.referred(to);
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -48,8 +48,8 @@
     registry: RegistryState,
     facts: F,
     /// Recently announced target versions.
-    #[serde(default)]
-    named: Vec<RecentTargetVersion>,
+    #[serde(default, rename = "named")]
+    recent_targets: Vec<RecentTargetVersion>,
 }
 
 /// Counts one of the concurrent transfers of snapshots.
@@ -99,8 +99,8 @@
     let age = state.freshness.age(now).filter(|age| *age < within)?;
     let registry = state.backends.registry.report(now);
     let proved_at = now - age;
-    let named = state.recent_targets(node.settings().bounds.weights(), proved_at, now);
-    let content = Content { revision, registry, facts: state.all_facts(), named };
+    let recent_targets = state.recent_targets(node.settings().bounds.weights(), proved_at, now);
+    let content = Content { revision, registry, facts: state.all_facts(), recent_targets };
     let body = serde_json::to_vec(&content).ok()?;
     Some(Snapshot { body: Bytes::from(body), proved_at, made_at: now })
 }
@@ -128,7 +128,7 @@
     let (items, revision) = (facts.len(), content.revision);
     node.follow_registry(content.registry);
     let proved_at = relayed_proof_time(sent_at, Duration::from_millis(age));
-    node.apply_snapshot(facts, revision, proved_at, &content.named);
+    node.apply_snapshot(facts, revision, proved_at, &content.recent_targets);
     node.metrics.count(Counter::SnapshotsTaken);
     node.journal.log(&Event::SnapshotTaken { items, revision: revision.0, age_ms: age });
     if let Some(peers) = &node.peers {
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -61,10 +61,10 @@
     let clock = clock::start();
     let journal = Journal::to_standard_output(settings.node.as_str(), clock);
     let listen = settings.listen;
-    let callers = ingress::listen(listen.callers).map_err(system("callers' address"))?;
+    let callers = ingress::listen(listen.callers).map_err(system("caller address"))?;
     let readiness = ingress::listen(listen.readiness).map_err(system("readiness address"))?;
     let metrics = listen.metrics.map(ingress::listen).transpose().map_err(system("metrics address"))?;
-    let peers = listen.peers.map(ingress::listen).transpose().map_err(system("peers' address"))?;
+    let peers = listen.peers.map(ingress::listen).transpose().map_err(system("peer address"))?;
     let peers_address =
         peers.as_ref().map(TcpListener::local_addr).transpose().map_err(system("addresses"))?;
     let advertised = peers_address.map(|address| listen.peers_advertised.unwrap_or(address));
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -125,11 +125,11 @@
 
     /// The stream as a response body.
     pub fn into_body(self) -> AnswerBody {
-        let parts = stream::unfold(self, |mut relay| async move {
-            let part = relay.next().await?;
-            Some((part.map(Frame::data), relay))
+        let chunks = stream::unfold(self, |mut relay| async move {
+            let chunk = relay.next().await?;
+            Some((chunk.map(Frame::data), relay))
         });
-        Box::pin(StreamBody::new(parts))
+        Box::pin(StreamBody::new(chunks))
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, RelayError>> {
@@ -143,11 +143,11 @@
             match self.receive().await {
                 Received::Data(data) => {
                     self.received_at = self.exchange.node.now();
-                    let whole = self.splitter.push(&data);
-                    if !whole.is_empty() {
+                    let events = self.splitter.push(&data);
+                    if !events.is_empty() {
                         self.exchange.record_chunk();
                         self.first_event();
-                        return Some(Ok(whole));
+                        return Some(Ok(events));
                     }
                 }
                 Received::End => {
@@ -192,7 +192,7 @@
         // Rechecked early, because less time is given to a back end that was ejected meanwhile.
         let recheck_at = stalled_at.map(|_| node.now() + self.slow_after());
         let until = recheck_at.map_or(until, |at| at.min(until));
-        let Some(upstream) = &mut self.upstream else { return Received::Broken("nothing has begun".into()) };
+        let Some(upstream) = &mut self.upstream else { return Received::Broken("no run in progress".into()) };
         let starting_at = (!self.has_event).then_some(&self.choice);
         match node.wait(starting_at, until, upstream.body.frame()).await {
             Waited::Done(Some(Ok(frame))) => Received::Data(frame.into_data().unwrap_or_default()),
@@ -265,7 +265,7 @@
     /// stream continues at all.
     async fn resume(&mut self, failure: AttemptFailure) -> bool {
         self.exchange.history.may_have_run = true;
-        let known = self.exchange.account.choice.clone();
+        let known = self.exchange.record.choice.clone();
         let resumed = if is_resumable(self.exchange.route.kind) {
             self.resume_elsewhere(failure).await
         } else {
@@ -275,15 +275,15 @@
             return true;
         }
         // No other back end takes the stream, so the stalled run is waited for until its deadline.
-        self.exchange.account.choice = known;
+        self.exchange.record.choice = known;
         self.waits_to_end = true;
         self.upstream.is_some()
     }
 
     async fn resume_elsewhere(&mut self, mut failure: AttemptFailure) -> bool {
-        let mut asked = self.choice.clone();
+        let mut tried = self.choice.clone();
         loop {
-            if self.exchange.decide(&asked, &failure) != NextAction::Retry {
+            if self.exchange.decide(&tried, &failure) != NextAction::Retry {
                 return false;
             }
             if self.exchange.held_for().is_some() {
@@ -291,7 +291,7 @@
             }
             let Some(choice) = self.exchange.choose_backend() else { return false };
             let resume = Resume { after: self.splitter.last_id(), continues: None };
-            asked = choice.clone();
+            tried = choice.clone();
             failure = match self.attempt_resume(choice, resume).await {
                 Ok(()) => return true,
                 Err(failure) => failure,
--- a/crates/forward/src/response_wait.rs
+++ b/crates/forward/src/response_wait.rs
@@ -51,14 +51,14 @@
     ) -> Waited<T> {
         let mut awaited = std::pin::pin!(awaited);
         loop {
-            let named = self.target_announced.notified();
+            let announced = self.target_announced.notified();
             let begin_by = starting_at.and_then(|choice| self.begin_by(choice));
             let recheck_at = begin_by.map_or(until, |at| at.min(until));
             tokio::select! {
                 biased;
                 done = awaited.as_mut() => return Waited::Done(done),
                 () = self.clock.sleep_until(recheck_at) => {}
-                () = named => continue,
+                () = announced => continue,
             }
             if self.is_outdated(starting_at) {
                 return Waited::Outdated;
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Waits for `attempt` at another back end. The stalled run in `kept` is held meanwhile, but only for a
+    /// Waits for `attempt` at another back end. The stalled run in `stalled_run` is held meanwhile, but only for a
     /// short time and only while it may still start at `starting_at`.
-    pub async fn attempt_beside<K, T>(
+    pub async fn attempt_beside<R, T>(
         &self,
-        kept: &mut Option<K>,
+        stalled_run: &mut Option<R>,
         starting_at: Option<&Choice>,
         attempt: impl Future<Output = T>,
     ) -> T {
@@ -84,7 +84,7 @@
                 return result;
             }
         }
-        *kept = None;
+        *stalled_run = None;
         attempt.await
     }
 }
--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -19,7 +19,7 @@
         }
         let fingerprint = self.fingerprint();
         let held_for = self.node.held_for(&fingerprint)?;
-        self.account.fingerprint = Some(fingerprint);
+        self.record.fingerprint = Some(fingerprint);
         Some(held_for)
     }
 
@@ -38,7 +38,7 @@
             fingerprint: self.fingerprint(),
             engine: choice.backend.clone(),
             route: self.route.name.clone(),
-            tenant: self.account.tenant.as_ref().map(|tenant| tenant.name.clone()),
+            tenant: self.record.tenant.as_ref().map(|tenant| tenant.name.clone()),
             began: self.sent_at.unwrap_or(self.arrived),
             ended: self.node.now(),
         };
@@ -51,12 +51,12 @@
     }
 
     fn origin(&self) -> Origin<'_> {
-        let named = self.parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
+        let header_host = self.parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
         Origin {
             method: self.parts.method.as_str(),
-            host: named.or_else(|| self.parts.uri.host()).unwrap_or_default(),
+            host: header_host.or_else(|| self.parts.uri.host()).unwrap_or_default(),
             path: self.parts.uri.path_and_query().map_or("/", |path| path.as_str()),
-            caller: self.account.tenant.as_ref().map_or("", |tenant| tenant.name.as_str()),
+            caller: self.record.tenant.as_ref().map_or("", |tenant| tenant.name.as_str()),
         }
     }
 }
--- a/crates/forward/src/store_feed.rs
+++ b/crates/forward/src/store_feed.rs
@@ -50,16 +50,16 @@
 pub enum StoreError {
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("the answer makes no sense: {0}")]
+    #[error("invalid answer: {0}")]
     InvalidAnswer(#[from] InvalidAnswer),
     /// The store refused the call; nothing was done.
     #[error("refused with status {0}")]
     Refused(http::StatusCode),
     /// The answer predates the latest restore of the store.
-    #[error("an answer of before the store's return")]
+    #[error("an answer from before the store was restored")]
     OlderCopy,
     /// An answer of another type than the call expects.
-    #[error("an answer of another kind")]
+    #[error("an answer of an unexpected type")]
     Unexpected,
 }
 
