--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a request may be served, by the operator's document and how recent it is.
+//! Decides from the operator's document, and from its age, whether a request may be served.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,49 +19,49 @@
     ports::RequestHead,
 };
 
-/// A request that may be served.
+/// A request that passed admission.
 pub(crate) struct Admitted {
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceId,
-    /// What was granted of its tenant's quota, if the tenant has one.
+    /// What was charged to the tenant's quota, if it has one.
     pub(crate) grant: Option<QuotaGrant>,
 }
 
-/// Finds a request's route and tenant, and the service whose turn it is.
+/// Finds a request's route and tenant, and picks a service of the route.
 pub(crate) fn admit(
     node: &Node,
     parts: &request::Parts,
     head: &RequestHead,
-    account: &mut RequestRecord,
+    record: &mut RequestRecord,
 ) -> Result<Admitted, Refusal> {
     let now = node.now();
     let bounds = node.settings().bounds;
     let (table, age) = {
         let state = node.state.borrow();
-        // What was listed without proof may be old: nobody is served by it.
+        // Without a proof of freshness the table may be outdated, so nothing is served from it.
         let age = state.freshness.age(now).ok_or(Reason::NoConfiguration)?;
         (state.table.clone().ok_or(Reason::NoConfiguration)?, age)
     };
-    account.configuration = Some(table.version());
-    account.configuration_age = Some(age);
+    record.configuration = Some(table.version());
+    record.configuration_age = Some(age);
     let is_within = |bound: Duration| age < bound;
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
-    // What is unknown to old knowledge may only be unknown yet.
-    let doubtful = !is_within(bounds.unverified_after());
+    // An outdated table may lack a route or key that exists by now.
+    let unverified = !is_within(bounds.unverified_after());
     match table.admit(host, parts.uri.path(), head.key.as_deref()) {
-        Admission::NoRoute | Admission::UnknownKey if doubtful => Err(Reason::ConfigurationTooOld.into()),
+        Admission::NoRoute | Admission::UnknownKey if unverified => Err(Reason::ConfigurationTooOld.into()),
         Admission::NoRoute => Err(Reason::NoRoute.into()),
         Admission::UnknownKey => Err(Reason::UnknownKey.into()),
         Admission::Admitted { route, tenant } => {
-            account.route = Some(Arc::clone(&route));
-            account.tenant.clone_from(&tenant);
+            record.route = Some(Arc::clone(&route));
+            record.tenant.clone_from(&tenant);
             if tenant.is_some() && bounds.revocation_fails_closed && !is_within(bounds.stale_after()) {
                 return Err(Reason::ConfigurationTooOld.into());
             }
-            let service = node.share(&route).ok_or(Reason::NoBackend)?;
+            let service = node.pick_service(&route).ok_or(Reason::NoBackend)?;
             let grant = match &tenant {
-                Some(tenant) => charge(node, tenant, head, account)?,
+                Some(tenant) => charge(node, tenant, head, record)?,
                 None => None,
             };
             Ok(Admitted { route, service, grant })
@@ -69,19 +69,19 @@
     }
 }
 
-/// Takes a request off its tenant's quota.
+/// Charges a request to its tenant's quota.
 fn charge(
     node: &Node,
     tenant: &Tenant,
     head: &RequestHead,
-    account: &mut RequestRecord,
+    record: &mut RequestRecord,
 ) -> Result<Option<QuotaGrant>, Refusal> {
     let Some(quota) = &tenant.quota else { return Ok(None) };
     let units = quota.units(head.usage).ok_or(Reason::UsageMalformed)?;
     let now = node.now();
     let mut state = node.state.borrow_mut();
     state.quotas.admit(&tenant.name, units, rand::random(), now).map_err(|refusal| {
-        account.quota = state.quotas.view(&tenant.name, now);
+        record.quota = state.quotas.view(&tenant.name, now);
         Refusal { reason: Reason::QuotaExceeded, retry_after: Some(refusal.retry_after) }
     })
 }
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one back end.
+//! One attempt to send a request to one back end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,19 +20,18 @@
     response_wait::{OUTDATED, Waited},
 };
 
-/// The time in which a connection must come up.
-const CONNECT: Duration = Duration::from_millis(300);
-/// The largest answer that is taken whole, in bytes.
-const LARGEST_ANSWER: usize = 16 << 20;
-/// How long the body of a refusal may take; a connection whose refusal takes longer is closed.
-const REFUSAL_BODY: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The largest body that is read into memory, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// How long the body of a refusal may take before its connection is closed.
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What is told of a try at a back end that has meanwhile said that it leaves or rests.
-const TAKES_NONE: &str = "the back end takes no requests any more";
-/// What is told of a try at a back end whose limit others have used up meanwhile.
+/// The detail of an attempt whose back end has begun to drain or to back off.
+const NOT_ACCEPTING: &str = "the back end no longer accepts requests";
+/// The detail of an attempt whose back end's limit was used up after it was chosen.
 const LIMIT_USED_UP: &str = "the back end's limit is used up";
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [header::HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -44,72 +43,69 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Which run a try asks its back end for.
+/// What an attempt asks its back end to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunKind {
-    /// One that begins there.
+    /// A new run.
     New,
-    /// One that another back end began, and that goes on there from a copy of its memory.
+    /// A run that another back end began, continued from a copy of its memory.
     Continued,
 }
 
-/// Why a try has no answer to pass on.
+/// Why an attempt has no answer that can be relayed.
 #[derive(Debug)]
 pub struct AttemptFailure {
-    /// What is certain about it.
+    /// What is known about the run.
     pub end: AttemptEnd,
-    /// What happened, for people.
+    /// A description for log lines.
     pub detail: String,
-    /// A whole failure of the back end's own, which may be passed on.
+    /// A complete error response of the back end, which may be relayed.
     pub answer: Option<Response<Bytes>>,
-    /// Whether the connection had been used before.
+    /// Whether the attempt used a pooled connection.
     pub reused: bool,
-    /// Whether the connection ended under the run, which is how a back end's crash shows.
-    pub broke: bool,
-    /// The back end that answered, where the answer names it.
+    /// Whether the connection broke during the run, which may mean that the back end crashed.
+    pub connection_lost: bool,
+    /// The back end that answered, if the answer names it.
     pub answered_by: Option<BackendId>,
 }
 
 impl AttemptFailure {
-    /// The back end may have run the request, and will not be heard of it any more.
+    /// The back end may have run the request, and its outcome is unknown.
     pub fn unclear(detail: String) -> Self {
         Self {
             end: AttemptEnd::Unclear,
             detail,
             answer: None,
             reused: false,
-            broke: false,
+            connection_lost: false,
             answered_by: None,
         }
     }
 
-    /// The same, where the connection ended under the run.
+    /// The same, after the connection broke during the run.
     pub fn broken(detail: String) -> Self {
-        Self { broke: true, ..Self::unclear(detail) }
+        Self { connection_lost: true, ..Self::unclear(detail) }
     }
 }
 
-/// An answer that has begun.
+/// An answer whose head has arrived.
 #[derive(Debug)]
 pub struct AttemptAnswer {
-    /// Its head.
     pub head: response::Parts,
-    /// What the head says.
-    pub says: AnswerHead,
-    /// Its body.
+    /// What the platform reads from the head.
+    pub parsed: AnswerHead,
     pub body: Incoming,
-    /// The connection it comes on.
+    /// The connection that carries the body.
     pub connection: Connection,
-    /// The work that it is at the back end.
+    /// Counts the request as load on the back end.
     pub work: LoadGuard,
-    /// Whether the body's end can be told from a broken connection.
+    /// Whether the end of the body can be told from a broken connection.
     pub framed: bool,
 }
 
-/// The account of one request's work at a back end; ends with it.
+/// Counts one request as load on a back end until it is dropped.
 pub struct LoadGuard {
     node: Rc<Node>,
-    /// The back end.
     pub backend: BackendId,
     began: Timestamp,
     pending_prefill_tokens: Option<u64>,
@@ -134,8 +130,8 @@
         }
     }
 
-    /// The first part of the answer is here.
-    pub fn first_part(&mut self) {
+    /// Records that the first part of the answer arrived.
+    pub fn record_first_chunk(&mut self) {
         if let Some(tokens) = self.pending_prefill_tokens.take() {
             let now = self.node.now();
             let milliseconds = now.saturating_since(self.began).as_secs_f64() * 1_000.0;
@@ -156,38 +152,38 @@
     }
 }
 
-/// Sends a request and waits for an answer that may be passed on, until `give_up_at`.
+/// Sends a request and waits until `deadline` for an answer that can be relayed.
 pub async fn send(
     node: &Rc<Node>,
     choice: &Choice,
     id: Option<&str>,
     request: Request<Full<Bytes>>,
     run: RunKind,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 ) -> Result<AttemptAnswer, AttemptFailure> {
     let work = LoadGuard::begin(node, choice);
-    // A run that goes on begins nothing: its weights were in time when it began.
-    let begins_at = (run == RunKind::New).then_some(choice);
-    // Looked at before a connection is taken from the pool: one that is not used is closed.
-    if let Some(why) = why_not_to_send(node, choice, begins_at) {
+    // A continued run does not start, so the age of its weights no longer matters.
+    let starting_at = (run == RunKind::New).then_some(choice);
+    // Checked before the pool is used, because a connection that is taken and not used is closed.
+    if let Some(why) = blocked_reason(node, choice, starting_at) {
         return Err(not_sent(node, choice, why));
     }
-    let asked = node.process_of(&choice.backend);
+    let process = node.process_of(&choice.backend);
     let pooled = node.pool.borrow_mut().take(&choice.backend, node.now());
     let reused = pooled.is_some();
     let mut connection = match pooled {
         Some(connection) => connection,
-        None => connect(node, choice, give_up_at).await?,
+        None => connect(node, choice, deadline).await?,
     };
-    // The connection took its time.
-    if let Some(why) = why_not_to_send(node, choice, begins_at).filter(|_| !reused) {
+    // Checked again, because opening a connection takes time.
+    if let Some(why) = blocked_reason(node, choice, starting_at).filter(|_| !reused) {
         node.pool.borrow_mut().put(&choice.backend, connection, node.now());
         return Err(not_sent(node, choice, why));
     }
     let sent_at = node.now();
     node.acquire_permit(&choice.backend);
     let waiting = connection.send(request);
-    let answer = match node.wait(begins_at, give_up_at, waiting).await {
+    let answer = match node.wait(starting_at, deadline, waiting).await {
         Waited::Done(Ok(answer)) => answer,
         Waited::Done(Err(error)) => {
             if error.is_before_sending() {
@@ -196,7 +192,7 @@
             return Err(broken(node, choice, &error, reused));
         }
         Waited::Outdated => {
-            // This says nothing against the back end: it was not given its time.
+            // The request was aborted early, which says nothing about the back end's health.
             node.health(&choice.backend, HealthEvent::Inconclusive, false);
             return Err(AttemptFailure { reused, ..AttemptFailure::unclear(OUTDATED.into()) });
         }
@@ -206,36 +202,36 @@
         }
     };
     let (head, body) = answer.into_parts();
-    let says = node.platform.read_answer(head.status, &head.headers);
+    let parsed = node.platform.read_answer(head.status, &head.headers);
     connection.keep_alive = keep_alive(&head.headers);
-    if says.request_id.as_deref() != id {
+    if parsed.request_id.as_deref() != id {
         node.pool.borrow_mut().distrust(&choice.backend, node.now());
         return Err(AttemptFailure {
             reused,
             ..AttemptFailure::unclear("an answer to another request".into())
         });
     }
-    // On whatever it says of the request: the registry may be away, or tell of it much later.
-    node.observe_answer(&asked, &says, Some(sent_at));
+    // Announcements count whatever the status, since the registry may be unreachable or late.
+    node.observe_answer(&process, &parsed, Some(sent_at));
     let framed = head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING);
-    let begun = AttemptAnswer { head, says, body, connection, work, framed };
-    judge(node, choice, begun, reused, give_up_at).await
+    let upstream = AttemptAnswer { head, parsed, body, connection, work, framed };
+    classify(node, choice, upstream, reused, deadline).await
 }
 
-/// Why a back end that was chosen must not be sent the request any more.
-fn why_not_to_send(node: &Node, choice: &Choice, begins_at: Option<&Choice>) -> Option<&'static str> {
-    if node.is_outdated(begins_at) {
+/// Why the chosen back end must not receive the request any more, if so.
+fn blocked_reason(node: &Node, choice: &Choice, starting_at: Option<&Choice>) -> Option<&'static str> {
+    if node.is_outdated(starting_at) {
         return Some(OUTDATED);
     }
     if node.lacks_permit(&choice.backend) {
         node.metrics.count(Counter::DeferredForLimits);
         return Some(LIMIT_USED_UP);
     }
-    (!node.still_takes(choice)).then_some(TAKES_NONE)
+    (!node.still_accepts(choice)).then_some(NOT_ACCEPTING)
 }
 
-/// The back end's weights are too old, or it wants no requests. This says nothing against it, and it was not asked.
+/// The request was held back by this node, which says nothing about the back end's health.
 fn not_sent(node: &Rc<Node>, choice: &Choice, why: &str) -> AttemptFailure {
     node.health(&choice.backend, HealthEvent::Inconclusive, false);
     AttemptFailure { end: AttemptEnd::NotSent, ..AttemptFailure::unclear(why.into()) }
@@ -244,44 +240,44 @@
 async fn connect(
     node: &Rc<Node>,
     choice: &Choice,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 ) -> Result<Connection, AttemptFailure> {
     node.metrics.count(Counter::Connections);
     let now = node.now();
-    let patience = CONNECT.min(give_up_at.saturating_since(now));
-    Connection::open(choice.address, patience, now).await.map_err(|error| broken(node, choice, &error, false))
+    let timeout = CONNECT_TIMEOUT.min(deadline.saturating_since(now));
+    Connection::open(choice.address, timeout, now).await.map_err(|error| broken(node, choice, &error, false))
 }
 
 fn broken(node: &Rc<Node>, choice: &Choice, error: &ConnectionError, reused: bool) -> AttemptFailure {
     let end = if error.is_before_sending() { AttemptEnd::NotSent } else { AttemptEnd::Unclear };
-    // A kept connection that its peer closed says nothing of the back end.
+    // A pooled connection that the peer closed says nothing about the back end's health.
     if error.is_refusal() {
         node.health(&choice.backend, HealthEvent::Unreachable, false);
     } else if !matches!(error, ConnectionError::NotSent) {
         node.health(&choice.backend, HealthEvent::Failed, !reused && end == AttemptEnd::NotSent);
     }
-    let broke = matches!(error, ConnectionError::Broken(_));
-    AttemptFailure { end, reused, broke, ..AttemptFailure::unclear(error.to_string()) }
+    let connection_lost = matches!(error, ConnectionError::Broken(_));
+    AttemptFailure { end, reused, connection_lost, ..AttemptFailure::unclear(error.to_string()) }
 }
 
-/// Sorts out answers that are not passed on as they come.
-async fn judge(
+/// Turns refusals, foreign answers and server errors into failures.
+async fn classify(
     node: &Rc<Node>,
     choice: &Choice,
-    begun: AttemptAnswer,
+    upstream: AttemptAnswer,
     reused: bool,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 ) -> Result<AttemptAnswer, AttemptFailure> {
     let backend = &choice.backend;
-    let status = begun.head.status;
-    if begun.says.not_run || begun.says.misdirected {
-        let end = note_refusal(node, choice, &begun.says);
+    let status = upstream.head.status;
+    if upstream.parsed.not_run || upstream.parsed.misdirected {
+        let end = record_refusal(node, choice, &upstream.parsed);
         let detail = format!("status {status}, not run");
-        let answered_by = begun.says.backend.clone();
-        let _ = tokio::time::timeout(REFUSAL_BODY, take_whole(node, begun)).await;
+        let answered_by = upstream.parsed.backend.clone();
+        let _ = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, read_full_answer(node, upstream)).await;
         return Err(AttemptFailure { end, reused, answered_by, ..AttemptFailure::unclear(detail) });
     }
-    if begun.says.encoded || (status.is_success() && !begun.says.signed) {
+    if upstream.parsed.encoded || (status.is_success() && !upstream.parsed.signed) {
         node.pool.borrow_mut().distrust(backend, node.now());
         let detail = format!("status {status}, not a back end's answer");
         return Err(AttemptFailure { reused, ..AttemptFailure::unclear(detail) });
@@ -289,9 +285,9 @@
     if status.is_server_error() {
         let event = HealthEvent::Failed;
         node.health(backend, event, false);
-        let whole = node.clock.timeout_at(give_up_at, take_whole(node, begun)).await;
+        let result = node.clock.timeout_at(deadline, read_full_answer(node, upstream)).await;
         let detail = format!("status {status}");
-        return match whole {
+        return match result {
             Some(Ok(answer)) => {
                 let answer = Some(answer);
                 Err(AttemptFailure {
@@ -302,57 +298,57 @@
                 })
             }
             Some(Err(_)) => {
-                Err(AttemptFailure { reused, ..AttemptFailure::broken(format!("{detail}, broken off")) })
+                Err(AttemptFailure { reused, ..AttemptFailure::broken(format!("{detail}, incomplete body")) })
             }
             None => Err(AttemptFailure {
                 reused,
-                ..AttemptFailure::unclear(format!("{detail}, not whole in time"))
+                ..AttemptFailure::unclear(format!("{detail}, body incomplete in time"))
             }),
         };
     }
     node.health(backend, HealthEvent::Succeeded, false);
-    Ok(begun)
+    Ok(upstream)
 }
 
-fn note_refusal(node: &Rc<Node>, choice: &Choice, says: &AnswerHead) -> AttemptEnd {
+fn record_refusal(node: &Rc<Node>, choice: &Choice, parsed: &AnswerHead) -> AttemptEnd {
     node.health(&choice.backend, HealthEvent::Inconclusive, false);
-    if says.misdirected {
+    if parsed.misdirected {
         node.metrics.count(Counter::Misdirected);
     }
-    let other = says.backend.as_ref().filter(|backend| **backend != choice.backend);
-    if let Some(other) = other.filter(|_| says.misdirected) {
+    let other = parsed.backend.as_ref().filter(|backend| **backend != choice.backend);
+    if let Some(other) = other.filter(|_| parsed.misdirected) {
         node.misdirected(choice, other);
         return AttemptEnd::Misdirected;
     }
-    if let (Some(scope), Some(version)) = (&choice.scope, says.weights) {
+    if let (Some(scope), Some(version)) = (&choice.scope, parsed.weights) {
         node.observe_weights(&choice.backend, &scope.model, version);
     }
-    if !says.misdirected {
+    if !parsed.misdirected {
         node.refused(&choice.backend);
     }
     AttemptEnd::NotRun
 }
 
-/// Takes an answer whole and gives its connection back.
-pub async fn take_whole(node: &Rc<Node>, begun: AttemptAnswer) -> Result<Response<Bytes>, String> {
-    let AttemptAnswer { head, body, connection, mut work, .. } = begun;
+/// Reads an answer to its end and returns the connection to the pool.
+pub async fn read_full_answer(node: &Rc<Node>, upstream: AttemptAnswer) -> Result<Response<Bytes>, String> {
+    let AttemptAnswer { head, body, connection, mut work, .. } = upstream;
     let body =
-        Limited::new(body, LARGEST_ANSWER).collect().await.map_err(|error| error.to_string())?.to_bytes();
-    work.first_part();
+        Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|error| error.to_string())?.to_bytes();
+    work.record_first_chunk();
     node.pool.borrow_mut().put(&work.backend, connection, node.now());
     Ok(Response::from_parts(head, body))
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name.as_str());
     }
     for name in CONNECTION_HEADERS {
@@ -362,7 +358,7 @@
     headers.remove(PROXY_CONNECTION);
 }
 
-/// How long the peer keeps the connection without use, where it says so.
+/// The peer's idle timeout, if its `Keep-Alive` header gives one.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/forward/src/candidates.rs
+++ b/crates/forward/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Describes the back ends of a service to the chooser, as a request needs them.
+//! Describes the back ends of a service to the chooser, as candidates for a request.
 
 use paddlemount_core::{
     forwarding::{
@@ -20,49 +20,47 @@
 
 use crate::node_state::{FULL_SCAN_MAX_NODES, NodeCount, NodeState};
 
-/// Connections to a back end that a node may have at least while it does not know how many nodes there are.
-const LEAST_CONNECTIONS_UNCOUNTED: u32 = 6;
-/// Back ends that are weighed for a request at least.
-const LEAST_CONSIDERED: usize = 6;
-/// Back ends that are weighed for a request at most, where few of many are: further ones are hardly better than the best
-/// of these, and each costs time.
-const MOST_CONSIDERED: usize = 24;
+/// The minimum number of connections per back end that a node may use while the number of nodes is unknown.
+const MIN_CONNECTIONS_UNCOUNTED: u32 = 6;
+/// The minimum number of back ends that are compared for a request.
+const MIN_CONSIDERED: usize = 6;
+/// The maximum number of back ends that are compared for a request in a large fleet, where further ones cost
+/// time and hardly improve the choice.
+const MAX_CONSIDERED: usize = 24;
 
-/// What is asked of [`crate::node::Node::place`].
+/// The input of [`crate::node::Node::choose_backend`].
 #[derive(Clone, Copy)]
 pub struct RouteRequest<'a> {
-    /// The service.
     pub service: &'a ServiceId,
-    /// The prompt, if any.
     pub prompt: Option<&'a Prompt>,
-    /// The isolated tenant, if it is one.
+    /// The tenant, if it is isolated.
     pub isolated: Option<&'a TenantId>,
-    /// Whether the run's memory is to be copied as it grows, where the engines can do that.
+    /// Whether to copy the run's memory while it grows, if the engines support that.
     pub copied: bool,
-    /// Whether only back ends against which nothing speaks may be chosen.
+    /// Whether only healthy back ends may be chosen.
     pub healthy_only: bool,
-    /// Back ends that have been tried.
+    /// Back ends that were tried already.
     pub tried: &'a [BackendId],
-    /// A number drawn for the request.
+    /// A random number drawn for the request.
     pub draw: u64,
 }
 
-/// The back ends of a service, as they look to one request.
+/// The back ends of a service, as seen by one request.
 #[derive(Clone, Copy)]
 struct View<'a> {
     state: &'a NodeState,
     pool: &'a Pool,
-    ask: RouteRequest<'a>,
+    request: RouteRequest<'a>,
     now: Timestamp,
-    /// The only back end that may be chosen, where one is to be probed.
+    /// The only eligible back end, if one is to be probed.
     only: Option<&'a BackendId>,
-    /// Whether only back ends against which nothing speaks are fit.
+    /// Whether only healthy back ends are eligible.
     strict: bool,
-    /// The oldest version of the weights that the request may begin on.
+    /// The oldest version of the weights that the request may start on.
     required: Option<WeightsVersion>,
-    /// The version that it rather begins on.
+    /// The oldest version that the request prefers.
     preferred: Option<WeightsVersion>,
-    /// Connections that a back end takes from all nodes together; none where there is no limit.
+    /// The maximum number of connections per back end over all nodes; `None` if unlimited.
     max_connections: Option<u32>,
     /// The nodes that share them.
     nodes: NodeCount,
@@ -70,28 +68,28 @@
 
 impl NodeState {
     /// Chooses the back end for a request.
-    pub(crate) fn place(
+    pub(crate) fn choose_backend(
         &self,
-        ask: RouteRequest<'_>,
+        request: RouteRequest<'_>,
         zone: &ZoneId,
         nodes: NodeCount,
         now: Timestamp,
     ) -> Option<Choice> {
-        let pool = self.backends.pool(ask.service)?;
-        let store = ask.prompt.and_then(|prompt| shard_of(prompt, self.stores()));
+        let pool = self.backends.pool(request.service)?;
+        let store = request.prompt.and_then(|prompt| shard_of(prompt, self.stores()));
         let placement = Placement {
-            prompt: ask.prompt,
-            isolated: ask.isolated,
+            prompt: request.prompt,
+            isolated: request.isolated,
             zone,
-            seed: ask.draw,
+            seed: request.draw,
             store: store.as_ref(),
-            sample_size: considered(pool.len(), nodes),
-            replicate: ask.copied && self.can_copy(ask.service, now),
+            sample_size: sample_size(pool.len(), nodes),
+            replicate: request.copied && self.can_copy(request.service, now),
             now,
         };
-        let strict = self.view(pool, ask, nodes, now);
+        let strict = self.view(pool, request, nodes, now);
         let is_of_service = |id: &&BackendId| {
-            self.backends.get(id).is_some_and(|backend| backend.entry.service == *ask.service)
+            self.backends.get(id).is_some_and(|backend| backend.entry.service == *request.service)
         };
         for probed in self.backends.announcements.limits_to_probe(now).filter(is_of_service) {
             let probe = View { only: Some(probed), ..strict };
@@ -102,41 +100,41 @@
         if let Some(choice) = self.chooser.choose(placement, &strict) {
             return Some(choice);
         }
-        if ask.healthy_only {
+        if request.healthy_only {
             return None;
         }
-        // Back ends that may be unfit are better than none, but not those that were tried.
+        // Back ends that may be unhealthy are better than none, but not those that were tried.
         self.chooser.choose(placement, &View { strict: false, ..strict })
     }
 
     fn view<'a>(
         &'a self,
         pool: &'a Pool,
-        ask: RouteRequest<'a>,
+        request: RouteRequest<'a>,
         nodes: NodeCount,
         now: Timestamp,
     ) -> View<'a> {
-        let required = ask.prompt.and_then(|prompt| self.required(&prompt.model, now));
+        let required = request.prompt.and_then(|prompt| self.required(&prompt.model, now));
         View {
             state: self,
             pool,
-            ask,
+            request,
             now,
             only: None,
             strict: true,
             required,
-            preferred: ask.prompt.and_then(|prompt| self.preferred(ask, prompt, now)),
-            max_connections: self.max_connections(ask.service),
+            preferred: request.prompt.and_then(|prompt| self.preferred(request, prompt, now)),
+            max_connections: self.max_connections(request.service),
             nodes,
         }
     }
 
-    /// The oldest version of a model that a request may begin on.
+    /// The oldest version of a model that a request may start on.
     fn required(&self, model: &ModelId, now: Timestamp) -> Option<WeightsVersion> {
         self.rollout.required(model, self.chooser.loads.slowest(now), now)
     }
 
-    /// Whether a service has back ends, and all of them have older weights of a model than a request may begin on.
+    /// Whether a service has back ends, and all of them have older weights than a request may start on.
     pub(crate) fn has_only_older_weights(
         &self,
         service: &ServiceId,
@@ -147,13 +145,13 @@
         newest.is_some_and(|(newest, _)| Some(newest) < self.required(model, now))
     }
 
-    /// Whether a back end's own words allow that it is sent a request now.
+    /// Whether a back end's announcements allow sending it a request now.
     pub(crate) fn takes_requests(&self, backend: &Backend, now: Timestamp) -> bool {
         self.backends.takes_requests(backend, self.departing_use, now)
     }
 
-    /// When the first back end takes requests again that could serve a request of `service`, for `model` where it has a prompt; nothing
-    /// where any of them does now, as far as it has announced.
+    /// When the first back end that could serve a request of `service`, for `model` if it has a prompt,
+    /// accepts requests again; `None` if one accepts them now as far as announced.
     pub(crate) fn next_opening(
         &self,
         service: &ServiceId,
@@ -167,22 +165,28 @@
         self.backends.next_opening(fit, now)
     }
 
-    /// The version that this request rather begins on: as many requests prefer it as engines have it.
-    fn preferred(&self, ask: RouteRequest<'_>, prompt: &Prompt, now: Timestamp) -> Option<WeightsVersion> {
+    /// The oldest version that this request prefers. The share of requests with a preference equals the share
+    /// of engines with that version.
+    fn preferred(
+        &self,
+        request: RouteRequest<'_>,
+        prompt: &Prompt,
+        now: Timestamp,
+    ) -> Option<WeightsVersion> {
         let preferred = self.rollout.preferred(&prompt.model, now)?;
-        let held = self.backends.versions_in_service(ask.service, &prompt.model, now);
+        let held = self.backends.versions_in_service(request.service, &prompt.model, now);
         let all = held.iter().map(|(_, count)| count).sum();
         let having = held.iter().filter(|(version, _)| *version >= preferred).map(|(_, count)| count).sum();
-        prefers(ask.draw, having, all).then_some(preferred)
+        prefers(request.draw, having, all).then_some(preferred)
     }
 
-    /// The connections that each back end of a service takes, where they are limited.
+    /// The maximum number of connections per back end of a service, if limited.
     fn max_connections(&self, service: &ServiceId) -> Option<u32> {
         let service = self.table.as_ref()?.service(service)?;
         Some(service.max_connections).filter(|most| *most > 0)
     }
 
-    /// A number from 0 to 1 that is the same for a back end as long as this process lives, and another one at each node.
+    /// A number from 0 to 1 that is constant for a back end during this process, and differs between nodes.
     fn draw_for(&self, id: &BackendId) -> f64 {
         rank_for(rank(id), self.share_draw.to_bits()) as f64 / u64::MAX as f64
     }
@@ -191,7 +195,7 @@
 impl View<'_> {
     fn describe<'b>(&self, backend: &'b Backend) -> Candidate<'b> {
         let entry = &backend.entry;
-        let weights = self.ask.prompt.and_then(|prompt| entry.weights.get(&prompt.model).copied());
+        let weights = self.request.prompt.and_then(|prompt| entry.weights.get(&prompt.model).copied());
         Candidate {
             id: &entry.id,
             address: entry.address,
@@ -206,17 +210,17 @@
     fn is_eligible(&self, backend: &Backend, weights: Option<WeightsVersion>) -> bool {
         let id = &backend.entry.id;
         self.only.is_none_or(|only| only == id)
-            && !self.ask.tried.contains(id)
+            && !self.request.tried.contains(id)
             && weights >= self.required
             && (!self.strict || self.is_healthy(backend))
             && self.state.takes_requests(backend, self.now)
             && self.has_room(id)
     }
 
-    /// Whether nothing speaks against a back end for the moment.
+    /// Whether nothing known speaks against a back end at the moment.
     fn is_healthy(&self, backend: &Backend) -> bool {
         let (state, now, id) = (self.state, self.now, &backend.entry.id);
-        let loading = self.ask.prompt.is_some() && backend.is_loading(now);
+        let loading = self.request.prompt.is_some() && backend.is_loading(now);
         let refused = state.refused_until.get(id).is_some_and(|until| now < *until);
         backend.state == BackendState::Ready
             && !loading
@@ -225,14 +229,14 @@
             && !state.chooser.loads.is_suspect(id, now)
     }
 
-    /// Whether this node has connections left of its part of those that a back end takes.
+    /// Whether this node has connections left of its share for a back end.
     fn has_room(&self, id: &BackendId) -> bool {
         self.max_connections.is_none_or(|most| {
-            let part = match self.nodes.known() {
+            let share = match self.nodes.known() {
                 Some(nodes) => even_share(most, nodes, self.state.draw_for(id)),
-                None => (most / self.nodes.most()).max(LEAST_CONNECTIONS_UNCOUNTED),
+                None => (most / self.nodes.upper_bound()).max(MIN_CONNECTIONS_UNCOUNTED),
             };
-            self.state.chooser.load(id).requests < part
+            self.state.chooser.load(id).requests < share
         })
     }
 }
@@ -259,14 +263,14 @@
             BackendState::Departing { .. } => self.pool.uses_departing(),
             BackendState::Leaving | BackendState::Replaced => false,
         };
-        let of_service = backend.entry.service == *self.ask.service;
+        let of_service = backend.entry.service == *self.request.service;
         (in_use && of_service).then(|| self.describe(backend))
     }
 }
 
-/// How many back ends a node weighs for a request: fewer, the more nodes choose among them.
-fn considered(backends: usize, nodes: NodeCount) -> Option<usize> {
+/// How many back ends to compare for a request: fewer, the more nodes choose among them.
+fn sample_size(backends: usize, nodes: NodeCount) -> Option<usize> {
     let known = nodes.known()? as usize;
-    let part = backends * FULL_SCAN_MAX_NODES / known.max(1);
-    (known > FULL_SCAN_MAX_NODES).then(|| part.clamp(LEAST_CONSIDERED, MOST_CONSIDERED))
+    let share = backends * FULL_SCAN_MAX_NODES / known.max(1);
+    (known > FULL_SCAN_MAX_NODES).then(|| share.clamp(MIN_CONSIDERED, MAX_CONSIDERED))
 }
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Takes one request from its arrival to its answer.
+//! Serves one request, from its arrival to its answer.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
     access_log::{ANSWERED, HELD_BACK, REFUSED, RequestRecord},
     admission::{Admitted, admit},
     answers::{AnswerBody, Reason, error_answer},
-    attempts::{self, AttemptAnswer, AttemptFailure, RunKind, strip_connection_headers, take_whole},
+    attempts::{self, AttemptAnswer, AttemptFailure, RunKind, read_full_answer, strip_connection_headers},
     candidates::RouteRequest,
     dispatch::Resume,
     metrics::{Counter, Distribution, kind_label},
@@ -31,26 +31,24 @@
     relay::Relay,
 };
 
-/// How much sooner than the caller gives up its answer is sent.
+/// How much earlier than the caller's deadline the node answers.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(30);
-/// The deadline of a caller that names none and of a route without time-out.
-const LONGEST: Duration = Duration::from_secs(60);
-/// The least time that another try needs.
-pub(crate) const LEAST_TIME: Duration = Duration::from_millis(40);
-/// The least time that a try at a silent back end gets before another one is asked.
-const LEAST_PATIENCE: Duration = Duration::from_millis(250);
+/// The deadline of a request whose caller states none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
+/// The minimum time that another attempt needs.
+pub(crate) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(40);
+/// The minimum time that an attempt gets before another back end is tried.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request that is being served.
 pub struct Exchange {
-    /// The node.
     pub node: Rc<Node>,
-    /// The route.
     pub route: Arc<Route>,
-    /// When it ends at the latest.
-    pub give_up_at: Timestamp,
-    /// What it has behind it.
-    pub spent: AttemptHistory,
-    pub(crate) account: RequestRecord,
+    /// When the request is abandoned at the latest.
+    pub deadline: Timestamp,
+    /// The attempts so far.
+    pub history: AttemptHistory,
+    pub(crate) record: RequestRecord,
     pub(crate) arrived: Timestamp,
     pub(crate) head: RequestHead,
     pub(crate) parts: request::Parts,
@@ -59,9 +57,9 @@
     grant: Option<QuotaGrant>,
     tried: Vec<BackendId>,
     draw: u64,
-    /// When a misdirected_retry was drawn for the next try, which follows one that met a wrong address.
+    /// When the retry budget for misdirected requests was drawn on for the next attempt, if it was.
     pub(crate) misdirected_retry: Option<Timestamp>,
-    /// When the last try was sent.
+    /// When the latest attempt was sent.
     pub(crate) sent_at: Option<Timestamp>,
 }
 
@@ -70,34 +68,34 @@
     let arrived = node.now();
     let (parts, body) = request.into_parts();
     let head = node.platform.read_request(&parts.headers);
-    let mut account = RequestRecord {
+    let mut record = RequestRecord {
         id: head.id.clone(),
         guessed_tokens: head.prompt.as_ref().map(|prompt| prompt.output_tokens),
         ..RequestRecord::default()
     };
-    let admitted = admit(&node, &parts, &head, &mut account);
+    let admitted = admit(&node, &parts, &head, &mut record);
     let Admitted { route, service, grant } = match admitted {
         Ok(admitted) => admitted,
         Err(refusal) => {
-            account.refuse(&node, arrived, refusal);
+            record.refuse(&node, arrived, refusal);
             return error_answer(refusal);
         }
     };
-    let waits = head.deadline.unwrap_or(LONGEST).saturating_sub(DEADLINE_MARGIN);
-    let give_up_at = arrived + waits.min(route.timeout);
-    if !node.has_time_for(&route, account.guessed_tokens, give_up_at) {
-        account.refuse(&node, arrived, Reason::Stopping.into());
-        node.give_back(grant);
+    let timeout = head.deadline.unwrap_or(DEFAULT_DEADLINE).saturating_sub(DEADLINE_MARGIN);
+    let deadline = arrived + timeout.min(route.timeout);
+    if !node.has_time_for(&route, record.guessed_tokens, deadline) {
+        record.refuse(&node, arrived, Reason::Stopping.into());
+        node.refund_quota(grant);
         return error_answer(Reason::Stopping);
     }
     node.running.set(node.running.get() + 1);
-    node.state.borrow_mut().asked.add(1.0, arrived);
+    node.state.borrow_mut().offered_load.add(1.0, arrived);
     let mut exchange = Exchange {
         node,
         route,
-        give_up_at,
-        spent: AttemptHistory::default(),
-        account,
+        deadline,
+        history: AttemptHistory::default(),
+        record,
         arrived,
         head,
         parts,
@@ -119,9 +117,9 @@
     async fn read_body(&mut self, body: Incoming) -> Result<(), Reason> {
         let most = self.node.state.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
         let reading = Limited::new(body, most).collect();
-        match self.node.clock.timeout_at(self.give_up_at, reading).await {
-            Some(Ok(whole)) => {
-                self.body = whole.to_bytes();
+        match self.node.clock.timeout_at(self.deadline, reading).await {
+            Some(Ok(collected)) => {
+                self.body = collected.to_bytes();
                 Ok(())
             }
             Some(Err(error)) if error.is::<LengthLimitError>() => Err(Reason::BodyTooLarge),
@@ -135,24 +133,26 @@
             if let Some(held_for) = self.held_for() {
                 return self.hold_back(held_for);
             }
-            let Some(choice) = self.place() else { return self.give_up(self.why_none(Reason::NoBackend)) };
+            let Some(choice) = self.choose_backend() else {
+                return self.abandon(self.no_backend_refusal(Reason::NoBackend));
+            };
             match self.attempt(&choice, Resume::default()).await {
-                Ok(begun) if self.route.kind.is_stream() && begun.head.status.is_success() => {
-                    return self.relay(choice, begun).await;
+                Ok(upstream) if self.route.kind.is_stream() && upstream.head.status.is_success() => {
+                    return self.relay(choice, upstream).await;
                 }
-                Ok(begun) => match self.finish_whole(begun).await {
+                Ok(upstream) => match self.finish_whole(upstream).await {
                     Ok(answer) => {
                         self.run_completed();
                         return self.pass_on(answer, ANSWERED);
                     }
-                    Err(ended) => {
-                        if let Some(answer) = self.after(&choice, ended) {
+                    Err(failure) => {
+                        if let Some(answer) = self.after_failure(&choice, failure) {
                             return answer;
                         }
                     }
                 },
-                Err(ended) => {
-                    if let Some(answer) = self.after(&choice, ended) {
+                Err(failure) => {
+                    if let Some(answer) = self.after_failure(&choice, failure) {
                         return answer;
                     }
                 }
@@ -161,24 +161,24 @@
     }
 
     /// Chooses a back end that has not been tried.
-    pub fn place(&mut self) -> Option<Choice> {
+    pub fn choose_backend(&mut self) -> Option<Choice> {
         let isolated =
-            self.account.tenant.as_ref().filter(|tenant| tenant.isolated).map(|tenant| &tenant.name);
-        let ask = RouteRequest {
+            self.record.tenant.as_ref().filter(|tenant| tenant.isolated).map(|tenant| &tenant.name);
+        let request = RouteRequest {
             service: &self.service,
             prompt: self.head.prompt.as_ref(),
             isolated,
             copied: self.route.kind == RouteKind::Stream { resumable: false },
-            healthy_only: self.spent.misdirected > 0,
+            healthy_only: self.history.misdirected > 0,
             tried: &self.tried,
             draw: self.draw,
         };
-        let choice = self.node.place(ask)?;
-        self.account.choice = Some(choice.clone());
+        let choice = self.node.choose_backend(request)?;
+        self.record.choice = Some(choice.clone());
         Some(choice)
     }
 
-    /// One try at the chosen back end.
+    /// Makes one attempt at the chosen back end.
     pub async fn attempt(
         &mut self,
         choice: &Choice,
@@ -186,9 +186,9 @@
     ) -> Result<AttemptAnswer, AttemptFailure> {
         let now = self.node.now();
         if self.sent_at.is_none() {
-            self.node.metrics.observe(Distribution::Added, now.saturating_since(self.arrived));
-            // Once a request, however many connections do not come up, and when it comes: earned with their answers, the
-            // shares of requests that an engine kept waiting would all fall into one window.
+            self.node.metrics.observe(Distribution::RoutingDelay, now.saturating_since(self.arrived));
+            // Recorded on the first send, once per request: recorded when answers end, the credit of requests
+            // that an engine kept waiting would all fall into one budget window.
             self.node.record_first_attempt(&self.service);
         }
         if choice.import_from.is_some() {
@@ -196,54 +196,56 @@
         }
         self.sent_at = Some(now);
         let request = self.request(choice, &resume, now);
-        let patience = self.patience(choice, now);
+        let attempt_deadline = self.attempt_deadline(choice, now);
         let node = Rc::clone(&self.node);
         let run = if resume.continues.is_some() { RunKind::Continued } else { RunKind::New };
-        let result = attempts::send(&node, choice, self.head.id.as_deref(), request, run, patience).await;
-        let end = result.as_ref().err().map(|ended| ended.end);
+        let result =
+            attempts::send(&node, choice, self.head.id.as_deref(), request, run, attempt_deadline).await;
+        let end = result.as_ref().err().map(|failure| failure.end);
         self.node.record_attempt_end(&self.service, end);
-        if self.spent.sent > 0 && end != Some(AttemptEnd::NotSent) {
+        if self.history.sent > 0 && end != Some(AttemptEnd::NotSent) {
             self.node.settle_misdirected_retry(self.misdirected_retry.take(), end);
         }
         match &result {
             Err(AttemptFailure { end: AttemptEnd::NotSent, reused, .. }) => {
-                self.spent.not_sent += 1;
+                self.history.not_sent += 1;
                 if !reused {
                     self.tried.push(choice.backend.clone());
                 }
             }
             Ok(_) | Err(_) => {
-                self.spent.sent += 1;
+                self.history.sent += 1;
                 self.tried.push(choice.backend.clone());
             }
         }
         if let Err(AttemptFailure { end: AttemptEnd::Misdirected, .. }) = &result {
-            self.spent.misdirected += 1;
+            self.history.misdirected += 1;
         }
         if let Err(AttemptFailure { end: AttemptEnd::Unclear | AttemptEnd::FailedAnswer, .. }) = &result {
-            self.spent.may_have_run = true;
+            self.history.may_have_run = true;
         }
         result
     }
 
-    /// Until when this try is waited for: to the end, or shorter where another back end may be asked.
-    fn patience(&self, choice: &Choice, now: Timestamp) -> Timestamp {
-        if !self.may_ask_another() {
-            return self.give_up_at;
+    /// How long to wait for this attempt: less than the request's deadline only if another back end may be
+    /// tried.
+    fn attempt_deadline(&self, choice: &Choice, now: Timestamp) -> Timestamp {
+        if !self.may_try_another() {
+            return self.deadline;
         }
-        let usual = self.node.slowest(&choice.backend) * 3 / 2;
-        let patience = (self.route.target_latency * 3 / 2).max(LEAST_PATIENCE).max(usual);
-        (now + patience).min(self.give_up_at)
+        let usual = self.node.slow_latency(&choice.backend) * 3 / 2;
+        let attempt_deadline = (self.route.target_latency * 3 / 2).max(MIN_ATTEMPT_TIMEOUT).max(usual);
+        (now + attempt_deadline).min(self.deadline)
     }
 
-    /// Whether a silent back end may be left for another one: without that, waiting is all that is left.
-    pub fn may_ask_another(&self) -> bool {
-        let attempts_left = self.spent.sent + 1 < self.route.attempts;
+    /// Whether an unresponsive back end may be abandoned for another one.
+    pub fn may_try_another(&self) -> bool {
+        let attempts_left = self.history.sent + 1 < self.route.attempts;
         attempts_left && self.route.kind.is_idempotent() && self.node.retries_left(&self.service) > 0
     }
 
-    /// Where a broken stream can go on from a copy of its run's memory: the back end that holds it has the weights of
-    /// the run, and so had the one that broke off.
+    /// The back end from which a broken stream can continue, which holds a copy of the run's memory. It must
+    /// still have the weights of the run, and so must the back end that broke off.
     pub fn copy_of(&self, choice: &Choice) -> Option<(Choice, CopiedRun)> {
         let (holder, scope) = (choice.copy_to.as_ref()?, choice.scope.as_ref()?);
         let state = self.node.state.borrow();
@@ -267,40 +269,41 @@
         Some((next, run))
     }
 
-    /// Whether another back end could take a stream over now.
-    pub fn has_another(&mut self) -> bool {
+    /// Whether another back end could take the stream over now.
+    pub fn has_alternative(&mut self) -> bool {
         let budget = self.node.retries_left(&self.service) > 0;
-        if let Some(choice) = self.account.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
+        if let Some(choice) = self.record.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
             return budget && self.copy_of(&choice).is_some();
         }
-        let allowed = self.spent.sent < self.route.attempts && budget;
-        let known = self.account.choice.clone();
-        let found = allowed && self.place().is_some();
-        self.account.choice = known;
+        let allowed = self.history.sent < self.route.attempts && budget;
+        let known = self.record.choice.clone();
+        let found = allowed && self.choose_backend().is_some();
+        self.record.choice = known;
         found
     }
 
-    async fn finish_whole(&mut self, begun: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
-        match self.node.clock.timeout_at(self.give_up_at, take_whole(&self.node, begun)).await {
+    async fn finish_whole(&mut self, upstream: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
+        match self.node.clock.timeout_at(self.deadline, read_full_answer(&self.node, upstream)).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(detail)) => {
-                self.spent.may_have_run = true;
+                self.history.may_have_run = true;
                 Err(AttemptFailure::broken(detail))
             }
             None => {
-                self.spent.may_have_run = true;
-                Err(AttemptFailure::unclear("the answer did not end in time".into()))
+                self.history.may_have_run = true;
+                Err(AttemptFailure::unclear("the answer was not complete in time".into()))
             }
         }
     }
 
-    /// Passes a stream on. Its head waits for the first event: until then what goes wrong has a whole answer of its own.
-    async fn relay(mut self, choice: Choice, begun: AttemptAnswer) -> Response<AnswerBody> {
-        self.account.status = Some(begun.head.status.as_u16());
+    /// Relays a stream. The head is held until the first event, so that a failure before it can still be
+    /// answered by an error response.
+    async fn relay(mut self, choice: Choice, upstream: AttemptAnswer) -> Response<AnswerBody> {
+        self.record.status = Some(upstream.head.status.as_u16());
         let last_event = self.head.last_event;
-        let relay = match Relay::open(self, choice, begun, last_event).await {
+        let relay = match Relay::open(self, choice, upstream, last_event).await {
             Ok(relay) => relay,
-            Err(mut exchange) => return exchange.give_up(Reason::AnswerLost),
+            Err(mut exchange) => return exchange.abandon(Reason::AnswerLost),
         };
         let (status, mut headers) = (relay.head().status, relay.head().headers.clone());
         strip_connection_headers(&mut headers);
@@ -311,59 +314,59 @@
         answer
     }
 
-    /// The first part of the answer's body is here.
-    pub fn first_part(&mut self, choice: &Choice) {
+    /// Records that the first part of the answer's body arrived.
+    pub fn record_first_chunk(&mut self, choice: &Choice) {
         let now = self.node.now();
-        if self.account.first_at.is_none() {
-            self.account.first_at = Some(now);
+        if self.record.first_at.is_none() {
+            self.record.first_at = Some(now);
             let kind = kind_label(self.route.kind);
             self.node.metrics.observe(Distribution::FirstByte(kind), now.saturating_since(self.arrived));
         }
-        self.note_source(choice, now);
+        self.record_source_time(choice, now);
         if let (Some(prompt), Some(scope)) = (&self.head.prompt, &choice.scope) {
-            let mut news =
+            let mut updates =
                 self.node.state.borrow_mut().chooser.record_prefill(&choice.backend, scope, prompt, now);
             if let Some(store) = &choice.save_to {
                 let mut state = self.node.state.borrow_mut();
-                news.extend(state.chooser.record_prefill(&store.id, scope, prompt, now));
+                updates.extend(state.chooser.record_prefill(&store.id, scope, prompt, now));
             }
-            self.node.publish(news);
+            self.node.publish(updates);
         }
     }
 
-    /// Compares sources of prefixes by how soon answers begin.
-    fn note_source(&self, choice: &Choice, now: Timestamp) {
+    /// Records the time to the first event by the source of the prefix, for comparing sources.
+    fn record_source_time(&self, choice: &Choice, now: Timestamp) {
         let (Some(kind), Some(sent_at)) = (choice.import_source, self.sent_at) else { return };
         let mut state = self.node.state.borrow_mut();
         state.chooser.source_times.record(kind, now.saturating_since(sent_at));
     }
 
-    /// A further part of a stream is here.
-    pub fn part(&mut self) {
+    /// Records a further part of a stream.
+    pub fn record_chunk(&mut self) {
         let now = self.node.now();
-        if let Some(before) = self.account.part_at.replace(now) {
-            self.account.longest_gap = self.account.longest_gap.max(now.saturating_since(before));
+        if let Some(before) = self.record.chunk_at.replace(now) {
+            self.record.longest_gap = self.record.longest_gap.max(now.saturating_since(before));
         }
     }
 
-    /// The stream goes on at another back end.
-    pub fn resumed(&mut self) {
-        self.account.resumed += 1;
+    /// Records that the stream continues at another back end.
+    pub fn record_resume(&mut self) {
+        self.record.resumed += 1;
         self.node.metrics.count(Counter::Resumed);
     }
 
-    /// Whether no back end has run the request: it was refused, or its caller left before it was sent.
+    /// Whether no back end has run the request: it was refused, or the caller left before it was sent.
     fn has_not_run(&self) -> bool {
-        let refused = matches!(self.account.outcome, Some(REFUSED | HELD_BACK));
-        refused || (self.spent.sent == 0 && self.account.outcome.is_none())
+        let refused = matches!(self.record.outcome, Some(REFUSED | HELD_BACK));
+        refused || (self.history.sent == 0 && self.record.outcome.is_none())
     }
 
-    /// How the stream ended.
-    pub const fn conclude(&mut self, outcome: &'static str) {
-        self.account.outcome = Some(outcome);
+    /// Sets the outcome of the request.
+    pub const fn set_outcome(&mut self, outcome: &'static str) {
+        self.record.outcome = Some(outcome);
     }
 
-    /// The request's identity, for log lines.
+    /// The request's id, for log lines.
     pub fn id(&self) -> &str {
         self.head.id.as_deref().unwrap_or_default()
     }
@@ -373,22 +376,22 @@
     fn drop(&mut self) {
         self.node.running.set(self.node.running.get().saturating_sub(1));
         let grant = self.grant.take().filter(|_| self.has_not_run());
-        self.node.give_back(grant);
+        self.node.refund_quota(grant);
         if let Some(drawn_at) = self.misdirected_retry.take() {
             self.node.settle_misdirected_retry(Some(drawn_at), None);
         }
-        if self.account.is_served() {
+        if self.record.is_served() {
             let now = self.node.now();
             let total = now.saturating_since(self.arrived);
-            let first_chunk = self.account.first_at.map_or(total, |at| at.saturating_since(self.arrived));
-            let time = AnswerTime { first_chunk, total, estimated_tokens: self.account.guessed_tokens };
+            let first_chunk = self.record.first_at.map_or(total, |at| at.saturating_since(self.arrived));
+            let time = AnswerTime { first_chunk, total, estimated_tokens: self.record.guessed_tokens };
             self.node.answer_times.borrow_mut().record(&self.route.name, time, now);
         }
-        self.account.log(&self.node, self.arrived, self.spent);
+        self.record.log(&self.node, self.arrived, self.history);
     }
 }
 
-/// Whether a route's requests may be resumed at another back end.
+/// Whether streams of a route may be resumed at another back end.
 pub const fn is_resumable(kind: RouteKind) -> bool {
     matches!(kind, RouteKind::Stream { resumable: true })
 }
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -1,4 +1,4 @@
-//! What a node takes in: facts of the store, and what answers show.
+//! Applies facts from the store, as received from the store itself or from other nodes.
 
 use std::{collections::BTreeSet, rc::Rc};
 
@@ -14,53 +14,53 @@
 
 use crate::{journal::Event, node::Node, node_state::Leader, ports::Fact, recent_targets::proofs};
 
-/// What is known of how facts came here.
-struct Telling {
+/// How facts reached this node.
+struct Origin {
     learned: LearnedFrom,
-    /// Whether they come in the order of time.
-    heard: EntrySource,
-    /// What another node, or a leader's record in the store, proves of when versions were named.
-    named: Vec<TargetVersionProof>,
+    /// Whether they are ordered updates or a listing.
+    source: EntrySource,
+    /// Proofs, by another node or by a leader's record in the store, of when target versions were announced.
+    targets: Vec<TargetVersionProof>,
 }
 
-impl Telling {
-    /// A watch tells that a record was written, and not that it is still there: it proves nothing.
-    const fn by_a_watch() -> Self {
-        Self { learned: LearnedFrom::Watch, heard: EntrySource::Update, named: Vec::new() }
+impl Origin {
+    /// A watch shows that a record was written, but not that it still exists, so it proves nothing.
+    const fn from_watch() -> Self {
+        Self { learned: LearnedFrom::Watch, source: EntrySource::Update, targets: Vec::new() }
     }
 
-    /// A listing that began at `listed_at` shows the records that are there.
-    fn by_a_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
+    /// A listing that began at `listed_at` contains the records that exist.
+    fn from_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
         let record = |fact: &Fact| match fact {
-            Fact::TargetRecord(named) => Some(named.clone()),
+            Fact::TargetRecord(targets) => Some(targets.clone()),
             _ => None,
         };
         let records: Vec<RecentTargetVersion> = facts.iter().filter_map(record).collect();
-        Self { learned, heard: EntrySource::Listing, named: proofs(&records, listed_at) }
+        Self { learned, source: EntrySource::Listing, targets: proofs(&records, listed_at) }
     }
 
-    const fn by_another(heard: EntrySource, named: Vec<TargetVersionProof>) -> Self {
-        Self { learned: LearnedFrom::Node, heard, named }
+    const fn from_node(source: EntrySource, targets: Vec<TargetVersionProof>) -> Self {
+        Self { learned: LearnedFrom::Node, source, targets }
     }
 }
 
 impl Node {
-    /// Takes in what has changed up to `revision`, as the store told it in answer to a call sent at `sent_at`.
-    pub fn learn(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        self.apply_changes_from(facts, revision, sent_at, &Telling::by_a_watch());
+    /// Applies the changes up to `revision` from the store's answer to a call sent at `sent_at`.
+    pub fn apply_changes(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
+        self.apply_changes_from(facts, revision, sent_at, &Origin::from_watch());
     }
 
-    /// Takes in what has changed up to `revision`, as another node passed it on with a proof that counts from
-    /// `proved_at`, and how lately versions of weights were named.
+    /// Applies the changes up to `revision` that another node relayed, with a proof that counts from
+    /// `proved_at` and the recently announced target versions.
     pub fn apply_relayed_changes(
         &self,
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        named: &[RecentTargetVersion],
+        targets: &[RecentTargetVersion],
     ) {
-        let telling = Telling::by_another(EntrySource::Update, proofs(named, proved_at));
-        self.apply_changes_from(facts, revision, proved_at, &telling);
+        let origin = Origin::from_node(EntrySource::Update, proofs(targets, proved_at));
+        self.apply_changes_from(facts, revision, proved_at, &origin);
     }
 
     fn apply_changes_from(
@@ -68,81 +68,81 @@
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        telling: &Telling,
+        origin: &Origin,
     ) {
         for fact in facts {
             let subject = fact.subject();
-            self.apply_fact(fact, revision, telling);
+            self.apply_fact(fact, revision, origin);
             self.note_change(subject, revision);
         }
         let mut state = self.state.borrow_mut();
         state.revision = Some(revision);
         state.freshness.prove(proved_at);
-        state.confirm_targets(proved_at, &telling.named);
+        state.confirm_targets(proved_at, &origin.targets);
     }
 
-    /// Takes in what another node goes by that only rises, whatever this one has read of the store.
+    /// Applies another node's facts whose versions only increase, whatever this node has read from the store.
     pub(crate) fn apply_newer_facts(&self, facts: Vec<Fact>, revision: Revision) {
-        let telling = Telling::by_another(EntrySource::Update, Vec::new());
+        let origin = Origin::from_node(EntrySource::Update, Vec::new());
         let rising =
             facts.into_iter().filter(|fact| matches!(fact, Fact::Document(_) | Fact::TargetVersion { .. }));
-        rising.for_each(|fact| self.apply_fact(fact, revision, &telling));
+        rising.for_each(|fact| self.apply_fact(fact, revision, &origin));
     }
 
-    /// Takes in a part of what the store holds, which it told in answer to a call sent at `sent_at`: enough to serve by,
-    /// until the rest is known.
+    /// Applies the first pages of a listing that was sent at `sent_at`, which is enough to serve until the
+    /// rest is known.
     pub fn apply_partial_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        let telling = Telling::by_a_listing(LearnedFrom::FirstRead, &facts, sent_at);
+        let origin = Origin::from_listing(LearnedFrom::FirstRead, &facts, sent_at);
         for fact in facts {
-            self.apply_fact(fact, revision, &telling);
+            self.apply_fact(fact, revision, &origin);
         }
         let mut state = self.state.borrow_mut();
         state.leader_checked = true;
         state.freshness.prove(sent_at);
-        state.merge_target_proofs(&telling.named);
+        state.merge_target_proofs(&origin.targets);
         drop(state);
         self.leader_known.notify_one();
     }
 
-    /// Takes in all that the store held at `revision`, as a listing told that began at `sent_at`: what is not among
-    /// `facts` is gone. The nodes below are told what that has changed.
+    /// Applies a complete listing of the store at `revision`, sent at `sent_at`: entries that are not among
+    /// `facts` are removed. The differences are recorded for children.
     pub fn apply_listing(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
         let first = self.state.borrow().revision.is_none();
         let learned = if first { LearnedFrom::FirstRead } else { LearnedFrom::Watch };
-        let telling = Telling::by_a_listing(learned, &facts, sent_at);
-        self.apply_complete(facts, revision, sent_at, &telling);
+        let origin = Origin::from_listing(learned, &facts, sent_at);
+        self.apply_complete(facts, revision, sent_at, &origin);
     }
 
-    /// The same, as another node gave it with a proof that counts from `proved_at`.
+    /// The same with a snapshot from another node, whose proof counts from `proved_at`.
     pub fn apply_snapshot(
         &self,
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        named: &[RecentTargetVersion],
+        targets: &[RecentTargetVersion],
     ) {
-        let telling = Telling::by_another(EntrySource::Listing, proofs(named, proved_at));
-        self.apply_complete(facts, revision, proved_at, &telling);
+        let origin = Origin::from_node(EntrySource::Listing, proofs(targets, proved_at));
+        self.apply_complete(facts, revision, proved_at, &origin);
     }
 
-    fn apply_complete(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, telling: &Telling) {
+    fn apply_complete(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, origin: &Origin) {
         let known = self.state.borrow().revision;
         let first = known.is_none();
         let restored = known.is_some_and(|known| known.era() < revision.era()) || self.is_restored_lately();
         for subject in self.missing_among(&facts) {
-            // Nobody released what only the copy lacks: it is written again.
+            // The hold was not released but lost by the restore, and is written again.
             if restored && matches!(subject, EntryKey::Quarantined(_)) {
                 continue;
             }
-            self.lose(&subject, revision, telling);
+            self.remove_entry(&subject, revision, origin);
             self.note_change(Some(subject), revision);
         }
         if restored && !facts.iter().any(|fact| matches!(fact, Fact::FleetSize(_))) {
             self.state.borrow_mut().fleet_size = None;
         }
         for fact in facts {
-            let subject = fact.subject().filter(|_| self.is_news(&fact));
-            self.apply_fact(fact, revision, telling);
+            let subject = fact.subject().filter(|_| self.is_change(&fact));
+            self.apply_fact(fact, revision, origin);
             self.note_change(subject, revision);
         }
         {
@@ -153,7 +153,7 @@
             state.revision = Some(revision);
             state.leader_checked = true;
             state.freshness.prove(proved_at);
-            state.confirm_targets(proved_at, &telling.named);
+            state.confirm_targets(proved_at, &origin.targets);
         }
         self.history_lost.set(false);
         self.store_known.notify_one();
@@ -167,7 +167,7 @@
         }
     }
 
-    /// What is known of and not told by `facts`, which tell all that the store holds.
+    /// Known entries that are not among `facts`, which list the whole store.
     fn missing_among(&self, facts: &[Fact]) -> Vec<EntryKey> {
         let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::subject).collect();
         let state = self.state.borrow();
@@ -177,28 +177,28 @@
         backends.chain(held).chain(leader).filter(|subject| !present.contains(subject)).collect()
     }
 
-    /// The store holds nothing of this any more.
-    fn lose(&self, subject: &EntryKey, revision: Revision, telling: &Telling) {
+    /// Applies the removal of an entry.
+    fn remove_entry(&self, subject: &EntryKey, revision: Revision, origin: &Origin) {
         match subject {
             EntryKey::Backend(id) => self.remove_backend(id, revision),
             EntryKey::Quarantined(fingerprint) => {
-                self.apply_fact(Fact::Released(*fingerprint), revision, telling)
+                self.apply_fact(Fact::Released(*fingerprint), revision, origin)
             }
-            EntryKey::Leader => self.apply_fact(Fact::NoLeader, revision, telling),
-            // These stay once they are there.
+            EntryKey::Leader => self.apply_fact(Fact::NoLeader, revision, origin),
+            // These are never removed.
             EntryKey::Document | EntryKey::FleetSize | EntryKey::TargetWeights(_) => {}
         }
     }
 
-    /// Whether the nodes below may not know a fact of a listing, as far as this node can tell.
-    fn is_news(&self, fact: &Fact) -> bool {
+    /// Whether a listed fact may be new to children.
+    fn is_change(&self, fact: &Fact) -> bool {
         let Fact::Backend(entry) = fact else { return true };
         let state = self.state.borrow();
         state.backends.get(&entry.id).is_none_or(|known| known.entry != *entry || known.weights_observed)
     }
 
-    /// Takes in who leads, as a read told that may be old: only a leadership that began after all that is known is
-    /// news, since the end of an older one may be known already.
+    /// Applies the leader as read by a call whose answer may be outdated. Only a leadership that is newer
+    /// than all that is known counts, since an older one may have ended since.
     pub fn apply_leader(&self, facts: Vec<Fact>) {
         let mut state = self.state.borrow_mut();
         state.leader_checked = true;
@@ -211,13 +211,13 @@
         }
     }
 
-    fn apply_fact(&self, fact: Fact, revision: Revision, telling: &Telling) {
+    fn apply_fact(&self, fact: Fact, revision: Revision, origin: &Origin) {
         match fact {
             Fact::Document(document) => self.apply_document(*document, revision),
-            Fact::Backend(entry) => self.apply_backend(entry, revision, telling.heard),
+            Fact::Backend(entry) => self.apply_backend(entry, revision, origin.source),
             Fact::BackendGone(id) => self.remove_backend(&id, revision),
             Fact::TargetVersion { model, version } => {
-                self.apply_target_version(&model, version, revision, telling);
+                self.apply_target_version(&model, version, revision, origin);
             }
             Fact::Leader { holder, token, peers } => {
                 self.state.borrow_mut().leader = Some(Leader { holder, token, peers });
@@ -225,7 +225,7 @@
             }
             Fact::NoLeader => self.state.borrow_mut().leader = None,
             Fact::FleetSize(nodes) => self.state.borrow_mut().fleet_size = Some(nodes),
-            // What it proves is part of how the facts came here.
+            // Handled by [`Origin::from_listing`].
             Fact::TargetRecord(_) => {}
             Fact::Quarantined(request) => {
                 self.apply_stored_hold(&request);
@@ -249,23 +249,23 @@
         model: &ModelId,
         version: WeightsVersion,
         revision: Revision,
-        telling: &Telling,
+        origin: &Origin,
     ) {
         let mut state = self.state.borrow_mut();
         let target_versions = &mut state.rollout.target_versions;
         if !target_versions.record(model.clone(), version) {
             return;
         }
-        telling.named.iter().for_each(|proof| target_versions.merge_proof(proof));
+        origin.targets.iter().for_each(|proof| target_versions.merge_proof(proof));
         let now = self.now();
-        let age = target_versions.newest(model).and_then(|naming| naming.age(now));
-        // Requests that wait at back ends may have to be taken back.
+        let age = target_versions.newest(model).and_then(|target| target.age(now));
+        // Requests that are waiting at back ends may have to be withdrawn.
         self.target_announced.notify_waiters();
         let event = Event::WeightsNamed {
             model: model.as_str(),
             version: version.0,
             revision: revision.0,
-            learned: telling.learned.name(),
+            learned: origin.learned.name(),
             at_most_ms: age.map(|age| age.as_millis() as u64),
         };
         self.journal.log(&event);
@@ -287,7 +287,7 @@
             document.tenants.iter().filter_map(|tenant| Some((&tenant.name, tenant.quota.as_ref()?)));
         state.quotas.configure(quotas, self.now());
         state.table = Some(Rc::new(RouteTable::new(document)));
-        state.wheel.clear();
+        state.round_robin.clear();
         if let Some(peers) = &self.peers {
             peers.borrow_mut().gossip.set_stores(state.stores().map(|store| store.id).collect());
         }
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that back ends name: heard, told to other nodes, and kept to with every request that is sent.
+//! Rate limits advertised by back ends: observed, shared with other nodes, and applied to each request.
 
 use paddlemount_core::forwarding::{
     announcements::{
@@ -18,8 +18,8 @@
 };
 
 impl NodeState {
-    /// Requests a second that this node has lately sent to a back end like this one: the mean of its service, as one node of many
-    /// meets each back end too seldom.
+    /// The recent mean rate of this node's requests per back end of the same service. One of many nodes
+    /// reaches each single back end too rarely for a rate of its own.
     fn mean_rate_per_backend(&self, id: &BackendId, now: Timestamp) -> f64 {
         let service = self.backends.get(id).map(|backend| &backend.entry.service);
         let Some(pool) = service.and_then(|service| self.backends.pool(service)) else { return 0.0 };
@@ -29,16 +29,16 @@
 }
 
 impl Node {
-    /// Takes in what an answer of `process` says of its limit; nothing where it names none. `sent_at` tells when the request was sent
-    /// that it answers.
+    /// Applies the limit in an answer of `process`; `None` if it has none. `sent_at` is when the request was
+    /// sent that it answers.
     pub(crate) fn observe_limit(
         &self,
         process: &BackendProcess,
-        says: Option<&AdvertisedLimit>,
+        parsed: Option<&AdvertisedLimit>,
         sent_at: Option<Timestamp>,
     ) {
         let now = self.now();
-        let advertised = match (says, sent_at) {
+        let advertised = match (parsed, sent_at) {
             (Some(AdvertisedLimit::PerSecond(limit)), _) => Advertised { per_second: Some(*limit), at: now },
             (Some(AdvertisedLimit::Unreadable(value)), _) => {
                 let backend = process.id.as_str();
@@ -47,12 +47,12 @@
                 }
                 return;
             }
-            // What it answered before the limit was heard may have been said before it was named.
+            // An answer to a request sent earlier may predate the limit.
             (None, Some(sent_at)) => Advertised { per_second: None, at: sent_at },
             (None, None) => return,
         };
         let change = {
-            let nodes = self.nodes().most();
+            let nodes = self.nodes().upper_bound();
             let mut state = self.state.borrow_mut();
             let begins = advertised.per_second.is_some() && !state.backends.announcements.is_limited(process);
             let sent_per_second =
@@ -62,32 +62,33 @@
         if let Some(change) = change {
             self.log_limit_change(process, change, AnnouncementSource::Answer);
             if !matches!(change, LimitChange::Changed(_)) {
-                // The others send to it by what they know until they hear.
+                // Other nodes rely on the previous limit until they receive the gossip.
                 self.leader_known.notify_one();
             }
         }
     }
 
-    /// A node below has told what it has heard of limits.
+    /// Applies limits reported by a child.
     pub(crate) fn merge_limit_gossip(&self, gossip: &[LimitGossip]) {
         let now = self.now();
         let changes = self.state.borrow_mut().backends.announcements.merge_limit_gossip(gossip, now);
         for (process, change) in &changes {
-            self.log_limit_change(process, *change, AnnouncementSource::Told);
+            self.log_limit_change(process, *change, AnnouncementSource::Gossip);
         }
     }
 
-    /// The node above has answered a report that was sent at `sent_at` with what it knows of limits, and this node's part of them.
+    /// Applies the parent's limits and this node's shares of them, from the answer to a report sent at
+    /// `sent_at`.
     pub(crate) fn apply_limit_grants(&self, grants: &[LimitGrant], sent_at: Timestamp) {
         let now = self.now();
         let changes = self.state.borrow_mut().backends.announcements.apply_limit_grants(grants, sent_at, now);
         for (process, change) in &changes {
-            self.log_limit_change(process, *change, AnnouncementSource::Told);
+            self.log_limit_change(process, *change, AnnouncementSource::Gossip);
         }
     }
 
-    fn log_limit_change(&self, process: &BackendProcess, change: LimitChange, heard: AnnouncementSource) {
-        let (backend, heard) = (process.id.as_str(), heard.name());
+    fn log_limit_change(&self, process: &BackendProcess, change: LimitChange, source: AnnouncementSource) {
+        let (backend, heard) = (process.id.as_str(), source.name());
         let event = match change {
             LimitChange::Began(per_second) | LimitChange::Changed(per_second) => {
                 let own = self.state.borrow().backends.announcements.own_rate(process);
@@ -98,32 +99,32 @@
         self.journal.log(&event);
     }
 
-    /// Divides limits anew by this node's place in the tree; to be called several times a second.
+    /// Divides limits by this node's position in the tree. Must be called several times a second.
     pub(crate) fn divide_limits(&self) {
         let now = self.now();
-        let nodes = self.nodes().most();
+        let nodes = self.nodes().upper_bound();
         let settings = self.settings();
         let mut state = self.state.borrow_mut();
-        let asked = state.asked.per_second(now);
-        let mut members = vec![Member::new(settings.node.clone(), asked)];
+        let offered_load = state.offered_load.per_second(now);
+        let mut members = vec![Member::new(settings.node.clone(), offered_load)];
         if let Some(peers) = &self.peers {
             let peers = peers.borrow();
-            let below = peers.fleet.children.offered_load(now);
-            members.extend(below.map(|(node, asked)| Member::new(node.clone(), asked)));
+            let children = peers.fleet.children.offered_load(now);
+            members.extend(children.map(|(node, offered_load)| Member::new(node.clone(), offered_load)));
         }
         let root_share = state.quotas.root_share();
         let place = TreePosition { node: settings.node.clone(), root_share, nodes, members };
         state.backends.announcements.divide_limits(place, now);
     }
 
-    /// Requests a second that callers ask of this node and those below it.
+    /// The rate of callers' requests to this node and its descendants.
     pub(crate) fn demand_per_second(&self) -> f64 {
         let now = self.now();
-        let own = self.state.borrow().asked.per_second(now);
-        let below = self.peers.as_ref().map_or(0.0, |peers| {
-            peers.borrow().fleet.children.offered_load(now).map(|(_, asked)| asked).sum()
+        let own = self.state.borrow().offered_load.per_second(now);
+        let children = self.peers.as_ref().map_or(0.0, |peers| {
+            peers.borrow().fleet.children.offered_load(now).map(|(_, offered_load)| offered_load).sum()
         });
-        own + below
+        own + children
     }
 
     /// Whether the limit of a back end was used up since it was chosen.
@@ -131,13 +132,13 @@
         !self.state.borrow().backends.has_permit(backend, self.now())
     }
 
-    /// A request is being sent to a back end.
+    /// Takes a permit of a back end's limit for a request.
     pub(crate) fn acquire_permit(&self, backend: &BackendId) {
         let now = self.now();
         self.state.borrow_mut().backends.acquire_permit(backend, now);
     }
 
-    /// A request was not sent to a back end after all.
+    /// Returns the permit of a request that was not sent.
     pub(crate) fn release_permit(&self, backend: &BackendId) {
         self.state.borrow_mut().backends.release_permit(backend);
     }
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows a try without answer, and the answer that a caller gets in the end.
+//! Decides how a request continues after a failed attempt, and builds its final answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,40 +14,44 @@
 use crate::{
     access_log::{HELD_BACK, REFUSED},
     announcements::spread,
-    answers::{AnswerBody, Reason, Refusal, error_answer, whole},
+    answers::{AnswerBody, Reason, Refusal, error_answer, full_body},
     attempts::{AttemptFailure, strip_connection_headers},
-    exchange::{Exchange, LEAST_TIME},
+    exchange::{Exchange, MIN_ATTEMPT_TIME},
     journal::Event,
     metrics::Counter,
 };
 
 impl Exchange {
-    /// Decides what follows a try without answer; an answer where nothing does.
-    pub(crate) fn after(&mut self, choice: &Choice, ended: AttemptFailure) -> Option<Response<AnswerBody>> {
-        let next = self.decide(choice, &ended);
+    /// Handles a failed attempt. Returns the final answer, or `None` if another attempt follows.
+    pub(crate) fn after_failure(
+        &mut self,
+        choice: &Choice,
+        failure: AttemptFailure,
+    ) -> Option<Response<AnswerBody>> {
+        let next = self.decide(choice, &failure);
         match next {
             NextAction::Retry => None,
             NextAction::PassOn => {
-                let answer = ended.answer?;
+                let answer = failure.answer?;
                 Some(self.pass_on_failure(answer))
             }
-            NextAction::Refuse => Some(self.give_up(self.why_none(Reason::NotTaken))),
-            NextAction::Fail => Some(self.give_up(Reason::AnswerLost)),
+            NextAction::Refuse => Some(self.abandon(self.no_backend_refusal(Reason::NotTaken))),
+            NextAction::Fail => Some(self.abandon(Reason::AnswerLost)),
         }
     }
 
-    /// Decides what follows a try without answer, and tells it.
-    pub fn decide(&mut self, choice: &Choice, ended: &AttemptFailure) -> NextAction {
+    /// Decides how to continue after a failed attempt, and logs it.
+    pub fn decide(&mut self, choice: &Choice, failure: &AttemptFailure) -> NextAction {
         let now = self.node.now();
-        let time_left = self.give_up_at.saturating_since(now) >= LEAST_TIME;
+        let time_left = self.deadline.saturating_since(now) >= MIN_ATTEMPT_TIME;
         let (node, service) = (Rc::clone(&self.node), self.service.clone());
         let mut misdirected_retry = None;
         let budget = || {
-            // The others refuse as well: the caller is told so at once.
-            if ended.end == AttemptEnd::NotRun && node.is_refused_by_all(&service) {
+            // All other back ends refuse too, so the caller is refused at once.
+            if failure.end == AttemptEnd::NotRun && node.is_refused_by_all(&service) {
                 return false;
             }
-            if ended.end == AttemptEnd::Misdirected {
+            if failure.end == AttemptEnd::Misdirected {
                 misdirected_retry = node.draw_misdirected_retry();
                 if misdirected_retry.is_none() {
                     return false;
@@ -61,40 +65,40 @@
             }
             granted
         };
-        if ended.broke {
+        if failure.connection_lost {
             self.report_broken_run(choice);
         }
         let next = attempt::next_action(
             self.route.kind,
             self.route.attempts,
-            ended.end,
-            self.spent,
+            failure.end,
+            self.history,
             time_left,
             budget,
         );
-        // One that was drawn is kept until a try has arrived somewhere.
+        // Kept until an attempt has reached some back end.
         self.misdirected_retry = misdirected_retry.or(self.misdirected_retry);
-        let end = end_label(ended.end);
+        let end = end_label(failure.end);
         self.node.metrics.count(Counter::Attempts(end));
         self.node.journal.log(&Event::AttemptEnded {
             request: self.id(),
-            attempt: self.spent.sent + self.spent.not_sent,
+            attempt: self.history.sent + self.history.not_sent,
             backend: choice.backend.as_str(),
             end,
-            detail: ended.detail.clone(),
+            detail: failure.detail.clone(),
             next: next_label(next),
             after_ms: now.saturating_since(self.arrived).as_millis() as u64,
-            reused: ended.reused,
-            fingerprint: ended.broke.then(|| self.fingerprint().to_string()),
+            reused: failure.reused,
+            fingerprint: failure.connection_lost.then(|| self.fingerprint().to_string()),
             service: self.service.as_str(),
-            answered_by: ended.answered_by.as_ref().map(BackendId::as_str),
+            answered_by: failure.answered_by.as_ref().map(BackendId::as_str),
             budget_left: self.node.retries_left(&self.service),
         });
         next
     }
 
-    /// Why no back end gets the request, where nothing is wrong with all of them it is `otherwise`.
-    pub(crate) fn why_none(&self, otherwise: Reason) -> Refusal {
+    /// The reason for which no back end is available; `otherwise` if none applies to all of them.
+    pub(crate) fn no_backend_refusal(&self, otherwise: Reason) -> Refusal {
         let model = self.head.prompt.as_ref().map(|prompt| &prompt.model);
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
@@ -104,7 +108,7 @@
         match state.next_opening(&self.service, model, now) {
             Some(Opening { at, per_second: Some(per_second) }) => {
                 self.node.metrics.count(Counter::RefusedForLimits);
-                let schedule = state.returns.entry(self.service.clone()).or_default();
+                let schedule = state.retry_schedules.entry(self.service.clone()).or_default();
                 let retry_after = Some(spread(schedule.next(at, per_second, now)));
                 Refusal { reason: Reason::BackendsLimited, retry_after }
             }
@@ -121,37 +125,37 @@
         }
     }
 
-    /// The answer for a request that is held back, as far as an earlier try of it leaves a choice.
+    /// The answer to a quarantined request, depending on its earlier attempts.
     pub(crate) fn hold_back(&mut self, held_for: Duration) -> Response<AnswerBody> {
-        if attempt::action_without_retry(self.route.kind, self.spent) == NextAction::Fail
-            || self.spent.may_have_run
+        if attempt::action_without_retry(self.route.kind, self.history) == NextAction::Fail
+            || self.history.may_have_run
         {
             return self.refuse(Reason::AnswerLost);
         }
         self.refuse(Refusal { reason: Reason::HeldBack, retry_after: Some(held_for) })
     }
 
-    /// The answer for a request that is given up, as far as what may have happened allows it.
-    pub(crate) fn give_up(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
-        let time_up = self.node.now() + LEAST_TIME >= self.give_up_at;
-        let refusal = match attempt::action_without_retry(self.route.kind, self.spent) {
+    /// The answer to an abandoned request, depending on whether it may have run.
+    pub(crate) fn abandon(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
+        let time_up = self.node.now() + MIN_ATTEMPT_TIME >= self.deadline;
+        let refusal = match attempt::action_without_retry(self.route.kind, self.history) {
             NextAction::Fail if time_up => Reason::TimeUp.into(),
             NextAction::Fail => Reason::AnswerLost.into(),
-            _ if time_up && !self.spent.may_have_run => Reason::TimeUpBeforeSending.into(),
-            _ if self.spent.may_have_run && time_up => Reason::TimeUp.into(),
-            _ if self.spent.may_have_run => Reason::AnswerLost.into(),
+            _ if time_up && !self.history.may_have_run => Reason::TimeUpBeforeSending.into(),
+            _ if self.history.may_have_run && time_up => Reason::TimeUp.into(),
+            _ if self.history.may_have_run => Reason::AnswerLost.into(),
             _ => refusal.into(),
         };
         self.refuse(refusal)
     }
 
-    /// Refuses the request, or says that it may have run, as `reason` has it.
+    /// Answers with an error response.
     pub(crate) fn refuse(&mut self, refusal: impl Into<Refusal>) -> Response<AnswerBody> {
         let refusal = refusal.into();
-        self.account.reason = Some(refusal.reason);
+        self.record.reason = Some(refusal.reason);
         let answer = error_answer(refusal);
-        self.account.status = Some(answer.status().as_u16());
-        self.account.outcome = Some(match (refusal.reason, refusal.retry_after) {
+        self.record.status = Some(answer.status().as_u16());
+        self.record.outcome = Some(match (refusal.reason, refusal.retry_after) {
             (Reason::HeldBack, _) => HELD_BACK,
             (_, Some(_)) => REFUSED,
             (_, None) => "failed",
@@ -160,22 +164,22 @@
     }
 
     fn pass_on_failure(&mut self, answer: Response<Bytes>) -> Response<AnswerBody> {
-        self.account.outcome = Some("backend_failure");
+        self.record.outcome = Some("backend_failure");
         self.pass_on_inner(answer)
     }
 
-    /// Passes a back end's answer on.
+    /// Relays a back end's answer.
     pub(crate) fn pass_on(&mut self, answer: Response<Bytes>, outcome: &'static str) -> Response<AnswerBody> {
-        self.account.outcome = Some(outcome);
-        self.account.first_at = Some(self.node.now());
+        self.record.outcome = Some(outcome);
+        self.record.first_at = Some(self.node.now());
         self.pass_on_inner(answer)
     }
 
     fn pass_on_inner(&mut self, answer: Response<Bytes>) -> Response<AnswerBody> {
         let (mut head, body) = answer.into_parts();
-        self.account.status = Some(head.status.as_u16());
+        self.record.status = Some(head.status.as_u16());
         strip_connection_headers(&mut head.headers);
-        let mut answer = Response::new(whole(body));
+        let mut answer = Response::new(full_body(body));
         *answer.status_mut() = head.status;
         *answer.headers_mut() = head.headers;
         answer
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Takes other nodes in, takes their reports, and answers them.
+//! Admits other nodes as children, and answers their reports.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -20,23 +20,21 @@
 
 use super::{Peers, snapshot};
 use crate::{
-    answers::{AnswerBody, whole},
+    answers::{AnswerBody, full_body},
     journal::Event,
     metrics::Counter,
     node::Node,
     node_state::NodeState,
 };
 
-/// The largest report that is read, in bytes.
-const LARGEST_REPORT: usize = 1 << 20;
-/// The pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const MAX_REPORT_BYTES: usize = 1 << 20;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Takes reports for as long as the process lives.
+/// Serves other nodes for the lifetime of the process.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -49,27 +47,27 @@
         let node = Rc::clone(&node);
         async move { Ok::<_, Infallible>(answer(&node, request).await) }
     });
-    // How a connection ends matters to nobody: the sender reports again.
+    // Errors of a connection are ignored: the sender reports again.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
 async fn answer(node: &Rc<Node>, request: Request<Incoming>) -> Response<AnswerBody> {
     let path = request.uri().path().to_owned();
     if path == SNAPSHOT_PATH {
-        return snapshot::give(node);
+        return snapshot::serve(node);
     }
-    let Ok(body) = Limited::new(request.into_body(), LARGEST_REPORT).collect().await else {
+    let Ok(body) = Limited::new(request.into_body(), MAX_REPORT_BYTES).collect().await else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let body = body.to_bytes();
     match path.as_str() {
-        EXCHANGE_PATH => answer_to(&body, |report| take_report(node, report)),
-        JOIN_PATH => answer_to(&body, |request| Some(take_in(node, &request))),
+        EXCHANGE_PATH => answer_to(&body, |report| receive_report(node, report)),
+        JOIN_PATH => answer_to(&body, |request| Some(admit(node, &request))),
         _ => status(StatusCode::NOT_FOUND),
     }
 }
 
-/// Reads a message and answers it; 409 where there is nothing to answer.
+/// Parses a message and answers it, or responds with 409 if there is no answer.
 fn answer_to<M: DeserializeOwned, A: Serialize>(
     body: &Bytes,
     answer: impl FnOnce(M) -> Option<A>,
@@ -78,8 +76,8 @@
     answer(message).map_or_else(|| status(StatusCode::CONFLICT), |answer| json(&answer))
 }
 
-/// Decides on a node that asks to be taken in. A node without a way to what the store tells is no help to others.
-fn take_in(node: &Node, request: &JoinRequest) -> JoinAnswer {
+/// Decides about a join request. A node without access to the store's state is of no use as a parent.
+fn admit(node: &Node, request: &JoinRequest) -> JoinAnswer {
     let now = node.now();
     let leads = node.token().is_some();
     let Some(peers) = &node.peers else { return JoinAnswer::Refused };
@@ -94,9 +92,9 @@
     }
 }
 
-/// Takes a report in. None is taken of a node that stands above this one: reports go round in no circle, whatever the
-/// nodes believe of who leads. A node that is not known, as after a restart of this one, is taken in or referred.
-fn take_report(node: &Node, report: Report) -> Option<Digest> {
+/// Handles a report. Reports of ancestors are refused, so that reports cannot circulate whoever the nodes
+/// believe to lead. An unknown sender, as after a restart of this node, is admitted or referred.
+fn receive_report(node: &Node, report: Report) -> Option<Digest> {
     let now = node.now();
     let peers = node.peers.as_ref()?;
     if peers.borrow().fleet.uplink.is_self_or_ancestor(&report.sender.node) {
@@ -114,7 +112,7 @@
             join_capacity: report.join_capacity,
             unresponsive: Vec::new(),
         };
-        match take_in(node, &request) {
+        match admit(node, &request) {
             JoinAnswer::Accepted => {
                 peers.borrow_mut().fleet.children.record_report(&report, now);
             }
@@ -122,7 +120,7 @@
             JoinAnswer::Refused => return None,
         }
     }
-    // A planned stop leaves those below the time to find another place.
+    // A planned stop leaves children the time to find another parent.
     if node.is_stopping() && refer.is_none() {
         refer = peers.borrow().fleet.uplink.parent().cloned();
     }
@@ -140,9 +138,9 @@
     node.merge_limit_gossip(&report.limits);
     let newer_facts = node.newer_facts_for(report.applied);
     let mut state = node.state.borrow_mut();
-    for news in &report.cache_updates {
-        state.chooser.apply_gossip(news, now);
-        peers.gossip.enqueue(news.clone());
+    for update in &report.cache_updates {
+        state.chooser.apply_gossip(update, now);
+        peers.gossip.enqueue(update.clone());
     }
     let child = report.sender.node;
     let passed_over =
@@ -193,13 +191,13 @@
 }
 
 fn json(answer: &impl Serialize) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(Bytes::from(serde_json::to_vec(answer).unwrap_or_default())));
+    let mut response = Response::new(full_body(Bytes::from(serde_json::to_vec(answer).unwrap_or_default())));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 fn status(status: StatusCode) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(Bytes::new()));
+    let mut answer = Response::new(full_body(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -1,7 +1,7 @@
-//! All that is known of the metadata store, given by one node to another.
+//! Transfers a snapshot of the metadata store from one node to another.
 //!
-//! A node that starts, or that was told nothing for long, takes a snapshot of the node above it in place of a listing of
-//! the store: the store then lists its content once for the whole fleet, not once for each node.
+//! A node that starts, or that has not received changes for long, takes a snapshot from its parent instead of
+//! listing the store. So the store is listed once per fleet rather than once per node.
 
 use std::{rc::Rc, time::Duration};
 
@@ -17,7 +17,7 @@
 use serde_json::value::RawValue;
 
 use crate::{
-    answers::{AnswerBody, whole, with_guard},
+    answers::{AnswerBody, full_body, with_guard},
     calls::Client,
     journal::Event,
     metrics::Counter,
@@ -26,15 +26,14 @@
 
 /// The age of a snapshot's proof, in milliseconds, when its answer was written.
 const AGE_MS: HeaderName = HeaderName::from_static("paddlemount-proof-age-ms");
-/// How long a snapshot serves other nodes. What has changed since is told with the next reports.
-const KEPT: Duration = Duration::from_secs(1);
-/// Snapshots are given to one in so many of the nodes that may report here at once. Each is about a megabyte for ten
-/// thousand back ends: three of them take a link of 20 Mbit/s 1.2 s, ten of them one of 200 Mbit/s 0.4 s.
-const GIVEN_PART: usize = 2;
-/// How long a snapshot may take.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long a snapshot is reused. Later changes follow with the next reports.
+const SNAPSHOT_TTL: Duration = Duration::from_secs(1);
+/// The number of possible children per concurrent transfer of a snapshot. A snapshot of ten thousand back
+/// ends has about a megabyte, so the transfers must fit the node's link.
+const CHILDREN_PER_SNAPSHOT: usize = 2;
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A snapshot as it is sent.
+/// A serialized snapshot.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     body: Bytes,
@@ -42,50 +41,50 @@
     made_at: Timestamp,
 }
 
-/// What a snapshot tells, with facts as they are written or read.
+/// The content of a snapshot, with facts as they are written or read.
 #[derive(Debug, Serialize, Deserialize)]
 struct Content<F> {
     revision: Revision,
     registry: RegistryState,
     facts: F,
-    /// Versions of weights that were named lately.
-    #[serde(default)]
-    named: Vec<RecentTargetVersion>,
+    /// Recently announced target versions.
+    #[serde(default, rename = "named")]
+    recent_targets: Vec<RecentTargetVersion>,
 }
 
-/// Holds one of the snapshots that may be given at once.
-struct Given(Rc<Node>);
+/// Counts one of the concurrent transfers of snapshots.
+struct SnapshotPermit(Rc<Node>);
 
-impl Drop for Given {
+impl Drop for SnapshotPermit {
     fn drop(&mut self) {
         self.0.snapshots_given.set(self.0.snapshots_given.get().saturating_sub(1));
     }
 }
 
-/// Answers with a snapshot; refuses where this node does not know all itself, what it knows is old, or it gives enough of
-/// them already.
-pub(super) fn give(node: &Rc<Node>) -> Response<AnswerBody> {
+/// Answers with a snapshot. Refuses if this node does not know the whole store, if its proof is too old, or
+/// if too many transfers are in progress.
+pub(super) fn serve(node: &Rc<Node>) -> Response<AnswerBody> {
     let now = node.now();
-    let most = (node.settings().limits.fan_in() / GIVEN_PART).max(1);
+    let most = (node.settings().limits.fan_in() / CHILDREN_PER_SNAPSHOT).max(1);
     let free = node.snapshots_given.get() < most;
     let Some(snapshot) = current(node, now).filter(|_| free) else {
-        let mut refusal = Response::new(whole(Bytes::new()));
+        let mut refusal = Response::new(full_body(Bytes::new()));
         *refusal.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         return refusal;
     };
     node.snapshots_given.set(node.snapshots_given.get() + 1);
     node.metrics.count(Counter::SnapshotsGiven);
     let age = now.saturating_since(snapshot.proved_at).as_millis() as u64 + 1;
-    let mut answer = Response::new(whole(snapshot.body));
+    let mut answer = Response::new(full_body(snapshot.body));
     answer.headers_mut().insert(AGE_MS, HeaderValue::from(age));
-    with_guard(answer, Given(Rc::clone(node)))
+    with_guard(answer, SnapshotPermit(Rc::clone(node)))
 }
 
-/// The last snapshot, or a new one where that is old.
+/// The last snapshot, or a new one if that is too old.
 fn current(node: &Node, now: Timestamp) -> Option<Snapshot> {
     let peers = node.peers.as_ref()?;
     let known = peers.borrow().snapshot.clone();
-    if let Some(known) = known.filter(|known| now.saturating_since(known.made_at) < KEPT) {
+    if let Some(known) = known.filter(|known| now.saturating_since(known.made_at) < SNAPSHOT_TTL) {
         return Some(known);
     }
     let made = make(node, now)?;
@@ -100,18 +99,18 @@
     let age = state.freshness.age(now).filter(|age| *age < within)?;
     let registry = state.backends.registry.report(now);
     let proved_at = now - age;
-    let named = state.recent_targets(node.settings().bounds.weights(), proved_at, now);
-    let content = Content { revision, registry, facts: state.all_facts(), named };
+    let recent_targets = state.recent_targets(node.settings().bounds.weights(), proved_at, now);
+    let content = Content { revision, registry, facts: state.all_facts(), recent_targets };
     let body = serde_json::to_vec(&content).ok()?;
     Some(Snapshot { body: Bytes::from(body), proved_at, made_at: now })
 }
 
-/// Asks the node above for a snapshot, and takes it in where nothing newer is known by then.
-pub(super) async fn take(node: &Node, calls: &Client) {
+/// Requests a snapshot from the parent, and applies it unless something newer is known by then.
+pub(super) async fn fetch(node: &Node, calls: &Client) {
     let sent_at = node.now();
     let mut request = Request::new(Bytes::new());
     *request.uri_mut() = http::Uri::from_static(SNAPSHOT_PATH);
-    let Ok(answer) = calls.call(request, PATIENCE).await else { return };
+    let Ok(answer) = calls.call(request, SNAPSHOT_TIMEOUT).await else { return };
     if answer.status() != StatusCode::OK {
         return;
     }
@@ -129,7 +128,7 @@
     let (items, revision) = (facts.len(), content.revision);
     node.follow_registry(content.registry);
     let proved_at = relayed_proof_time(sent_at, Duration::from_millis(age));
-    node.apply_snapshot(facts, revision, proved_at, &content.named);
+    node.apply_snapshot(facts, revision, proved_at, &content.recent_targets);
     node.metrics.count(Counter::SnapshotsTaken);
     node.journal.log(&Event::SnapshotTaken { items, revision: revision.0, age_ms: age });
     if let Some(peers) = &node.peers {
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -23,34 +23,28 @@
     store_feed, target_record,
 };
 
-/// The pause between two looks at the settings file, readiness and old connections.
-const HOUSEKEEPING: Duration = Duration::from_millis(1_000);
-/// The pause between two looks whether all has ended.
-const END_PAUSE: Duration = Duration::from_millis(50);
-/// Time for the last log lines.
-const LAST_LINES: Duration = Duration::from_millis(120);
+/// The interval of checks of the settings file, of readiness and of expired state.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The interval of checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the last log lines to be written.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(120);
 
 /// Why the process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address cannot be listened on, or signals cannot be taken.
+    /// An address is not available, or signals cannot be handled.
     #[error("cannot start: {what}: {source}")]
-    System {
-        /// What failed.
-        what: &'static str,
-        /// Why.
-        source: io::Error,
-    },
+    System { what: &'static str, source: io::Error },
 }
 
 fn system(what: &'static str) -> impl Fn(io::Error) -> StartError {
     move |source| StartError::System { what, source }
 }
 
-/// Runs a forwarding node until it is told to stop.
+/// Runs a forwarding node until it receives a signal to stop.
 pub fn run(path: PathBuf, platform: Box<dyn Platform>) -> Result<(), StartError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(system("runtime"))?;
@@ -59,7 +53,7 @@
 }
 
 async fn run_node(path: PathBuf, platform: Box<dyn Platform>) -> Result<(), StartError> {
-    // First of all: a signal without a listener ends the process.
+    // Installed first, because a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(system("signals"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(system("signals"))?;
     let hangup = signal(SignalKind::hangup()).map_err(system("signals"))?;
@@ -67,19 +61,19 @@
     let clock = clock::start();
     let journal = Journal::to_standard_output(settings.node.as_str(), clock);
     let listen = settings.listen;
-    let callers = ingress::listen(listen.callers).map_err(system("callers' address"))?;
+    let callers = ingress::listen(listen.callers).map_err(system("caller address"))?;
     let readiness = ingress::listen(listen.readiness).map_err(system("readiness address"))?;
     let metrics = listen.metrics.map(ingress::listen).transpose().map_err(system("metrics address"))?;
-    let peers = listen.peers.map(ingress::listen).transpose().map_err(system("peers' address"))?;
+    let peers = listen.peers.map(ingress::listen).transpose().map_err(system("peer address"))?;
     let peers_address =
         peers.as_ref().map(TcpListener::local_addr).transpose().map_err(system("addresses"))?;
     let advertised = peers_address.map(|address| listen.peers_advertised.unwrap_or(address));
     let node = Rc::new(Node::new(settings, platform, clock, journal, advertised));
     let (stage, stage_seen) = watch::channel(StopStage::Serving);
-    let doors = Callers::new(Rc::clone(&node), stage_seen);
+    let caller_server = Callers::new(Rc::clone(&node), stage_seen);
     let addresses =
         Addresses::of(&callers, &readiness, metrics.as_ref(), peers_address).map_err(system("addresses"))?;
-    tell_start(&node, addresses);
+    log_start(&node, addresses);
     tokio::task::spawn_local(store_feed::run(Rc::clone(&node)));
     if let Some(peers) = peers {
         tokio::task::spawn_local(peers::server::serve(Rc::clone(&node), peers));
@@ -88,26 +82,30 @@
     tokio::task::spawn_local(cache_feed::run(Rc::clone(&node)));
     tokio::task::spawn_local(quarantine::run(Rc::clone(&node)));
     tokio::task::spawn_local(target_record::run(Rc::clone(&node)));
-    tokio::task::spawn_local(keep_house(Rc::clone(&node), path, hangup));
+    tokio::task::spawn_local(housekeeping(Rc::clone(&node), path, hangup));
     let leading = tokio::task::spawn_local(leadership::run(Rc::clone(&node)));
-    tokio::task::spawn_local(doors.clone().serve(callers));
-    let asked = Rc::clone(&node);
-    tokio::task::spawn_local(ingress::serve_simple(readiness, move || ingress::readiness_answer(&asked)));
+    tokio::task::spawn_local(caller_server.clone().serve(callers));
+    let readiness_node = Rc::clone(&node);
+    tokio::task::spawn_local(ingress::serve_simple(readiness, move || {
+        ingress::readiness_answer(&readiness_node)
+    }));
     if let Some(metrics) = metrics {
-        let told = Rc::clone(&node);
-        tokio::task::spawn_local(ingress::serve_simple(metrics, move || ingress::metrics_answer(&told)));
+        let metrics_node = Rc::clone(&node);
+        tokio::task::spawn_local(ingress::serve_simple(metrics, move || {
+            ingress::metrics_answer(&metrics_node)
+        }));
     }
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    stop(&node, &stage, &doors).await;
-    // The lease has been given up meanwhile, where the store answers.
+    stop(&node, &stage, &caller_server).await;
+    // The lease has been released by then if the store answers.
     leading.abort();
     Ok(())
 }
 
-/// Where the process listens, also where its settings left the port to the system.
+/// The addresses on which the process listens, with the ports that the system assigned.
 struct Addresses {
     callers: String,
     readiness: String,
@@ -132,7 +130,7 @@
     }
 }
 
-fn tell_start(node: &Node, addresses: Addresses) {
+fn log_start(node: &Node, addresses: Addresses) {
     node.journal.log(&Event::Started {
         zone: node.settings().zone.as_str(),
         callers: addresses.callers,
@@ -143,7 +141,8 @@
     });
 }
 
-/// Readiness goes first; callers are taken until they have been sent elsewhere; what runs gets the grace period.
+/// Readiness is withdrawn first; connections are accepted until callers have gone elsewhere; running requests
+/// get the grace period.
 async fn stop(node: &Rc<Node>, stage: &watch::Sender<StopStage>, callers: &Callers) {
     let began = node.now();
     let planned = PlannedStop::with_grace_period(began, node.settings().bounds.grace());
@@ -154,26 +153,26 @@
     stage.send_replace(StopStage::Closing);
     node.journal.log(&Event::CallersClosing { open: callers.open(), running: node.running.get() });
     while !callers.are_drained() && node.now() < planned.ends_at {
-        tokio::time::sleep(END_PAUSE).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     let after_ms = node.now().saturating_since(began).as_millis() as u64;
     node.journal.log(&Event::Stopped { running: node.running.get(), after_ms });
-    // Requests that are cut tell their own lines while lines are still written.
+    // Requests that are cut off still log their lines.
     node.grace_is_over.set(true);
     stage.send_replace(StopStage::Ended);
-    tokio::time::sleep(LAST_LINES).await;
+    tokio::time::sleep(LOG_FLUSH_TIME).await;
 }
 
-/// Follows the settings file, tells changes of readiness, and drops what has grown old.
-async fn keep_house(node: Rc<Node>, path: PathBuf, mut hangup: Signal) {
+/// Watches the settings file, logs changes of readiness, and removes expired state.
+async fn housekeeping(node: Rc<Node>, path: PathBuf, mut hangup: Signal) {
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     let mut ready = None;
     loop {
-        let asked = tokio::select! {
-            () = tokio::time::sleep(HOUSEKEEPING) => false,
+        let forced = tokio::select! {
+            () = tokio::time::sleep(HOUSEKEEPING_INTERVAL) => false,
             _ = hangup.recv() => true,
         };
-        reload(&node, &path, &mut text, asked);
+        reload(&node, &path, &mut text, forced);
         node.sweep();
         let readiness = node.readiness();
         if ready != Some(readiness) {
@@ -188,11 +187,11 @@
     }
 }
 
-/// Reads the settings again. Ones that cannot be used are told, and those before them hold on.
-fn reload(node: &Node, path: &std::path::Path, text: &mut String, asked: bool) {
+/// Reloads the settings. If they are invalid, the previous ones stay in force.
+fn reload(node: &Node, path: &std::path::Path, text: &mut String, forced: bool) {
     let read = std::fs::read_to_string(path);
     let changed = read.as_ref().is_ok_and(|new| new != text);
-    if !changed && !asked {
+    if !changed && !forced {
         return;
     }
     let parsed = match &read {
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, event by event, and resumes it at another back end where the route allows it.
+//! Relays a stream of events and resumes it at another back end if the route allows that.
 
 use std::{rc::Rc, time::Duration};
 
@@ -23,70 +23,70 @@
     response_wait::{OUTDATED, Waited},
 };
 
-/// How long a resumable stream may be silent, in multiples of the pause that its route calls good.
-const SILENCE_GAPS: u32 = 5;
-/// The same for routes that name no such pause.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// The silence before a resumable stream's first event, in multiples of its route's target.
-const FIRST_SILENCE_TARGETS: u32 = 2;
+/// How long a resumable stream may stall, in multiples of its route's target gap.
+const STALL_GAPS: u32 = 5;
+/// The same for routes without a target gap.
+const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long a resumable stream may take to its first event, in multiples of its route's target latency.
+const FIRST_EVENT_TARGETS: u32 = 2;
 
-/// Why a stream ends before it is whole.
+/// Why a stream ends early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
-    /// The back end broke off, and no other could go on.
+    /// The back end broke off, and no other could continue.
     #[error("the back end broke off")]
     Broken,
-    /// The time is up.
     #[error("the time is up")]
     TimeUp,
 }
 
-/// A stream that is being passed on. Dropping it, as when the caller has left, closes the back end's connection.
+/// A stream that is being relayed. Dropping it, for example because the caller left, closes the back end's
+/// connection.
 pub struct Relay {
     exchange: Exchange,
     choice: Choice,
-    begun: Option<AttemptAnswer>,
+    upstream: Option<AttemptAnswer>,
     /// The head of the answer: that of the run whose events come first.
     head: response::Parts,
-    /// Events that came before the head was passed on.
+    /// Events received before the head was sent to the caller.
     opening: Option<Bytes>,
     splitter: EventSplitter,
-    /// Whether an event has come of the present run.
+    /// Whether the current run has sent an event.
     has_event: bool,
-    /// Whether an event has come of any run.
+    /// Whether any run has sent an event.
     has_passed_on: bool,
-    waits_on: bool,
-    /// When something was last heard of the back end.
-    heard_at: Timestamp,
+    waits_to_end: bool,
+    /// When data last arrived from the back end.
+    received_at: Timestamp,
     done: bool,
 }
 
-/// What came of waiting for the back end.
-enum Heard {
+/// The result of waiting for the back end.
+enum Received {
     Data(Bytes),
     End,
     Broken(String),
-    Silent,
-    /// Nothing came for longer than a good pause.
-    Pause,
-    /// The back end's weights are too old for a request that has not begun.
+    Stalled,
+    /// Nothing arrived for longer than the target gap.
+    Slow,
+    /// The back end's weights are outdated, and the request has not started.
     Outdated,
     TimeUp,
 }
 
 impl Relay {
-    /// Passes on what has begun, from its first event on; the caller has the events up to `last_event`.
+    /// Starts to relay an answer and waits for its first event; the caller has the events up to `last_event`.
     ///
     /// # Errors
     ///
-    /// Gives the request back where no event came: the caller has no head yet, and can be told by a whole answer.
+    /// Returns the exchange if no event arrived, so that it can be answered by an error response.
     pub async fn open(
         exchange: Exchange,
         choice: Choice,
-        begun: AttemptAnswer,
+        upstream: AttemptAnswer,
         last_event: Option<u64>,
     ) -> Result<Self, Box<Exchange>> {
-        let mut relay = Self::new(exchange, choice, begun, last_event);
+        let mut relay = Self::new(exchange, choice, upstream, last_event);
         match relay.next().await {
             None => Ok(relay),
             Some(Ok(events)) => {
@@ -94,26 +94,26 @@
                 Ok(relay)
             }
             Some(Err(_)) => {
-                relay.exchange.spent.may_have_run = true;
+                relay.exchange.history.may_have_run = true;
                 Err(Box::new(relay.exchange))
             }
         }
     }
 
-    fn new(exchange: Exchange, choice: Choice, begun: AttemptAnswer, last_event: Option<u64>) -> Self {
+    fn new(exchange: Exchange, choice: Choice, upstream: AttemptAnswer, last_event: Option<u64>) -> Self {
         let splitter = EventSplitter::resuming_after(last_event);
-        let heard_at = exchange.node.now();
+        let received_at = exchange.node.now();
         Self {
             exchange,
             choice,
-            head: begun.head.clone(),
-            begun: Some(begun),
+            head: upstream.head.clone(),
+            upstream: Some(upstream),
             opening: None,
             splitter,
             has_event: false,
             has_passed_on: false,
-            waits_on: false,
-            heard_at,
+            waits_to_end: false,
+            received_at,
             done: false,
         }
     }
@@ -123,13 +123,13 @@
         &self.head
     }
 
-    /// The stream as the body of an answer.
+    /// The stream as a response body.
     pub fn into_body(self) -> AnswerBody {
-        let parts = stream::unfold(self, |mut relay| async move {
-            let part = relay.next().await?;
-            Some((part.map(Frame::data), relay))
+        let chunks = stream::unfold(self, |mut relay| async move {
+            let chunk = relay.next().await?;
+            Some((chunk.map(Frame::data), relay))
         });
-        Box::pin(StreamBody::new(parts))
+        Box::pin(StreamBody::new(chunks))
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, RelayError>> {
@@ -140,89 +140,91 @@
             return None;
         }
         loop {
-            match self.hear().await {
-                Heard::Data(data) => {
-                    self.heard_at = self.exchange.node.now();
-                    let whole = self.splitter.push(&data);
-                    if !whole.is_empty() {
-                        self.exchange.part();
+            match self.receive().await {
+                Received::Data(data) => {
+                    self.received_at = self.exchange.node.now();
+                    let events = self.splitter.push(&data);
+                    if !events.is_empty() {
+                        self.exchange.record_chunk();
                         self.first_event();
-                        return Some(Ok(whole));
+                        return Some(Ok(events));
                     }
                 }
-                Heard::End => {
+                Received::End => {
                     if let Some(result) = self.end() {
                         return result;
                     }
-                    let ended = AttemptFailure::broken("ended in the middle of an event".into());
-                    if !self.resume_without_run(ended).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                    let failure = AttemptFailure::broken("ended in the middle of an event".into());
+                    if !self.resume_without_run(failure).await {
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::Broken(detail) => {
+                Received::Broken(detail) => {
                     if !self.resume_without_run(AttemptFailure::broken(detail)).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::Pause if !self.exchange.node.is_ejected(&self.choice.backend) => {}
-                // Silence alone ends nothing: without another back end the stream is waited for to its end.
-                Heard::Silent | Heard::Pause if !self.exchange.has_another() => self.waits_on = true,
-                Heard::Silent | Heard::Pause => {
+                Received::Slow if !self.exchange.node.is_ejected(&self.choice.backend) => {}
+                // Without an alternative back end, a stalled stream is waited for until its deadline.
+                Received::Stalled | Received::Slow if !self.exchange.has_alternative() => {
+                    self.waits_to_end = true
+                }
+                Received::Stalled | Received::Slow => {
                     if !self.resume(AttemptFailure::unclear("silent".into())).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::Outdated => {
+                Received::Outdated => {
                     if !self.resume_without_run(AttemptFailure::unclear(OUTDATED.into())).await {
-                        return Some(Err(self.give_up("stream_broken", RelayError::Broken)));
+                        return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
-                Heard::TimeUp => return Some(Err(self.give_up("time_up", RelayError::TimeUp))),
+                Received::TimeUp => return Some(Err(self.abandon("time_up", RelayError::TimeUp))),
             }
         }
     }
 
-    async fn hear(&mut self) -> Heard {
-        let give_up_at = self.exchange.give_up_at;
-        let silent_at = self.silent_at();
+    async fn receive(&mut self) -> Received {
+        let deadline = self.exchange.deadline;
+        let stalled_at = self.stalled_at();
         let node = &self.exchange.node;
-        let until = silent_at.map_or(give_up_at, |at| at.min(give_up_at));
-        // A back end that fails others is given less time: it is looked at again before its silence is certain.
-        let look_at = silent_at.map(|_| node.now() + self.good_pause());
-        let until = look_at.map_or(until, |at| at.min(until));
-        let Some(begun) = &mut self.begun else { return Heard::Broken("nothing has begun".into()) };
-        let begins_at = (!self.has_event).then_some(&self.choice);
-        match node.wait(begins_at, until, begun.body.frame()).await {
-            Waited::Done(Some(Ok(frame))) => Heard::Data(frame.into_data().unwrap_or_default()),
-            Waited::Done(Some(Err(error))) => Heard::Broken(error.to_string()),
-            Waited::Done(None) => Heard::End,
-            Waited::Outdated => Heard::Outdated,
-            Waited::TimeUp if silent_at.is_some_and(|at| at <= until) => Heard::Silent,
-            Waited::TimeUp if until < give_up_at => Heard::Pause,
-            Waited::TimeUp => Heard::TimeUp,
+        let until = stalled_at.map_or(deadline, |at| at.min(deadline));
+        // Rechecked early, because less time is given to a back end that was ejected meanwhile.
+        let recheck_at = stalled_at.map(|_| node.now() + self.slow_after());
+        let until = recheck_at.map_or(until, |at| at.min(until));
+        let Some(upstream) = &mut self.upstream else { return Received::Broken("no run in progress".into()) };
+        let starting_at = (!self.has_event).then_some(&self.choice);
+        match node.wait(starting_at, until, upstream.body.frame()).await {
+            Waited::Done(Some(Ok(frame))) => Received::Data(frame.into_data().unwrap_or_default()),
+            Waited::Done(Some(Err(error))) => Received::Broken(error.to_string()),
+            Waited::Done(None) => Received::End,
+            Waited::Outdated => Received::Outdated,
+            Waited::TimeUp if stalled_at.is_some_and(|at| at <= until) => Received::Stalled,
+            Waited::TimeUp if until < deadline => Received::Slow,
+            Waited::TimeUp => Received::TimeUp,
         }
     }
 
-    /// When another back end is asked, where the route allows that.
-    fn silent_at(&self) -> Option<Timestamp> {
+    /// When the stream counts as stalled, if another back end could take it over.
+    fn stalled_at(&self) -> Option<Timestamp> {
         let route = &self.exchange.route;
-        let resumable = is_resumable(route.kind) && self.exchange.spent.sent < route.attempts;
+        let resumable = is_resumable(route.kind) && self.exchange.history.sent < route.attempts;
         let copied = self.has_event && self.choice.copy_to.is_some();
-        if self.waits_on || !(resumable || copied) {
+        if self.waits_to_end || !(resumable || copied) {
             return None;
         }
-        let silence = if self.has_event {
-            route.target_gap.map_or(SILENCE, |gap| gap * SILENCE_GAPS)
+        let stall_timeout = if self.has_event {
+            route.target_gap.map_or(STALL_TIMEOUT, |gap| gap * STALL_GAPS)
         } else {
-            let usual = self.exchange.node.slowest(&self.choice.backend) * 3 / 2;
-            (route.target_latency * FIRST_SILENCE_TARGETS).max(usual)
+            let usual = self.exchange.node.slow_latency(&self.choice.backend) * 3 / 2;
+            (route.target_latency * FIRST_EVENT_TARGETS).max(usual)
         };
-        Some(self.heard_at + silence)
+        Some(self.received_at + stall_timeout)
     }
 
-    /// The longest pause that is still good, with some slack.
-    fn good_pause(&self) -> Duration {
-        self.exchange.route.target_gap.unwrap_or(SILENCE / SILENCE_GAPS) * 6 / 5
+    /// The target gap plus some slack.
+    fn slow_after(&self) -> Duration {
+        self.exchange.route.target_gap.unwrap_or(STALL_TIMEOUT / STALL_GAPS) * 6 / 5
     }
 
     fn first_event(&mut self) {
@@ -231,148 +233,151 @@
         }
         self.has_event = true;
         self.has_passed_on = true;
-        if let Some(begun) = &mut self.begun {
-            begun.work.first_part();
+        if let Some(upstream) = &mut self.upstream {
+            upstream.work.record_first_chunk();
         }
-        self.exchange.first_part(&self.choice);
+        self.exchange.record_first_chunk(&self.choice);
     }
 
-    /// The body has ended. Nothing is given where its end cannot be a stream's.
+    /// Handles the end of the body. Returns `None` if the stream was cut off.
     fn end(&mut self) -> Option<Option<Result<Bytes, RelayError>>> {
-        let begun = self.begun.take()?;
-        if self.splitter.has_partial_event() && !begun.framed {
+        let upstream = self.upstream.take()?;
+        if self.splitter.has_partial_event() && !upstream.framed {
             return None;
         }
         self.done = true;
-        self.exchange.conclude(STREAMED);
+        self.exchange.set_outcome(STREAMED);
         self.exchange.run_completed();
         let node = &self.exchange.node;
-        node.pool.borrow_mut().put(&begun.work.backend, begun.connection, node.now());
+        node.pool.borrow_mut().put(&upstream.work.backend, upstream.connection, node.now());
         let rest = self.splitter.finish();
         Some((!rest.is_empty()).then_some(Ok(rest)))
     }
 
-    /// Lets another back end go on; the run before has ended, or must not begin any more.
-    async fn resume_without_run(&mut self, ended: AttemptFailure) -> bool {
-        self.let_go();
-        self.resume(ended).await
+    /// Resumes the stream elsewhere after the current run has ended or must not start any more.
+    async fn resume_without_run(&mut self, failure: AttemptFailure) -> bool {
+        self.release_run();
+        self.resume(failure).await
     }
 
-    /// Lets another back end go on behind the last whole event. A run that is only silent is kept until the other may have
-    /// begun: where that one refuses, the stream goes on as it was. Whether the stream goes on at all.
-    async fn resume(&mut self, ended: AttemptFailure) -> bool {
-        self.exchange.spent.may_have_run = true;
-        let known = self.exchange.account.choice.clone();
+    /// Resumes the stream at another back end after the last complete event. A stalled run is kept until the
+    /// other one may have started; if that one refuses, the stream continues as before. Returns whether the
+    /// stream continues at all.
+    async fn resume(&mut self, failure: AttemptFailure) -> bool {
+        self.exchange.history.may_have_run = true;
+        let known = self.exchange.record.choice.clone();
         let resumed = if is_resumable(self.exchange.route.kind) {
-            self.go_on_elsewhere(ended).await
+            self.resume_elsewhere(failure).await
         } else {
-            self.go_on_from_copy(ended).await
+            self.resume_from_copy(failure).await
         };
         if resumed {
             return true;
         }
-        // Nobody else takes the stream: the silent run is waited for to its end.
-        self.exchange.account.choice = known;
-        self.waits_on = true;
-        self.begun.is_some()
+        // No other back end takes the stream, so the stalled run is waited for until its deadline.
+        self.exchange.record.choice = known;
+        self.waits_to_end = true;
+        self.upstream.is_some()
     }
 
-    async fn go_on_elsewhere(&mut self, mut ended: AttemptFailure) -> bool {
-        let mut asked = self.choice.clone();
+    async fn resume_elsewhere(&mut self, mut failure: AttemptFailure) -> bool {
+        let mut tried = self.choice.clone();
         loop {
-            if self.exchange.decide(&asked, &ended) != NextAction::Retry {
+            if self.exchange.decide(&tried, &failure) != NextAction::Retry {
                 return false;
             }
             if self.exchange.held_for().is_some() {
                 return false;
             }
-            let Some(choice) = self.exchange.place() else { return false };
+            let Some(choice) = self.exchange.choose_backend() else { return false };
             let resume = Resume { after: self.splitter.last_id(), continues: None };
-            asked = choice.clone();
-            ended = match self.ask(choice, resume).await {
+            tried = choice.clone();
+            failure = match self.attempt_resume(choice, resume).await {
                 Ok(()) => return true,
-                Err(ended) => ended,
+                Err(failure) => failure,
             };
         }
     }
 
-    /// Goes on where a copy of the run's memory is: that is the same run, and no second one.
-    async fn go_on_from_copy(&mut self, ended: AttemptFailure) -> bool {
+    /// Continues from a copy of the run's memory, which counts as the same run.
+    async fn resume_from_copy(&mut self, failure: AttemptFailure) -> bool {
         let Some((next, run)) = self.exchange.copy_of(&self.choice).filter(|_| self.has_event) else {
-            self.exchange.decide(&self.choice, &ended);
+            self.exchange.decide(&self.choice, &failure);
             return false;
         };
-        let ended = AttemptFailure { end: AttemptEnd::Copied, ..ended };
-        let goes_on = self.exchange.decide(&self.choice, &ended) == NextAction::Retry;
+        let failure = AttemptFailure { end: AttemptEnd::Copied, ..failure };
+        let goes_on = self.exchange.decide(&self.choice, &failure) == NextAction::Retry;
         if !goes_on || self.exchange.held_for().is_some() {
             return false;
         }
         let resume = Resume { after: self.splitter.last_id(), continues: Some(run) };
         let holder = next.clone();
-        match self.ask(next, resume).await {
+        match self.attempt_resume(next, resume).await {
             Ok(()) => true,
-            Err(ended) if self.begun.is_some() => {
-                self.exchange.decide(&holder, &ended);
+            Err(failure) if self.upstream.is_some() => {
+                self.exchange.decide(&holder, &failure);
                 false
             }
-            // The run before may have gone further than the caller has seen: nothing else may take it up.
-            Err(ended) => {
-                self.exchange.decide(&holder, &AttemptFailure { end: AttemptEnd::Unclear, ..ended });
+            // The previous run may have got further than the caller has seen, so no other run may follow it.
+            Err(failure) => {
+                self.exchange.decide(&holder, &AttemptFailure { end: AttemptEnd::Unclear, ..failure });
                 false
             }
         }
     }
 
-    /// Asks another back end to go on, and lets the run before go once that one has begun or may have.
-    async fn ask(&mut self, choice: Choice, resume: Resume) -> Result<(), AttemptFailure> {
+    /// Asks another back end to continue, and releases the previous run once the other has started or may
+    /// have.
+    async fn attempt_resume(&mut self, choice: Choice, resume: Resume) -> Result<(), AttemptFailure> {
         let node = Rc::clone(&self.exchange.node);
-        let begins_at = (!self.has_event).then_some(&self.choice);
+        let starting_at = (!self.has_event).then_some(&self.choice);
         let attempt = self.exchange.attempt(&choice, resume);
-        let result = node.attempt_beside(&mut self.begun, begins_at, attempt).await;
+        let result = node.attempt_beside(&mut self.upstream, starting_at, attempt).await;
         let result = match result {
-            Ok(begun) if !begun.head.status.is_success() => {
-                Err(AttemptFailure::unclear(format!("status {}", begun.head.status)))
+            Ok(upstream) if !upstream.head.status.is_success() => {
+                Err(AttemptFailure::unclear(format!("status {}", upstream.head.status)))
             }
             result => result,
         };
         match result {
-            Ok(begun) => {
-                self.let_go();
-                self.take_over(choice, begun);
+            Ok(upstream) => {
+                self.release_run();
+                self.take_over(choice, upstream);
                 Ok(())
             }
-            Err(ended) => {
-                // Only what has certainly not begun leaves the run before to itself.
-                if !matches!(ended.end, AttemptEnd::NotSent | AttemptEnd::NotRun | AttemptEnd::Misdirected) {
-                    self.let_go();
+            Err(failure) => {
+                // The previous run is kept only if the other certainly has not started.
+                if !matches!(failure.end, AttemptEnd::NotSent | AttemptEnd::NotRun | AttemptEnd::Misdirected)
+                {
+                    self.release_run();
                 }
-                Err(ended)
+                Err(failure)
             }
         }
     }
 
-    /// The run before is left, with what it has sent of an event.
-    fn let_go(&mut self) {
-        self.begun = None;
+    /// Releases the current run and discards its partial event.
+    fn release_run(&mut self) {
+        self.upstream = None;
         self.splitter.finish();
     }
 
-    fn take_over(&mut self, choice: Choice, begun: AttemptAnswer) {
-        self.exchange.resumed();
-        // A copy goes on in the run that the caller has events of; any other run begins anew.
+    fn take_over(&mut self, choice: Choice, upstream: AttemptAnswer) {
+        self.exchange.record_resume();
+        // A copy continues the run whose events the caller has; any other run starts anew.
         self.has_event &= !is_resumable(self.exchange.route.kind);
         if !self.has_passed_on {
-            self.head = begun.head.clone();
+            self.head = upstream.head.clone();
         }
         self.choice = choice;
-        self.begun = Some(begun);
-        self.heard_at = self.exchange.node.now();
+        self.upstream = Some(upstream);
+        self.received_at = self.exchange.node.now();
     }
 
-    fn give_up(&mut self, outcome: &'static str, error: RelayError) -> RelayError {
-        self.begun = None;
+    fn abandon(&mut self, outcome: &'static str, error: RelayError) -> RelayError {
+        self.upstream = None;
         self.done = true;
-        self.exchange.conclude(outcome);
+        self.exchange.set_outcome(outcome);
         error
     }
 }
--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -1,4 +1,4 @@
-//! What one request tells of its runs, for finding requests under which back ends end.
+//! Reports the runs of a request to the quarantine.
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
 use crate::exchange::Exchange;
 
 impl Exchange {
-    /// How long what the caller asks for is still held back; nothing where it is not.
+    /// How long this request stays quarantined; `None` if it is not.
     pub(crate) fn held_for(&mut self) -> Option<Duration> {
         if !self.node.state.borrow().quarantine.may_be_held(self.origin().hash()) {
             return None;
         }
         let fingerprint = self.fingerprint();
         let held_for = self.node.held_for(&fingerprint)?;
-        self.account.fingerprint = Some(fingerprint);
+        self.record.fingerprint = Some(fingerprint);
         Some(held_for)
     }
 
-    /// The run came to its end: the request does no back end harm.
+    /// Reports a completed run, which clears the request.
     pub(crate) fn run_completed(&self) {
         self.node.run_completed(self.fingerprint());
     }
 
-    /// The connection ended under the run.
+    /// Reports that the connection broke during the run.
     pub(crate) fn report_broken_run(&self, choice: &Choice) {
-        // The planned end of a back end, which cuts what lasts too long, is no crash: three in turn held ordinary requests back.
+        // A planned stop of a back end cuts off long runs and is not a crash.
         if self.node.state.borrow().backends.is_leaving(&choice.backend) {
             return;
         }
@@ -38,25 +38,25 @@
             fingerprint: self.fingerprint(),
             engine: choice.backend.clone(),
             route: self.route.name.clone(),
-            tenant: self.account.tenant.as_ref().map(|tenant| tenant.name.clone()),
+            tenant: self.record.tenant.as_ref().map(|tenant| tenant.name.clone()),
             began: self.sent_at.unwrap_or(self.arrived),
             ended: self.node.now(),
         };
         self.node.report_broken_run(crash, choice.address);
     }
 
-    /// What the caller asks for, the same each time it comes back.
+    /// Identifies the request; the same for each retry by its caller.
     pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         self.origin().fingerprint(&self.body)
     }
 
     fn origin(&self) -> Origin<'_> {
-        let named = self.parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
+        let header_host = self.parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
         Origin {
             method: self.parts.method.as_str(),
-            host: named.or_else(|| self.parts.uri.host()).unwrap_or_default(),
+            host: header_host.or_else(|| self.parts.uri.host()).unwrap_or_default(),
             path: self.parts.uri.path_and_query().map_or("/", |path| path.as_str()),
-            caller: self.account.tenant.as_ref().map_or("", |tenant| tenant.name.as_str()),
+            caller: self.record.tenant.as_ref().map_or("", |tenant| tenant.name.as_str()),
         }
     }
 }
--- a/crates/forward/src/store_feed.rs
+++ b/crates/forward/src/store_feed.rs
@@ -1,11 +1,12 @@
-//! Follows the metadata store: one long watch after the other, and a listing where history is lost.
+//! Follows the metadata store with consecutive long-poll watches, and lists it where history is lost.
 //!
-//! The watch brings news at once. Its answer is also the proof that nothing else has changed since it was asked.
+//! A watch returns changes at once. Its answer also proves that nothing else has changed since it was sent.
 //!
-//! A listing of a large store costs many calls, which all nodes would make at the same moment where all start or history is
-//! lost. So a node that is not the root makes the first few of them alone: these hold the operator's document, who leads and
-//! some back ends, by which it serves at once. The rest it takes as a snapshot from the node that it reports to
-//! ([`crate::peers`]). Where nobody gives one it lists on from where it was.
+//! Listing a large store takes many calls, and all nodes would make them at the same moment when all start or
+//! when history is lost. So a node other than the root lists only the first few pages by itself: they contain
+//! the operator's document, the leader and some back ends, which is enough to start serving. The rest comes
+//! as a snapshot from its parent ([`crate::peers`]). If no node provides one, the listing continues where it
+//! stopped.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,59 +22,52 @@
     ports::{Fact, InvalidAnswer, StoreAnswer, StoreCall},
 };
 
-/// How long an answer may take beyond what was asked to wait.
-const PATIENCE: Duration = Duration::from_millis(1_200);
-/// The pause after a failed call; grows with each further failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause after a failed call.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// The least time between two watches of the leader, whose orders wait for news.
-const LEADER_GATHER: Duration = Duration::from_millis(200);
+/// How long an answer may take beyond the requested wait.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The pause after a failed call, times the number of consecutive failures.
+const RETRY_STEP: Duration = Duration::from_millis(100);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The minimum interval between watches of the leader, whose orders depend on changes.
+const LEADER_WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The pause between two looks whether other nodes still pass on what the store tells.
-const RELAYED_LOOK: Duration = Duration::from_millis(100);
-/// The pause between two looks who leads, while nobody is known to.
-const LEADER_LOOK: Duration = Duration::from_millis(300);
-/// How much later a small machine first looks who leads, and by how much they spread out: a strong one leads by then, so
-/// that hundreds of small ones find it by one look each.
-const SMALL_LOOKS_AFTER: Duration = Duration::from_millis(700);
-const SMALL_LOOKS_SPREAD: Duration = Duration::from_millis(600);
-/// Pages that a node lists before it waits for a snapshot from another one. All of a store of a hundred back ends lies on
-/// one or two; of ten thousand on fifty.
-const PAGES_ALONE: u32 = 2;
-/// How long the pages listed so far are added to. The changes since the first one are asked for once all are there, and the
-/// store keeps a history of 20 s.
-const LISTING_HOLDS: Duration = Duration::from_secs(8);
+/// The interval of checks whether other nodes still relay the store.
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval of reads of the leader while none is known.
+const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// A small machine delays its first read of the leader by this and by a random part of the jitter. A stronger
+/// machine usually leads by then, so hundreds of small ones need one read each.
+const SMALL_NODE_DELAY: Duration = Duration::from_millis(700);
+const SMALL_NODE_JITTER: Duration = Duration::from_millis(600);
+/// Pages that a node lists before it waits for a snapshot. A store with a hundred back ends has one or two
+/// pages, one with ten thousand has fifty.
+const PAGES_BEFORE_SNAPSHOT: u32 = 2;
+/// How long an incomplete listing is continued. The changes since its first page are requested at the end,
+/// and the store keeps 20 s of history.
+const LISTING_TTL: Duration = Duration::from_secs(8);
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No answer came.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer makes no sense.
-    #[error("the answer makes no sense: {0}")]
+    #[error("invalid answer: {0}")]
     InvalidAnswer(#[from] InvalidAnswer),
-    /// The store refused; nothing was done.
+    /// The store refused the call; nothing was done.
     #[error("refused with status {0}")]
     Refused(http::StatusCode),
-    /// The answer is older than the copy from which the store has come back.
-    #[error("an answer of before the store's return")]
+    /// The answer predates the latest restore of the store.
+    #[error("an answer from before the store was restored")]
     OlderCopy,
-    /// An answer of another kind than asked for.
-    #[error("an answer of another kind")]
+    /// An answer of another type than the call expects.
+    #[error("an answer of an unexpected type")]
     Unexpected,
 }
 
-/// Makes one call to the store.
-pub async fn call_store(
-    node: &Node,
-    call: &StoreCall,
-    patience: Duration,
-) -> Result<StoreAnswer, StoreError> {
+/// Makes a call to the store.
+pub async fn call_store(node: &Node, call: &StoreCall, timeout: Duration) -> Result<StoreAnswer, StoreError> {
     let began = node.now();
     let answer: Result<Response<Bytes>, CallError> =
-        node.store.call(node.platform.store_request(call), patience).await;
+        node.store.call(node.platform.store_request(call), timeout).await;
     node.metrics.observe(Distribution::StoreCall, node.now().saturating_since(began));
     let result = answer.map_err(StoreError::from).and_then(|answer| {
         node.observe_era(node.platform.store_era(&answer));
@@ -96,9 +90,9 @@
     result
 }
 
-/// Looks who leads, by a read that may be old and costs little.
+/// Reads the leader. The answer may be outdated, and the call is cheap.
 pub async fn find_leader(node: &Node) -> Result<(), StoreError> {
-    match call_store(node, &StoreCall::FindLeader, PATIENCE).await? {
+    match call_store(node, &StoreCall::FindLeader, CALL_TIMEOUT).await? {
         StoreAnswer::Facts { facts, .. } => {
             node.apply_leader(facts);
             Ok(())
@@ -107,7 +101,7 @@
     }
 }
 
-/// Follows the store for as long as the process lives.
+/// Follows the store for the lifetime of the process.
 pub async fn run(node: Rc<Node>) {
     let started_at = node.now();
     let mut feed = Feed {
@@ -117,15 +111,16 @@
         failing_since: None,
         listing: None,
         snapshot_awaited_until: None,
-        awaits_until: None,
+        relay_awaited_until: None,
     };
     loop {
-        let result = feed.turn().await;
-        feed.account(result).await;
+        let result = feed.step().await;
+        feed.record_result(result).await;
     }
 }
 
-/// Pages that were listed so far. They form no snapshot: the watch goes on from the revision of the first.
+/// The pages of an incomplete listing. They are not a consistent snapshot, so the watch starts at the
+/// revision of the first page.
 struct Listing {
     sent_at: Timestamp,
     revision: Option<Revision>,
@@ -135,7 +130,7 @@
 }
 
 impl Listing {
-    /// Whether a page of this revision cannot belong to it: the store has come back from a copy meanwhile.
+    /// Whether a page does not belong to the listing because the store was restored meanwhile.
     fn is_of_another_era(&self, page: Revision) -> bool {
         self.revision.is_some_and(|first| first.era() != page.era())
     }
@@ -146,58 +141,59 @@
     started_at: Timestamp,
     failures: u32,
     failing_since: Option<Timestamp>,
-    /// A listing that has not come to its end.
     listing: Option<Listing>,
-    /// Until when another node is given the time to give a snapshot.
+    /// Until when to wait for a snapshot from another node.
     snapshot_awaited_until: Option<Timestamp>,
-    /// Until when another node is given the time to tell what follows what this one knows; none before it knows all.
-    awaits_until: Option<Timestamp>,
+    /// Until when to wait for relayed changes; `None` until the whole store is known.
+    relay_awaited_until: Option<Timestamp>,
 }
 
 impl Feed {
-    async fn turn(&mut self) -> Result<(), StoreError> {
+    async fn step(&mut self) -> Result<(), StoreError> {
         let known = self.node.state.borrow().revision;
-        let Some(known) = known else { return self.begin().await };
-        self.await_others_first();
+        let Some(known) = known else { return self.initial_sync().await };
+        self.start_relay_wait();
         if self.node.history_lost.get() {
-            return self.learn_anew().await;
+            return self.resync().await;
         }
         self.listing = None;
         if self.node.has_recent_relay() {
             return Ok(());
         }
-        if self.awaits_others() {
-            return self.await_others().await;
+        if self.awaits_relay() {
+            return self.await_relay().await;
         }
         self.watch(known).await
     }
 
-    /// Learns all for the first time. Where all nodes start for the first time no caller waits: all but the root are told.
-    async fn begin(&mut self) -> Result<(), StoreError> {
+    /// Learns the whole store for the first time. On the first start of a fleet no caller waits, so all nodes
+    /// but the root wait for a relay.
+    async fn initial_sync(&mut self) -> Result<(), StoreError> {
         let settings = self.node.settings();
         let leads = self.node.token().is_some();
-        let told_by = self.started_at + settings.bounds.initial_relay_timeout(true);
-        if settings.first_start && self.may_be_told(leads) && self.node.now() < told_by {
-            return self.look_for_leader(settings.limits.is_small()).await;
+        let relay_deadline = self.started_at + settings.bounds.initial_relay_timeout(true);
+        if settings.first_start && self.can_use_relay(leads) && self.node.now() < relay_deadline {
+            return self.await_first_relay(settings.limits.is_small()).await;
         }
         if !leads && self.awaits_snapshot() {
-            let _ = tokio::time::timeout(RELAYED_LOOK, self.node.store_known.notified()).await;
+            let _ = tokio::time::timeout(RELAY_CHECK_INTERVAL, self.node.store_known.notified()).await;
             return Ok(());
         }
         self.list(!leads && self.node.peers.is_some()).await
     }
 
-    /// Learns all anew where the store has forgotten what has changed: a snapshot of the node above costs it nothing.
-    async fn learn_anew(&mut self) -> Result<(), StoreError> {
+    /// Learns the whole store again after it dropped the history. A snapshot of the parent saves it a
+    /// listing.
+    async fn resync(&mut self) -> Result<(), StoreError> {
         let until = self.snapshot_awaited_until.get_or_insert_with(|| snapshot_deadline(&self.node));
         if self.node.has_parent() && self.node.now() < *until {
-            let _ = tokio::time::timeout(RELAYED_LOOK, self.node.store_known.notified()).await;
+            let _ = tokio::time::timeout(RELAY_CHECK_INTERVAL, self.node.store_known.notified()).await;
             return Ok(());
         }
         self.list(false).await
     }
 
-    fn may_be_told(&self, leads: bool) -> bool {
+    fn can_use_relay(&self, leads: bool) -> bool {
         self.node.peers.is_some() && !leads
     }
 
@@ -205,51 +201,51 @@
         self.listing.is_some() && self.snapshot_awaited_until.is_some_and(|until| self.node.now() < until)
     }
 
-    async fn look_for_leader(&self, is_small: bool) -> Result<(), StoreError> {
+    async fn await_first_relay(&self, is_small: bool) -> Result<(), StoreError> {
         if is_small {
-            let first_look = SMALL_LOOKS_AFTER + SMALL_LOOKS_SPREAD.mul_f64(rand::random::<f64>());
-            let waits = (self.started_at + first_look).saturating_since(self.node.now());
-            tokio::time::sleep(waits).await;
+            let first_check = SMALL_NODE_DELAY + SMALL_NODE_JITTER.mul_f64(rand::random::<f64>());
+            let delay = (self.started_at + first_check).saturating_since(self.node.now());
+            tokio::time::sleep(delay).await;
         }
         if self.node.state.borrow().leader.is_none() {
             find_leader(&self.node).await?;
         }
-        let _ = tokio::time::timeout(LEADER_LOOK, self.node.store_known.notified()).await;
+        let _ = tokio::time::timeout(LEADER_CHECK_INTERVAL, self.node.store_known.notified()).await;
         Ok(())
     }
 
-    /// Gives others, once, the time to tell what follows what this node has learned.
-    fn await_others_first(&mut self) {
-        if self.awaits_until.is_none() && self.node.peers.is_some() {
-            self.awaits_until =
+    /// Starts, once, the time in which other nodes may relay the changes after this node's listing.
+    fn start_relay_wait(&mut self) {
+        if self.relay_awaited_until.is_none() && self.node.peers.is_some() {
+            self.relay_awaited_until =
                 Some(self.node.now() + self.node.settings().bounds.initial_relay_timeout(false));
         }
     }
 
-    /// Whether this node has lately begun, and another one may soon tell it what follows its listing.
-    fn awaits_others(&self) -> bool {
+    /// Whether this node has started recently, so that another node may soon relay changes to it.
+    fn awaits_relay(&self) -> bool {
         let leads = self.node.token().is_some();
-        !leads && self.awaits_until.is_some_and(|until| self.node.now() < until)
+        !leads && self.relay_awaited_until.is_some_and(|until| self.node.now() < until)
     }
 
-    /// Looks for the leader where none is known; whoever is known is reported to meanwhile.
-    async fn await_others(&mut self) -> Result<(), StoreError> {
+    /// Reads the leader if none is known, so that this node can report to it.
+    async fn await_relay(&mut self) -> Result<(), StoreError> {
         if self.node.state.borrow().leader.is_none() {
             find_leader(&self.node).await?;
-            tokio::time::sleep(LEADER_LOOK).await;
+            tokio::time::sleep(LEADER_CHECK_INTERVAL).await;
         }
         Ok(())
     }
 
     async fn watch(&mut self, after: Revision) -> Result<(), StoreError> {
-        let wait = self.wait();
+        let wait = self.watch_wait();
         let sent_at = self.node.now();
-        let answer = call_store(&self.node, &StoreCall::Watch { after, wait }, wait + PATIENCE).await?;
+        let answer = call_store(&self.node, &StoreCall::Watch { after, wait }, wait + CALL_TIMEOUT).await?;
         match answer {
-            // Another node has passed on more meanwhile.
+            // Another node has relayed more meanwhile.
             StoreAnswer::Facts { .. } if self.node.state.borrow().revision != Some(after) => Ok(()),
             StoreAnswer::Facts { facts, revision, .. } => {
-                self.node.learn(facts, revision.max(after), sent_at);
+                self.node.apply_changes(facts, revision.max(after), sent_at);
                 Ok(())
             }
             StoreAnswer::HistoryLost => {
@@ -261,11 +257,11 @@
         }
     }
 
-    /// Lists page by page; where `may_be_told`, others may tell the rest after the first few. A failed page is asked for
-    /// again, and those before it stay.
-    async fn list(&mut self, may_be_told: bool) -> Result<(), StoreError> {
+    /// Lists page by page. If `can_use_relay`, it stops after the first few pages to wait for a snapshot.
+    /// After a failure, it resumes with the failed page.
+    async fn list(&mut self, can_use_relay: bool) -> Result<(), StoreError> {
         let now = self.node.now();
-        self.listing.take_if(|listing| now.saturating_since(listing.sent_at) >= LISTING_HOLDS);
+        self.listing.take_if(|listing| now.saturating_since(listing.sent_at) >= LISTING_TTL);
         let listing = self.listing.get_or_insert_with(|| Listing {
             sent_at: now,
             revision: None,
@@ -275,7 +271,7 @@
         });
         loop {
             let call = StoreCall::List { after: listing.after.clone() };
-            match call_store(&self.node, &call, PATIENCE).await? {
+            match call_store(&self.node, &call, CALL_TIMEOUT).await? {
                 StoreAnswer::Facts { revision, .. } if listing.is_of_another_era(revision) => {
                     self.listing = None;
                     return Ok(());
@@ -291,7 +287,7 @@
             if listing.after.is_none() {
                 break;
             }
-            if may_be_told && listing.pages == PAGES_ALONE {
+            if can_use_relay && listing.pages == PAGES_BEFORE_SNAPSHOT {
                 self.node.apply_partial_listing(
                     listing.facts.clone(),
                     listing.revision.unwrap_or_default(),
@@ -302,18 +298,18 @@
             }
         }
         match self.listing.take() {
-            Some(listing) => self.take_listing(listing),
+            Some(listing) => self.finish_listing(listing),
             None => Ok(()),
         }
     }
 
-    fn take_listing(&self, listing: Listing) -> Result<(), StoreError> {
+    fn finish_listing(&self, listing: Listing) -> Result<(), StoreError> {
         let revision = listing.revision.unwrap_or_default();
         let known = self.node.state.borrow().revision;
         if known.is_some_and(|known| known.era() > revision.era()) {
             return Err(StoreError::OlderCopy);
         }
-        // Another node may have passed on more meanwhile.
+        // Another node may have relayed more meanwhile.
         if known.is_none_or(|known| known <= revision) {
             let items = listing.facts.len();
             self.node.apply_listing(listing.facts, revision, listing.sent_at);
@@ -322,33 +318,34 @@
         Ok(())
     }
 
-    /// The least time between two watches, in which changes gather: each answer costs a call.
-    fn gather(&self) -> Duration {
+    /// The minimum interval between watches, in which changes accumulate, since each answer costs a call.
+    fn watch_interval(&self) -> Duration {
         if self.node.state.borrow().revision.is_none() || self.node.history_lost.get() {
             Duration::ZERO
-        } else if self.proves_for_others() {
-            LEADER_GATHER
-        } else if self.node.has_recent_relay() || self.awaits_others() {
-            RELAYED_LOOK
+        } else if self.serves_others() {
+            LEADER_WATCH_INTERVAL
+        } else if self.node.has_recent_relay() || self.awaits_relay() {
+            RELAY_CHECK_INTERVAL
         } else {
             self.node.settings().bounds.gather()
         }
     }
 
-    /// Whether this node asks the store for others too: it leads, or others report to it while nobody else tells it.
-    fn proves_for_others(&self) -> bool {
+    /// Whether this node also watches for others: it leads, or it has children and receives no relay itself.
+    fn serves_others(&self) -> bool {
         let Some(peers) = &self.node.peers else { return false };
         self.node.token().is_some()
             || (!self.node.has_recent_relay() && !peers.borrow().fleet.children.is_empty())
     }
 
-    /// How long one watch waits. A leader's answers are proof for others too, who hear of them a little later.
-    fn wait(&self) -> Duration {
+    /// How long a watch waits. A leader's answers also serve as proof for other nodes, which receive them a
+    /// little later.
+    fn watch_wait(&self) -> Duration {
         let bounds = self.node.settings().bounds;
-        if self.proves_for_others() { bounds.leader_watch_wait() } else { bounds.watch_wait() }
+        if self.serves_others() { bounds.leader_watch_wait() } else { bounds.watch_wait() }
     }
 
-    async fn account(&mut self, result: Result<(), StoreError>) {
+    async fn record_result(&mut self, result: Result<(), StoreError>) {
         let now = self.node.now();
         match result {
             Ok(()) => {
@@ -357,7 +354,7 @@
                     self.node.journal.log(&Event::StoreRegained { after_ms });
                 }
                 self.failures = 0;
-                tokio::time::sleep(self.gather()).await;
+                tokio::time::sleep(self.watch_interval()).await;
             }
             Err(error) => {
                 if self.failing_since.is_none() {
@@ -370,14 +367,15 @@
                     });
                 }
                 self.failures += 1;
-                let pause = FIRST_PAUSE * self.failures.min(16);
-                tokio::time::sleep(pause.min(LONGEST_PAUSE)).await;
+                let pause = RETRY_STEP * self.failures.min(16);
+                tokio::time::sleep(pause.min(MAX_RETRY_PAUSE)).await;
             }
         }
     }
 }
 
-/// Until when a snapshot is waited for from now on. Those that wait in vain spread out, not to list at the same moment.
+/// Until when to wait for a snapshot. The random part keeps nodes that get none from listing at the same
+/// moment.
 fn snapshot_deadline(node: &Node) -> Timestamp {
     let awaited = node.settings().bounds.snapshot_timeout();
     node.now() + awaited.mul_f64(1.0 + rand::random::<f64>())
