--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! The subcommands of `paddlemount`.
 
 mod check;
 mod forward;
@@ -20,7 +20,7 @@
         [--callers ADDRESS] [--peers ADDRESS] [--admin ADDRESS]
   forward --settings FILE    run a node that forwards by the operator's routes, on the users' platform
   check --settings FILE [--forward]
-                             name every mistake in a node's settings, or the first one in a forwarding node's
+                             name every error in a node's settings, or the first one in a forwarding node's
   standin NAME --settings FILE
                              run a stand-in for a back end or a service of the platform
   demo [--hold]              run nodes, back ends and the platform in one process, with faults
@@ -30,51 +30,31 @@
                              ask a node or change the configuration, see `paddlemount ctl --help`
   help                       print this text";
 
-/// Why a command failed.
+/// Reports why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The command line cannot be understood.
+    /// The command line is invalid.
     #[error("{0}\n\n{USAGE}")]
     Usage(String),
     /// A settings file cannot be read.
     #[error("cannot read settings file {path}: {source}")]
-    ReadSettings {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// A settings file has mistakes.
-    #[error("{}", list_mistakes(path, mistakes))]
-    Settings {
-        /// The file.
-        path: PathBuf,
-        /// All mistakes.
-        mistakes: Vec<SettingsError>,
-    },
-    /// A stand-in's settings file has a mistake.
+    ReadSettings { path: PathBuf, source: std::io::Error },
+    /// The settings file of a node is invalid.
+    #[error("{}", format_errors(path, errors))]
+    Settings { path: PathBuf, errors: Vec<SettingsError> },
+    /// The settings file of a stand-in is invalid.
     #[error("{path}: {message}")]
-    StandinSettings {
-        /// The file.
-        path: PathBuf,
-        /// The mistake.
-        message: String,
-    },
-    /// A forwarding node's settings file has a mistake.
+    StandinSettings { path: PathBuf, message: String },
+    /// The settings file of a forwarding node is invalid.
     #[error("{path}: {message}")]
-    ForwardSettings {
-        /// The file.
-        path: PathBuf,
-        /// The mistake.
-        message: String,
-    },
+    ForwardSettings { path: PathBuf, message: String },
     /// A server could not be started.
     #[error("{0}")]
     Start(String),
 }
 
 impl CommandError {
-    /// 2 for mistakes of the command line or settings, 3 where a server could not be started.
+    /// Returns 2 for an invalid command line or settings, and 3 if a server could not be started.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Usage(_)
@@ -93,13 +73,12 @@
     }
 }
 
-fn list_mistakes(path: &std::path::Path, mistakes: &[SettingsError]) -> String {
-    let lines: Vec<String> =
-        mistakes.iter().map(|mistake| format!("{}: {mistake}", path.display())).collect();
+fn format_errors(path: &std::path::Path, errors: &[SettingsError]) -> String {
+    let lines: Vec<String> = errors.iter().map(|error| format!("{}: {error}", path.display())).collect();
     lines.join("\n")
 }
 
-/// Runs the command that the arguments name.
+/// Runs the command given by the arguments.
 pub fn run(mut arguments: lexopt::Parser) -> Result<ExitCode, CommandError> {
     use lexopt::prelude::*;
     let command = match arguments.next()? {
@@ -143,7 +122,7 @@
     }
 }
 
-/// Reads the value of an address flag.
+/// Parses the value of an address flag.
 fn address(parser: &mut lexopt::Parser, flag: &str) -> Result<SocketAddr, CommandError> {
     let value = parser.value()?;
     let address = value.to_str().and_then(|text| text.parse().ok());
@@ -152,10 +131,10 @@
     })
 }
 
-/// Prints the one line on standard output that says where a process listens.
+/// Prints the ready line with the process's listen addresses to standard output.
 fn print_ready(line: &serde_json::Value) {
     use std::io::Write;
     let mut output = std::io::stdout().lock();
-    // Whoever started the process may have closed its end; the process serves all the same.
+    // The parent may have closed the pipe, which must not keep the process from serving.
     let _ = writeln!(output, "{line}").and_then(|()| output.flush());
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `paddlemount check`: settings of a node, or with `--forward` of a forwarding node.
+//! `paddlemount check`: validates the settings of a node or, with `--forward`, of a forwarding node.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 
 use super::{CommandError, read_settings};
 
-/// Names every mistake in a settings file.
+/// Reports the errors in a settings file.
 pub fn run(mut arguments: lexopt::Parser) -> Result<(), CommandError> {
     let mut path = None;
     let mut forward = false;
@@ -28,7 +28,7 @@
             println!("{}: correct, for node {} in zone {}", path.display(), settings.node, settings.zone);
             Ok(())
         }
-        Err(mistakes) => Err(CommandError::Settings { path, mistakes }),
+        Err(errors) => Err(CommandError::Settings { path, errors }),
     }
 }
 
--- a/crates/cli/src/commands/forward.rs
+++ b/crates/cli/src/commands/forward.rs
@@ -1,4 +1,4 @@
-//! `paddlemount forward`: a node that forwards by the operator's routes, on the users' platform.
+//! `paddlemount forward`: runs a node that forwards by the operator's routes.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 
 use super::CommandError;
 
-/// Runs the command.
+/// Runs a forwarding node until it stops.
 pub fn run(mut arguments: lexopt::Parser) -> Result<(), CommandError> {
     let mut settings = None;
     while let Some(argument) = arguments.next()? {
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `paddlemount serve`.
+//! `paddlemount serve`: runs a router node.
 
 use lexopt::prelude::*;
 use paddlemount_node::{node::Node, settings::NodeSettings};
@@ -7,7 +7,7 @@
 use super::{CommandError, address, print_ready, read_settings};
 use crate::logging;
 
-/// Runs a router node until it is told to stop.
+/// Runs a router node until a signal stops it.
 pub fn run(arguments: lexopt::Parser) -> Result<(), CommandError> {
     let settings = read_arguments(arguments)?;
     logging::start(settings.log);
@@ -37,7 +37,7 @@
     }
     let (path, text) = read_settings(path)?;
     let mut settings =
-        NodeSettings::parse(&text).map_err(|mistakes| CommandError::Settings { path, mistakes })?;
+        NodeSettings::parse(&text).map_err(|errors| CommandError::Settings { path, errors })?;
     settings.node = node.map_or(settings.node, Into::into);
     settings.region = region.map_or(settings.region, Into::into);
     settings.zone = zone.map_or(settings.zone, Into::into);
@@ -59,16 +59,16 @@
         "peers": node.peer_address(),
         "admin": node.admin_address(),
     }));
-    signals.told_to_stop().await;
-    log::info!(requests = node.state().active.count(); "stopping; open requests may end first");
+    signals.stop_requested().await;
+    log::info!(requests = node.state().active.count(); "stopping; waiting for open requests");
     tokio::select! {
         () = node.stop() => log::info!("stopped"),
-        () = signals.told_to_end_at_once() => log::warn!("interrupted while stopping; ending at once"),
+        () = signals.forced_stop_requested() => log::warn!("interrupted while stopping; exiting at once"),
     }
     Ok(())
 }
 
-/// The signals that a node takes.
+/// The signals that a node handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -76,7 +76,7 @@
 }
 
 impl Signals {
-    /// Listens for them from now on: one without a listener ends the process at once, with all that runs in it.
+    /// Installs the handlers; without them the default action of each signal would end the process at once.
     fn listen() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -85,30 +85,30 @@
         })
     }
 
-    /// Waits until the node is told to stop.
-    async fn told_to_stop(&mut self) {
+    /// Waits for a signal that requests a graceful shutdown.
+    async fn stop_requested(&mut self) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
                 _ = self.interrupt.recv() => return,
-                _ = self.hangup.recv() => tell_settings_stand(),
+                _ = self.hangup.recv() => log_reload_unsupported(),
             }
         }
     }
 
-    /// Waits until somebody at a terminal insists. What runs is cut off by that only: a platform may send its signal to
-    /// stop more than once.
-    async fn told_to_end_at_once(&mut self) {
+    /// Waits for an interrupt, which ends open requests at once. A repeated SIGTERM does not, since a platform
+    /// may send it more than once.
+    async fn forced_stop_requested(&mut self) {
         loop {
             tokio::select! {
                 _ = self.interrupt.recv() => return,
-                _ = self.terminate.recv() => log::info!("told again to stop; open requests may still end"),
-                _ = self.hangup.recv() => tell_settings_stand(),
+                _ = self.terminate.recv() => log::info!("already stopping; waiting for open requests"),
+                _ = self.hangup.recv() => log_reload_unsupported(),
             }
         }
     }
 }
 
-fn tell_settings_stand() {
-    log::info!("settings are read at the start only; a changed file counts from the next start on");
+fn log_reload_unsupported() {
+    log::info!("settings are read only at startup; changes of the file take effect after a restart");
 }
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `paddlemount ctl`: asks a node, from the command line or in a shell.
+//! `paddlemount ctl`: sends queries to a node from the command line or an interactive shell.
 
 mod output;
 mod shell;
@@ -15,7 +15,7 @@
 use paddlemount_node::admin::client::{AdminClient, AdminClientError};
 use paddlemount_protocol::{configuration::ChangeOutcome, refusal::RefusalCode};
 
-/// How to call it.
+/// Help text of the command.
 pub const USAGE: &str = "\
 usage: paddlemount ctl --node ADDRESS [--key-file FILE | --key-env NAME]
                        [--json | --csv] [--deadline-ms N] [--history FILE] ['QUERY']
@@ -30,24 +30,19 @@
 const DEFAULT_KEY_VARIABLE: &str = "PADDLEMOUNT_KEY";
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Why there is no answer.
+/// Reports why a query has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CtlError {
-    /// The arguments cannot be understood.
+    /// The arguments are invalid.
     #[error("{0}\n\n{USAGE}")]
     Usage(String),
     /// The key file cannot be read.
     #[error("cannot read the key from {path}: {source}")]
-    KeyFile {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// The query is no statement of the language.
+    KeyFile { path: PathBuf, source: std::io::Error },
+    /// The query has a syntax error.
     #[error("{0}")]
     Syntax(#[from] paddlemount_language::SyntaxError),
-    /// The node refused or did not answer.
+    /// The node refused the query or did not answer.
     #[error(transparent)]
     Ask(#[from] AdminClientError),
     /// The terminal or standard output failed.
@@ -56,7 +51,7 @@
 }
 
 impl CtlError {
-    /// The exit code that says what kind of failure it was.
+    /// Returns the exit code for this kind of failure.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Usage(_) | Self::KeyFile { .. } | Self::Syntax(_) => ExitCode::from(2),
@@ -86,7 +81,7 @@
     query: String,
 }
 
-/// Runs the subcommand with the arguments that follow its name.
+/// Runs the subcommand with the arguments after its name.
 pub fn run(parser: lexopt::Parser) -> ExitCode {
     match read_arguments(parser).and_then(|arguments| arguments.map_or(Ok(ExitCode::SUCCESS), execute)) {
         Ok(code) => code,
@@ -158,7 +153,7 @@
     runtime.block_on(answer(&client, arguments.format, &arguments.query))
 }
 
-/// Asks for one statement and prints the answer. A statement with a mistake is not sent.
+/// Sends one statement and prints the answer. A statement with a syntax error is not sent.
 async fn answer(client: &AdminClient, format: Format, query: &str) -> Result<ExitCode, CtlError> {
     if let Statement::Watch(_) = parse(query)? {
         let mut stream = client.watch(query).await?;
--- a/crates/cli/src/ctl/output.rs
+++ b/crates/cli/src/ctl/output.rs
@@ -1,4 +1,4 @@
-//! Answers on standard output.
+//! Prints answers to standard output.
 
 use std::io::{self, Write};
 
@@ -10,18 +10,18 @@
 
 use super::CtlError;
 
-/// The form of answers.
+/// Output format of answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// Aligned tables and sentences.
     Text,
     /// One JSON value a line.
     Json,
-    /// Comma-separated values; what is not a table is printed as text.
+    /// Comma-separated values; anything but a table is printed as text.
     Csv,
 }
 
-/// Prints an answer. Notes on its completeness go to standard error where they would break the form.
+/// Prints an answer. Notes go to standard error where they would break the output format.
 pub fn print(answer: &Answer, format: Format) -> Result<(), CtlError> {
     match format {
         Format::Json => write(&json_line(answer)?),
@@ -38,16 +38,16 @@
     }
 }
 
-/// Prints the lines of a stream as they come.
+/// Prints the lines of a watch as they arrive.
 pub struct WatchPrinter {
     format: Format,
-    has_heads: bool,
+    header_printed: bool,
 }
 
 impl WatchPrinter {
-    /// Prints in a form.
+    /// Creates a printer for an output format.
     pub const fn new(format: Format) -> Self {
-        Self { format, has_heads: false }
+        Self { format, header_printed: false }
     }
 
     /// Prints one line.
@@ -57,8 +57,8 @@
             (Format::Json, line) => write(&json_line(line)?),
             (Format::Text, WatchLine::Rows { table }) => write(&render::key_value_lines(table)),
             (Format::Csv, WatchLine::Rows { table }) => {
-                let has_heads = std::mem::replace(&mut self.has_heads, true);
-                write(&if has_heads { render::csv_rows(table) } else { render::csv(table) })
+                let header_printed = std::mem::replace(&mut self.header_printed, true);
+                write(&if header_printed { render::csv_rows(table) } else { render::csv(table) })
             }
             (_, WatchLine::Lost { node, rows }) => {
                 eprintln!("note: {rows} rows of {node} were gone before they could be read");
--- a/crates/cli/src/ctl/shell.rs
+++ b/crates/cli/src/ctl/shell.rs
@@ -14,7 +14,7 @@
 
 const PROMPT: &str = "paddlemount> ";
 
-/// Completes words of the language.
+/// Completes keywords and names of the query language.
 struct LanguageHelper;
 
 impl Completer for LanguageHelper {
@@ -39,8 +39,8 @@
 impl Validator for LanguageHelper {}
 impl Helper for LanguageHelper {}
 
-/// Reads statements and answers them until the input ends. The history outlives the shell only where
-/// a file for it is named.
+/// Reads and executes statements until the input ends. The history is saved only if a history file is
+/// given.
 pub fn run(
     runtime: &Runtime,
     client: &AdminClient,
@@ -68,7 +68,7 @@
             break;
         }
         editor.add_history_entry(statement).map_err(terminal)?;
-        runtime.block_on(one(client, format, statement));
+        runtime.block_on(run_statement(client, format, statement));
     }
     match &history {
         Some(path) => editor.save_history(path).map_err(terminal),
@@ -76,11 +76,11 @@
     }
 }
 
-/// Answers one statement; an interrupt ends it and not the shell.
-async fn one(client: &AdminClient, format: Format, statement: &str) {
+/// Executes one statement; an interrupt cancels the statement but not the shell.
+async fn run_statement(client: &AdminClient, format: Format, statement: &str) {
     tokio::select! {
-        answered = answer(client, format, statement) => {
-            if let Err(error) = answered {
+        result = answer(client, format, statement) => {
+            if let Err(error) = result {
                 eprintln!("{error}");
             }
         }
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs, as text or JSON lines on standard error.
+//! Logging to standard error as text or JSON lines.
 
 use logforth::{
     append,
@@ -7,17 +7,17 @@
 };
 use paddlemount_node::settings::{LogFormat, LogSettings};
 
-/// Starts logging. Standard output stays free for what a command prints.
+/// Installs the logger. Standard output is reserved for the output of commands.
 pub fn start(settings: LogSettings) {
     let filter = LevelFilter::MoreSevereEqual(level(settings.level));
     let output = match settings.format {
         LogFormat::Text => append::Stderr::default().with_layout(TextLayout::default().no_color()),
         LogFormat::Json => append::Stderr::default().with_layout(JsonLayout::default()),
     };
-    let started = logforth::starter_log::builder()
+    let result = logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(filter).append(output))
         .try_apply();
-    if let Err(error) = started {
+    if let Err(error) = result {
         eprintln!("paddlemount: cannot log: {error}");
     }
 }
--- a/crates/standins/src/booking/model.rs
+++ b/crates/standins/src/booking/model.rs
@@ -1,4 +1,4 @@
-//! A booking instance as a state machine: it runs whatever it is sent, and keeps a ledger.
+//! State machine of a booking instance, which runs every request and records it in a ledger.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,35 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a booking instance can do.
+/// The operations that a booking instance supports.
 pub const OPERATIONS: [&str; 3] = ["slot", "hold", "charge"];
 
-/// One run of an operation.
+/// One execution of an operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// When it ran.
+    /// Time of the execution.
     pub at: Timestamp,
-    /// The try that ran.
+    /// The attempt that ran.
     pub attempt: AttemptId,
-    /// Its tenant.
     pub tenant: TenantId,
-    /// The caller's key, if any.
+    /// The caller's idempotency key, if any.
     pub key: Option<IdempotencyKey>,
-    /// The operation.
     pub operation: String,
-    /// The caller's body.
     pub body: serde_json::Value,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BookingAnswer {
     /// The operation that ran.
     pub operation: String,
     /// Its position in the instance's ledger.
     pub receipt: u64,
-    /// What was asked for.
+    /// The body of the request.
     pub request: serde_json::Value,
 }
 
-/// One booking instance.
+/// A booking instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct BookingModel {
     instance: ServiceInstanceId,
@@ -49,12 +46,12 @@
 }
 
 impl BookingModel {
-    /// An instance that has run nothing.
+    /// Creates an instance with an empty ledger.
     pub const fn new(instance: ServiceInstanceId) -> Self {
         Self { instance, ledger: Vec::new() }
     }
 
-    /// Runs an operation, however often it has run before.
+    /// Runs an operation without regard to earlier executions under the same key.
     pub fn run(&mut self, request: ServiceRequest, now: Timestamp) -> Result<ServiceResponse, Refusal> {
         if !OPERATIONS.contains(&request.operation.as_str()) {
             return Err(Refusal::not_run(RefusalCode::NotFound, "booking knows slot, hold and charge"));
@@ -76,13 +73,13 @@
         Ok(ServiceResponse { attempt: request.attempt, instance: self.instance.clone(), body })
     }
 
-    /// All runs, in order.
+    /// All executions in order.
     pub fn ledger(&self) -> &[LedgerEntry] {
         &self.ledger
     }
 }
 
-/// Keys under which an operation ran more than once, over the ledgers of all instances.
+/// Returns the keys under which an operation ran more than once over all ledgers, with the counts.
 pub fn duplicate_runs<'a>(
     ledgers: impl IntoIterator<Item = &'a [LedgerEntry]>,
 ) -> Vec<(TenantId, IdempotencyKey, usize)> {
@@ -92,6 +89,6 @@
             *runs.entry((entry.tenant.clone(), key.clone())).or_default() += 1;
         }
     }
-    let twice = runs.into_iter().filter(|(_, count)| *count > 1);
-    twice.map(|((tenant, key), count)| (tenant, key, count)).collect()
+    let duplicates = runs.into_iter().filter(|(_, count)| *count > 1);
+    duplicates.map(|((tenant, key), count)| (tenant, key, count)).collect()
 }
--- a/crates/standins/src/booking/server.rs
+++ b/crates/standins/src/booking/server.rs
@@ -1,8 +1,8 @@
 //! Serves a booking instance over TCP.
 //!
-//! Besides `POST /run`, `GET /control/ledger` gives all [`LedgerEntry`](super::model::LedgerEntry)s,
+//! Besides `POST /run`, `GET /control/ledger` returns all [`LedgerEntry`](super::model::LedgerEntry)s,
 //! `POST /control/faults` takes [`ServiceFaults`](crate::faults::ServiceFaults) and
-//! `GET /control/state` shows everything.
+//! `GET /control/state` returns the faults and the model.
 
 use std::sync::Arc;
 
@@ -46,9 +46,9 @@
 type State<'a> = StateRef<'a, Shared<BookingServer>>;
 
 async fn run(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    let ran = http::parse::<ServiceRequest>(&body)
+    let result = http::parse::<ServiceRequest>(&body)
         .and_then(|request| shared.standin.model().run(request, http::now()));
-    match ran {
+    match result {
         Ok(response) => http::ok(&response),
         Err(refusal) => http::refuse(&refusal),
     }
--- a/crates/standins/src/cache_store/model.rs
+++ b/crates/standins/src/cache_store/model.rs
@@ -1,8 +1,8 @@
-//! The cache store as a state machine.
+//! State machine of the cache store.
 //!
-//! A copy names the life of the engine that computed it. The store gives out no copy whose origin it
-//! knows to have ended, because it was told so or has seen a later life of the same engine, and none
-//! older than the longest age.
+//! A copy names the incarnation of the engine that computed it. The store returns no copy that is older
+//! than the maximum age or whose origin is known to have ended, either by a report or because a later
+//! incarnation of the same engine has been observed.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,13 +20,13 @@
 
 use crate::incarnations::LatestIncarnations;
 
-/// How much the store keeps, and for how long.
+/// Bounds on the size and age of stored copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CacheStoreLimits {
-    /// Bytes at most; the oldest copies go first.
+    /// Maximum total size; the oldest copies are evicted first.
     pub capacity_bytes: u64,
-    /// Milliseconds after which a copy is dropped.
+    /// Age at which a copy is dropped, in milliseconds.
     #[serde(rename = "longest_age_ms")]
     pub max_age_ms: u64,
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// The number of a copy, in order of arrival.
+/// Identifies a copy; identifiers rise in order of arrival.
 type CopyId = u64;
 
 #[derive(Clone, Debug, Serialize)]
@@ -54,7 +54,7 @@
     bytes: u64,
     next_copy: CopyId,
     copies: BTreeMap<CopyId, Copy>,
-    /// For each prefix the newest copy that holds it.
+    /// The newest copy that holds each prefix.
     #[serde(skip)]
     holders: BTreeMap<(CacheScope, BlockHash), CopyId>,
     #[serde(skip)]
@@ -62,7 +62,7 @@
 }
 
 impl CacheStoreModel {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: CacheStoreLimits) -> Self {
         Self {
             limits,
@@ -75,17 +75,17 @@
         }
     }
 
-    /// Copies held.
+    /// Number of stored copies.
     pub fn len(&self) -> usize {
         self.copies.len()
     }
 
-    /// Whether no copy is held.
+    /// Returns whether no copy is stored.
     pub fn is_empty(&self) -> bool {
         self.copies.is_empty()
     }
 
-    /// Keeps a copy, unless its origin is known to have ended.
+    /// Stores a copy unless its origin is known to have ended.
     pub fn put(&mut self, transfer: KvTransfer, now: Timestamp) -> Result<(), Refusal> {
         if !self.origins.accepts(&transfer.origin, transfer.origin_incarnation) {
             return Err(Refusal::not_run(RefusalCode::PreconditionFailed, "the copy's origin has ended"));
@@ -94,36 +94,36 @@
             return Err(Refusal::not_run(RefusalCode::TooLarge, "the copy exceeds the store's capacity"));
         }
         self.drop_ended();
-        let number = self.next_copy;
+        let id = self.next_copy;
         self.next_copy += 1;
         for hash in &transfer.blocks {
-            self.holders.insert((transfer.scope, *hash), number);
+            self.holders.insert((transfer.scope, *hash), id);
         }
         self.bytes += transfer.bytes;
-        self.copies.insert(number, Copy { transfer, arrived_at: now });
-        self.order.push_back(number);
-        self.drop_old(now);
+        self.copies.insert(id, Copy { transfer, arrived_at: now });
+        self.order.push_back(id);
+        self.evict(now);
         Ok(())
     }
 
-    /// The longest kept part of a prefix that may be used.
-    pub fn find(&mut self, ask: &CacheLookup, now: Timestamp) -> CacheLookupResult {
-        self.drop_old(now);
-        let transfer = (1..=ask.blocks.len()).rev().find_map(|length| self.holding(ask, length));
+    /// Returns the longest stored part of a prefix that may be used.
+    pub fn find(&mut self, request: &CacheLookup, now: Timestamp) -> CacheLookupResult {
+        self.evict(now);
+        let transfer = (1..=request.blocks.len()).rev().find_map(|length| self.holding(request, length));
         CacheLookupResult { transfer }
     }
 
-    fn holding(&self, ask: &CacheLookup, length: usize) -> Option<KvTransfer> {
-        let number = self.holders.get(&(ask.scope, ask.blocks[length - 1]))?;
-        let kept = &self.copies.get(number)?.transfer;
-        if !self.origins.is_live(&kept.origin, kept.origin_incarnation) {
+    fn holding(&self, request: &CacheLookup, length: usize) -> Option<KvTransfer> {
+        let id = self.holders.get(&(request.scope, request.blocks[length - 1]))?;
+        let stored = &self.copies.get(id)?.transfer;
+        if !self.origins.is_live(&stored.origin, stored.origin_incarnation) {
             return None;
         }
-        let bytes = kept.bytes / kept.blocks.len().max(1) as u64 * length as u64;
-        Some(KvTransfer { blocks: ask.blocks[..length].to_vec(), bytes, ..kept.clone() })
+        let bytes = stored.bytes / stored.blocks.len().max(1) as u64 * length as u64;
+        Some(KvTransfer { blocks: request.blocks[..length].to_vec(), bytes, ..stored.clone() })
     }
 
-    /// Notes that a life has ended and drops the copies that it and its earlier ones computed.
+    /// Records that an incarnation has ended and drops the copies computed by it and by earlier ones.
     pub fn end(&mut self, ended: &EndedIncarnation) {
         self.origins.end(&ended.engine, ended.incarnation);
         self.drop_ended();
@@ -135,32 +135,32 @@
             .copies
             .iter()
             .filter(|(_, copy)| !origins.is_live(&copy.transfer.origin, copy.transfer.origin_incarnation))
-            .map(|(number, _)| *number)
+            .map(|(id, _)| *id)
             .collect();
-        for number in ended {
-            self.remove(number);
+        for id in ended {
+            self.remove(id);
         }
     }
 
-    fn drop_old(&mut self, now: Timestamp) {
+    fn evict(&mut self, now: Timestamp) {
         let max_age = Duration::from_millis(self.limits.max_age_ms);
-        while let Some(number) = self.order.front().copied() {
-            let is_old =
-                self.copies.get(&number).is_none_or(|copy| now.saturating_since(copy.arrived_at) > max_age);
-            if !is_old && self.bytes <= self.limits.capacity_bytes {
+        while let Some(id) = self.order.front().copied() {
+            let is_expired =
+                self.copies.get(&id).is_none_or(|copy| now.saturating_since(copy.arrived_at) > max_age);
+            if !is_expired && self.bytes <= self.limits.capacity_bytes {
                 return;
             }
             self.order.pop_front();
-            self.remove(number);
+            self.remove(id);
         }
     }
 
-    fn remove(&mut self, number: CopyId) {
-        let Some(copy) = self.copies.remove(&number) else { return };
+    fn remove(&mut self, id: CopyId) {
+        let Some(copy) = self.copies.remove(&id) else { return };
         self.bytes -= copy.transfer.bytes;
         for hash in copy.transfer.blocks {
             let key = (copy.transfer.scope, hash);
-            if self.holders.get(&key) == Some(&number) {
+            if self.holders.get(&key) == Some(&id) {
                 self.holders.remove(&key);
             }
         }
--- a/crates/standins/src/cache_store/server.rs
+++ b/crates/standins/src/cache_store/server.rs
@@ -1,7 +1,7 @@
 //! Serves the cache store over TCP.
 //!
 //! Besides the store's own paths, `POST /control/faults` takes
-//! [`ServiceFaults`](crate::faults::ServiceFaults) and `GET /control/state` shows everything.
+//! [`ServiceFaults`](crate::faults::ServiceFaults) and `GET /control/state` returns the faults and the model.
 
 use std::sync::Arc;
 
@@ -49,21 +49,21 @@
 type State<'a> = StateRef<'a, Shared<CacheStoreServer>>;
 
 async fn put(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    let kept = http::parse::<KvTransfer>(&body)
+    let stored = http::parse::<KvTransfer>(&body)
         .and_then(|transfer| shared.standin.model().put(transfer, http::now()));
-    match kept {
+    match stored {
         Ok(()) => http::ok(&Empty {}),
         Err(refusal) => http::refuse(&refusal),
     }
 }
 
 async fn find(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    http::answer(&body, |ask: CacheLookup| shared.standin.model().find(&ask, http::now()))
+    http::answer(&body, |request: CacheLookup| shared.standin.model().find(&request, http::now()))
 }
 
 async fn ended(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    http::answer(&body, |life: EndedIncarnation| {
-        shared.standin.model().end(&life);
+    http::answer(&body, |incarnation: EndedIncarnation| {
+        shared.standin.model().end(&incarnation);
         Empty {}
     })
 }
--- a/crates/standins/src/configuration_store/model.rs
+++ b/crates/standins/src/configuration_store/model.rs
@@ -1,4 +1,4 @@
-//! The configuration store as a state machine.
+//! State machine of the configuration store.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,9 +16,9 @@
     expires_at: Timestamp,
 }
 
-/// Keys with values and revisions, and leases with fencing tokens.
+/// Versioned values by key, and leases with fencing tokens.
 ///
-/// One counter gives revisions and fencing tokens, so both rise with every change of the store.
+/// Revisions and fencing tokens come from one counter, so both rise with every change of the store.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ConfigurationStoreModel {
     revision: Revision,
@@ -27,7 +27,7 @@
 }
 
 impl ConfigurationStoreModel {
-    /// A store that holds `values`.
+    /// Creates a store that holds `values`.
     pub fn new(values: impl IntoIterator<Item = (String, serde_json::Value)>) -> Self {
         let mut store = Self::default();
         for (key, value) in values {
@@ -41,7 +41,7 @@
         self.revision
     }
 
-    /// A key's value with the revision of its last change.
+    /// Returns a key's value with the revision of its last change.
     pub fn get(&self, key: &str) -> StoreValue {
         match self.values.get(key) {
             Some((revision, value)) => StoreValue { revision: *revision, value: Some(value.clone()) },
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Replaces a key's value where its revision is the expected one.
+    /// Replaces a key's value if its revision is the expected one.
     pub fn put(&mut self, put: StorePut) -> StorePutResult {
-        let present = self.values.get(&put.key).map_or(Revision(0), |(revision, _)| *revision);
-        if present != put.expected {
-            return StorePutResult::Conflict { revision: present };
+        let current = self.values.get(&put.key).map_or(Revision(0), |(revision, _)| *revision);
+        if current != put.expected {
+            return StorePutResult::Conflict { revision: current };
         }
         StorePutResult::Stored { revision: self.replace(put.key, put.value) }
     }
@@ -64,13 +64,13 @@
         self.revision
     }
 
-    /// Grants a lease that is free, lapsed, or held by the asker already.
+    /// Grants a lease that is free, expired, or already held by the requester.
     ///
-    /// The asker's own unexpired lease is extended under its token; any other grant has a new one.
-    pub fn acquire(&mut self, ask: &LeaseAcquire, now: Timestamp) -> LeaseResult {
-        let ttl = Duration::from_millis(ask.ttl_ms);
-        if let Some(lease) = self.leases.get_mut(&ask.name).filter(|lease| lease.expires_at > now) {
-            if lease.holder != ask.holder {
+    /// The requester's own unexpired lease is extended under its token; any other grant gets a new one.
+    pub fn acquire(&mut self, request: &LeaseAcquire, now: Timestamp) -> LeaseResult {
+        let ttl = Duration::from_millis(request.ttl_ms);
+        if let Some(lease) = self.leases.get_mut(&request.name).filter(|lease| lease.expires_at > now) {
+            if lease.holder != request.holder {
                 let remaining = lease.expires_at.saturating_since(now);
                 return LeaseResult::HeldByOther {
                     holder: lease.holder.clone(),
@@ -78,33 +78,33 @@
                 };
             }
             lease.expires_at = now + ttl;
-            return LeaseResult::Held { token: lease.token, ttl_ms: ask.ttl_ms };
+            return LeaseResult::Held { token: lease.token, ttl_ms: request.ttl_ms };
         }
         self.revision = self.revision.next();
         let token = FencingToken(self.revision.0);
-        let lease = Lease { holder: ask.holder.clone(), token, expires_at: now + ttl };
-        self.leases.insert(ask.name.clone(), lease);
-        LeaseResult::Held { token, ttl_ms: ask.ttl_ms }
+        let lease = Lease { holder: request.holder.clone(), token, expires_at: now + ttl };
+        self.leases.insert(request.name.clone(), lease);
+        LeaseResult::Held { token, ttl_ms: request.ttl_ms }
     }
 
-    /// Extends a lease that the asker still holds under its token.
-    pub fn renew(&mut self, ask: &LeaseRenew, now: Timestamp) -> LeaseResult {
-        let Some(lease) = self.held(ask, now) else { return LeaseResult::NotHeld };
-        lease.expires_at = now + Duration::from_millis(ask.ttl_ms);
-        LeaseResult::Held { token: ask.token, ttl_ms: ask.ttl_ms }
+    /// Extends a lease that the requester still holds under its token.
+    pub fn renew(&mut self, request: &LeaseRenew, now: Timestamp) -> LeaseResult {
+        let Some(lease) = self.held(request, now) else { return LeaseResult::NotHeld };
+        lease.expires_at = now + Duration::from_millis(request.ttl_ms);
+        LeaseResult::Held { token: request.token, ttl_ms: request.ttl_ms }
     }
 
-    /// Gives a lease up, where the asker still holds it.
-    pub fn release(&mut self, ask: &LeaseRenew, now: Timestamp) -> LeaseResult {
-        if self.held(ask, now).is_some() {
-            self.leases.remove(&ask.name);
+    /// Releases a lease if the requester still holds it.
+    pub fn release(&mut self, request: &LeaseRenew, now: Timestamp) -> LeaseResult {
+        if self.held(request, now).is_some() {
+            self.leases.remove(&request.name);
         }
         LeaseResult::NotHeld
     }
 
-    fn held(&mut self, ask: &LeaseRenew, now: Timestamp) -> Option<&mut Lease> {
-        self.leases
-            .get_mut(&ask.name)
-            .filter(|lease| lease.holder == ask.holder && lease.token == ask.token && lease.expires_at > now)
+    fn held(&mut self, request: &LeaseRenew, now: Timestamp) -> Option<&mut Lease> {
+        self.leases.get_mut(&request.name).filter(|lease| {
+            lease.holder == request.holder && lease.token == request.token && lease.expires_at > now
+        })
     }
 }
--- a/crates/standins/src/configuration_store/server.rs
+++ b/crates/standins/src/configuration_store/server.rs
@@ -1,7 +1,7 @@
 //! Serves the configuration store over TCP.
 //!
 //! Besides the store's own paths, `POST /control/faults` takes
-//! [`ServiceFaults`](crate::faults::ServiceFaults) and `GET /control/state` shows everything.
+//! [`ServiceFaults`](crate::faults::ServiceFaults) and `GET /control/state` returns the faults and the model.
 
 use std::{
     sync::{Arc, MutexGuard},
@@ -29,8 +29,8 @@
     settings::ConfigurationStoreSettings,
 };
 
-/// The longest that a watch is held open.
-const LONGEST_WATCH: Duration = Duration::from_secs(60);
+/// Upper bound of the time for which a watch is held open.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
 struct StoreServer {
     model: ModelState<ConfigurationStoreModel>,
@@ -46,26 +46,26 @@
 }
 
 impl StoreServer {
-    async fn watch(&self, ask: &StoreWatch, activity: &Activity) -> StoreValue {
+    async fn watch(&self, request: &StoreWatch, activity: &Activity) -> StoreValue {
         let mut changed = self.changed.subscribe();
-        let limit = tokio::time::sleep(Duration::from_millis(ask.wait_ms).min(LONGEST_WATCH));
+        let limit = tokio::time::sleep(Duration::from_millis(request.wait_ms).min(MAX_WATCH_WAIT));
         tokio::pin!(limit);
         loop {
-            let value = self.model().get(&ask.key);
-            if value.revision > ask.after {
+            let value = self.model().get(&request.key);
+            if value.revision > request.after {
                 return value;
             }
             tokio::select! {
                 _ = changed.changed() => {}
-                () = &mut limit => return unless_unchanged(self.model().get(&ask.key), ask.after),
-                () = activity.stopped() => return self.model().get(&ask.key),
+                () = &mut limit => return omit_if_unchanged(self.model().get(&request.key), request.after),
+                () = activity.stopped() => return self.model().get(&request.key),
             }
         }
     }
 }
 
-/// A value that the asker has already is not sent again.
-fn unless_unchanged(value: StoreValue, known: Revision) -> StoreValue {
+/// Omits a value that the requester has already.
+fn omit_if_unchanged(value: StoreValue, known: Revision) -> StoreValue {
     if value.revision == known { StoreValue { value: None, ..value } } else { value }
 }
 
@@ -96,7 +96,7 @@
 type State<'a> = StateRef<'a, Shared<StoreServer>>;
 
 async fn get_key(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    http::answer(&body, |ask: StoreGet| shared.standin.model().get(&ask.key))
+    http::answer(&body, |request: StoreGet| shared.standin.model().get(&request.key))
 }
 
 async fn put(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
@@ -110,19 +110,19 @@
 
 async fn watch_key(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
     match http::parse::<StoreWatch>(&body) {
-        Ok(ask) => http::ok(&shared.standin.watch(&ask, &shared.activity).await),
+        Ok(request) => http::ok(&shared.standin.watch(&request, &shared.activity).await),
         Err(refusal) => http::refuse(&refusal),
     }
 }
 
 async fn acquire(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    http::answer(&body, |ask: LeaseAcquire| shared.standin.model().acquire(&ask, http::now()))
+    http::answer(&body, |request: LeaseAcquire| shared.standin.model().acquire(&request, http::now()))
 }
 
 async fn renew(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    http::answer(&body, |ask: LeaseRenew| shared.standin.model().renew(&ask, http::now()))
+    http::answer(&body, |request: LeaseRenew| shared.standin.model().renew(&request, http::now()))
 }
 
 async fn release(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
-    http::answer(&body, |ask: LeaseRenew| shared.standin.model().release(&ask, http::now()))
+    http::answer(&body, |request: LeaseRenew| shared.standin.model().release(&request, http::now()))
 }
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -1,8 +1,8 @@
-//! The text that an engine answers.
+//! Deterministic answers of engines.
 //!
 //! An answer is a pure function of the model, its weights, the cache scope (and through it the
-//! tenant and adapter) and the prompt. A test can therefore compute what any request must get, and
-//! an answer continued by another engine reads the same.
+//! tenant and adapter) and the prompt. Tests can therefore compute the expected answer of any request,
+//! and another engine continues an answer with the same text.
 
 use paddlemount_protocol::{
     engine::FinishReason,
@@ -11,10 +11,10 @@
 };
 use xxhash_rust::xxh3::{xxh3_64_with_seed, xxh3_128_with_seed};
 
-/// Tokens of the shortest answer that is not cut by `max_tokens`.
+/// Minimum length of an answer that `max_tokens` does not truncate.
 pub const MIN_ANSWER_TOKENS: u32 = 24;
 
-/// Answers have between [`MIN_ANSWER_TOKENS`] and this many tokens less one.
+/// Exclusive upper bound of the length of an answer.
 pub const MAX_ANSWER_TOKENS: u32 = 152;
 
 const ANSWER_SEED: u64 = 0x616e_7377_6572_0001;
@@ -22,18 +22,18 @@
 const VOWELS: &[u8; 4] = b"aeio";
 const SYLLABLES_PER_TOKEN: u32 = 3;
 
-/// Everything that determines an answer, in a few bytes.
+/// Compact description from which an answer is generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerPlan {
     seed: u64,
-    /// Number of tokens in the whole answer.
+    /// Number of tokens in the complete answer.
     pub tokens: u32,
-    /// Why it ends.
+    /// Why the answer ends.
     pub reason: FinishReason,
 }
 
 impl AnswerPlan {
-    /// The answer to `prompt` by `model` with `weights` within `scope`.
+    /// Plans the answer to `prompt` by `model` with `weights` within `scope`.
     pub fn new(
         model: &ModelId,
         weights: WeightsVersion,
@@ -49,11 +49,11 @@
         let hash = xxh3_128_with_seed(prompt.as_bytes(), identity_seed);
         let seed = (hash >> 64) as u64;
         let range = u64::from(MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS);
-        let natural = MIN_ANSWER_TOKENS + (hash as u64 % range) as u32;
-        if natural > max_tokens {
+        let full_length = MIN_ANSWER_TOKENS + (hash as u64 % range) as u32;
+        if full_length > max_tokens {
             Self { seed, tokens: max_tokens, reason: FinishReason::Length }
         } else {
-            Self { seed, tokens: natural, reason: FinishReason::Stop }
+            Self { seed, tokens: full_length, reason: FinishReason::Stop }
         }
     }
 
@@ -70,13 +70,13 @@
         text
     }
 
-    /// The whole answer's text.
+    /// The text of the complete answer.
     pub fn text(&self) -> String {
         (0..self.tokens).map(|index| self.token(index)).collect()
     }
 }
 
-/// What a request must get: the answer's tokens in order.
+/// Returns the tokens of the answer that a request must receive, in order.
 pub fn expected_answer(
     model: &ModelId,
     weights: WeightsVersion,
--- a/crates/standins/src/engine/model/batch.rs
+++ b/crates/standins/src/engine/model/batch.rs
@@ -1,7 +1,7 @@
-//! Continuous batching: admission to the batch, and steps of prefill and decode.
+//! Continuous batching: admission to the batch, prefill and decode steps.
 //!
-//! One step decodes a token for each request whose prompt is prefilled, and prefills a chunk of the
-//! prompts that are not, in order of admission. Requests enter and leave between steps.
+//! A step decodes one token for each request whose prompt is prefilled, and prefills a chunk of the
+//! remaining prompts in order of admission. Requests enter and leave the batch between steps.
 
 use std::time::Duration;
 
@@ -19,13 +19,13 @@
 /// A request in the batch.
 pub(super) struct Running {
     pub(super) request: ModelRequest,
-    /// Leading blocks of the prompt that are cached; the last of them is pinned.
+    /// Number of leading blocks of the prompt that are cached; the last one is pinned.
     cached_blocks: usize,
-    /// Tokens of prompt and earlier answer that are prefilled.
+    /// Prefilled tokens of the prompt and the answer prefix.
     prefilled: u32,
-    /// Tokens to prefill in the step that is under way.
+    /// Tokens to prefill in the current step.
     chunk: u32,
-    /// Blocks of reserved space not yet filled.
+    /// Reserved blocks that are not filled yet.
     reserved: u32,
     /// The index of the next token.
     pub(super) next_index: u32,
@@ -49,19 +49,19 @@
     }
 }
 
-/// Tokens that `blocks` whole blocks hold.
+/// Number of tokens in `blocks` full blocks.
 pub(super) fn tokens_of(blocks: usize) -> u32 {
     u32::try_from(blocks).unwrap_or(u32::MAX).saturating_mul(BLOCK_TOKENS)
 }
 
-/// Blocks of memory that a request stands on while it runs: prompt and answer.
+/// Number of blocks that a running request needs for prompt and answer.
 pub(super) fn blocks_needed(request: &ModelRequest) -> u32 {
     let answer = request.answer_tokens.max(request.answer_prefix_tokens);
     checks::blocks_of(request.prompt_tokens.saturating_add(answer))
 }
 
 impl EngineModel {
-    /// Starts a step where none is under way and there is work.
+    /// Starts a step if there is work and none is in progress.
     pub(super) fn start_step(&mut self, now: Timestamp) {
         if self.step_ends_at.is_some() || self.stalled || !self.up {
             return;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Lets a request enter the batch, or gives it back where there is no memory for it.
+    /// Admits a request to the batch, or returns it if there is not enough memory.
     fn admit_one(&mut self, waiting: Waiting, now: Timestamp) -> Option<Waiting> {
         if let Some(transfer) = &waiting.request.import {
             self.store_transfer(transfer, now);
@@ -152,7 +152,7 @@
     fn enter_batch(&mut self, request: ModelRequest, cached_blocks: usize, reserved: u32, now: Timestamp) {
         let next_index = request.answer_prefix_tokens;
         let mut running = Running { request, cached_blocks, prefilled: 0, chunk: 0, reserved, next_index };
-        // The last token is always computed: its output is the first token of the answer.
+        // The last token is always computed, since its output is the first token of the answer.
         running.prefilled = tokens_of(cached_blocks).min(running.prefill_target().saturating_sub(1));
         let attempt = running.request.attempt.clone();
         let prompt_tokens = running.request.prompt_tokens;
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Applies the step that ends at `now`.
+    /// Completes the step that ends at `now`.
     pub(super) fn finish_step(&mut self, now: Timestamp) {
         self.step_ends_at = None;
         let mut index = 0;
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Adds the blocks that a request has filled to the cache and moves its pin to the last of them.
+    /// Caches the blocks that a request has filled and moves its pin to the last one.
     fn store_filled(&mut self, index: usize, filled: usize) -> Vec<BlockHash> {
         let running = &mut self.running[index];
         let mut stored = Vec::new();
@@ -209,7 +209,7 @@
         }
         let pinned = running.pinned();
         for block in running.cached_blocks..filled {
-            let parent = block.checked_sub(1).map(|before| running.request.blocks[before]);
+            let parent = block.checked_sub(1).map(|previous| running.request.blocks[previous]);
             let key = running.block_key(block);
             running.reserved = running.reserved.saturating_sub(1);
             if self.cache.insert(key, parent) {
@@ -278,7 +278,7 @@
         self.outputs.push(EngineOutput { at, event });
     }
 
-    /// The true load at this moment.
+    /// The actual load at `now`.
     pub fn current_load(&self, now: Timestamp) -> LoadReport {
         let running: u32 = self.running.iter().map(Running::missing_tokens).sum();
         let queued: u32 = self.queued().map(|waiting| waiting.missing_tokens).sum();
--- a/crates/standins/src/engine/model/cache.rs
+++ b/crates/standins/src/engine/model/cache.rs
@@ -1,8 +1,8 @@
 //! The bounded cache of prompt blocks.
 //!
-//! Blocks form trees: a block is present only while the block before it is. The least recently used
-//! block without successors goes first, and blocks that a running request stands on stay. Space for
-//! a running request is reserved when it enters the batch.
+//! Blocks form trees in which a block is present only while its parent is. Eviction takes the least
+//! recently used leaf and spares blocks pinned by running requests. Space for a request is reserved when
+//! it enters the batch.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -11,12 +11,12 @@
 
 use paddlemount_protocol::prefix::{BlockHash, CacheScope};
 
-/// A block within its scope.
+/// Identifies a block within its scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BlockKey {
-    /// The boundary that cached state never crosses.
+    /// Cached state is never shared across scopes.
     pub scope: CacheScope,
-    /// The prefix that ends with this block.
+    /// Hash of the prefix that ends with this block.
     pub hash: BlockHash,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Passes the key's bits on: block hashes are evenly distributed already.
+/// Hasher that returns its input, since block hashes are evenly distributed already.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IdentityHasher(u64);
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// The cache of one engine.
+/// Bounded block cache of an engine with reservation, pinning and LRU eviction.
 #[derive(Clone, Debug)]
 pub struct BlockCache {
     capacity: u32,
@@ -71,43 +71,43 @@
 }
 
 impl BlockCache {
-    /// An empty cache of at most `capacity` blocks.
+    /// Creates an empty cache of at most `capacity` blocks.
     pub fn new(capacity: u32) -> Self {
         Self { capacity, reserved: 0, uses: 0, entries: HashMap::default(), evictable: BTreeSet::new() }
     }
 
-    /// Blocks at most.
+    /// Maximum number of blocks.
     pub const fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// Blocks present.
+    /// Number of blocks present.
     pub fn len(&self) -> u32 {
         u32::try_from(self.entries.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether no block is present.
+    /// Returns whether no block is present.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Blocks of space that running requests have reserved and not yet filled.
+    /// Number of blocks that running requests have reserved and not filled yet.
     pub const fn reserved(&self) -> u32 {
         self.reserved
     }
 
-    /// Whether a block is present.
+    /// Returns whether a block is present.
     pub fn contains(&self, key: BlockKey) -> bool {
         self.entries.contains_key(&key)
     }
 
-    /// The number of leading blocks of `blocks` that are present.
+    /// Returns how many leading blocks of `blocks` are present.
     pub fn matched(&self, scope: CacheScope, blocks: &[BlockHash]) -> usize {
-        // A block is present only while all before it are, so presence is monotonic.
+        // A block is present only while its ancestors are, so presence is monotonic.
         blocks.partition_point(|hash| self.contains(BlockKey { scope, hash: *hash }))
     }
 
-    /// Keeps a present block, and thereby all before it, from eviction until it is unpinned as often.
+    /// Protects a present block and its ancestors from eviction until it is unpinned as many times.
     pub fn pin(&mut self, key: BlockKey) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         if entry.evictable() {
@@ -116,7 +116,7 @@
         entry.pins += 1;
     }
 
-    /// Takes back one pin and counts as a use of the block.
+    /// Removes one pin and marks the block as used.
     pub fn unpin(&mut self, key: BlockKey) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         entry.pins = entry.pins.saturating_sub(1);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Reserves space for `blocks` blocks, evicting as needed; false where pinned blocks leave too little.
+    /// Reserves `blocks` blocks and evicts as needed; returns false if pinned blocks leave too little space.
     pub fn reserve(&mut self, blocks: u32, evicted: &mut Vec<BlockHash>) -> bool {
         while u64::from(self.len()) + u64::from(self.reserved) + u64::from(blocks) > u64::from(self.capacity)
         {
@@ -139,13 +139,13 @@
         true
     }
 
-    /// Gives back reserved space.
+    /// Releases reserved space.
     pub fn release(&mut self, blocks: u32) {
         self.reserved = self.reserved.saturating_sub(blocks);
     }
 
-    /// Adds a block after `parent`, using one reserved block of space. False where it is present
-    /// already or its parent is not; the space is then free again.
+    /// Adds a block below `parent` in one reserved block of space. Returns false and frees the space if
+    /// the block is present already or its parent is not.
     pub fn insert(&mut self, key: BlockKey, parent: Option<BlockHash>) -> bool {
         self.release(1);
         if self.contains(key) || !self.add_child(key.scope, parent) {
@@ -182,21 +182,21 @@
     fn remove_child(&mut self, parent: BlockKey, child_last_used: u64) {
         let Some(entry) = self.entries.get_mut(&parent) else { return };
         entry.children = entry.children.saturating_sub(1);
-        // A use of a block is a use of all before it; it is carried up when the block goes.
+        // A use of a block counts for its ancestors; it propagates when the block is evicted.
         entry.last_used = entry.last_used.max(child_last_used);
         if entry.evictable() {
             self.evictable.insert((entry.last_used, parent));
         }
     }
 
-    /// Drops all blocks and reservations.
+    /// Removes all blocks and reservations.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.evictable.clear();
         self.reserved = 0;
     }
 
-    /// Up to `limit` hashes above `after`, in hash order, and whether more follow.
+    /// Returns up to `limit` hashes above `after` in hash order, and whether more follow.
     pub fn page(&self, after: Option<BlockHash>, limit: usize) -> (Vec<BlockHash>, bool) {
         let above = |hash: &BlockHash| after.is_none_or(|after| *hash > after);
         let mut hashes: Vec<BlockHash> = self.entries.keys().map(|key| key.hash).filter(above).collect();
@@ -209,7 +209,7 @@
         (hashes, more)
     }
 
-    /// All present blocks with the block before each, in key order; for checks of invariants.
+    /// Returns all present blocks with their parents in key order, for invariant checks.
     pub fn blocks(&self) -> Vec<(BlockKey, Option<BlockHash>)> {
         let mut blocks: Vec<_> = self.entries.iter().map(|(key, entry)| (*key, entry.parent)).collect();
         blocks.sort_unstable();
--- a/crates/standins/src/engine/model/checks.rs
+++ b/crates/standins/src/engine/model/checks.rs
@@ -1,4 +1,4 @@
-//! What an engine checks before it accepts a request or order.
+//! Checks before an engine accepts a request, and the refusals that they produce.
 
 use paddlemount_protocol::{
     engine::{EngineRefusal, EngineRole, Precondition},
@@ -8,11 +8,11 @@
 
 use super::{EngineModel, ModelRequest, batch};
 
-/// When a request that was refused for a passing reason may come back, in milliseconds.
-const RETRY_AFTER_MS: u64 = 200;
+/// Minimum retry delay in a refusal for a transient reason, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 200;
 
 impl EngineModel {
-    /// Checks identity and what is loaded.
+    /// Checks the engine's identity, incarnation and loaded model.
     pub fn check_precondition(&self, precondition: &Precondition) -> Result<(), EngineRefusal> {
         let failed = |message| Err(self.refusal(RefusalCode::PreconditionFailed, message));
         if precondition.engine != self.settings.engine {
@@ -72,24 +72,24 @@
         let queued: f64 = self.queued().map(|waiting| f64::from(waiting.missing_tokens)).sum();
         let prefill_ms = queued / speed.prefill_tokens_per_second * 1e3;
         let mut refusal = self.refusal(RefusalCode::Overloaded, "the engine's queue is full");
-        refusal.retry_after_ms = Some((prefill_ms as u64).max(RETRY_AFTER_MS));
+        refusal.retry_after_ms = Some((prefill_ms as u64).max(MIN_RETRY_AFTER_MS));
         refusal
     }
 
-    /// A refusal with this engine's life and what it has loaded.
+    /// Creates a refusal with this engine's incarnation and loaded model.
     pub fn refusal(&self, code: RefusalCode, message: &str) -> EngineRefusal {
-        let passing = matches!(code, RefusalCode::Overloaded | RefusalCode::Unavailable);
+        let is_transient = matches!(code, RefusalCode::Overloaded | RefusalCode::Unavailable);
         EngineRefusal {
             code,
             incarnation: self.incarnation,
             loaded: self.loaded.clone(),
             message: message.to_owned(),
-            retry_after_ms: passing.then_some(RETRY_AFTER_MS),
+            retry_after_ms: is_transient.then_some(MIN_RETRY_AFTER_MS),
         }
     }
 }
 
-/// Blocks that `tokens` tokens fill, the last one in part.
+/// Number of blocks that hold `tokens` tokens, including a partial last one.
 pub(super) const fn blocks_of(tokens: u32) -> u32 {
     tokens.div_ceil(BLOCK_TOKENS)
 }
--- a/crates/standins/src/engine/model/feed.rs
+++ b/crates/standins/src/engine/model/feed.rs
@@ -1,4 +1,4 @@
-//! The feed of cache events: late, and with losses.
+//! The feed of cache events, with configurable delay and loss.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,11 +14,11 @@
 struct Recorded {
     visible_at: Timestamp,
     sequence: EventSequence,
-    /// Nothing where the event was lost.
+    /// `None` if the event is lost.
     change: Option<CacheChange>,
 }
 
-/// The feed of one life of an engine.
+/// The feed of one incarnation of an engine.
 pub struct EventFeed {
     settings: FeedSettings,
     random: SmallRng,
@@ -28,7 +28,7 @@
 }
 
 impl EventFeed {
-    /// An empty feed.
+    /// Creates an empty feed.
     pub fn new(settings: FeedSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Changes delay and loss from now on.
+    /// Sets the delay and loss of later events.
     pub const fn configure(&mut self, settings: FeedSettings) {
         self.settings = settings;
     }
@@ -49,12 +49,12 @@
         self.lose_next = events;
     }
 
-    /// The last event that exists, lost or not.
+    /// Sequence number of the last event, whether lost or not.
     pub const fn last(&self) -> EventSequence {
         self.last
     }
 
-    /// Records a change of the cache at `now`.
+    /// Records a cache change at `now`.
     pub fn record(&mut self, change: CacheChange, now: Timestamp) {
         self.last = self.last.next();
         let change = if self.is_lost() { None } else { Some(change) };
@@ -73,7 +73,7 @@
         self.settings.loss > 0.0 && self.random.random::<f64>() < self.settings.loss
     }
 
-    /// Up to `limit` events after `after` that are visible at `now`.
+    /// Returns up to `limit` events after `after` that are visible at `now`.
     pub fn batch(
         &self,
         incarnation: Incarnation,
@@ -94,7 +94,7 @@
         CacheEventBatch { incarnation, events, last }
     }
 
-    /// When the first event after `after` becomes visible, where it exists already.
+    /// The time at which the first event after `after` becomes visible, if it exists already.
     pub fn visible_at(&self, after: EventSequence) -> Option<Timestamp> {
         let start = self.recorded.partition_point(|recorded| recorded.sequence <= after);
         self.recorded.get(start).map(|recorded| recorded.visible_at)
--- a/crates/standins/src/engine/model/messages.rs
+++ b/crates/standins/src/engine/model/messages.rs
@@ -1,4 +1,4 @@
-//! What an [`EngineModel`](super::EngineModel) is handed and what it gives out.
+//! Inputs and outputs of an [`EngineModel`](super::EngineModel).
 
 use std::time::Duration;
 
@@ -14,121 +14,96 @@
 /// Settings of an engine model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineModelSettings {
-    /// The engine's name.
     pub engine: EngineId,
-    /// The pool it serves.
+    /// The pool that the engine serves.
     pub pool: PoolId,
-    /// Its zone.
     pub zone: ZoneId,
-    /// What is loaded at the start of each life.
+    /// What is loaded at the start of each incarnation.
     pub loaded: Option<LoadedModel>,
-    /// How it works.
     pub behaviour: EngineBehaviour,
-    /// How long loading weights takes; without it, [`finish_load`](super::EngineModel::finish_load) ends a load.
+    /// How long a load takes; without it, [`finish_load`](super::EngineModel::finish_load) ends a load.
     pub load_duration: Option<Duration>,
-    /// Which tokens are reported.
     pub token_outputs: TokenOutputs,
 }
 
-/// Which tokens an engine model reports as outputs.
+/// Selects the tokens that an engine model reports as outputs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TokenOutputs {
-    /// Each.
+    /// Every token.
     #[default]
     All,
-    /// The first of each try; enough for measures of latency, at less cost.
+    /// The first token of each attempt, which is cheaper and suffices to measure latency.
     First,
 }
 
-/// A request as the model needs it: sizes and hashes in place of text.
+/// A request to the model, with sizes and hashes in place of text.
 #[derive(Clone, Debug)]
 pub struct ModelRequest {
-    /// The try.
     pub attempt: AttemptId,
-    /// What must be true of the engine.
+    /// What must hold for the engine.
     pub precondition: Precondition,
-    /// The boundary of its cached state.
+    /// The scope of cached state.
     pub scope: CacheScope,
-    /// Hashes of the prompt's whole blocks.
+    /// Hashes of the prompt's full blocks.
     pub blocks: Vec<BlockHash>,
-    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the whole answer, those the caller already has included.
+    /// Tokens of the complete answer, including the answer prefix.
     pub answer_tokens: u32,
     /// Why the answer ends.
     pub reason: FinishReason,
     /// Tokens of the answer that the caller already has.
     pub answer_prefix_tokens: u32,
-    /// How urgent it is.
     pub priority: Priority,
-    /// When the sender gives up.
+    /// The request fails if it is still queued at this time.
     pub deadline: Timestamp,
-    /// Kept cache to import first.
+    /// Cached state to import before the request runs.
     pub import: Option<KvTransfer>,
 }
 
-/// Something that happened at an engine.
+/// A timestamped event of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineOutput {
-    /// When it happened.
     pub at: Timestamp,
-    /// What happened.
     pub event: EngineEvent,
 }
 
-/// What an [`EngineOutput`] says.
+/// The event of an [`EngineOutput`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
-    /// A try has entered the batch.
+    /// An attempt has entered the batch.
     Started {
-        /// The try.
         attempt: AttemptId,
-        /// Tokens of the prompt.
         prompt_tokens: u32,
-        /// Those found in the cache, imported ones included.
+        /// Prompt tokens found in the cache, including imported ones.
         cached_tokens: u32,
-        /// The load at this moment.
         load: LoadReport,
     },
     /// A token was generated.
     Token {
-        /// The try.
         attempt: AttemptId,
-        /// Its position in the answer.
+        /// Position in the answer.
         index: u32,
     },
-    /// The whole answer has been generated.
+    /// The answer is complete.
     Ended {
-        /// The try.
         attempt: AttemptId,
-        /// Tokens of the whole answer.
+        /// Tokens of the complete answer.
         tokens: u32,
-        /// Why it ended.
+        /// Why the answer ended.
         reason: FinishReason,
-        /// The load at this moment.
         load: LoadReport,
     },
-    /// The engine gave a try up.
-    Failed {
-        /// The try.
-        attempt: AttemptId,
-        /// Why.
-        message: &'static str,
-    },
-    /// Weights must be fetched; answered by [`finish_load`](super::EngineModel::finish_load).
-    LoadStarted {
-        /// The model.
-        model: ModelId,
-        /// The weights.
-        weights: WeightsVersion,
-    },
+    /// The engine abandoned an attempt.
+    Failed { attempt: AttemptId, message: &'static str },
+    /// The driver must fetch weights and then call [`finish_load`](super::EngineModel::finish_load).
+    LoadStarted { model: ModelId, weights: WeightsVersion },
 }
 
-/// How far a try has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptProgress {
-    /// The index of the next token to be generated.
+    /// Index of the next token to generate.
     pub next_index: u32,
-    /// Whether the whole answer has been generated.
+    /// Whether the answer is complete.
     pub ended: bool,
 }
--- a/crates/standins/src/engine/model/mod.rs
+++ b/crates/standins/src/engine/model/mod.rs
@@ -1,15 +1,15 @@
-//! A model engine as a state machine.
+//! State machine of a model engine.
 //!
-//! [`EngineModel`] does no I/O and reads no clock. A driver hands it requests and orders together
-//! with the time, calls [`EngineModel::advance`] at [`EngineModel::next_event_at`], and carries out
-//! the outputs. The same calls with the same seed give the same outputs.
+//! [`EngineModel`] does no I/O and reads no clock. A driver passes requests and orders together with the
+//! time, calls [`EngineModel::advance`] at [`EngineModel::next_event_at`], and processes the outputs. The
+//! same calls with the same seed produce the same outputs.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
 //! | [`cache`] | the bounded cache of prompt blocks |
-//! | [`feed`] | cache events, late and with losses |
+//! | [`feed`] | the feed of cache events, with delay and losses |
 //! | `messages` | settings, requests and outputs |
-//! | [`load`] | load reports that lag |
+//! | [`load`] | delayed load reports |
 //! | `batch` | admission to the batch, prefill and decode steps |
 //! | `orders` | fenced orders and loading of weights |
 //! | `checks` | preconditions and refusals |
@@ -48,11 +48,11 @@
 
 struct Waiting {
     request: ModelRequest,
-    /// Prompt tokens that were not cached on arrival.
+    /// Prompt tokens that are not cached on arrival.
     missing_tokens: u32,
 }
 
-/// A model engine.
+/// State of a model engine.
 pub struct EngineModel {
     settings: EngineModelSettings,
     incarnation: Incarnation,
@@ -62,8 +62,8 @@
     role: EngineRole,
     draining: bool,
     fence: FencingToken,
-    obeyed: VecDeque<String>,
-    origins: LatestIncarnations,
+    executed_orders: VecDeque<String>,
+    incarnations: LatestIncarnations,
     cache: BlockCache,
     feed: EventFeed,
     history: LoadHistory,
@@ -80,11 +80,11 @@
 }
 
 impl EngineModel {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(settings: EngineModelSettings, incarnation: Incarnation, seed: u64) -> Self {
         let behaviour = settings.behaviour;
-        let mut origins = LatestIncarnations::default();
-        origins.observe(&settings.engine, incarnation);
+        let mut incarnations = LatestIncarnations::default();
+        incarnations.observe(&settings.engine, incarnation);
         let lag = Duration::from_millis(behaviour.service.load_report_lag_ms);
         Self {
             incarnation,
@@ -94,8 +94,8 @@
             role: EngineRole::Serving,
             draining: false,
             fence: FencingToken(0),
-            obeyed: VecDeque::new(),
-            origins,
+            executed_orders: VecDeque::new(),
+            incarnations,
             cache: BlockCache::new(behaviour.speed.cache_blocks),
             feed: EventFeed::new(behaviour.feed, seed ^ incarnation.0),
             history: LoadHistory::new(lag),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Accepts a request, or refuses it without running any of it.
+    /// Accepts a request or refuses it without running any of it.
     pub fn submit(&mut self, request: ModelRequest, now: Timestamp) -> Result<(), EngineRefusal> {
         self.run_until(now);
         self.check_admission(&request)?;
@@ -136,13 +136,13 @@
         self.waiting.insert((Reverse(waiting.request.priority), self.arrivals), waiting);
     }
 
-    /// Carries out all that happens up to and including `now`.
+    /// Processes all events up to and including `now` and returns the outputs.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineOutput> {
         self.run_until(now);
         std::mem::take(&mut self.outputs)
     }
 
-    /// When something happens next; nothing while the engine is idle, stalled or down.
+    /// The time of the next event; `None` while the engine is idle, stalled or down.
     pub fn next_event_at(&self) -> Option<Timestamp> {
         if let Some(output) = self.outputs.first() {
             return Some(output.at);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Stops work on a try; false where it is not known. Blocks that it has filled stay cached.
+    /// Cancels an attempt and returns whether it was known. Blocks that it has filled stay cached.
     pub fn cancel(&mut self, attempt: &AttemptId, now: Timestamp) -> bool {
         self.run_until(now);
         let found = self.remove_waiting(attempt) || self.remove_running(attempt);
@@ -201,7 +201,7 @@
         self.waiting.len() + self.importing.len() < before
     }
 
-    /// How far a try has come; ended ones are known for the resume grace period.
+    /// Returns the progress of an attempt; those that ended are known for the resume grace period.
     pub fn resume(
         &self,
         attempt: &AttemptId,
@@ -226,7 +226,7 @@
         self.waiting.values().chain(self.importing.iter().map(|(_, waiting)| waiting))
     }
 
-    /// Ends this life: everything is lost. Returns the tries that were lost.
+    /// Ends this incarnation with the loss of all state and returns the lost attempts.
     pub fn crash(&mut self) -> Vec<AttemptId> {
         self.up = false;
         let running = self.running.iter().map(|running| running.request.attempt.clone());
@@ -241,17 +241,17 @@
         lost
     }
 
-    /// Begins a new life with an empty cache and what the settings say is loaded.
+    /// Starts a new incarnation with an empty cache and the initially loaded model.
     pub fn restart(&mut self, incarnation: Incarnation, seed: u64) {
         *self = Self::new(self.settings.clone(), incarnation, seed);
     }
 
-    /// Whether the engine is up. A driver must not pass anything to one that is down.
+    /// Returns whether the engine is up. A driver must not call an engine that is down.
     pub const fn is_up(&self) -> bool {
         self.up
     }
 
-    /// The present life.
+    /// The current incarnation.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
@@ -261,37 +261,37 @@
         &self.settings
     }
 
-    /// What is loaded, if anything.
+    /// The loaded model, if any.
     pub const fn loaded(&self) -> Option<&LoadedModel> {
         self.loaded.as_ref()
     }
 
-    /// The cache, for oracles and checks.
+    /// The cache, for oracles and invariant checks.
     pub const fn cache(&self) -> &BlockCache {
         &self.cache
     }
 
-    /// The feed after `after`, as far as it is visible at `now`.
+    /// Returns up to `limit` events after `after` that are visible at `now`.
     pub fn cache_events(&self, after: EventSequence, limit: usize, now: Timestamp) -> CacheEventBatch {
         self.feed.batch(self.incarnation, after, limit, now)
     }
 
-    /// The last event that exists.
+    /// Sequence number of the last event.
     pub const fn last_event(&self) -> EventSequence {
         self.feed.last()
     }
 
-    /// When the first event after `after` becomes visible, where it exists already.
+    /// The time at which the first event after `after` becomes visible, if it exists already.
     pub fn events_visible_at(&self, after: EventSequence) -> Option<Timestamp> {
         self.feed.visible_at(after)
     }
 
-    /// The load as the engine reports it at `now`, late by the configured lag.
+    /// The load reported at `now`, delayed by the configured lag.
     pub fn load_report(&self, now: Timestamp) -> LoadReport {
         self.history.report(now)
     }
 
-    /// The engine's account of itself at `now`.
+    /// The status reported at `now`.
     pub fn status(&self, now: Timestamp) -> EngineStatus {
         EngineStatus {
             engine: self.settings.engine.clone(),
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Changes how the feed delays and loses events.
+    /// Sets the delay and loss of the feed.
     pub const fn configure_feed(&mut self, settings: FeedSettings) {
         self.feed.configure(settings);
     }
@@ -330,17 +330,17 @@
         self.feed.lose_next(events);
     }
 
-    /// Changes by how much load reports lag.
+    /// Sets the lag of load reports.
     pub const fn set_load_report_lag(&mut self, lag: Duration) {
         self.history.set_lag(lag);
     }
 
-    /// Makes every step take `factor` times as long, from the next step on.
+    /// Multiplies the duration of steps by `factor`, from the next step on.
     pub const fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = if factor > 0.0 { factor } else { 1.0 };
     }
 
-    /// Stops all progress, or lets it go on.
+    /// Stops or resumes all progress.
     pub fn set_stalled(&mut self, stalled: bool, now: Timestamp) {
         if !stalled && self.stalled {
             self.stalled = false;
--- a/crates/standins/src/engine/model/orders.rs
+++ b/crates/standins/src/engine/model/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders, and loading of weights.
+//! Fenced orders and loading of weights.
 
 use paddlemount_protocol::{
     engine::{CacheChange, EngineRefusal, LoadedModel, Order, OrderCommand, OrderResult},
@@ -9,10 +9,10 @@
 
 use super::{EngineEvent, EngineModel};
 
-/// Identities of orders that are remembered, so that a repeated order is carried out once.
-const REMEMBERED_ORDERS: usize = 256;
+/// Number of order identifiers remembered to execute a repeated order only once.
+const MAX_REMEMBERED_ORDERS: usize = 256;
 
-/// Weights on their way into an engine.
+/// A load of weights in progress.
 pub(super) struct Loading {
     model: ModelId,
     weights: WeightsVersion,
@@ -20,9 +20,9 @@
 }
 
 enum LoadPhase {
-    /// Requests that were accepted before the order still run.
+    /// Requests accepted before the order are still running.
     Draining,
-    /// The weights are being fetched; done at a known time in virtual time.
+    /// The weights are being fetched; the end is known only if the duration is configured.
     Fetching { done_at: Option<Timestamp> },
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl EngineModel {
-    /// Carries out an order, unless its token is lower than one that was obeyed before, or it is
-    /// meant for another life. An order that was obeyed before changes nothing.
+    /// Executes an order unless its token is lower than one executed before, or it is addressed to
+    /// another incarnation. A repeated order has no effect.
     pub fn order(&mut self, order: &Order, now: Timestamp) -> Result<OrderResult, EngineRefusal> {
         self.run_until(now);
         if order.incarnation.is_some_and(|incarnation| incarnation != self.incarnation) {
@@ -46,18 +46,18 @@
         if order.token < self.fence {
             return Err(self.refusal(RefusalCode::Fenced, "a higher fencing token has been obeyed"));
         }
-        if !self.obeyed.contains(&order.id) {
-            self.obey(&order.command, now)?;
-            self.obeyed.push_back(order.id.clone());
-            while self.obeyed.len() > REMEMBERED_ORDERS {
-                self.obeyed.pop_front();
+        if !self.executed_orders.contains(&order.id) {
+            self.execute(&order.command, now)?;
+            self.executed_orders.push_back(order.id.clone());
+            while self.executed_orders.len() > MAX_REMEMBERED_ORDERS {
+                self.executed_orders.pop_front();
             }
         }
         self.fence = order.token;
         Ok(OrderResult { fence: self.fence, incarnation: self.incarnation })
     }
 
-    fn obey(&mut self, command: &OrderCommand, now: Timestamp) -> Result<(), EngineRefusal> {
+    fn execute(&mut self, command: &OrderCommand, now: Timestamp) -> Result<(), EngineRefusal> {
         match command {
             OrderCommand::LoadModel { model, weights } => self.load_model(model, *weights, now),
             OrderCommand::LoadAdapter { adapter } => return self.load_adapter(adapter),
@@ -70,9 +70,9 @@
     fn load_model(&mut self, model: &ModelId, weights: WeightsVersion, now: Timestamp) {
         let present = self.loaded.as_ref();
         let is_present = present.is_some_and(|loaded| loaded.model == *model && loaded.weights == weights);
-        let still_drains =
+        let is_replaceable =
             self.loading.as_ref().is_none_or(|loading| matches!(loading.phase, LoadPhase::Draining));
-        if is_present && still_drains {
+        if is_present && is_replaceable {
             self.loading = None;
             return;
         }
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Drops the old weights with all cached state, once no accepted request needs them.
+    /// Drops the old weights and all cached state once no accepted request needs them.
     pub(super) fn begin_load_when_idle(&mut self, now: Timestamp) {
         let busy = !self.running.is_empty() || self.queued().next().is_some();
         let done_at = self.settings.load_duration.map(|duration| now + duration);
@@ -112,23 +112,23 @@
             return;
         }
         if let Some(loading) = self.loading.take() {
-            self.take_up(loading);
+            self.activate(loading);
         }
     }
 
-    /// Ends the fetch of weights; ignored where another load has taken its place. Without `success`
-    /// the engine stays without a model until the next order.
+    /// Ends the fetch of weights, unless another load has replaced it. Without `success` the engine stays
+    /// without a model until the next order.
     pub fn finish_load(&mut self, model: &ModelId, weights: WeightsVersion, success: bool) {
         if !self.is_fetching(model, weights) {
             return;
         }
         match self.loading.take() {
-            Some(loading) if success => self.take_up(loading),
+            Some(loading) if success => self.activate(loading),
             _ => {}
         }
     }
 
-    /// Whether these weights are being fetched.
+    /// Returns whether these weights are being fetched.
     pub fn is_fetching(&self, model: &ModelId, weights: WeightsVersion) -> bool {
         self.loading.as_ref().is_some_and(|loading| {
             loading.model == *model
@@ -137,7 +137,7 @@
         })
     }
 
-    fn take_up(&mut self, loading: Loading) {
+    fn activate(&mut self, loading: Loading) {
         self.loaded =
             Some(LoadedModel { model: loading.model, weights: loading.weights, adapters: Vec::new() });
     }
--- a/crates/standins/src/engine/model/transfer.rs
+++ b/crates/standins/src/engine/model/transfer.rs
@@ -12,13 +12,13 @@
 use super::{EngineModel, ModelRequest, cache::BlockKey};
 
 impl EngineModel {
-    /// A page of up to `limit` blocks above `after`, true at the moment of the call.
+    /// Returns a page of up to `limit` blocks above `after`, consistent at the moment of the call.
     pub fn snapshot(&self, after: Option<BlockHash>, limit: usize) -> CacheSnapshot {
         let (blocks, more) = self.cache.page(after, limit);
         CacheSnapshot { incarnation: self.incarnation, as_of: self.feed.last(), blocks, more }
     }
 
-    /// Copies the cached part of a prefix out. The copy names this life as its origin.
+    /// Exports the cached part of a prefix. The copy names this incarnation as its origin.
     pub fn export(&self, request: &ExportRequest) -> Result<KvTransfer, EngineRefusal> {
         self.check_precondition(&request.precondition)?;
         let matched = self.cache.matched(request.scope, &request.blocks);
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Takes a copy in, as far as there is room.
+    /// Imports a copy as far as there is space.
     pub fn import(&mut self, transfer: &KvTransfer, now: Timestamp) -> Result<ImportResult, EngineRefusal> {
         self.run_until(now);
         self.check_transfer(transfer, transfer.scope)?;
@@ -46,7 +46,7 @@
         Ok(ImportResult { blocks: blocks as u32 })
     }
 
-    /// How long reading a transfer takes.
+    /// Returns how long the import of a transfer takes.
     pub fn transfer_duration(&self, transfer: &KvTransfer) -> Duration {
         let seconds =
             transfer.bytes as f64 / self.settings.behaviour.transfer.import_bytes_per_second.max(1.0);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Refuses state of another scope or other weights, and of a life known to have ended.
+    /// Refuses state of another scope or other weights, or of an incarnation known to have ended.
     pub(super) fn check_transfer(
         &mut self,
         transfer: &KvTransfer,
@@ -77,24 +77,24 @@
         if !same_weights {
             return failed(self, "the kept cache was computed with other weights");
         }
-        if !self.origins.accepts(&transfer.origin, transfer.origin_incarnation) {
+        if !self.incarnations.accepts(&transfer.origin, transfer.origin_incarnation) {
             return failed(self, "the kept cache comes from a life that has ended");
         }
         Ok(())
     }
 
-    /// Adds the blocks of a checked transfer that are missing, in prefix order, as far as there is room.
+    /// Adds the missing blocks of a checked transfer in prefix order, as far as there is space.
     pub(super) fn store_transfer(&mut self, transfer: &KvTransfer, now: Timestamp) {
         let mut parent: Option<BlockHash> = None;
         let mut stored = Vec::new();
         for hash in &transfer.blocks {
             let key = BlockKey { scope: transfer.scope, hash: *hash };
-            let before = parent.map(|hash| BlockKey { scope: transfer.scope, hash });
+            let pinned_parent = parent.map(|hash| BlockKey { scope: transfer.scope, hash });
             if !self.cache.contains(key) {
-                // The block before must survive the evictions that make room.
-                before.inspect(|before| self.cache.pin(*before));
+                // The parent must survive the evictions that make space.
+                pinned_parent.inspect(|pinned_parent| self.cache.pin(*pinned_parent));
                 let added = self.reserve(1, now) && self.cache.insert(key, parent);
-                before.inspect(|before| self.cache.unpin(*before));
+                pinned_parent.inspect(|pinned_parent| self.cache.unpin(*pinned_parent));
                 if !added {
                     break;
                 }
--- a/crates/standins/src/engine/server/driver.rs
+++ b/crates/standins/src/engine/server/driver.rs
@@ -1,4 +1,4 @@
-//! Runs an engine's model in real time.
+//! Drives an engine's model in real time.
 
 use std::{
     io,
@@ -23,10 +23,10 @@
     http,
 };
 
-/// How long the driver sleeps where nothing is due.
-const IDLE_SLEEP: Duration = Duration::from_secs(3_600);
+/// How long the driver sleeps when no event is due.
+const IDLE_WAIT: Duration = Duration::from_secs(3_600);
 
-/// The driver's thread; dropping it ends the thread.
+/// Handle of the driver thread; dropping it stops the thread.
 pub(super) struct Driver {
     stop: Arc<Notify>,
     thread: Option<JoinHandle<()>>,
@@ -38,7 +38,7 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            log::error!("the driver of an engine panicked");
+            log::error!("the driver thread of an engine panicked");
         }
     }
 }
@@ -67,7 +67,7 @@
     loop {
         let now = http::now();
         let next = advance(&server, now);
-        let wait = next.map_or(IDLE_SLEEP, |next| next.saturating_since(http::now()));
+        let wait = next.map_or(IDLE_WAIT, |next| next.saturating_since(http::now()));
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = server.wake.notified() => {}
@@ -75,7 +75,7 @@
     }
 }
 
-/// Carries out what is due and says when something is due next.
+/// Processes due events and returns the time of the next one.
 fn advance(server: &Arc<EngineServer>, now: Timestamp) -> Option<Timestamp> {
     let mut state = server.state();
     let outputs = state.model.advance(now);
@@ -96,8 +96,8 @@
     let incarnation = state.model.incarnation();
     match output.event {
         EngineEvent::Started { attempt, prompt_tokens, cached_tokens, load } => {
-            let started = FrameContent::Start { incarnation, prompt_tokens, cached_tokens, load };
-            state.streams.update(&attempt, |progress| progress.started = Some(started));
+            let start_frame = FrameContent::Start { incarnation, prompt_tokens, cached_tokens, load };
+            state.streams.update(&attempt, |progress| progress.start_frame = Some(start_frame));
         }
         EngineEvent::Token { attempt, index } => {
             state.streams.update(&attempt, |progress| progress.next_index = index + 1);
@@ -113,7 +113,7 @@
         }
         EngineEvent::LoadStarted { model, weights } => {
             if let Some(store) = server.settings.weight_store {
-                let fetch = weights::Fetch { store, life: Incarnation(incarnation.0), model, weights };
+                let fetch = weights::Fetch { store, incarnation: Incarnation(incarnation.0), model, weights };
                 tokio::spawn(weights::fetch(server.clone(), fetch));
             }
         }
--- a/crates/standins/src/engine/server/handlers.rs
+++ b/crates/standins/src/engine/server/handlers.rs
@@ -1,4 +1,4 @@
-//! The paths of the engine API.
+//! Handlers of the engine API.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,17 +22,17 @@
     http::{self, BodyBytes, Empty, Shared},
 };
 
-/// Events in one answer at most.
-const EVENTS_PER_BATCH: usize = 1_024;
+/// Maximum number of events in one response.
+const MAX_EVENTS_PER_BATCH: usize = 1_024;
 
-/// Blocks in one page of a snapshot, where the request does not say.
-const DEFAULT_PAGE: usize = 4_096;
+/// Default number of blocks in a page of a snapshot.
+const DEFAULT_PAGE_BLOCKS: usize = 4_096;
 
-/// The longest that a request for events is held open.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Upper bound of the time for which a request for events is held open.
+const MAX_EVENT_WAIT: Duration = Duration::from_secs(30);
 
-/// How long a run takes that crashes its engine.
-const RUNS_BEFORE_CRASH: std::time::Duration = std::time::Duration::from_millis(20);
+/// Delay between accepting a request that crashes the engine and the crash.
+const CRASH_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
 
 type State<'a> = StateRef<'a, Shared<EngineServer>>;
 
@@ -62,8 +62,8 @@
     server.wake.notify_one();
     let response = stream_response(server, &attempt, None);
     if server.state().faults.crash_at_max_tokens == Some(max_tokens) {
-        tokio::time::sleep(RUNS_BEFORE_CRASH).await;
-        begin_next_life(shared);
+        tokio::time::sleep(CRASH_DELAY).await;
+        restart_incarnation(shared);
     }
     response
 }
@@ -86,7 +86,7 @@
         &request.prompt,
         request.max_tokens,
     );
-    let is_foreign = is_foreign(&plan, &request.answer_prefix);
+    let has_foreign_prefix = has_foreign_prefix(&plan, &request.answer_prefix);
     let attempt = request.attempt.clone();
     let submitted = model_request(request, &plan);
     let first_index = submitted.answer_prefix_tokens;
@@ -96,13 +96,13 @@
     }
     state.model.submit(submitted, http::now())?;
     state.counters.accepted += 1;
-    state.counters.foreign_continuations += u64::from(is_foreign);
+    state.counters.foreign_continuations += u64::from(has_foreign_prefix);
     state.streams.insert(attempt, plan, first_index);
     Ok(())
 }
 
-fn is_foreign(plan: &AnswerPlan, already: &[String]) -> bool {
-    already.iter().zip(0..).any(|(text, index)| *text != plan.token(index))
+fn has_foreign_prefix(plan: &AnswerPlan, prefix: &[String]) -> bool {
+    prefix.iter().zip(0..).any(|(text, index)| *text != plan.token(index))
 }
 
 fn model_request(request: GenerateRequest, plan: &AnswerPlan) -> ModelRequest {
@@ -151,25 +151,25 @@
 
 pub(super) async fn events(StateRef(shared): State<'_>, UriRef(uri): UriRef<'_>) -> WebResponse {
     let after = EventSequence(query_number(uri.query(), "after").unwrap_or(0));
-    let wait = Duration::from_millis(query_number(uri.query(), "wait_ms").unwrap_or(0)).min(LONGEST_WAIT);
+    let wait = Duration::from_millis(query_number(uri.query(), "wait_ms").unwrap_or(0)).min(MAX_EVENT_WAIT);
     let server = &shared.standin;
-    let life = server.state().model.incarnation();
-    // A batch without events answers at the end of the wait.
+    let incarnation = server.state().model.incarnation();
+    // Without a visible event, the response is an empty batch at the end of the wait.
     tokio::select! {
-        () = visible_event(server, life, after) => {}
+        () = visible_event(server, incarnation, after) => {}
         () = tokio::time::sleep(wait) => {}
         () = shared.activity.stopped() => {}
     }
-    http::ok(&server.state().model.cache_events(after, EVENTS_PER_BATCH, http::now()))
+    http::ok(&server.state().model.cache_events(after, MAX_EVENTS_PER_BATCH, http::now()))
 }
 
-async fn visible_event(server: &EngineServer, life: Incarnation, after: EventSequence) {
+async fn visible_event(server: &EngineServer, incarnation: Incarnation, after: EventSequence) {
     let mut last_event = server.last_event.subscribe();
     loop {
         last_event.mark_unchanged();
         let visible_at = {
             let state = server.state();
-            if state.model.incarnation() != life {
+            if state.model.incarnation() != incarnation {
                 return;
             }
             state.model.events_visible_at(after)
@@ -185,7 +185,7 @@
 }
 
 pub(super) async fn snapshot(StateRef(shared): State<'_>, UriRef(uri): UriRef<'_>) -> WebResponse {
-    let limit = query_number(uri.query(), "limit").map_or(DEFAULT_PAGE, |limit| limit as usize);
+    let limit = query_number(uri.query(), "limit").map_or(DEFAULT_PAGE_BLOCKS, |limit| limit as usize);
     let after = match query_value(uri.query(), "after").map(|text| u128::from_str_radix(text, 16)) {
         None => None,
         Some(Ok(hash)) => Some(BlockHash(hash)),
@@ -226,7 +226,7 @@
 
 pub(super) async fn set_faults(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
     http::answer(&body, |faults: EngineFaults| {
-        shared.gate.set_faults(faults.replies);
+        shared.fault_injector.set_faults(faults.replies);
         apply_faults(&mut shared.standin.state(), shared, faults);
         shared.standin.wake.notify_one();
         faults
@@ -245,11 +245,11 @@
 }
 
 pub(super) async fn crash(StateRef(shared): State<'_>) -> WebResponse {
-    begin_next_life(shared);
+    restart_incarnation(shared);
     http::ok(&shared.standin.state().model.status(http::now()))
 }
 
-fn begin_next_life(shared: &Shared<EngineServer>) {
+fn restart_incarnation(shared: &Shared<EngineServer>) {
     let server = &shared.standin;
     let mut state = server.state();
     let next = Incarnation(state.model.incarnation().0.max(http::now().as_millis())).next();
@@ -267,7 +267,7 @@
     let state = shared.standin.state();
     http::ok(&EngineControlState {
         status: state.model.status(http::now()),
-        faults: EngineFaults { replies: shared.gate.faults(), ..state.faults },
+        faults: EngineFaults { replies: shared.fault_injector.faults(), ..state.faults },
         counters: state.counters,
         streams: state.streams.len(),
     })
--- a/crates/standins/src/engine/server/mod.rs
+++ b/crates/standins/src/engine/server/mod.rs
@@ -1,14 +1,14 @@
 //! Serves the engine API over TCP.
 //!
-//! Besides the engine's own paths: `POST /control/faults` takes [`EngineFaults`],
-//! `POST /control/crash` begins a new life with an empty cache and cuts all streams, and
-//! `GET /control/state` gives [`EngineControlState`].
+//! Besides the engine's own paths, `POST /control/faults` takes [`EngineFaults`],
+//! `POST /control/crash` starts a new incarnation with an empty cache and cuts all streams, and
+//! `GET /control/state` returns [`EngineControlState`].
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
-//! | `driver` | runs the model in real time and carries out its outputs |
-//! | `handlers` | the paths |
-//! | `streams` | streams of answers and their readers |
+//! | `driver` | drives the model in real time and applies its outputs |
+//! | `handlers` | HTTP handlers |
+//! | `streams` | answer streams and their readers |
 //! | `weights` | fetches weights from the weight store |
 
 mod driver;
@@ -47,65 +47,65 @@
     settings::EngineSettings,
 };
 
-/// Faults of an engine. A body replaces all faults; absent keys mean none.
+/// Faults of an engine. A request body replaces all of them; an absent key disables its fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineFaults {
-    /// Faults of the replies; for streams they concern the start of the reply.
+    /// Faults of replies; for streams, of the start of the reply.
     pub replies: ServiceFaults,
-    /// Whether the engine makes no progress.
+    /// Stops all progress of the engine.
     pub stalled: bool,
-    /// Every step takes so many times as long.
+    /// Factor for the duration of steps.
     pub slowdown: Option<f64>,
-    /// Cuts each connection of a stream after it has carried so many tokens.
+    /// Cuts each connection of a stream after this many tokens.
     pub cut_after_tokens: Option<u32>,
-    /// Crashes under each request that may generate just so many tokens, as soon as it has accepted it.
+    /// Crashes after accepting a request whose `max_tokens` equals this value.
     pub crash_at_max_tokens: Option<u32>,
-    /// Sends a frame of another try before each token.
+    /// Sends a frame of another attempt before each token.
     pub stray_frames: bool,
     /// Refuses every new request with this code.
     pub refuse: Option<RefusalCode>,
-    /// Replaces how the feed delays and loses events.
+    /// Replaces the settings of the feed.
     pub feed: Option<FeedSettings>,
-    /// Loses the next so many events of the feed.
+    /// Number of next events of the feed that are lost.
     pub lose_next_events: u32,
-    /// Replaces by how much load reports lag, in milliseconds.
+    /// Replaces the lag of load reports, in milliseconds.
     pub load_report_lag_ms: Option<u64>,
 }
 
-/// What an engine has done in its present life; crashes count over all lives.
+/// Counters of the current incarnation; crashes are counted over all incarnations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounters {
-    /// Lives that ended with a crash.
+    /// Crashes of all incarnations.
     pub crashes: u64,
-    /// Requests that were accepted.
+    /// Accepted requests.
     pub accepted: u64,
-    /// Requests that were refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Answers that were generated to their end.
+    /// Completed answers.
     pub completed: u64,
-    /// Requests that were cancelled by their sender.
+    /// Requests cancelled by their sender.
     pub cancelled: u64,
-    /// Requests that were given up since no reader came back.
+    /// Requests abandoned because no reader resumed the stream.
     pub abandoned: u64,
-    /// Requests that came to continue a text which this engine would not have begun.
+    /// Requests whose answer prefix differs from this engine's own answer.
     pub foreign_continuations: u64,
 }
 
 /// The body of `GET /control/state`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineControlState {
-    /// The engine's account of itself.
+    /// The engine's status.
     pub status: EngineStatus,
-    /// The present faults.
+    /// The current faults.
     pub faults: EngineFaults,
-    /// What it has done.
+    /// Counters since the start.
     pub counters: EngineCounters,
-    /// Streams that are held, ended ones included until they are forgotten.
+    /// Number of streams, including ended ones that can still be resumed.
     pub streams: usize,
 }
 
-/// An engine's model with the streams that it feeds.
+/// An engine's model and the streams that it feeds.
 struct EngineState {
     model: EngineModel,
     streams: Streams,
@@ -113,13 +113,13 @@
     counters: EngineCounters,
 }
 
-/// What handlers and the driver share.
+/// State shared by the handlers and the driver.
 struct EngineServer {
     settings: EngineSettings,
     state: Mutex<EngineState>,
     /// Wakes the driver after a change of the model.
     wake: Notify,
-    /// The last event of the feed, for readers that wait.
+    /// The last event of the feed, for long polls.
     last_event: watch::Sender<(Incarnation, EventSequence)>,
 }
 
@@ -157,7 +157,7 @@
     }
 }
 
-/// Starts an engine.
+/// Starts an engine server.
 pub fn start(settings: EngineSettings) -> Result<RunningStandin, StartError> {
     let listener = server::listen(settings.listen)?;
     let threads = settings.threads;
--- a/crates/standins/src/engine/server/streams.rs
+++ b/crates/standins/src/engine/server/streams.rs
@@ -1,8 +1,8 @@
-//! Streams of answers and their readers.
+//! Answer streams and their readers.
 //!
-//! A stream holds how far its answer has come, not the text: tokens are worked out when they are
-//! sent. A slow reader therefore costs no memory beyond the connection's buffers, and a reader that
-//! comes back can ask for any index.
+//! A stream stores the progress of its answer instead of the text, and tokens are generated when they are
+//! sent. A slow reader therefore needs no memory beyond the connection's buffers, and a stream can be
+//! resumed at any index.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -22,44 +22,43 @@
 use super::EngineServer;
 use crate::{engine::answer::AnswerPlan, http};
 
-/// Tokens that are written to a connection at a time.
-const TOKENS_PER_WRITE: u32 = 64;
+/// Maximum number of tokens in one write to a connection.
+const MAX_TOKENS_PER_WRITE: u32 = 64;
 
-/// The media type of lines of JSON.
-const LINES_OF_JSON: &str = "application/x-ndjson";
+/// Media type of newline-delimited JSON.
+const NDJSON: &str = "application/x-ndjson";
 
-/// How far an answer has come.
+/// Progress of an answer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StreamProgress {
-    /// The first frame's content, once the request is in the batch.
-    pub(super) started: Option<FrameContent>,
-    /// The index of the first token of this try.
+    /// Content of the first frame, once the request is in the batch.
+    pub(super) start_frame: Option<FrameContent>,
+    /// Index of the first token of this attempt.
     pub(super) first_index: u32,
-    /// The index of the next token to be generated.
+    /// Index of the next token to generate.
     pub(super) next_index: u32,
-    /// How it ended.
     pub(super) ending: Option<StreamEnding>,
 }
 
 /// How an answer ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum StreamEnding {
-    /// All of it was generated.
+    /// The answer is complete.
     Completed { tokens: u32, reason: FinishReason, load: LoadReport },
-    /// The engine gave up.
+    /// The engine abandoned the attempt.
     Failed { message: &'static str },
 }
 
 struct StreamRecord {
     plan: AnswerPlan,
     progress: watch::Sender<StreamProgress>,
-    /// Rises with each reader; an earlier reader is cut off by a later one.
+    /// Number of the latest reader, which replaces earlier ones.
     reader: watch::Sender<u64>,
-    /// When the stream is given up or forgotten, while nobody reads it.
+    /// When the stream is removed, while it has no reader.
     expires_at: Option<Timestamp>,
 }
 
-/// All streams of an engine's life.
+/// All streams of an engine's incarnation.
 pub(super) struct Streams {
     grace: Duration,
     records: BTreeMap<AttemptId, StreamRecord>,
@@ -101,20 +100,20 @@
         }
     }
 
-    /// Begins to read a stream, in place of whoever reads it now.
-    fn read(&mut self, attempt: &AttemptId) -> Option<Reading> {
+    /// Attaches a new reader, which replaces the current one.
+    fn read(&mut self, attempt: &AttemptId) -> Option<Subscription> {
         let record = self.records.get_mut(attempt)?;
         record.expires_at = None;
         record.reader.send_modify(|number| *number += 1);
-        Some(Reading {
+        Some(Subscription {
             plan: record.plan,
             progress: record.progress.subscribe(),
             number: *record.reader.borrow(),
-            present: record.reader.subscribe(),
+            latest_reader: record.reader.subscribe(),
         })
     }
 
-    /// Notes that a reader has left; another may come back until the grace period has passed.
+    /// Records that a reader has left; the stream can be resumed during the grace period.
     fn reader_left(&mut self, attempt: &AttemptId, number: u64, now: Timestamp) {
         if let Some(record) = self.records.get_mut(attempt).filter(|record| *record.reader.borrow() == number)
         {
@@ -122,12 +121,12 @@
         }
     }
 
-    /// When the next stream expires that nobody reads.
+    /// The time at which the next stream without a reader expires.
     pub(super) fn next_expiry(&self) -> Option<Timestamp> {
         self.records.values().filter_map(|record| record.expires_at).min()
     }
 
-    /// Removes expired streams and names those whose answer had not ended.
+    /// Removes expired streams and returns the attempts whose answer had not ended.
     pub(super) fn expire(&mut self, now: Timestamp) -> Vec<AttemptId> {
         let mut unfinished = Vec::new();
         self.records.retain(|attempt, record| {
@@ -141,20 +140,20 @@
     }
 }
 
-struct Reading {
+struct Subscription {
     plan: AnswerPlan,
     progress: watch::Receiver<StreamProgress>,
     number: u64,
-    present: watch::Receiver<u64>,
+    latest_reader: watch::Receiver<u64>,
 }
 
-/// One connection that carries a stream.
+/// A connection that carries a stream.
 struct Reader {
     server: Arc<EngineServer>,
     attempt: AttemptId,
-    reading: Reading,
+    subscription: Subscription,
     position: Position,
-    /// Tokens that this connection may still carry before a fault cuts it.
+    /// Tokens that this connection can still carry before the injected fault cuts it.
     cut_after: Option<u32>,
     stray_frames: bool,
 }
@@ -166,31 +165,31 @@
     Finished,
 }
 
-/// The connection is cut without the frame that ends an answer.
+/// Ends a connection without the final frame of the answer.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the stream is cut")]
 struct Cut;
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.server.state().streams.reader_left(&self.attempt, self.reading.number, http::now());
+        self.server.state().streams.reader_left(&self.attempt, self.subscription.number, http::now());
         self.server.wake.notify_one();
     }
 }
 
-/// A response that carries a stream's frames, from the first, or from the token at `next_index`.
-/// Nothing where there is no such stream.
+/// Creates a response with the frames of a stream, from the first or from the token at `next_index`.
+/// Returns `None` if there is no such stream.
 pub(super) fn response(
     server: &Arc<EngineServer>,
     attempt: &AttemptId,
     next_index: Option<u32>,
 ) -> Option<WebResponse> {
     let mut state = server.state();
-    let reading = state.streams.read(attempt)?;
+    let subscription = state.streams.read(attempt)?;
     let reader = Reader {
         server: server.clone(),
         attempt: attempt.clone(),
-        reading,
+        subscription,
         position: next_index.map_or(Position::Start, Position::Token),
         cut_after: state.faults.cut_after_tokens,
         stray_frames: state.faults.stray_frames,
@@ -198,7 +197,7 @@
     drop(state);
     let body = ResponseBody::boxed(StreamDataBody::new(lines(reader)));
     let mut response = WebResponse::new(body);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(LINES_OF_JSON));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(NDJSON));
     Some(response)
 }
 
@@ -214,25 +213,25 @@
 }
 
 impl Reader {
-    /// Waits for frames that have not been sent; none after the last.
+    /// Waits for unsent frames; returns `None` after the last one.
     async fn next_lines(&mut self) -> Result<Option<Bytes>, Cut> {
         if self.cut_after == Some(0) {
             return Err(Cut);
         }
         loop {
-            if *self.reading.present.borrow() != self.reading.number {
+            if *self.subscription.latest_reader.borrow() != self.subscription.number {
                 return Err(Cut);
             }
             if matches!(self.position, Position::Finished) {
                 return Ok(None);
             }
-            let progress = self.reading.progress.borrow_and_update().clone();
+            let progress = self.subscription.progress.borrow_and_update().clone();
             if let Some(lines) = self.available(&progress) {
                 return Ok(Some(lines));
             }
             tokio::select! {
-                changed = self.reading.progress.changed() => changed.map_err(|_| Cut)?,
-                _ = self.reading.present.changed() => {}
+                changed = self.subscription.progress.changed() => changed.map_err(|_| Cut)?,
+                _ = self.subscription.latest_reader.changed() => {}
             }
         }
     }
@@ -240,10 +239,10 @@
     fn available(&mut self, progress: &StreamProgress) -> Option<Bytes> {
         let mut lines = Vec::new();
         if matches!(self.position, Position::Start) {
-            if let Some(started) = &progress.started {
-                self.push_line(&mut lines, self.attempt.clone(), started.clone());
+            if let Some(start_frame) = &progress.start_frame {
+                self.push_line(&mut lines, self.attempt.clone(), start_frame.clone());
             }
-            if progress.started.is_some() || progress.ending.is_some() {
+            if progress.start_frame.is_some() || progress.ending.is_some() {
                 self.position = Position::Token(progress.first_index);
             }
         }
@@ -255,14 +254,14 @@
     }
 
     fn push_tokens(&mut self, lines: &mut Vec<u8>, next: u32, available: u32) {
-        let most = self.cut_after.unwrap_or(TOKENS_PER_WRITE).min(TOKENS_PER_WRITE);
-        let until = available.min(next.saturating_add(most)).max(next);
+        let limit = self.cut_after.unwrap_or(MAX_TOKENS_PER_WRITE).min(MAX_TOKENS_PER_WRITE);
+        let until = available.min(next.saturating_add(limit)).max(next);
         for index in next..until {
             if self.stray_frames {
                 let stray = FrameContent::Token { index, text: "stray ".to_owned() };
                 self.push_line(lines, AttemptId::from(format!("{}-stray", self.attempt)), stray);
             }
-            let text = self.reading.plan.token(index);
+            let text = self.subscription.plan.token(index);
             self.push_line(lines, self.attempt.clone(), FrameContent::Token { index, text });
         }
         self.cut_after = self.cut_after.map(|left| left.saturating_sub(until - next));
--- a/crates/standins/src/engine/server/weights.rs
+++ b/crates/standins/src/engine/server/weights.rs
@@ -15,39 +15,39 @@
 
 use super::EngineServer;
 
-/// Time between two tries to fetch weights.
+/// Time between two attempts to fetch weights.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Weights to be fetched for one life of an engine.
+/// A fetch of weights for one incarnation of an engine.
 pub(super) struct Fetch {
     pub(super) store: SocketAddr,
-    pub(super) life: Incarnation,
+    pub(super) incarnation: Incarnation,
     pub(super) model: ModelId,
     pub(super) weights: WeightsVersion,
 }
 
-/// Why weights did not arrive.
+/// Reports why an attempt to fetch weights failed.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    #[error("the request could not be built: {0}")]
+    #[error("cannot build the request: {0}")]
     Request(#[from] ::http::Error),
-    #[error("the weight store cannot be reached: {0}")]
+    #[error("cannot reach the weight store: {0}")]
     Connection(#[from] hyper_util::client::legacy::Error),
-    #[error("the weight store's answer broke off: {0}")]
+    #[error("the weight store's response ended early: {0}")]
     Body(#[from] hyper::Error),
-    #[error("the weight store answered with status {0}")]
+    #[error("the weight store returned status {0}")]
     Status(::http::StatusCode),
-    #[error("the weight store's answer cannot be read: {0}")]
+    #[error("cannot parse the weight store's response: {0}")]
     Answer(#[from] serde_json::Error),
 }
 
-/// Fetches weights, trying until they arrive or are no longer wanted.
+/// Fetches weights with retries until they arrive or are no longer needed.
 pub(super) async fn fetch(server: Arc<EngineServer>, fetch: Fetch) {
     let client = Client::builder(TokioExecutor::new()).build_http();
-    while is_wanted(&server, &fetch) {
+    while is_needed(&server, &fetch) {
         match fetch_once(&server, &fetch, &client).await {
             Ok(loaded) => {
-                log::debug!("weights arrived after {} ms", loaded.took_ms);
+                log::debug!("fetched weights in {} ms", loaded.took_ms);
                 finish(&server, &fetch);
                 return;
             }
@@ -57,14 +57,14 @@
     }
 }
 
-fn is_wanted(server: &EngineServer, fetch: &Fetch) -> bool {
+fn is_needed(server: &EngineServer, fetch: &Fetch) -> bool {
     let state = server.state();
-    state.model.incarnation() == fetch.life && state.model.is_fetching(&fetch.model, fetch.weights)
+    state.model.incarnation() == fetch.incarnation && state.model.is_fetching(&fetch.model, fetch.weights)
 }
 
 fn finish(server: &EngineServer, fetch: &Fetch) {
     let mut state = server.state();
-    if state.model.incarnation() == fetch.life {
+    if state.model.incarnation() == fetch.incarnation {
         state.model.finish_load(&fetch.model, fetch.weights, true);
     }
     server.wake.notify_one();
--- a/crates/standins/src/engine/settings.rs
+++ b/crates/standins/src/engine/settings.rs
@@ -1,38 +1,38 @@
-//! What determines how an engine works.
+//! Settings that determine the behaviour of an engine.
 
 use serde::{Deserialize, Serialize};
 
-/// How an engine works, apart from what it is called and serves.
+/// Behaviour of an engine, apart from its identity and what it has loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineBehaviour {
-    /// How fast it works and how much it holds.
+    /// Speed and capacity.
     pub speed: EngineSpeedSettings,
-    /// How it publishes changes of its cache.
+    /// Publication of cache events.
     pub feed: FeedSettings,
-    /// How it exports and imports cached state.
+    /// Export and import of cached state.
     pub transfer: TransferSettings,
-    /// How it reports its load and keeps streams.
+    /// Load reports and resumption of streams.
     pub service: ServiceSettings,
 }
 
-/// How fast an engine works and how much it holds.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineSpeedSettings {
-    /// Prompt tokens prefilled in a second, over the whole batch.
+    /// Prompt tokens prefilled per second, over the whole batch.
     pub prefill_tokens_per_second: f64,
-    /// Milliseconds of a decode step with one request in the batch.
+    /// Duration of a decode step with one request in the batch, in milliseconds.
     pub decode_base_ms: f64,
     /// Milliseconds that each further request in the batch adds to a decode step.
     pub decode_per_request_ms: f64,
-    /// Requests in the batch at most.
+    /// Maximum number of requests in the batch.
     pub batch_slots: u32,
-    /// Prompt tokens prefilled in one step at most, over the whole batch.
+    /// Maximum number of prompt tokens prefilled in one step, over the whole batch.
     pub prefill_chunk_tokens: u32,
-    /// Requests that may wait to enter the batch.
+    /// Maximum number of queued requests.
     pub waiting_limit: u32,
-    /// Cache blocks at most, those of running requests included.
+    /// Maximum number of cache blocks, including those of running requests.
     pub cache_blocks: u32,
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-/// How an engine publishes changes of its cache.
+/// Publication of cache events.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FeedSettings {
-    /// Milliseconds from a change to its visibility in the feed.
+    /// Milliseconds until a change becomes visible in the feed.
     pub delay_ms: u64,
-    /// The chance that an event is lost, from 0.0 to 1.0.
+    /// Probability that an event is lost, from 0.0 to 1.0.
     pub loss: f64,
-    /// Events that are kept for readers; older ones are a gap.
+    /// Number of retained events; readers see a gap in place of older ones.
     #[serde(rename = "kept_events")]
     pub retained_events: usize,
 }
@@ -69,13 +69,13 @@
     }
 }
 
-/// How an engine exports and imports cached state.
+/// Export and import of cached state.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TransferSettings {
-    /// Bytes of cached state in one block.
+    /// Size of the cached state of one block.
     pub block_bytes: u64,
-    /// Bytes imported in a second.
+    /// Import bandwidth.
     pub import_bytes_per_second: f64,
 }
 
@@ -85,13 +85,13 @@
     }
 }
 
-/// How an engine reports its load and keeps streams.
+/// Load reports and resumption of streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceSettings {
-    /// Milliseconds by which the load report lags behind the truth.
+    /// Milliseconds by which the load report lags behind the actual load.
     pub load_report_lag_ms: u64,
-    /// Milliseconds for which a stream whose reader left, or that has ended, can be resumed.
+    /// Milliseconds for which a stream without a reader, or one that has ended, can be resumed.
     pub resume_grace_ms: u64,
 }
 
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of replies that every stand-in server can show.
+//! Fault injection for the replies of stand-in servers.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -9,56 +9,56 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use serde::{Deserialize, Serialize};
 
-/// Seed of the chance by which replies are lost.
+/// Seed of the random loss of replies.
 const LOSS_SEED: u64 = 0x6c6f_7373;
 
-/// Faults of a server's replies, control routes excepted.
+/// Faults of a server's replies; control paths are exempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceFaults {
-    /// Whether every request is refused with status 503 before it has any effect.
+    /// Refuses every request with status 503 before it has any effect.
     pub outage: bool,
-    /// Requests a second beyond which further ones are refused with status 429; bursts of one
-    /// second's worth, and of one request at least, are let through.
+    /// Rate limit beyond which requests are refused with status 429. The burst size is one second's
+    /// worth of requests, and at least one.
     pub requests_per_second: Option<f64>,
-    /// Milliseconds that each request waits before it takes effect.
+    /// Delay of each request before its effect, in milliseconds.
     pub delay_before_ms: u64,
-    /// Milliseconds that each reply waits after its effect.
+    /// Delay of each reply after the effect, in milliseconds.
     pub delay_after_ms: u64,
-    /// The chance that the connection is closed in place of a reply, after its effect.
+    /// Probability that the connection is closed instead of a reply, after the effect.
     pub reply_loss: f64,
-    /// The next so many replies are lost in the same way.
+    /// Number of next replies that are lost in the same way.
     pub lose_next_replies: u32,
-    /// The next so many requests get status 500 after their effect.
+    /// Number of next requests that get status 500 after their effect.
     pub fail_next_after_effect: u32,
 }
 
-/// Why a request is refused before it has any effect.
+/// Reports why a request is refused before it has any effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedRefusal {
-    /// The service is out.
+    /// The service is unavailable.
     Outage,
-    /// Too many requests; one more fits after this time.
+    /// The rate limit is exceeded; the next request is admitted after this time.
     RateLimited(Duration),
 }
 
-/// What happens to a reply after its effect.
+/// Outcome of a reply, decided after the effect of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyOutcome {
-    /// It is sent.
+    /// The reply is sent.
     Sent,
-    /// The connection is closed in its place.
+    /// The connection is closed instead.
     Lost,
-    /// A failure is sent in its place.
+    /// A failure is sent instead.
     Failed,
 }
 
-/// Requests that are let through at once after a pause.
+/// Burst size of the rate limit.
 fn burst(faults: ServiceFaults) -> f64 {
     faults.requests_per_second.unwrap_or(0.0).max(1.0)
 }
 
-/// Decides on each request and reply which fault it meets.
+/// Decides which fault applies to each request and reply.
 #[derive(Debug)]
 pub struct FaultInjector {
     state: Mutex<InjectorState>,
@@ -73,7 +73,7 @@
 }
 
 impl FaultInjector {
-    /// A gate with these faults.
+    /// Creates an injector with these faults.
     pub fn new(faults: ServiceFaults) -> Self {
         let random = SmallRng::seed_from_u64(LOSS_SEED);
         let allowance = burst(faults);
@@ -85,7 +85,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The present faults.
+    /// The current faults.
     pub fn faults(&self) -> ServiceFaults {
         self.state().faults
     }
@@ -97,15 +97,15 @@
         state.faults = faults;
     }
 
-    /// Lets a request through to its effect, or refuses it.
+    /// Admits a request or refuses it before it has any effect.
     pub fn admit(&self, now: Timestamp) -> Result<(), InjectedRefusal> {
         let mut state = self.state();
         if state.faults.outage {
             return Err(InjectedRefusal::Outage);
         }
         let Some(rate) = state.faults.requests_per_second else { return Ok(()) };
-        let passed = now.saturating_since(state.refilled_at).as_secs_f64();
-        state.allowance = (state.allowance + passed * rate).min(burst(state.faults));
+        let elapsed = now.saturating_since(state.refilled_at).as_secs_f64();
+        state.allowance = (state.allowance + elapsed * rate).min(burst(state.faults));
         state.refilled_at = now;
         if state.allowance >= 1.0 {
             state.allowance -= 1.0;
@@ -115,7 +115,7 @@
         Err(InjectedRefusal::RateLimited(Duration::from_secs_f64(wait.min(3_600.0))))
     }
 
-    /// Decides what happens to the reply of a request that has taken effect.
+    /// Decides the outcome of a reply to a request that has taken effect.
     pub fn reply_outcome(&self) -> ReplyOutcome {
         let mut state = self.state();
         if state.faults.lose_next_replies > 0 {
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing that all stand-in servers share.
+//! HTTP handling shared by all stand-in servers.
 
 use std::{
     pin::Pin,
@@ -28,35 +28,43 @@
 
 use crate::faults::{FaultInjector, InjectedRefusal, ReplyOutcome, ServiceFaults};
 
-/// Largest request body that a stand-in reads, in bytes.
-pub(crate) const MAXIMUM_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of a request body in bytes.
+pub(crate) const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// The extractor of a request's whole body.
-pub(crate) type BodyBytes = (Vec<u8>, Limit<MAXIMUM_BODY_BYTES>);
+/// Extractor of a complete request body.
+pub(crate) type BodyBytes = (Vec<u8>, Limit<MAX_BODY_BYTES>);
 
-/// Paths below this one are for tests and never meet a fault.
+/// Prefix of the control paths, to which faults are not applied.
 const CONTROL_PREFIX: &str = "/control/";
 
-/// What the handlers of one stand-in share: its state, its faults and the count of requests in flight.
+/// State shared by the handlers of a stand-in.
 pub(crate) struct Shared<T> {
     pub(crate) activity: Arc<Activity>,
-    pub(crate) gate: Arc<FaultInjector>,
+    pub(crate) fault_injector: Arc<FaultInjector>,
     pub(crate) standin: Arc<T>,
 }
 
 impl<T> Shared<T> {
     pub(crate) fn new(standin: Arc<T>, faults: ServiceFaults) -> Self {
-        Self { activity: Arc::new(Activity::default()), gate: Arc::new(FaultInjector::new(faults)), standin }
+        Self {
+            activity: Arc::new(Activity::default()),
+            fault_injector: Arc::new(FaultInjector::new(faults)),
+            standin,
+        }
     }
 }
 
 impl<T> Clone for Shared<T> {
     fn clone(&self) -> Self {
-        Self { activity: self.activity.clone(), gate: self.gate.clone(), standin: self.standin.clone() }
+        Self {
+            activity: self.activity.clone(),
+            fault_injector: self.fault_injector.clone(),
+            standin: self.standin.clone(),
+        }
     }
 }
 
-/// Counts requests in flight, so that a planned stop can wait for them.
+/// Counts requests in flight, so that a graceful shutdown can wait for them.
 #[derive(Debug, Default)]
 pub(crate) struct Activity {
     in_flight: AtomicUsize,
@@ -76,9 +84,9 @@
         *self.stopping.borrow()
     }
 
-    /// Ends once a planned stop has begun; requests that wait for a change answer then.
+    /// Completes when a graceful shutdown starts, so that long polls can return.
     pub(crate) async fn stopped(&self) {
-        // The sender is `self`, so waiting cannot fail.
+        // `self` owns the sender, so waiting cannot fail.
         let _ = self.stopping.subscribe().wait_for(|stopping| *stopping).await;
     }
 
@@ -96,7 +104,7 @@
     }
 }
 
-/// A response body that counts as a request in flight until it has been sent or dropped.
+/// A response body that keeps its request counted as in flight until it is sent or dropped.
 struct GuardedBody {
     body: ResponseBody,
     _guard: ActivityGuard,
@@ -122,8 +130,8 @@
     }
 }
 
-/// Middleware of every stand-in: counts requests in flight, refuses new ones once a planned stop has
-/// begun, and shows the configured faults.
+/// Middleware of every stand-in: counts requests in flight, refuses new ones during a graceful shutdown,
+/// and injects the configured faults.
 pub(crate) async fn guard<S, T, E>(service: &S, context: WebContext<'_, Shared<T>>) -> Result<WebResponse, E>
 where
     S: for<'r> Service<WebContext<'r, Shared<T>>, Response = WebResponse, Error = E>,
@@ -136,7 +144,7 @@
     let response = if context.req().uri().path().starts_with(CONTROL_PREFIX) {
         service.call(context).await?
     } else {
-        call_with_faults(service, context, &shared.gate).await?
+        call_with_faults(service, context, &shared.fault_injector).await?
     };
     Ok(response.map(|body| ResponseBody::boxed(GuardedBody { body, _guard: guard })))
 }
@@ -144,18 +152,18 @@
 async fn call_with_faults<S, T, E>(
     service: &S,
     context: WebContext<'_, Shared<T>>,
-    gate: &FaultInjector,
+    fault_injector: &FaultInjector,
 ) -> Result<WebResponse, E>
 where
     S: for<'r> Service<WebContext<'r, Shared<T>>, Response = WebResponse, Error = E>,
 {
-    if let Err(refusal) = gate.admit(now()) {
-        return Ok(refuse(&gate_refusal(refusal)));
+    if let Err(refusal) = fault_injector.admit(now()) {
+        return Ok(refuse(&injected_refusal(refusal)));
     }
-    sleep_ms(gate.faults().delay_before_ms).await;
+    sleep_ms(fault_injector.faults().delay_before_ms).await;
     let response = service.call(context).await?;
-    sleep_ms(gate.faults().delay_after_ms).await;
-    Ok(match gate.reply_outcome() {
+    sleep_ms(fault_injector.faults().delay_after_ms).await;
+    Ok(match fault_injector.reply_outcome() {
         ReplyOutcome::Sent => response,
         ReplyOutcome::Lost => lost_reply(),
         ReplyOutcome::Failed => refuse(&Refusal::unknown(RefusalCode::Internal, "failed after the effect")),
@@ -168,7 +176,7 @@
     }
 }
 
-fn gate_refusal(refusal: InjectedRefusal) -> Refusal {
+fn injected_refusal(refusal: InjectedRefusal) -> Refusal {
     match refusal {
         InjectedRefusal::Outage => Refusal::not_run(RefusalCode::Unavailable, "the service is out"),
         InjectedRefusal::RateLimited(wait) => {
@@ -177,19 +185,19 @@
     }
 }
 
-/// Marks a response that must never reach its caller; the connection is closed instead.
+/// Marks a response in whose place the connection is closed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LostReply;
 
-/// A response in whose place the connection is closed.
+/// Creates a response marked [`LostReply`].
 fn lost_reply() -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::empty());
     response.extensions_mut().insert(LostReply);
     response
 }
 
-/// Outermost middleware: turns a response marked [`LostReply`] into an error, on which the server
-/// closes the connection without an answer.
+/// Outermost middleware: turns a response marked [`LostReply`] into an error, which makes the server
+/// close the connection without a response.
 pub(crate) async fn drop_lost_replies<S, Req, B, E>(
     service: &S,
     request: Req,
@@ -204,33 +212,33 @@
     Ok(response)
 }
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub(crate) fn json<T: Serialize>(status: u16, value: &T) -> WebResponse {
-    let body = serde_json::to_vec(value).expect("messages of this project are representable as JSON");
+    let body = serde_json::to_vec(value).expect("responses are representable as JSON");
     let mut response = WebResponse::new(ResponseBody::bytes(body));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// A successful response with a JSON body.
+/// Creates a successful response with a JSON body.
 pub(crate) fn ok<T: Serialize>(value: &T) -> WebResponse {
     json(StatusCode::OK.as_u16(), value)
 }
 
-/// The response that carries a refusal.
+/// Creates the response for a refusal.
 pub(crate) fn refuse(refusal: &Refusal) -> WebResponse {
     json(refusal.code.http_status(), refusal)
 }
 
-/// Reads a JSON body, or says what is wrong with it.
+/// Parses a JSON body.
 pub(crate) fn parse<T: DeserializeOwned>((bytes, _): &BodyBytes) -> Result<T, Refusal> {
     serde_json::from_slice(bytes).map_err(|error| {
         Refusal::not_run(RefusalCode::InvalidRequest, format!("the body is not valid: {error}"))
     })
 }
 
-/// Handles a request whose body is JSON and whose answer is.
+/// Handles a request with JSON bodies in both directions.
 pub(crate) fn answer<T: DeserializeOwned, R: Serialize>(
     body: &BodyBytes,
     handle: impl FnOnce(T) -> R,
@@ -241,22 +249,22 @@
     }
 }
 
-/// An answer without content.
+/// A response body without content.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct Empty {}
 
-/// Handles `POST /control/faults` of a stand-in whose only faults are those of its replies.
+/// Handles `POST /control/faults` of a stand-in that has no faults beyond those of its replies.
 pub(crate) async fn set_faults<T: 'static>(
     StateRef(shared): StateRef<'_, Shared<T>>,
     body: BodyBytes,
 ) -> WebResponse {
     answer(&body, |faults: ServiceFaults| {
-        shared.gate.set_faults(faults);
+        shared.fault_injector.set_faults(faults);
         faults
     })
 }
 
-/// The present time by the machine's clock.
+/// The current time of the system clock.
 pub(crate) fn now() -> Timestamp {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Timestamp(u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX))
--- a/crates/standins/src/incarnations.rs
+++ b/crates/standins/src/incarnations.rs
@@ -1,50 +1,50 @@
-//! Which lives of engines are known to have ended.
+//! Tracks the latest incarnation of each engine, and whether it has ended.
 
 use std::collections::BTreeMap;
 
 use paddlemount_protocol::identity::{EngineId, Incarnation};
 use serde::Serialize;
 
-/// The latest known life of each engine. Cached state that an earlier life computed is not used.
+/// The latest known incarnation of each engine. Cached state computed by an earlier one is not used.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LatestIncarnations {
-    latest: BTreeMap<EngineId, Life>,
+    latest: BTreeMap<EngineId, IncarnationState>,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Life {
+struct IncarnationState {
     incarnation: Incarnation,
     ended: bool,
 }
 
 impl LatestIncarnations {
-    /// Notes that a life exists or existed; earlier lives of the engine have then ended.
+    /// Records that an incarnation exists or existed, which implies that earlier ones have ended.
     pub fn observe(&mut self, engine: &EngineId, incarnation: Incarnation) {
-        self.raise(engine, Life { incarnation, ended: false });
+        self.advance(engine, IncarnationState { incarnation, ended: false });
     }
 
-    /// Notes that a life, and all before it, have ended.
+    /// Records that an incarnation and all earlier ones have ended.
     pub fn end(&mut self, engine: &EngineId, incarnation: Incarnation) {
-        self.raise(engine, Life { incarnation, ended: true });
+        self.advance(engine, IncarnationState { incarnation, ended: true });
     }
 
-    fn raise(&mut self, engine: &EngineId, life: Life) {
-        let latest = self.latest.entry(engine.clone()).or_insert(life);
-        if latest.incarnation < life.incarnation {
-            *latest = life;
-        } else if latest.incarnation == life.incarnation {
-            latest.ended |= life.ended;
+    fn advance(&mut self, engine: &EngineId, state: IncarnationState) {
+        let latest = self.latest.entry(engine.clone()).or_insert(state);
+        if latest.incarnation < state.incarnation {
+            *latest = state;
+        } else if latest.incarnation == state.incarnation {
+            latest.ended |= state.ended;
         }
     }
 
-    /// Whether a life is not known to have ended.
+    /// Returns whether an incarnation is not known to have ended.
     pub fn is_live(&self, engine: &EngineId, incarnation: Incarnation) -> bool {
         self.latest.get(engine).is_none_or(|latest| {
             incarnation > latest.incarnation || (incarnation == latest.incarnation && !latest.ended)
         })
     }
 
-    /// As [`Self::is_live`]; a life that is accepted is noted as well.
+    /// Like [`Self::is_live`], but also records an incarnation that is accepted.
     pub fn accepts(&mut self, engine: &EngineId, incarnation: Incarnation) -> bool {
         let live = self.is_live(engine, incarnation);
         if live {
--- a/crates/standins/src/machine_list/model.rs
+++ b/crates/standins/src/machine_list/model.rs
@@ -1,4 +1,4 @@
-//! The machine list as a state machine.
+//! State machine of the machine list.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -9,38 +9,27 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A change of the machines.
+/// A change of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case", deny_unknown_fields)]
 pub enum MachineChange {
-    /// Add a machine, or replace the one at its address.
-    Put {
-        /// The machine.
-        machine: Machine,
-    },
-    /// Change whether the machine at an address stays.
-    SetState {
-        /// Where it listens.
-        address: SocketAddr,
-        /// Whether it stays.
-        state: MachineState,
-    },
-    /// Remove the machine at an address.
-    Remove {
-        /// Where it listens.
-        address: SocketAddr,
-    },
+    /// Adds a machine or replaces the one at its address.
+    Put { machine: Machine },
+    /// Changes the state of the machine at an address.
+    SetState { address: SocketAddr, state: MachineState },
+    /// Removes the machine at an address.
+    Remove { address: SocketAddr },
 }
 
-/// By how much changes of the list lag.
+/// The propagation delay of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListLag {
-    /// Milliseconds until a change shows in the list.
+    /// Milliseconds until a change becomes visible.
     pub lag_ms: u64,
 }
 
-/// The listed machines, and changes that do not show yet.
+/// The visible list, and changes that are not visible yet.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct MachineListModel {
     lag: Duration,
@@ -49,27 +38,27 @@
 }
 
 impl MachineListModel {
-    /// A list of `machines` in which each change shows `lag` after it was made.
+    /// Creates a list of `machines` in which each change becomes visible after `lag`.
     pub fn new(mut machines: Vec<Machine>, lag: Duration) -> Self {
         machines.sort_by_key(|machine| machine.address);
         let listed = MachineList { revision: Revision(1), machines };
         Self { lag, listed, pending: VecDeque::new() }
     }
 
-    /// Sets the lag of changes from now on.
+    /// Sets the lag of later changes.
     pub fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
-    /// Makes a change, which shows once the lag has passed and all earlier ones show.
+    /// Queues a change, which becomes visible after the lag and never before earlier changes.
     pub fn change(&mut self, change: MachineChange, now: Timestamp) {
-        let earlier = self.pending.back().map_or(Timestamp::ZERO, |(shows_at, _)| *shows_at);
+        let earlier = self.pending.back().map_or(Timestamp::ZERO, |(visible_at, _)| *visible_at);
         self.pending.push_back(((now + self.lag).max(earlier), change));
     }
 
-    /// The list as it shows at `now`.
+    /// Returns the list as visible at `now`.
     pub fn list(&mut self, now: Timestamp) -> &MachineList {
-        while self.pending.front().is_some_and(|(shows_at, _)| *shows_at <= now) {
+        while self.pending.front().is_some_and(|(visible_at, _)| *visible_at <= now) {
             if let Some((_, change)) = self.pending.pop_front() {
                 self.apply(change);
             }
--- a/crates/standins/src/model_state.rs
+++ b/crates/standins/src/model_state.rs
@@ -1,4 +1,4 @@
-//! The model behind a stand-in's server, and the path that shows it.
+//! The shared model behind a stand-in's server, and the handler that returns it.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -10,7 +10,7 @@
     http::{self, Shared},
 };
 
-/// A model that handlers share.
+/// A model shared by the handlers of a server.
 #[derive(Debug)]
 pub(crate) struct ModelState<M>(Mutex<M>);
 
@@ -19,18 +19,18 @@
         Self(Mutex::new(model))
     }
 
-    /// The model, to be read or changed. What a handler that panicked has done to it stays.
+    /// Locks the model. The lock ignores poisoning: changes made by a handler that panicked stay.
     pub(crate) fn lock(&self) -> MutexGuard<'_, M> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A stand-in whose whole state is one model.
+/// A stand-in whose state is a single model.
 pub(crate) trait HasModel {
-    /// What `GET /control/state` shows of it.
+    /// The state that `GET /control/state` returns.
     type Model: Serialize;
 
-    /// Its model, locked.
+    /// Locks the model.
     fn model(&self) -> MutexGuard<'_, Self::Model>;
 }
 
@@ -54,5 +54,5 @@
     StateRef(shared): StateRef<'_, Shared<T>>,
 ) -> WebResponse {
     let model = shared.standin.model();
-    http::ok(&ControlState { faults: shared.gate.faults(), model: &*model })
+    http::ok(&ControlState { faults: shared.fault_injector.faults(), model: &*model })
 }
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -21,35 +21,34 @@
     settings::StandinSettings, weight_store,
 };
 
-/// Idle time after which a kept-alive connection is closed; longer than clients keep theirs.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+/// Idle time after which a connection is closed; longer than the idle timeout of clients.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// How long a planned stop waits for requests in flight.
-const STOP_LIMIT: Duration = Duration::from_secs(30);
+/// Upper bound of the time for which a graceful shutdown waits for requests in flight.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often a planned stop looks whether requests are still in flight.
-const STOP_POLL: Duration = Duration::from_millis(5);
+/// Interval at which a graceful shutdown checks for requests in flight.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time for the last bytes of the last answers to leave the process.
-const LAST_WRITES: Duration = Duration::from_millis(20);
+/// Time for the last bytes of responses to leave the process.
+const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a stand-in did not start.
+/// Reports why a stand-in did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The address could not be listened on.
+    /// The listener could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address from the settings.
         address: SocketAddr,
-        /// The cause.
         source: io::Error,
     },
-    /// Threads or the server could not be started.
+    /// The server or one of its threads could not be started.
     #[error("cannot start the server: {0}")]
     Server(#[from] io::Error),
 }
 
-/// A stand-in that serves on its own threads.
+/// A stand-in that serves on its own threads and stops when dropped.
 pub struct RunningStandin {
     address: SocketAddr,
     activity: Arc<Activity>,
@@ -65,39 +64,39 @@
 }
 
 impl RunningStandin {
-    /// The address that it listens on, with the port that the system chose where the settings say 0.
+    /// The address of the listener, with the port chosen by the system if the settings say 0.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests that are being served.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.activity.in_flight()
     }
 
-    /// A planned stop: refuses new requests, waits for those in flight (30 s at most), then ends.
+    /// Shuts down gracefully: refuses new requests and waits up to 30 s for those in flight.
     pub fn stop(mut self) {
         self.activity.set_stopping();
-        let limit = Instant::now() + STOP_LIMIT;
-        while self.activity.in_flight() > 0 && Instant::now() < limit {
-            thread::sleep(STOP_POLL);
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        while self.activity.in_flight() > 0 && Instant::now() < deadline {
+            thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
-        thread::sleep(LAST_WRITES);
+        thread::sleep(FLUSH_DELAY);
         self.end();
     }
 
-    /// A crash: closes the listener and all connections at once.
+    /// Simulates a crash: closes the listener and all connections at once.
     pub fn kill(mut self) {
         self.end();
     }
 
-    /// Serves until `stopped` returns, then makes a planned stop.
+    /// Serves until `stopped` returns, then shuts down gracefully.
     pub fn run_until(self, stopped: impl FnOnce()) {
         stopped();
         self.stop();
     }
 
-    /// Serves until the server ends by itself.
+    /// Serves until the server stops by itself.
     pub fn run_until_stopped(mut self) {
         self.join();
     }
@@ -137,19 +136,19 @@
     }
 }
 
-/// A socket that is bound and listens.
+/// Binds a listener.
 pub(crate) fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
     bind(address).map_err(|source| StartError::Listen { address, source })
 }
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(address)?;
-    // Accepted connections inherit this; small frames must not wait for acknowledgements.
+    // Accepted connections inherit this option, which keeps small frames from waiting for acknowledgements.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true)?;
     Ok(listener)
 }
 
-/// Serves `server` on `listener`; `driver` lives as long as the server.
+/// Runs `server` on `listener`; `driver` is dropped with the server.
 pub(crate) fn launch<S, ResB>(
     server: HttpServer<S>,
     listener: TcpListener,
@@ -171,7 +170,7 @@
         .server_threads(1)
         .worker_threads(threads.max(1))
         .worker_max_blocking_threads(1)
-        .keep_alive_timeout(KEEP_ALIVE)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .disable_signal()
         .listen(listener)?
         .run();
--- a/crates/standins/src/settings.rs
+++ b/crates/standins/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of stand-ins, as read from a TOML file.
+//! Settings of stand-ins, read from a TOML file.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -14,33 +14,27 @@
     weight_store::model::WeightStoreSpeed,
 };
 
-/// Settings of one stand-in; the key `kind` says which.
+/// Settings of one stand-in, selected by the key `kind`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 #[expect(clippy::large_enum_variant, reason = "read once, at the start of a process")]
 pub enum StandinSettings {
-    /// A model engine.
     Engine(EngineSettings),
-    /// The configuration store.
     ConfigurationStore(ConfigurationStoreSettings),
-    /// The weight store.
     WeightStore(WeightStoreSettings),
-    /// The cache store.
     #[serde(rename = "kept-cache-store")]
     CacheStore(CacheStoreSettings),
-    /// The machine list.
     MachineList(MachineListSettings),
-    /// An instance of the booking service.
     Booking(BookingSettings),
 }
 
 impl StandinSettings {
-    /// Reads settings from TOML text; unknown keys are mistakes.
+    /// Parses settings from TOML text; unknown keys are errors.
     pub fn from_toml(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// The value of `kind` that stands for these settings.
+    /// The value of the key `kind` for these settings.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Engine(_) => "engine",
@@ -52,7 +46,7 @@
         }
     }
 
-    /// The address to listen on; mutable, so that a flag can replace it.
+    /// The address to listen on, for flags that override it.
     pub const fn listen_mut(&mut self) -> &mut SocketAddr {
         match self {
             Self::Engine(settings) => &mut settings.listen,
@@ -84,40 +78,37 @@
     /// Address to listen on; port 0 lets the system choose.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
-    /// Threads that serve.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// The engine's name.
     pub engine: EngineId,
-    /// The pool it serves.
+    /// The pool that the engine serves.
     pub pool: PoolId,
-    /// Its zone.
     pub zone: ZoneId,
-    /// What is loaded at the start; nothing means that it waits for an order.
+    /// What is loaded at the start; without it, the engine waits for an order.
     #[serde(default)]
     pub loaded: Option<LoadedModel>,
-    /// Its life; the time of its start by default.
+    /// Defaults to the start time.
     #[serde(default)]
     pub incarnation: Option<Incarnation>,
-    /// Where it fetches weights; without it, a load takes `load_ms`.
+    /// Where the engine fetches weights; without it, a load takes `load_ms`.
     #[serde(default)]
     pub weight_store: Option<SocketAddr>,
-    /// Milliseconds that a load takes where there is no weight store.
+    /// Milliseconds that a load takes without a weight store.
     #[serde(default = "default_load_ms")]
     pub load_ms: u64,
-    /// Seed of its random choices.
+    /// Seed of random choices.
     #[serde(default)]
     pub seed: u64,
-    /// How it works.
     #[serde(default)]
     pub behaviour: EngineBehaviour,
-    /// Faults of its replies.
+    /// Initial faults of replies.
     #[serde(default)]
     pub faults: ServiceFaults,
 }
 
 impl EngineSettings {
-    /// Settings with defaults for all but the identity.
+    /// Creates settings with defaults for everything but the identity.
     pub fn new(engine: EngineId, pool: PoolId, zone: ZoneId, loaded: Option<LoadedModel>) -> Self {
         Self {
             listen: default_listen(),
@@ -143,13 +134,13 @@
     /// Address to listen on; port 0 lets the system choose.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
-    /// Threads that serve.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Values that exist at the start, by key, in JSON's data model.
+    /// Initial values by key.
     #[serde(default)]
     pub values: BTreeMap<String, serde_json::Value>,
-    /// Faults of its replies.
+    /// Initial faults of replies.
     #[serde(default)]
     pub faults: ServiceFaults,
 }
@@ -172,13 +163,12 @@
     /// Address to listen on; port 0 lets the system choose.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
-    /// Threads that serve.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// How fast loads are.
     #[serde(default)]
     pub speed: WeightStoreSpeed,
-    /// Faults of its replies.
+    /// Initial faults of replies.
     #[serde(default)]
     pub faults: ServiceFaults,
 }
@@ -201,13 +191,12 @@
     /// Address to listen on; port 0 lets the system choose.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
-    /// Threads that serve.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// How much it keeps.
     #[serde(default)]
     pub limits: CacheStoreLimits,
-    /// Faults of its replies.
+    /// Initial faults of replies.
     #[serde(default)]
     pub faults: ServiceFaults,
 }
@@ -230,16 +219,16 @@
     /// Address to listen on; port 0 lets the system choose.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
-    /// Threads that serve.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Machines that are listed at the start.
+    /// Initially listed machines.
     #[serde(default)]
     pub machines: Vec<Machine>,
-    /// Milliseconds until a change shows in the list.
+    /// Milliseconds until a change becomes visible in the list.
     #[serde(default)]
     pub lag_ms: u64,
-    /// Faults of its replies.
+    /// Initial faults of replies.
     #[serde(default)]
     pub faults: ServiceFaults,
 }
@@ -263,18 +252,17 @@
     /// Address to listen on; port 0 lets the system choose.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
-    /// Threads that serve.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// The instance's name.
     pub instance: ServiceInstanceId,
-    /// Faults of its replies.
+    /// Initial faults of replies.
     #[serde(default)]
     pub faults: ServiceFaults,
 }
 
 impl BookingSettings {
-    /// Settings with defaults for all but the identity.
+    /// Creates settings with defaults for everything but the identity.
     pub fn new(instance: ServiceInstanceId) -> Self {
         Self {
             listen: default_listen(),
--- a/crates/standins/src/weight_store/model.rs
+++ b/crates/standins/src/weight_store/model.rs
@@ -1,4 +1,4 @@
-//! The weight store as a state machine: loads share its bandwidth.
+//! State machine of the weight store, in which concurrent loads share the bandwidth.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,16 +9,16 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Less than this is a rounding error of the sums, in milliseconds.
-const NEGLIGIBLE_MS: f64 = 1e-6;
+/// Remaining milliseconds below which a load counts as finished, to absorb rounding errors.
+const ROUNDING_TOLERANCE_MS: f64 = 1e-6;
 
-/// How fast loads are.
+/// Duration of loads and the point from which they slow each other down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WeightStoreSpeed {
-    /// Milliseconds of a load while few others run.
+    /// Milliseconds that a load takes at full speed.
     pub load_ms: u64,
-    /// Loads that run at full speed together; beyond them each slows by the square of the excess.
+    /// Loads that can run concurrently at full speed; beyond them each slows by the square of the excess.
     pub full_speed_loads: u32,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Identifies a load that is under way.
+/// Identifies a load in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct LoadId(u64);
 
@@ -37,71 +37,72 @@
     engine: EngineId,
     model: ModelId,
     weights: WeightsVersion,
-    /// Milliseconds at full speed that are left.
+    /// Remaining milliseconds at full speed.
     remaining_ms: f64,
 }
 
-/// Loads under way.
+/// The loads in progress.
 #[derive(Clone, Debug, Serialize)]
 pub struct WeightStoreModel {
     speed: WeightStoreSpeed,
     loads: BTreeMap<LoadId, Load>,
     started: u64,
     finished: u64,
-    most_at_once: usize,
+    #[serde(rename = "most_at_once")]
+    peak_loads: usize,
     advanced_to: Timestamp,
 }
 
 impl WeightStoreModel {
-    /// A store without loads.
+    /// Creates a store without loads.
     pub const fn new(speed: WeightStoreSpeed) -> Self {
         Self {
             speed,
             loads: BTreeMap::new(),
             started: 0,
             finished: 0,
-            most_at_once: 0,
+            peak_loads: 0,
             advanced_to: Timestamp::ZERO,
         }
     }
 
-    /// Begins a load.
+    /// Starts a load.
     pub fn begin(&mut self, load: &WeightLoad, now: Timestamp) -> LoadId {
         self.advance(now);
         self.started += 1;
-        let number = LoadId(self.started);
+        let id = LoadId(self.started);
         let load = Load {
             engine: load.engine.clone(),
             model: load.model.clone(),
             weights: load.weights,
             remaining_ms: self.speed.load_ms as f64,
         };
-        self.loads.insert(number, load);
-        self.most_at_once = self.most_at_once.max(self.loads.len());
-        number
+        self.loads.insert(id, load);
+        self.peak_loads = self.peak_loads.max(self.loads.len());
+        id
     }
 
-    /// Whether a load has ended by `now`.
-    pub fn is_done(&mut self, number: LoadId, now: Timestamp) -> bool {
+    /// Returns whether a load is complete at `now`.
+    pub fn is_done(&mut self, id: LoadId, now: Timestamp) -> bool {
         self.advance(now);
-        !self.loads.contains_key(&number)
+        !self.loads.contains_key(&id)
     }
 
-    /// Gives a load up.
-    pub fn abandon(&mut self, number: LoadId, now: Timestamp) {
+    /// Abandons a load.
+    pub fn abandon(&mut self, id: LoadId, now: Timestamp) {
         self.advance(now);
-        self.loads.remove(&number);
+        self.loads.remove(&id);
     }
 
-    /// When the next load ends if none begins before.
+    /// The time at which the next load completes unless another one starts first.
     pub fn next_done_at(&self) -> Option<Timestamp> {
         let rate = self.rate();
-        let least = self.loads.values().map(|load| load.remaining_ms).min_by(f64::total_cmp)?;
-        let microseconds = (least / rate * 1e3).ceil() as u64;
+        let shortest_ms = self.loads.values().map(|load| load.remaining_ms).min_by(f64::total_cmp)?;
+        let microseconds = (shortest_ms / rate * 1e3).ceil() as u64;
         Some(self.advanced_to + Duration::from_micros(microseconds.max(1)))
     }
 
-    /// Milliseconds of full-speed load that each load gets done in a millisecond.
+    /// Progress of each load per millisecond, relative to full speed.
     fn rate(&self) -> f64 {
         let excess = self.loads.len() as f64 / f64::from(self.speed.full_speed_loads.max(1));
         if excess <= 1.0 { 1.0 } else { 1.0 / (excess * excess) }
@@ -115,13 +116,13 @@
     }
 
     fn progress(&mut self, now: Timestamp) {
-        let passed_ms = now.saturating_since(self.advanced_to).as_secs_f64() * 1e3;
-        let done_ms = passed_ms * self.rate();
+        let elapsed_ms = now.saturating_since(self.advanced_to).as_secs_f64() * 1e3;
+        let done_ms = elapsed_ms * self.rate();
         for load in self.loads.values_mut() {
             load.remaining_ms -= done_ms;
         }
         let before = self.loads.len();
-        self.loads.retain(|_, load| load.remaining_ms > NEGLIGIBLE_MS);
+        self.loads.retain(|_, load| load.remaining_ms > ROUNDING_TOLERANCE_MS);
         self.finished += (before - self.loads.len()) as u64;
         self.advanced_to = self.advanced_to.max(now);
     }
--- a/crates/standins/src/weight_store/server.rs
+++ b/crates/standins/src/weight_store/server.rs
@@ -1,7 +1,7 @@
 //! Serves the weight store over TCP.
 //!
 //! Besides `POST /load`, `POST /control/faults` takes [`ServiceFaults`](crate::faults::ServiceFaults)
-//! and `GET /control/state` shows everything.
+//! and `GET /control/state` returns the faults and the model.
 
 use std::{
     sync::{Arc, MutexGuard},
@@ -28,7 +28,7 @@
 
 struct WeightStoreServer {
     model: ModelState<WeightStoreModel>,
-    begun: Notify,
+    load_started: Notify,
 }
 
 impl HasModel for WeightStoreServer {
@@ -42,35 +42,35 @@
 impl WeightStoreServer {
     async fn load(&self, load: &WeightLoad) -> WeightLoaded {
         let started = http::now();
-        let running = RunningLoad { server: self, number: self.model().begin(load, started) };
-        self.begun.notify_waiters();
-        while let Some(wait) = self.remaining(running.number) {
-            // A load that begins meanwhile slows this one; the wait is then worked out again.
-            let _ = tokio::time::timeout(wait, self.begun.notified()).await;
+        let running = RunningLoad { server: self, id: self.model().begin(load, started) };
+        self.load_started.notify_waiters();
+        while let Some(wait) = self.remaining(running.id) {
+            // Another load that starts meanwhile slows this one, so the wait is recomputed.
+            let _ = tokio::time::timeout(wait, self.load_started.notified()).await;
         }
-        let took = http::now().saturating_since(started);
-        WeightLoaded { took_ms: u64::try_from(took.as_millis()).unwrap_or(u64::MAX) }
+        let elapsed = http::now().saturating_since(started);
+        WeightLoaded { took_ms: u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX) }
     }
 
-    fn remaining(&self, number: LoadId) -> Option<Duration> {
+    fn remaining(&self, id: LoadId) -> Option<Duration> {
         let now = http::now();
         let mut model = self.model();
-        if model.is_done(number, now) {
+        if model.is_done(id, now) {
             return None;
         }
         model.next_done_at().map(|at| at.saturating_since(now))
     }
 }
 
-/// Gives the load up where its handler is dropped.
+/// Abandons the load when its handler is dropped.
 struct RunningLoad<'a> {
     server: &'a WeightStoreServer,
-    number: LoadId,
+    id: LoadId,
 }
 
 impl Drop for RunningLoad<'_> {
     fn drop(&mut self) {
-        self.server.model().abandon(self.number, http::now());
+        self.server.model().abandon(self.id, http::now());
     }
 }
 
@@ -78,7 +78,7 @@
 pub fn start(settings: WeightStoreSettings) -> Result<RunningStandin, StartError> {
     let listener = server::listen(settings.listen)?;
     let model = ModelState::new(WeightStoreModel::new(settings.speed));
-    let standin = Arc::new(WeightStoreServer { model, begun: Notify::new() });
+    let standin = Arc::new(WeightStoreServer { model, load_started: Notify::new() });
     let shared = Shared::new(standin, settings.faults);
     let activity = shared.activity.clone();
     let app = App::new()
@@ -96,7 +96,7 @@
 
 async fn load(StateRef(shared): State<'_>, body: BodyBytes) -> WebResponse {
     match http::parse::<WeightLoad>(&body) {
-        Ok(ask) => http::ok(&shared.standin.load(&ask).await),
+        Ok(request) => http::ok(&shared.standin.load(&request).await),
         Err(refusal) => http::refuse(&refusal),
     }
 }
