--- a/crates/cli/tests/claims.rs
+++ b/crates/cli/tests/claims.rs
@@ -133,7 +133,7 @@
                 scope.spawn(move || {
                     std::thread::sleep(Duration::from_millis(10 * number));
                     let key = key(number);
-                    (key.clone(), ask_everywhere(survivors, &key, &number.to_string()))
+                    (key.clone(), send_to_all(survivors, &key, &number.to_string()))
                 })
             })
             .collect();
@@ -152,7 +152,7 @@
 }
 
 /// Sends a key to all nodes at once, some rounds over; the bodies of all whole answers.
-fn ask_everywhere(nodes: &[SocketAddr], key: &str, contract: &str) -> Vec<Value> {
+fn send_to_all(nodes: &[SocketAddr], key: &str, contract: &str) -> Vec<Value> {
     let mut bodies = Vec::new();
     for _ in 0..ROUNDS {
         let round = std::thread::scope(|scope| {
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use support::{
     Cluster, KEY, Process, chat,
-    expectations::{body, check_stream, check_whole, conversation},
+    expectations::{body, check_complete, check_stream, conversation},
     post, read_answer, send, set_faults, state_of, wait_until,
 };
 
@@ -66,7 +66,7 @@
     let address = cluster.nodes[0].address("callers");
     let messages = conversation("cut connections");
     check_stream(&chat(address, &body(&messages, true, 60)), &messages, 60);
-    check_whole(&chat(address, &body(&messages, false, 60)), &messages, 60);
+    check_complete(&chat(address, &body(&messages, false, 60)), &messages, 60);
     assert_eq!(cluster.engines.iter().map(accepted).sum::<u64>(), 2);
 }
 
@@ -174,26 +174,26 @@
 }
 
 /// Tells the engine that serves a conversation to leave, and checks that it gets nothing new.
-fn leaves(tell: impl Fn(&Cluster, usize)) {
+fn check_leaving(announce: impl Fn(&Cluster, usize)) {
     let cluster = Cluster::start(2, 1, "");
     let address = cluster.nodes[0].address("callers");
-    let ask = |turn: u32| {
+    let send_turn = |turn: u32| {
         let messages = conversation(&format!("turn {turn}"));
         check_stream(&chat(address, &body(&messages, true, 2)), &messages, 2);
     };
-    ask(0);
+    send_turn(0);
     let leaving = cluster.engines.iter().position(|engine| accepted(engine) == 1).unwrap();
-    tell(&cluster, leaving);
+    announce(&cluster, leaving);
     // The bound that operators are promised.
     std::thread::sleep(std::time::Duration::from_secs(3));
-    (1..=10).for_each(ask);
+    (1..=10).for_each(send_turn);
     assert_eq!(accepted(&cluster.engines[leaving]), 1);
     assert_eq!(accepted(&cluster.engines[1 - leaving]), 10);
 }
 
 #[test]
 fn an_engine_that_leaves_by_the_machine_list_gets_nothing_new() {
-    leaves(|cluster, leaving| {
+    check_leaving(|cluster, leaving| {
         let address = cluster.engines[leaving].address("address");
         let mut machine = support::engine_machine(leaving, address);
         machine.state = paddlemount_protocol::platform::MachineState::Leaving;
@@ -205,7 +205,7 @@
 
 #[test]
 fn an_engine_that_says_that_it_leaves_gets_nothing_new() {
-    leaves(|cluster, leaving| {
+    check_leaving(|cluster, leaving| {
         let order = Order {
             id: "leave".into(),
             token: FencingToken(1),
@@ -219,7 +219,7 @@
 
 #[test]
 fn an_engine_that_an_operator_drains_gets_nothing_new() {
-    leaves(|cluster, leaving| {
+    check_leaving(|cluster, leaving| {
         let mut configuration = support::configuration();
         let drain = paddlemount_protocol::configuration::Drain { reason: "repair".into() };
         configuration.drained.insert(support::engine_name(leaving), drain);
--- a/crates/cli/tests/forward/announced.rs
+++ b/crates/cli/tests/forward/announced.rs
@@ -18,55 +18,56 @@
 };
 use serde_json::Value;
 
-use crate::router::{DRAIN_TIMEOUT, Got, Router, gauge};
+use crate::router::{CallerResponse, DRAIN_TIMEOUT, Router, gauge};
 
 /// The time without requests that back ends of these tests ask for.
-const REST: Duration = Duration::from_secs(3);
-const REST_TEXT: &str = "3";
+const BACK_OFF: Duration = Duration::from_secs(3);
+const BACK_OFF_TEXT: &str = "3";
 /// Until this time after its answer a request that was on its way may still reach a back end.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
 /// Requests that a test sends at once to reach all back ends of a service.
-const AT_ONCE: usize = 6;
+const CONCURRENT_REQUESTS: usize = 6;
 /// Longer than any test.
 const ALWAYS: Duration = Duration::from_secs(600);
 /// The pause between two requests of a test.
-const PAUSE: Duration = Duration::from_millis(20);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// How long requests are sent after the moment from which none may arrive.
-const WATCHED: Duration = Duration::from_millis(1_500);
+const OBSERVATION_TIME: Duration = Duration::from_millis(1_500);
 
-async fn place() -> Cluster {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    place
+async fn cluster() -> Cluster {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    cluster
 }
 
-async fn ask(router: &Router, path: &str) -> Got {
+async fn send(router: &Router, path: &str) -> CallerResponse {
     let id = format!("a-{}", rand::random::<u64>());
     router.send(path, &id).await.expect("an answer")
 }
 
 /// Sends requests for a while, a few at once so that all back ends get some; the answers.
-async fn ask_for(router: &Router, path: &str, length: Duration) -> Vec<Got> {
+async fn send_for(router: &Router, path: &str, length: Duration) -> Vec<CallerResponse> {
     let until = Instant::now() + length;
     let mut answers = Vec::new();
     while Instant::now() < until {
-        answers.extend(join_all((0..AT_ONCE).map(|_| ask(router, path))).await);
-        tokio::time::sleep(PAUSE).await;
+        answers.extend(join_all((0..CONCURRENT_REQUESTS).map(|_| send(router, path))).await);
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     answers
 }
 
 /// Sends requests, a few at once so that all get some, until a runner has answered one since it says that it leaves, or wants
 /// none; when that was.
-async fn until_told(router: &Router, path: &str, runner: &Runner) -> Instant {
-    let told = || runner.seen().into_iter().find(|seen| seen.announced_leaving || seen.retry_after.is_some());
-    let heard = async || {
-        join_all((0..AT_ONCE).map(|_| ask(router, path))).await;
-        told().is_some()
+async fn send_until_announced(router: &Router, path: &str, runner: &Runner) -> Instant {
+    let first_announcement =
+        || runner.seen().into_iter().find(|seen| seen.announced_leaving || seen.retry_after.is_some());
+    let is_announced = async || {
+        join_all((0..CONCURRENT_REQUESTS).map(|_| send(router, path))).await;
+        first_announcement().is_some()
     };
-    router.until("told by an answer", heard).await;
+    router.until("announced by an answer", is_announced).await;
     runner.accept_requests();
-    told().expect("an answer that tells").at
+    first_announcement().expect("an answer with the announcement").at
 }
 
 /// When requests reached a runner after `from`.
@@ -81,20 +82,20 @@
     parsed.filter(|line| line["event"] == event).collect()
 }
 
-fn all_ok(answers: &[Got]) -> bool {
-    answers.iter().all(|got| got.status == StatusCode::OK)
+fn all_ok(answers: &[CallerResponse]) -> bool {
+    answers.iter().all(|response| response.status == StatusCode::OK)
 }
 
 async fn gets_nothing_while_the_store_is_away(path: &str, leaving: impl Fn(&Cluster) -> Runner) {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    router.until("serving", async || ask(&router, path).await.status == StatusCode::OK).await;
-    let runner = leaving(&place);
-    place.store.set_fault(StoreFault::Silent);
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    router.until("serving", async || send(&router, path).await.status == StatusCode::OK).await;
+    let runner = leaving(&cluster);
+    cluster.store.set_fault(StoreFault::Silent);
     runner.announce_leaving();
-    let told = until_told(&router, path, &runner).await;
-    let answers = ask_for(&router, path, DRAIN_TIMEOUT + WATCHED).await;
-    let late = arrivals_after(&runner, told + DRAIN_TIMEOUT);
+    let announced_at = send_until_announced(&router, path, &runner).await;
+    let answers = send_for(&router, path, DRAIN_TIMEOUT + OBSERVATION_TIME).await;
+    let late = arrivals_after(&runner, announced_at + DRAIN_TIMEOUT);
     assert!(late.is_empty(), "requests reached it so long after the timeout: {late:?}");
     assert!(all_ok(&answers), "the others serve");
     assert_eq!(lines_of(&router, "backend_leaving").len(), 1, "one line tells of it");
@@ -102,45 +103,45 @@
 
 #[tokio::test]
 async fn an_instance_that_says_in_an_answer_that_it_leaves_gets_nothing_while_the_store_is_away() {
-    gets_nothing_while_the_store_is_away("/quote/1", |place| place.bookings[0].clone()).await;
+    gets_nothing_while_the_store_is_away("/quote/1", |cluster| cluster.bookings[0].clone()).await;
 }
 
 #[tokio::test]
 async fn an_engine_that_says_in_an_answer_that_it_leaves_gets_nothing_while_the_store_is_away() {
-    gets_nothing_while_the_store_is_away("/claim/1", |place| place.engines[0].clone()).await;
+    gets_nothing_while_the_store_is_away("/claim/1", |cluster| cluster.engines[0].clone()).await;
 }
 
 #[tokio::test]
 async fn no_entry_takes_back_what_a_back_end_has_said_itself() {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    let runner = &place.bookings[0];
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    let runner = &cluster.bookings[0];
     runner.announce_leaving();
-    let told = until_told(&router, "/quote/1", runner).await;
+    let announced_at = send_until_announced(&router, "/quote/1", runner).await;
     // Entries that were written before it left: one changed, one that comes anew after a lapse.
-    place.change_slots(runner, 9);
-    ask_for(&router, "/quote/1", DRAIN_TIMEOUT / 2).await;
-    place.unregister(runner);
-    ask_for(&router, "/quote/1", DRAIN_TIMEOUT / 4).await;
-    place.register(runner, "ready");
-    let answers = ask_for(&router, "/quote/1", DRAIN_TIMEOUT / 4 + WATCHED).await;
-    let late = arrivals_after(runner, told + DRAIN_TIMEOUT);
+    cluster.change_slots(runner, 9);
+    send_for(&router, "/quote/1", DRAIN_TIMEOUT / 2).await;
+    cluster.unregister(runner);
+    send_for(&router, "/quote/1", DRAIN_TIMEOUT / 4).await;
+    cluster.register(runner, "ready");
+    let answers = send_for(&router, "/quote/1", DRAIN_TIMEOUT / 4 + OBSERVATION_TIME).await;
+    let late = arrivals_after(runner, announced_at + DRAIN_TIMEOUT);
     assert!(late.is_empty(), "requests reached it so long after the timeout: {late:?}");
     assert!(all_ok(&answers), "the other one serves");
 }
 
 #[tokio::test]
 async fn a_new_start_ends_what_the_process_before_it_said() {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    let runner = &place.bookings[0];
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    let runner = &cluster.bookings[0];
     runner.announce_leaving();
-    until_told(&router, "/quote/1", runner).await;
+    send_until_announced(&router, "/quote/1", runner).await;
     runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
-    router.until("whole again", async || place.all_running()).await;
+    router.until("whole again", async || cluster.all_running()).await;
     let back = Instant::now();
     let serves = async || {
-        ask(&router, "/quote/1").await;
+        send(&router, "/quote/1").await;
         !arrivals_after(runner, back).is_empty()
     };
     router.until("serving again", serves).await;
@@ -149,25 +150,25 @@
 #[tokio::test]
 async fn where_all_say_that_they_leave_they_serve_for_a_while_and_callers_are_refused_at_once_after_the_timeout()
  {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    router.until("serving", async || ask(&router, "/quote/1").await.status == StatusCode::OK).await;
-    place.store.set_fault(StoreFault::Silent);
-    place.bookings.iter().for_each(Runner::announce_leaving);
-    let mut told = Vec::new();
-    for runner in &place.bookings {
-        told.push(until_told(&router, "/quote/1", runner).await);
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    router.until("serving", async || send(&router, "/quote/1").await.status == StatusCode::OK).await;
+    cluster.store.set_fault(StoreFault::Silent);
+    cluster.bookings.iter().for_each(Runner::announce_leaving);
+    let mut announced_at = Vec::new();
+    for runner in &cluster.bookings {
+        announced_at.push(send_until_announced(&router, "/quote/1", runner).await);
     }
-    let first = ask(&router, "/quote/1").await;
+    let first = send(&router, "/quote/1").await;
     assert_eq!(first.status, StatusCode::OK, "nobody else is left, and they serve: {}", first.body);
-    ask_for(&router, "/quote/1", DRAIN_TIMEOUT).await;
-    let answers = ask_for(&router, "/quote/1", WATCHED / 2).await;
-    for got in &answers {
-        assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{}", got.body);
-        assert!(got.headers.contains_key(header::RETRY_AFTER));
+    send_for(&router, "/quote/1", DRAIN_TIMEOUT).await;
+    let answers = send_for(&router, "/quote/1", OBSERVATION_TIME / 2).await;
+    for response in &answers {
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE, "{}", response.body);
+        assert!(response.headers.contains_key(header::RETRY_AFTER));
     }
-    for (runner, told) in place.bookings.iter().zip(told) {
-        let late = arrivals_after(runner, told + DRAIN_TIMEOUT);
+    for (runner, announced_at) in cluster.bookings.iter().zip(announced_at) {
+        let late = arrivals_after(runner, announced_at + DRAIN_TIMEOUT);
         assert!(late.is_empty(), "requests reached {} so long after the timeout: {late:?}", runner.id());
     }
 }
@@ -175,143 +176,146 @@
 #[tokio::test]
 async fn other_nodes_are_told_of_a_back_end_that_leaves() {
     // Both nodes have their own answers in time only where both send requests: this one sends none.
-    let place = place().await;
-    let first = Router::start_at(place.store_address, "node-0").await;
+    let cluster = cluster().await;
+    let first = Router::start_at(cluster.store_address, "node-0").await;
     first.until("leading", async || gauge(&first, "paddlemount_forward_leads").await == Some(1.0)).await;
-    let second = Router::start_at(place.store_address, "node-1").await;
+    let second = Router::start_at(cluster.store_address, "node-1").await;
     for router in [&first, &second] {
-        router.until("serving", async || ask(router, "/hold/1").await.status == StatusCode::OK).await;
+        router.until("serving", async || send(router, "/hold/1").await.status == StatusCode::OK).await;
     }
-    second.until("reporting", async || second.told("parent_changed")).await;
-    let runner = &place.bookings[0];
+    second.until("reporting", async || second.logged("parent_changed")).await;
+    let runner = &cluster.bookings[0];
     runner.announce_leaving();
-    until_told(&second, "/quote/1", runner).await;
-    first.until("told", async || first.told("backend_leaving")).await;
+    send_until_announced(&second, "/quote/1", runner).await;
+    first.until("logged", async || first.logged("backend_leaving")).await;
     let line = lines_of(&first, "backend_leaving").remove(0);
     assert_eq!(line["backend"], runner.id().as_str());
     assert_eq!(line["heard"], "told");
     let before = Instant::now();
-    assert!(all_ok(&ask_for(&first, "/quote/1", WATCHED).await));
+    assert!(all_ok(&send_for(&first, "/quote/1", OBSERVATION_TIME).await));
     assert!(arrivals_after(runner, before).is_empty(), "it stops as well");
 }
 
 #[tokio::test]
 async fn an_engine_whose_report_says_that_it_leaves_is_loaded_with_nothing_and_gets_no_work() {
     // No request reaches it: the leader hears it in place of an order's answer.
-    let place = place().await;
-    let router = Router::start(&place).await;
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
     router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
-    let engine = &place.engines[0];
+    let engine = &cluster.engines[0];
     engine.announce_leaving();
-    place.set_target_version(2);
-    router.until("heard", async || router.told("backend_leaving")).await;
-    let others = async || place.engines[1..].iter().all(|engine| engine.version() == 2);
+    cluster.set_target_version(2);
+    router.until("informed", async || router.logged("backend_leaving")).await;
+    let others = async || cluster.engines[1..].iter().all(|engine| engine.version() == 2);
     router.until("loaded elsewhere", others).await;
     assert_eq!(lines_of(&router, "backend_leaving").remove(0)["backend"], engine.id().as_str());
     let before = Instant::now();
-    assert!(all_ok(&ask_for(&router, "/claim/1", WATCHED).await));
+    assert!(all_ok(&send_for(&router, "/claim/1", OBSERVATION_TIME).await));
     assert!(arrivals_after(engine, before).is_empty());
 }
 
 /// Requests that reached a runner in the rest that it asked for at `told`, less those that may have been on their way.
-fn arrivals_in_rest(runner: &Runner, told: Instant) -> Vec<Duration> {
-    let arrivals = arrivals_after(runner, told);
-    arrivals.into_iter().filter(|after| *after >= ON_THE_WAY && *after < REST).collect()
+fn arrivals_in_back_off(runner: &Runner, announced_at: Instant) -> Vec<Duration> {
+    let arrivals = arrivals_after(runner, announced_at);
+    arrivals.into_iter().filter(|after| *after >= IN_FLIGHT_ALLOWANCE && *after < BACK_OFF).collect()
 }
 
 #[tokio::test]
 async fn a_back_end_that_asks_for_rest_gets_none_of_it_disturbed_and_work_again_after_it() {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    let runner = &place.engines[0];
-    runner.reject_requests(REST_TEXT, ALWAYS);
-    let told = until_told(&router, "/claim/1", runner).await;
-    let resting = gauge(&router, "paddlemount_forward_backends_resting").await;
-    assert_eq!(resting, Some(1.0), "a metric tells");
-    let answers = ask_for(&router, "/claim/1", REST).await;
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    let runner = &cluster.engines[0];
+    runner.reject_requests(BACK_OFF_TEXT, ALWAYS);
+    let announced_at = send_until_announced(&router, "/claim/1", runner).await;
+    let backing_off = gauge(&router, "paddlemount_forward_backends_resting").await;
+    assert_eq!(backing_off, Some(1.0), "a metric tells");
+    let answers = send_for(&router, "/claim/1", BACK_OFF).await;
     assert!(all_ok(&answers), "the others serve");
-    assert_eq!(arrivals_in_rest(runner, told), Vec::<Duration>::new());
+    assert_eq!(arrivals_in_back_off(runner, announced_at), Vec::<Duration>::new());
     let again = async || {
-        ask(&router, "/claim/1").await;
-        !arrivals_after(runner, told + REST).is_empty()
+        send(&router, "/claim/1").await;
+        !arrivals_after(runner, announced_at + BACK_OFF).is_empty()
     };
     router.until("given work again", again).await;
     assert_eq!(lines_of(&router, "backend_rests").len(), 1);
-    router.until("told", async || router.told("backend_rested")).await;
+    router.until("logged", async || router.logged("backend_rested")).await;
 }
 
 #[tokio::test]
 async fn where_all_ask_for_rest_callers_are_refused_at_once_until_the_first_may_be_asked_again() {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    place.engines.iter().for_each(|engine| engine.reject_requests(REST_TEXT, ALWAYS));
-    let mut told = Vec::new();
-    for engine in &place.engines {
-        told.push(until_told(&router, "/claim/1", engine).await);
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    cluster.engines.iter().for_each(|engine| engine.reject_requests(BACK_OFF_TEXT, ALWAYS));
+    let mut announced_at = Vec::new();
+    for engine in &cluster.engines {
+        announced_at.push(send_until_announced(&router, "/claim/1", engine).await);
     }
-    let first = *told.iter().min().expect("engines");
-    while first.elapsed() < REST - Duration::from_millis(300) {
-        let asked_at = Instant::now();
-        let got = ask(&router, "/claim/1").await;
-        assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(got.body.contains("backends_rest"), "{}", got.body);
-        let text = got.headers.get(header::RETRY_AFTER).and_then(|value| value.to_str().ok());
-        let come_back = Duration::from_secs_f64(text.and_then(|text| text.parse().ok()).expect("seconds"));
-        let least = (first + REST).saturating_duration_since(asked_at);
+    let first = *announced_at.iter().min().expect("engines");
+    while first.elapsed() < BACK_OFF - Duration::from_millis(300) {
+        let sent_at = Instant::now();
+        let response = send(&router, "/claim/1").await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.body.contains("backends_rest"), "{}", response.body);
+        let text = response.headers.get(header::RETRY_AFTER).and_then(|value| value.to_str().ok());
+        let retry_after = Duration::from_secs_f64(text.and_then(|text| text.parse().ok()).expect("seconds"));
+        let remaining = (first + BACK_OFF).saturating_duration_since(sent_at);
         let rounded = Duration::from_millis(150);
-        assert!(come_back + rounded >= least, "{come_back:?} is before the rest's end in {least:?}");
         assert!(
-            come_back <= least * 3 / 2 + rounded,
-            "{come_back:?} is long after the rest's end in {least:?}"
+            retry_after + rounded >= remaining,
+            "{retry_after:?} is before the rest's end in {remaining:?}"
         );
-        tokio::time::sleep(PAUSE).await;
+        assert!(
+            retry_after <= remaining * 3 / 2 + rounded,
+            "{retry_after:?} is long after the rest's end in {remaining:?}"
+        );
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    for (engine, told) in place.engines.iter().zip(&told) {
-        assert_eq!(arrivals_in_rest(engine, *told), Vec::<Duration>::new(), "{}", engine.id());
+    for (engine, announced_at) in cluster.engines.iter().zip(&announced_at) {
+        assert_eq!(arrivals_in_back_off(engine, *announced_at), Vec::<Duration>::new(), "{}", engine.id());
     }
-    router.until("serving again", async || ask(&router, "/claim/1").await.status == StatusCode::OK).await;
+    router.until("serving again", async || send(&router, "/claim/1").await.status == StatusCode::OK).await;
 }
 
 #[tokio::test]
 async fn where_all_but_one_ask_for_rest_that_one_serves_and_repeats_go_nowhere_else() {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    for engine in &place.engines[1..] {
-        engine.reject_requests(REST_TEXT, ALWAYS);
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    for engine in &cluster.engines[1..] {
+        engine.reject_requests(BACK_OFF_TEXT, ALWAYS);
     }
-    let mut told = Vec::new();
-    for engine in &place.engines[1..] {
-        told.push(until_told(&router, "/claim/1", engine).await);
+    let mut announced_at = Vec::new();
+    for engine in &cluster.engines[1..] {
+        announced_at.push(send_until_announced(&router, "/claim/1", engine).await);
     }
-    let last = *told.iter().max().expect("engines");
-    tokio::time::sleep_until((last + ON_THE_WAY).into()).await;
-    assert!(all_ok(&ask_for(&router, "/claim/1", Duration::from_millis(500)).await));
+    let last = *announced_at.iter().max().expect("engines");
+    tokio::time::sleep_until((last + IN_FLIGHT_ALLOWANCE).into()).await;
+    assert!(all_ok(&send_for(&router, "/claim/1", Duration::from_millis(500)).await));
     // It refuses as well now, without a word on when to come back: nobody else may be asked in its place.
-    place.engines[0].script(&[Behaviour::Sheds; 12]);
+    cluster.engines[0].script(&[Behaviour::Sheds; 12]);
     for _ in 0..12 {
-        assert_eq!(ask(&router, "/claim/1").await.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert_eq!(send(&router, "/claim/1").await.status, StatusCode::SERVICE_UNAVAILABLE);
     }
-    for (engine, told) in place.engines[1..].iter().zip(&told) {
-        assert_eq!(arrivals_in_rest(engine, *told), Vec::<Duration>::new(), "{}", engine.id());
+    for (engine, announced_at) in cluster.engines[1..].iter().zip(&announced_at) {
+        assert_eq!(arrivals_in_back_off(engine, *announced_at), Vec::<Duration>::new(), "{}", engine.id());
     }
 }
 
 #[tokio::test]
 async fn a_rest_that_cannot_be_read_or_is_over_at_once_keeps_nobody_out() {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    let runner = &place.bookings[0];
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    let runner = &cluster.bookings[0];
     for text in ["-3", "soon", "NaN", "0"] {
         runner.reject_requests(text, ALWAYS);
-        let told = async || {
-            ask(&router, "/quote/1").await;
+        let rejected = async || {
+            send(&router, "/quote/1").await;
             runner.seen().iter().any(|seen| seen.retry_after.as_deref() == Some(text))
         };
-        router.until("turned away", told).await;
+        router.until("rejected", rejected).await;
         runner.accept_requests();
         let before = runner.seen().len();
         let again = async || {
-            ask(&router, "/quote/1").await;
+            send(&router, "/quote/1").await;
             runner.seen().iter().skip(before).any(|seen| seen.ran)
         };
         router.until("asked again", again).await;
@@ -321,11 +325,11 @@
 
 #[tokio::test]
 async fn a_header_of_answers_that_nothing_reads_is_told_once_without_its_value() {
-    let place = place().await;
-    let router = Router::start(&place).await;
-    place.bookings.iter().for_each(|runner| runner.add_header("Server-Mood"));
-    ask_for(&router, "/quote/1", Duration::from_millis(200)).await;
-    router.until("told", async || router.told("answer_header_unknown")).await;
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
+    cluster.bookings.iter().for_each(|runner| runner.add_header("Server-Mood"));
+    send_for(&router, "/quote/1", Duration::from_millis(200)).await;
+    router.until("logged", async || router.logged("answer_header_unknown")).await;
     let lines = lines_of(&router, "answer_header_unknown");
     assert_eq!(lines.len(), 1);
     assert_eq!(lines[0]["name"], "server-mood");
--- a/crates/cli/tests/forward/budget.rs
+++ b/crates/cli/tests/forward/budget.rs
@@ -12,7 +12,7 @@
 /// Requests that a test sends one after the other.
 const REQUESTS: usize = 30;
 /// Repeats that a node alone may make beside its requests' share: half of the slack in the router's settings.
-const RESERVE: u64 = 28;
+const RETRY_SLACK_ALONE: u64 = 28;
 
 /// Addresses that are held, and on which nobody listens.
 fn closed_addresses(count: usize) -> Vec<TcpSocket> {
@@ -35,27 +35,27 @@
 /// grew by five shares a request, and 535 repeats reached the engines where 430 were allowed.
 #[tokio::test]
 async fn a_request_earns_its_share_of_repeats_once_however_many_connections_are_refused() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let closed = closed_addresses(place.engines.len());
-    for (engine, socket) in place.engines.iter().zip(&closed) {
-        place.register_at(engine, "ready", socket.local_addr().expect("an address"));
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let closed = closed_addresses(cluster.engines.len());
+    for (engine, socket) in cluster.engines.iter().zip(&closed) {
+        cluster.register_at(engine, "ready", socket.local_addr().expect("an address"));
     }
-    let router = Router::start_first(&place).await;
+    let router = Router::start_first(&cluster).await;
     router.until("counted", async || gauge(&router, "paddlemount_forward_nodes").await == Some(1.0)).await;
     for number in 0..REQUESTS {
-        let got = router.send("/claim/1", &format!("refused-{number}")).await.expect("an answer");
-        assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
+        let response = router.send("/claim/1", &format!("refused-{number}")).await.expect("an answer");
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     }
-    router.until("told", async || lines_of(&router, "request").len() >= REQUESTS).await;
+    router.until("logged", async || lines_of(&router, "request").len() >= REQUESTS).await;
     let ended = lines_of(&router, "attempt_ended");
     assert!(ended.len() > REQUESTS, "requests were placed more than once: {}", ended.len());
-    let most = RESERVE + REQUESTS as u64 / 5;
+    let max = RETRY_SLACK_ALONE + REQUESTS as u64 / 5;
     let left: Vec<u64> = ended.iter().filter_map(|line| line["budget_left"].as_u64()).collect();
     // Nine tenths of the share are used, and half of these at once.
-    let earned = RESERVE + REQUESTS as u64 * 9 / 100;
+    let earned = RETRY_SLACK_ALONE + REQUESTS as u64 * 9 / 100;
     assert_eq!(left.last(), Some(&earned), "each request earns: {left:?}");
-    assert!(left.iter().all(|left| *left <= most), "{left:?} for {REQUESTS} requests, {most} were earned");
+    assert!(left.iter().all(|left| *left <= max), "{left:?} for {REQUESTS} requests, {max} were earned");
 }
 
 /// When half of the engines had ended for good and their addresses had gone to another service, their entries still stood:
@@ -64,27 +64,27 @@
 /// an arrival at a service that may be allowed hardly any.
 #[tokio::test]
 async fn a_back_end_whose_address_another_process_has_is_asked_once_at_most() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let router = Router::start(&place).await;
-    let gone = &place.bookings[0];
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let router = Router::start(&cluster).await;
+    let gone = &cluster.bookings[0];
     let id = gone.id();
     gone.crash();
-    router.until("whole again", async || place.all_running()).await;
-    place.register_stale(&id, gone);
-    let heard_again = async || {
+    router.until("whole again", async || cluster.all_running()).await;
+    cluster.register_stale(&id, gone);
+    let reappeared = async || {
         let changes = lines_of(&router, "backend_changed");
         let appeared = |line: &&Value| line["backend"] == id.as_str() && line["change"] == "appeared";
         changes.iter().filter(appeared).count() == 2
     };
-    router.until("told of the old entry", heard_again).await;
+    router.until("informed of the old entry", reappeared).await;
     for number in 0..REQUESTS * 2 {
-        let got = router.send("/quote/1", &format!("quote-{number}")).await.expect("an answer");
-        assert_eq!(got.status, StatusCode::OK);
+        let response = router.send("/quote/1", &format!("quote-{number}")).await.expect("an answer");
+        assert_eq!(response.status, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    let asked = gone.seen().into_iter().filter(|seen| seen.intended_for == id && !seen.ran).count();
-    assert!(asked <= 1, "{asked} requests were sent to a process that is gone");
+    let misdirected = gone.seen().into_iter().filter(|seen| seen.intended_for == id && !seen.ran).count();
+    assert!(misdirected <= 1, "{misdirected} requests were sent to a process that is gone");
     let ran = gone.seen().into_iter().filter(|seen| seen.ran && seen.intended_for == gone.id()).count();
     assert!(ran > 0, "the process that has the address gets work of its own");
 }
@@ -93,27 +93,31 @@
 /// the next one was wrong as often as the first.
 #[tokio::test]
 async fn a_request_goes_on_from_a_wrong_address_once_and_is_refused_then() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    for (number, engine) in place.engines.iter().enumerate() {
-        place.unregister(engine);
-        place.register_stale(&format!("gone-{number}"), engine);
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    for (number, engine) in cluster.engines.iter().enumerate() {
+        cluster.unregister(engine);
+        cluster.register_stale(&format!("gone-{number}"), engine);
     }
-    let router = Router::start(&place).await;
+    let router = Router::start(&cluster).await;
     for number in 0..REQUESTS {
-        let got = router.send("/claim/1", &format!("wrong-{number}")).await.expect("an answer");
-        assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(got.headers.contains_key(http::header::RETRY_AFTER), "the caller is told when to come back");
+        let response = router.send("/claim/1", &format!("wrong-{number}")).await.expect("an answer");
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(
+            response.headers.contains_key(http::header::RETRY_AFTER),
+            "the caller is told when to come back"
+        );
     }
-    let seen: Vec<_> = place.engines.iter().flat_map(Runner::seen).collect();
-    assert_eq!(seen.len(), place.engines.len(), "each back end that is gone is asked once");
+    let seen: Vec<_> = cluster.engines.iter().flat_map(Runner::seen).collect();
+    assert_eq!(seen.len(), cluster.engines.len(), "each back end that is gone is asked once");
     for number in 0..REQUESTS {
         let id = format!("wrong-{number}");
         assert!(seen.iter().filter(|seen| seen.id == id).count() <= 2, "{id} went on more than once");
     }
-    place.engines.iter().for_each(|engine| place.register(engine, "ready"));
-    let served =
-        async || router.send("/claim/1", "served").await.is_some_and(|got| got.status == StatusCode::OK);
+    cluster.engines.iter().for_each(|engine| cluster.register(engine, "ready"));
+    let served = async || {
+        router.send("/claim/1", "served").await.is_some_and(|response| response.status == StatusCode::OK)
+    };
     router.until("serving", served).await;
 }
 
@@ -121,12 +125,12 @@
 /// Which of two instances that request goes to is drawn: several nodes are asked.
 #[tokio::test]
 async fn the_first_request_of_a_node_may_leave_a_silent_back_end() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
     for number in 0..6 {
-        let router = Router::start(&place).await;
-        place.bookings[0].script(&[Behaviour::Hangs]);
-        let got = router.send("/quote/1", &format!("first-{number}")).await.expect("an answer");
-        assert_eq!(got.status, StatusCode::OK, "{}", got.body);
+        let router = Router::start(&cluster).await;
+        cluster.bookings[0].script(&[Behaviour::Hangs]);
+        let response = router.send("/quote/1", &format!("first-{number}")).await.expect("an answer");
+        assert_eq!(response.status, StatusCode::OK, "{}", response.body);
     }
 }
--- a/crates/cli/tests/forward/delivery.rs
+++ b/crates/cli/tests/forward/delivery.rs
@@ -6,14 +6,14 @@
 use crate::router::Router;
 
 /// The events of a whole stream.
-pub const WHOLE_STREAM: &str = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n\
+pub const COMPLETE_STREAM: &str = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n\
                             id: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\n";
 
-async fn place_and_router() -> (Cluster, Router) {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let router = Router::start(&place).await;
-    (place, router)
+async fn cluster_and_router() -> (Cluster, Router) {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let router = Router::start(&cluster).await;
+    (cluster, router)
 }
 
 /// The next requests go to whichever back end is chosen: all of them are told to behave the same way.
@@ -29,26 +29,29 @@
 
 #[tokio::test]
 async fn a_request_arrives_unchanged_under_its_tenants_name_and_without_its_key() {
-    let (place, router) = place_and_router().await;
-    let got = router.send("/hold/1", "r1").await.expect("an answer");
-    assert_eq!((got.status, got.body.as_str()), (StatusCode::OK, "whole body"));
-    assert!(got.headers.contains_key(Cluster::SIGNATURE));
-    let seen: Vec<_> = place.bookings.iter().flat_map(Runner::seen).collect();
+    let (cluster, router) = cluster_and_router().await;
+    let response = router.send("/hold/1", "r1").await.expect("an answer");
+    assert_eq!((response.status, response.body.as_str()), (StatusCode::OK, "whole body"));
+    assert!(response.headers.contains_key(Cluster::SIGNATURE));
+    let seen: Vec<_> = cluster.bookings.iter().flat_map(Runner::seen).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(
         (seen[0].tenant.as_str(), seen[0].had_authorization, seen[0].body.as_slice()),
         ("alpha", false, &b"the body"[..])
     );
-    assert!(place.bookings.iter().any(|runner| runner.id() == seen[0].intended_for));
+    assert!(cluster.bookings.iter().any(|runner| runner.id() == seen[0].intended_for));
     assert!(seen[0].deadline_ms > 0 && seen[0].deadline_ms <= 3_500);
 }
 
 #[tokio::test]
 async fn a_stream_is_passed_on_whole_and_in_order() {
-    let (place, router) = place_and_router().await;
-    let got = router.send("/chat/1", "s1").await.expect("an answer");
-    assert_eq!((got.status, got.body.as_str(), got.whole), (StatusCode::OK, WHOLE_STREAM, true));
-    let seen: Vec<_> = place.engines.iter().flat_map(Runner::seen).collect();
+    let (cluster, router) = cluster_and_router().await;
+    let response = router.send("/chat/1", "s1").await.expect("an answer");
+    assert_eq!(
+        (response.status, response.body.as_str(), response.complete),
+        (StatusCode::OK, COMPLETE_STREAM, true)
+    );
+    let seen: Vec<_> = cluster.engines.iter().flat_map(Runner::seen).collect();
     assert!(
         seen[0].scope.contains("m0/1/alpha"),
         "an isolated tenant has a scope of its own: {}",
@@ -58,55 +61,55 @@
 
 #[tokio::test]
 async fn unknown_routes_and_keys_are_refused_and_nothing_runs() {
-    let (place, router) = place_and_router().await;
+    let (cluster, router) = cluster_and_router().await;
     assert_eq!(router.send("/nowhere/", "n1").await.expect("an answer").status, StatusCode::NOT_FOUND);
-    let got = router.send_with_key("/hold/1", "n2", "no-such-key").await.expect("an answer");
-    assert_eq!(got.status, StatusCode::UNAUTHORIZED);
-    assert!(place.bookings.iter().all(|runner| runner.seen().is_empty()));
+    let response = router.send_with_key("/hold/1", "n2", "no-such-key").await.expect("an answer");
+    assert_eq!(response.status, StatusCode::UNAUTHORIZED);
+    assert!(cluster.bookings.iter().all(|runner| runner.seen().is_empty()));
 }
 
 #[tokio::test]
 async fn an_at_most_once_request_that_may_have_run_is_not_sent_again() {
-    let (place, router) = place_and_router().await;
-    script_all(&place.bookings, &[Behaviour::Breaks]);
-    let got = router.send("/hold/1", "b1").await.expect("an answer");
-    assert_eq!(got.status, StatusCode::BAD_GATEWAY, "no promise may be made: {}", got.body);
-    assert_eq!(runs(&place.bookings, "b1"), 1);
+    let (cluster, router) = cluster_and_router().await;
+    script_all(&cluster.bookings, &[Behaviour::Breaks]);
+    let response = router.send("/hold/1", "b1").await.expect("an answer");
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY, "no promise may be made: {}", response.body);
+    assert_eq!(runs(&cluster.bookings, "b1"), 1);
 }
 
 #[tokio::test]
 async fn an_at_most_once_request_that_was_not_run_goes_to_another_back_end() {
-    let (place, router) = place_and_router().await;
-    place.bookings[0].script(&[Behaviour::Sheds; 4]);
+    let (cluster, router) = cluster_and_router().await;
+    cluster.bookings[0].script(&[Behaviour::Sheds; 4]);
     for number in 0..4 {
         let id = format!("c{number}");
-        let got = router.send("/hold/1", &id).await.expect("an answer");
-        assert_eq!(got.status, StatusCode::OK, "{}", got.body);
-        assert_eq!(runs(&place.bookings, &id), 1);
+        let response = router.send("/hold/1", &id).await.expect("an answer");
+        assert_eq!(response.status, StatusCode::OK, "{}", response.body);
+        assert_eq!(runs(&cluster.bookings, &id), 1);
     }
 }
 
 #[tokio::test]
 async fn where_all_back_ends_refuse_the_caller_is_told_when_to_come_back() {
-    let (place, router) = place_and_router().await;
-    script_all(&place.bookings, &[Behaviour::Sheds; 4]);
-    let got = router.send("/hold/1", "d1").await.expect("an answer");
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(got.headers.contains_key(http::header::RETRY_AFTER));
-    assert_eq!(runs(&place.bookings, "d1"), 0);
+    let (cluster, router) = cluster_and_router().await;
+    script_all(&cluster.bookings, &[Behaviour::Sheds; 4]);
+    let response = router.send("/hold/1", "d1").await.expect("an answer");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.headers.contains_key(http::header::RETRY_AFTER));
+    assert_eq!(runs(&cluster.bookings, "d1"), 0);
 }
 
 #[tokio::test]
 async fn a_repeatable_request_is_sent_again_after_a_break_and_after_a_failure() {
-    let (place, router) = place_and_router().await;
+    let (cluster, router) = cluster_and_router().await;
     for (id, behaviour) in [("e1", Behaviour::Breaks), ("e2", Behaviour::Fails)] {
-        place.bookings[0].script(&[behaviour]);
-        place.bookings[1].script(&[]);
+        cluster.bookings[0].script(&[behaviour]);
+        cluster.bookings[1].script(&[]);
         let mut tries = 0;
         // Either back end may be chosen first; some request meets the one that misbehaves.
-        while place.bookings[0].seen().len() <= tries / 8 && tries < 40 {
-            let got = router.send("/quote/1", &format!("{id}-{tries}")).await.expect("an answer");
-            assert_eq!(got.status, StatusCode::OK, "{}", got.body);
+        while cluster.bookings[0].seen().len() <= tries / 8 && tries < 40 {
+            let response = router.send("/quote/1", &format!("{id}-{tries}")).await.expect("an answer");
+            assert_eq!(response.status, StatusCode::OK, "{}", response.body);
             tries += 1;
         }
     }
@@ -114,96 +117,96 @@
 
 #[tokio::test]
 async fn a_resumable_stream_goes_on_behind_the_last_whole_event() {
-    let (place, router) = place_and_router().await;
+    let (cluster, router) = cluster_and_router().await;
     // Each of the requests may meet the engine that breaks off. A node that does not know yet that it is alone allows
     // itself two retries beside the share of its requests, one that knows it 28.
     router
-        .until("counted", async || router.ask_metrics().await.contains("paddlemount_forward_nodes 1"))
+        .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
         .await;
-    script_all(&place.engines, &[Behaviour::BreaksInEvent]);
-    for runner in &place.engines[1..] {
+    script_all(&cluster.engines, &[Behaviour::BreaksInEvent]);
+    for runner in &cluster.engines[1..] {
         runner.script(&[]);
     }
     for number in 0..12 {
-        place.engines[0].script(&[Behaviour::BreaksInEvent]);
-        let got = router.send("/claim/1", &format!("f{number}")).await.expect("an answer");
-        assert_eq!((got.body.as_str(), got.whole), (WHOLE_STREAM, true));
+        cluster.engines[0].script(&[Behaviour::BreaksInEvent]);
+        let response = router.send("/claim/1", &format!("f{number}")).await.expect("an answer");
+        assert_eq!((response.body.as_str(), response.complete), (COMPLETE_STREAM, true));
     }
-    let resumed = place.engines.iter().flat_map(Runner::seen).filter(|seen| seen.resumes_after.is_some());
+    let resumed = cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.resumes_after.is_some());
     assert!(resumed.clone().all(|seen| seen.resumes_after == Some(2)));
 }
 
 #[tokio::test]
 async fn a_stream_that_may_not_be_resumed_ends_visibly_broken() {
-    let (place, router) = place_and_router().await;
-    script_all(&place.engines, &[Behaviour::BreaksInEvent]);
-    let got = router.send("/chat/1", "g1").await.expect("a head");
-    assert!(!got.whole, "a broken stream must not look complete");
-    assert_eq!(got.body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n");
-    assert_eq!(runs(&place.engines, "g1"), 1);
+    let (cluster, router) = cluster_and_router().await;
+    script_all(&cluster.engines, &[Behaviour::BreaksInEvent]);
+    let response = router.send("/chat/1", "g1").await.expect("a head");
+    assert!(!response.complete, "a broken stream must not look complete");
+    assert_eq!(response.body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n");
+    assert_eq!(runs(&cluster.engines, "g1"), 1);
 }
 
 #[tokio::test]
 async fn an_answer_to_another_request_is_never_passed_on() {
-    let (place, router) = place_and_router().await;
-    script_all(&place.bookings, &[Behaviour::AnswersAnother]);
-    let got = router.send("/hold/1", "h1").await.expect("an answer");
-    assert_eq!(got.status, StatusCode::BAD_GATEWAY);
-    assert!(!got.body.contains("not yours"));
+    let (cluster, router) = cluster_and_router().await;
+    script_all(&cluster.bookings, &[Behaviour::AnswersAnother]);
+    let response = router.send("/hold/1", "h1").await.expect("an answer");
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+    assert!(!response.body.contains("not yours"));
 }
 
 #[tokio::test]
 async fn a_surplus_answer_reaches_nobody() {
-    let (place, router) = place_and_router().await;
-    script_all(&place.bookings, &[Behaviour::AnswersTwice; 3]);
+    let (cluster, router) = cluster_and_router().await;
+    script_all(&cluster.bookings, &[Behaviour::AnswersTwice; 3]);
     for number in 0..8 {
-        let got = router.send("/hold/1", &format!("i{number}")).await.expect("an answer");
-        assert!(got.status != StatusCode::OK || got.body == "whole body", "{got:?}");
+        let response = router.send("/hold/1", &format!("i{number}")).await.expect("an answer");
+        assert!(response.status != StatusCode::OK || response.body == "whole body", "{response:?}");
     }
 }
 
 #[tokio::test]
 async fn a_silent_back_end_is_given_up_for_another_where_the_request_may_be_repeated() {
-    let (place, router) = place_and_router().await;
-    place.bookings[0].script(&[Behaviour::Hangs; 2]);
+    let (cluster, router) = cluster_and_router().await;
+    cluster.bookings[0].script(&[Behaviour::Hangs; 2]);
     for number in 0..6 {
-        let got = router.send("/quote/1", &format!("j{number}")).await.expect("an answer");
-        assert_eq!(got.status, StatusCode::OK, "{}", got.body);
+        let response = router.send("/quote/1", &format!("j{number}")).await.expect("an answer");
+        assert_eq!(response.status, StatusCode::OK, "{}", response.body);
     }
 }
 
 #[tokio::test]
 async fn silence_ends_no_stream_that_nobody_else_can_go_on_with() {
-    let (place, router) = place_and_router().await;
-    for engine in &place.engines[1..] {
-        place.drain(engine);
+    let (cluster, router) = cluster_and_router().await;
+    for engine in &cluster.engines[1..] {
+        cluster.drain(engine);
     }
     let left =
         async || router.lines().iter().filter(|line| line.contains("\"change\":\"leaving\"")).count() == 2;
     router.until("one engine left", left).await;
-    place.engines[0].script(&[Behaviour::FallsSilent]);
-    let got = router.send("/claim/1", "l1").await.expect("an answer");
-    assert_eq!((got.body.as_str(), got.whole), (WHOLE_STREAM, true));
-    assert_eq!(runs(&place.engines, "l1"), 1);
+    cluster.engines[0].script(&[Behaviour::FallsSilent]);
+    let response = router.send("/claim/1", "l1").await.expect("an answer");
+    assert_eq!((response.body.as_str(), response.complete), (COMPLETE_STREAM, true));
+    assert_eq!(runs(&cluster.engines, "l1"), 1);
 }
 
 #[tokio::test]
 async fn a_silent_stream_goes_on_elsewhere_where_the_route_allows_it() {
-    let (place, router) = place_and_router().await;
-    place.engines[0].script(&[Behaviour::FallsSilent; 3]);
+    let (cluster, router) = cluster_and_router().await;
+    cluster.engines[0].script(&[Behaviour::FallsSilent; 3]);
     for number in 0..6 {
-        let got = router.send("/claim/1", &format!("m{number}")).await.expect("an answer");
-        assert_eq!((got.body.as_str(), got.whole), (WHOLE_STREAM, true));
+        let response = router.send("/claim/1", &format!("m{number}")).await.expect("an answer");
+        assert_eq!((response.body.as_str(), response.complete), (COMPLETE_STREAM, true));
     }
 }
 
 #[tokio::test]
 async fn a_caller_that_leaves_ends_the_work_at_the_back_end() {
-    let (place, router) = place_and_router().await;
-    script_all(&place.engines, &[Behaviour::Slow]);
+    let (cluster, router) = cluster_and_router().await;
+    script_all(&cluster.engines, &[Behaviour::Slow]);
     let leaving =
         tokio::time::timeout(std::time::Duration::from_millis(400), router.send("/chat/1", "k1")).await;
     assert!(leaving.is_err());
-    let closed = async || place.engines.iter().map(Runner::closed_by_caller).sum::<u32>() == 1;
+    let closed = async || cluster.engines.iter().map(Runner::closed_by_caller).sum::<u32>() == 1;
     router.until("closed at the back end", closed).await;
 }
--- a/crates/cli/tests/forward/ending.rs
+++ b/crates/cli/tests/forward/ending.rs
@@ -12,59 +12,59 @@
 
 #[tokio::test]
 async fn a_planned_stop_takes_the_node_out_first_and_cuts_off_no_stream() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let mut router = Router::start(&place).await;
-    for engine in &place.engines {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let mut router = Router::start(&cluster).await;
+    for engine in &cluster.engines {
         engine.script(&[Behaviour::Slow]);
     }
-    let (got, ()) = tokio::join!(router.send("/chat/1", "a1"), async {
-        router.until("running", async || place.engines.iter().any(|engine| engine.runs("a1") == 1)).await;
+    let (response, ()) = tokio::join!(router.send("/chat/1", "a1"), async {
+        router.until("running", async || cluster.engines.iter().any(|engine| engine.runs("a1") == 1)).await;
         router.terminate();
-        let out = async || router.ask_readiness().await == Some(StatusCode::SERVICE_UNAVAILABLE);
+        let out = async || router.fetch_readiness().await == Some(StatusCode::SERVICE_UNAVAILABLE);
         router.until("taken out", out).await;
     });
-    let got = got.expect("an answer");
-    assert!(got.whole, "{got:?}");
-    assert!(got.body.ends_with("id: 5\ndata: piece 5\n\n"));
+    let response = response.expect("an answer");
+    assert!(response.complete, "{response:?}");
+    assert!(response.body.ends_with("id: 5\ndata: piece 5\n\n"));
     assert!(router.ended().await, "the process ends well");
-    assert!(router.told("stopping") && router.told("stopped"));
+    assert!(router.logged("stopping") && router.logged("stopped"));
 }
 
 #[tokio::test]
 async fn the_lease_is_given_up_at_a_planned_stop() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let mut router = Router::start(&place).await;
-    router.until("leading", async || router.told("leadership_gained")).await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let mut router = Router::start(&cluster).await;
+    router.until("leading", async || router.logged("leadership_gained")).await;
     router.terminate();
     assert!(router.ended().await);
-    assert!(!place.has_leader());
+    assert!(!cluster.has_leader());
 }
 
 #[tokio::test]
 async fn a_configuration_that_was_acknowledged_outlasts_a_loss_of_all_nodes() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY, REMOVED_KEY]);
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY, REMOVED_KEY]);
     for version in 2..6 {
         let names = ["node-1", "node-2", "node-3"];
         let mut routers = Vec::new();
         for name in names {
-            routers.push(Router::start_at(place.store_address, name).await);
+            routers.push(Router::start_at(cluster.store_address, name).await);
         }
         for router in &routers {
-            router.until("ready", async || router.ask_readiness().await == Some(StatusCode::OK)).await;
+            router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         }
         // The store has it, and perhaps no node has heard of it yet.
         let keys: &[&str] = if version % 2 == 0 { &[KEY] } else { &[KEY, REMOVED_KEY] };
-        place.configure(version, keys);
+        cluster.configure(version, keys);
         for router in &routers {
             router.signal("-KILL");
         }
-        let router = Router::start_at(place.store_address, names[0]).await;
+        let router = Router::start_at(cluster.store_address, names[0]).await;
         let answered = async || {
-            let got = router.send_with_key("/hold/1", &format!("lost-{version}"), REMOVED_KEY).await;
-            let status = got.expect("an answer").status;
+            let response = router.send_with_key("/hold/1", &format!("lost-{version}"), REMOVED_KEY).await;
+            let status = response.expect("an answer").status;
             let wanted = if version % 2 == 0 { StatusCode::UNAUTHORIZED } else { StatusCode::OK };
             assert!(status == wanted || status == StatusCode::SERVICE_UNAVAILABLE, "{version}: {status}");
             status == wanted
@@ -75,9 +75,9 @@
 
 #[tokio::test]
 async fn a_head_that_never_ends_keeps_a_connection_no_longer_than_a_rest() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure_idle(1, &[KEY], 300);
-    let router = Router::start(&place).await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure_idle(1, &[KEY], 300);
+    let router = Router::start(&cluster).await;
     let mut caller = RawCaller::connect(router.callers).await;
     caller.write(b"POST /hold/1 HTTP/1.1\r\nHost: pl").await;
     let closed = async || !caller.is_open();
@@ -98,8 +98,8 @@
     let test = std::thread::spawn(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let place = Cluster::start().await.expect("a place starts");
-            let router = Router::start_unready(&place).await;
+            let cluster = Cluster::start().await.expect("the cluster starts");
+            let router = Router::start_unready(&cluster).await;
             let process = router.process();
             assert!(runs(process));
             std::mem::forget(router);
--- a/crates/cli/tests/forward/fleet.rs
+++ b/crates/cli/tests/forward/fleet.rs
@@ -11,23 +11,23 @@
 
 /// Three nodes, each with its own way to the store, that know of each other.
 pub async fn fleet() -> (Cluster, Vec<Proxy>, Vec<Router>) {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
     let (mut links, mut routers) = (Vec::new(), Vec::new());
     for number in 0..3 {
-        let link = Proxy::start(place.store_address).await.expect("a proxy starts");
+        let link = Proxy::start(cluster.store_address).await.expect("a proxy starts");
         routers.push(Router::start_at(link.address, &format!("node-{number}")).await);
         links.push(link);
     }
     for router in &routers {
         router.until("counted", async || gauge(router, "paddlemount_forward_nodes").await == Some(3.0)).await;
     }
-    (place, links, routers)
+    (cluster, links, routers)
 }
 
 /// All calls to the store, whatever they were for and however they ended.
 async fn store_calls(router: &Router) -> f64 {
-    let text = router.ask_metrics().await;
+    let text = router.fetch_metrics().await;
     let lines = text.lines().filter(|line| line.starts_with("paddlemount_forward_store_calls_total"));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
@@ -44,30 +44,31 @@
 
 #[tokio::test]
 async fn a_node_that_is_cut_off_from_the_store_hears_of_changes_from_the_others() {
-    let (place, links, routers) = fleet().await;
+    let (cluster, links, routers) = fleet().await;
     let cut_off = (leader(&routers).await + 1) % routers.len();
     links[cut_off].set(LinkFault::Silent);
-    place.configure(2, &["another-key"]);
+    cluster.configure(2, &["another-key"]);
     let router = &routers[cut_off];
-    let refused =
-        async || router.send("/hold/1", "f1").await.is_some_and(|got| got.status == StatusCode::UNAUTHORIZED);
+    let refused = async || {
+        router.send("/hold/1", "f1").await.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
+    };
     router.until("refused", refused).await;
-    assert_eq!(router.ask_readiness().await, Some(StatusCode::OK));
+    assert_eq!(router.fetch_readiness().await, Some(StatusCode::OK));
 }
 
 #[tokio::test]
 async fn when_the_leader_is_killed_the_others_serve_on_and_one_of_them_leads() {
-    let (place, _links, mut routers) = fleet().await;
+    let (cluster, _links, mut routers) = fleet().await;
     let killed = leader(&routers).await;
     drop(routers.remove(killed));
-    place.configure(2, &["another-key"]);
+    cluster.configure(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate() {
         let served = async || {
-            let got = router.send_with_key("/hold/1", &format!("g{number}"), "another-key").await;
-            got.is_some_and(|got| got.status == StatusCode::OK)
+            let response = router.send_with_key("/hold/1", &format!("g{number}"), "another-key").await;
+            response.is_some_and(|response| response.status == StatusCode::OK)
         };
         router.until("serving by the new configuration", served).await;
-        assert_eq!(router.ask_readiness().await, Some(StatusCode::OK));
+        assert_eq!(router.fetch_readiness().await, Some(StatusCode::OK));
     }
     let (first, second) = (&routers[0], &routers[1]);
     let led = async || {
@@ -79,46 +80,47 @@
 
 #[tokio::test]
 async fn a_leader_that_is_killed_and_starts_again_need_not_wait_until_its_own_lease_runs_out() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let link = Proxy::start(place.store_address).await.expect("a proxy starts");
-    let start = async || Router::start_with_long_lease(place.store_address, "node-0", &link).await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let link = Proxy::start(cluster.store_address).await.expect("a proxy starts");
+    let start = async || Router::start_with_long_lease(cluster.store_address, "node-0", &link).await;
     let killed = start().await;
-    killed.until("leading", async || killed.told("leadership_gained")).await;
+    killed.until("leading", async || killed.logged("leadership_gained")).await;
     drop(killed);
     let again = start().await;
-    again.until("leading again", async || again.told("leadership_gained")).await;
+    again.until("leading again", async || again.logged("leadership_gained")).await;
 }
 
 #[tokio::test]
 async fn a_leader_that_is_cut_off_from_the_store_proves_nothing_to_the_others() {
-    let (place, links, routers) = fleet().await;
+    let (cluster, links, routers) = fleet().await;
     let cut_off = leader(&routers).await;
     links[cut_off].set(LinkFault::Silent);
-    place.configure(2, &["another-key"]);
+    cluster.configure(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
         let refused = async || {
-            let got = router.send("/hold/1", &format!("h{number}")).await;
-            got.is_some_and(|got| got.status == StatusCode::UNAUTHORIZED)
+            let response = router.send("/hold/1", &format!("h{number}")).await;
+            response.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
         };
         router.until("refused", refused).await;
     }
     let router = &routers[cut_off];
-    let refused = async || router.send("/hold/1", "h9").await.is_some_and(|got| !got.status.is_success());
+    let refused =
+        async || router.send("/hold/1", "h9").await.is_some_and(|response| !response.status.is_success());
     router.until("not served on old keys", refused).await;
 }
 
 #[tokio::test]
 async fn connections_to_the_store_that_fall_silent_for_good_are_replaced() {
-    let (place, links, routers) = fleet().await;
+    let (cluster, links, routers) = fleet().await;
     for link in &links {
         link.stall_open_connections();
     }
-    place.configure(2, &["another-key"]);
+    cluster.configure(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate() {
         let refused = async || {
-            let got = router.send("/hold/1", &format!("s{number}")).await;
-            got.is_some_and(|got| got.status == StatusCode::UNAUTHORIZED)
+            let response = router.send("/hold/1", &format!("s{number}")).await;
+            response.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
         };
         router.until("refused", refused).await;
     }
@@ -126,19 +128,22 @@
 
 #[tokio::test]
 async fn connections_to_back_ends_that_fall_silent_for_good_are_replaced() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
     let mut links = Vec::new();
-    for runner in place.engines.iter().chain(&place.bookings) {
+    for runner in cluster.engines.iter().chain(&cluster.bookings) {
         let link = Proxy::start_for_runner(runner).await.expect("a proxy starts");
-        place.register_at(runner, "ready", link.address);
+        cluster.register_at(runner, "ready", link.address);
         links.push(link);
     }
-    let router = Router::start(&place).await;
+    let router = Router::start(&cluster).await;
     let serves = async |path: &str, id: &str| {
         let served = async || {
             let id = format!("{id}-{}", rand::random::<u64>());
-            router.send(path, &id).await.is_some_and(|got| got.status == StatusCode::OK && got.whole)
+            router
+                .send(path, &id)
+                .await
+                .is_some_and(|response| response.status == StatusCode::OK && response.complete)
         };
         router.until("serving", served).await;
     };
@@ -166,7 +171,7 @@
 
 /// Calls of one purpose to the store, however they ended.
 async fn calls_for(router: &Router, purpose: &str) -> f64 {
-    let text = router.ask_metrics().await;
+    let text = router.fetch_metrics().await;
     let label = format!("purpose=\"{purpose}\"");
     let lines = text.lines().filter(|line| line.contains("store_calls_total") && line.contains(&label));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
@@ -175,7 +180,10 @@
 async fn until_served_by(router: &Router, key: &str) {
     let served = async || {
         let id = format!("k-{}", rand::random::<u64>());
-        router.send_with_key("/hold/1", &id, key).await.is_some_and(|got| got.status == StatusCode::OK)
+        router
+            .send_with_key("/hold/1", &id, key)
+            .await
+            .is_some_and(|response| response.status == StatusCode::OK)
     };
     router.until("serving by the new key", served).await;
 }
@@ -185,11 +193,11 @@
     // Answers of the store over 128 KB used to be passed on by nobody: each of a thousand nodes then fetched the document
     // at the same moment, no call ended within its patience, and from the fifth second on every request was refused
     // (`configuration_too_old`, 25,466 tries) by a fleet that never came back.
-    let (place, _links, routers) = fleet().await;
+    let (cluster, _links, routers) = fleet().await;
     let leader = leader(&routers).await;
     let follower = &routers[(leader + 1) % routers.len()];
     let before = store_calls(follower).await;
-    place.configure_with_tenants(2, &["another-key"], 4_000);
+    cluster.configure_with_tenants(2, &["another-key"], 4_000);
     until_served_by(follower, "another-key").await;
     let called = store_calls(follower).await - before;
     // The watch that was under way when the others were first heard may still end.
@@ -200,13 +208,13 @@
 async fn where_the_store_forgets_its_history_the_root_alone_lists_it() {
     // A listing of the root used to clear what it passed on, so that all nodes listed the whole store at once: fifty pages
     // for each of a thousand nodes.
-    let (place, _links, routers) = fleet().await;
+    let (cluster, _links, routers) = fleet().await;
     let leader = leader(&routers).await;
     let mut listed = Vec::new();
     for router in &routers {
         listed.push(calls_for(router, "list").await);
     }
-    place.configure_and_compact(2, &["another-key"]);
+    cluster.configure_and_compact(2, &["another-key"]);
     for router in &routers {
         until_served_by(router, "another-key").await;
     }
@@ -220,16 +228,16 @@
 #[tokio::test]
 async fn where_the_root_is_cut_off_from_a_store_that_forgets_the_others_go_on_by_themselves() {
     // They used to take the snapshot of the root, which is older than what they know, again and again.
-    let (place, links, routers) = fleet().await;
+    let (cluster, links, routers) = fleet().await;
     let cut_off = leader(&routers).await;
     links[cut_off].set(LinkFault::Silent);
-    place.configure_and_compact(2, &["another-key"]);
+    cluster.configure_and_compact(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
         until_served_by(router, "another-key").await;
         let refused = router.send("/hold/1", &format!("o{number}")).await;
-        assert!(refused.is_some_and(|got| got.status == StatusCode::UNAUTHORIZED));
+        assert!(refused.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED));
     }
-    place.configure_and_compact(3, &["a-third-key"]);
+    cluster.configure_and_compact(3, &["a-third-key"]);
     for (_, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
         until_served_by(router, "a-third-key").await;
     }
@@ -237,9 +245,9 @@
 
 #[tokio::test]
 async fn a_node_that_starts_serves_by_the_first_pages_and_takes_the_rest_from_the_node_above() {
-    let (place, _links, routers) = fleet().await;
-    place.store.set_page_size(2);
-    let started = Router::start_at(place.store_address, "node-9").await;
+    let (cluster, _links, routers) = fleet().await;
+    cluster.store.set_page_size(2);
+    let started = Router::start_at(cluster.store_address, "node-9").await;
     let taken = async || gauge(&started, "paddlemount_forward_snapshots_taken_total").await == Some(1.0);
     started.until("told the rest", taken).await;
     until_served_by(&started, KEY).await;
@@ -251,15 +259,15 @@
 
 #[tokio::test]
 async fn a_node_that_starts_where_nobody_gives_it_the_rest_lists_all_pages() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    place.store.set_page_size(2);
-    let router = Router::start(&place).await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    cluster.store.set_page_size(2);
+    let router = Router::start(&cluster).await;
     until_served_by(&router, KEY).await;
     for path in ["/hold/1", "/chat/1"] {
         let served = async || {
             let id = format!("p-{}", rand::random::<u64>());
-            router.send(path, &id).await.is_some_and(|got| got.status == StatusCode::OK)
+            router.send(path, &id).await.is_some_and(|response| response.status == StatusCode::OK)
         };
         router.until("serving", served).await;
     }
--- a/crates/cli/tests/forward/limit_judge.rs
+++ b/crates/cli/tests/forward/limit_judge.rs
@@ -8,15 +8,15 @@
 use paddlemount_platform_standin::Runner;
 
 /// From how long after a back end first named a limit its requests are counted.
-pub const CONTACT: Duration = Duration::from_secs(3);
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// The window in which requests are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
 /// How long after a node has passed on an answer with a limit it is bound by it.
-const HEARD_AFTER: Duration = Duration::from_millis(500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// How many times what a limit allows may come in a window.
-const TIMES: f64 = 1.5;
+const TOLERANCE_FACTOR: f64 = 1.5;
 /// Requests that may come beside.
-const BESIDE: f64 = 5.0;
+const TOLERANCE_REQUESTS: f64 = 5.0;
 
 /// A request that reached a back end.
 #[derive(Clone, Copy, Debug)]
@@ -41,19 +41,19 @@
     /// The limit.
     pub limit: f64,
     /// Requests in it.
-    pub got: usize,
+    pub received: usize,
 }
 
 /// The requests that may come in a window.
 pub fn allowed(limit: f64) -> f64 {
-    TIMES * limit * WINDOW.as_secs_f64() + BESIDE
+    TOLERANCE_FACTOR * limit * WINDOW.as_secs_f64() + TOLERANCE_REQUESTS
 }
 
 /// A limit that a back end names from a moment on; none where it names none.
-pub type Named = (Instant, Option<f64>);
+pub type AdvertisedLimit = (Instant, Option<f64>);
 
 /// The limits that a runner has named.
-pub fn named_by(runner: &Runner) -> Vec<Named> {
+pub fn advertised_by(runner: &Runner) -> Vec<AdvertisedLimit> {
     let read = |(at, text): (Instant, Option<String>)| (at, text.and_then(|text| text.parse().ok()));
     runner.limits().into_iter().map(read).collect()
 }
@@ -62,52 +62,60 @@
 /// was out of touch at any moment from one to another.
 pub fn exceeded(
     arrivals: &[Arrival],
-    named: &[Named],
+    advertised: &[AdvertisedLimit],
     is_excused: impl Fn(usize, Instant, Instant) -> bool,
 ) -> Vec<Exceeded> {
     let mut by_start: BTreeMap<u32, Vec<&Arrival>> = BTreeMap::new();
     for arrival in arrivals {
         by_start.entry(arrival.starts).or_default().push(arrival);
     }
-    by_start.values().flat_map(|of_start| exceeded_in_one_life(of_start, named, &is_excused)).collect()
+    by_start
+        .values()
+        .flat_map(|of_start| exceeded_in_one_incarnation(of_start, advertised, &is_excused))
+        .collect()
 }
 
 /// Since when a limit has been named at `at`, without a break.
-fn limited_since(named: &[Named], at: Instant) -> Option<Instant> {
-    let before: Vec<&Named> = named.iter().take_while(|(from, _)| *from <= at).collect();
+fn limited_since(advertised: &[AdvertisedLimit], at: Instant) -> Option<Instant> {
+    let before: Vec<&AdvertisedLimit> = advertised.iter().take_while(|(from, _)| *from <= at).collect();
     let since = before.iter().rev().take_while(|(_, limit)| limit.is_some()).last();
     since.map(|(from, _)| *from)
 }
 
 /// The greatest limit that was named at any time from one moment to another.
-fn greatest_limit(named: &[Named], from: Instant, to: Instant) -> f64 {
-    let ends = named.iter().skip(1).map(|(at, _)| Some(*at)).chain([None]);
-    let held = named.iter().zip(ends).filter(|((at, _), end)| *at <= to && end.is_none_or(|end| end > from));
+fn max_limit(advertised: &[AdvertisedLimit], from: Instant, to: Instant) -> f64 {
+    let ends = advertised.iter().skip(1).map(|(at, _)| Some(*at)).chain([None]);
+    let held =
+        advertised.iter().zip(ends).filter(|((at, _), end)| *at <= to && end.is_none_or(|end| end > from));
     held.filter_map(|((_, limit), _)| *limit).fold(0.0, f64::max)
 }
 
-fn exceeded_in_one_life(
+fn exceeded_in_one_incarnation(
     arrivals: &[&Arrival],
-    named: &[Named],
+    advertised: &[AdvertisedLimit],
     is_excused: &impl Fn(usize, Instant, Instant) -> bool,
 ) -> Vec<Exceeded> {
-    let is_counted =
-        |end: &&&Arrival| limited_since(named, end.at).is_some_and(|since| end.at >= since + CONTACT);
-    let ends = arrivals.iter().filter(|end| end.limit.is_some()).filter(is_counted);
+    let is_settled = |end: &&&Arrival| {
+        limited_since(advertised, end.at).is_some_and(|since| end.at >= since + SETTLE_TIME)
+    };
+    let ends = arrivals.iter().filter(|end| end.limit.is_some()).filter(is_settled);
     ends.filter_map(|end| {
         let from = end.at - WINDOW;
         let in_window: Vec<_> =
             arrivals.iter().filter(|one| one.at > from && one.at <= end.at).copied().collect();
         // A node is bound by another limit as late as by the first one.
-        let limit = greatest_limit(named, from - HEARD_AFTER, end.at);
-        let is_told = |node: usize| {
-            let told = |one: &&Arrival| {
-                one.node == node && one.passed_on && one.limit.is_some() && one.at + HEARD_AFTER <= end.at
+        let limit = max_limit(advertised, from - PROPAGATION_TIME, end.at);
+        let is_bound = |node: usize| {
+            let passed_limit_on = |one: &&Arrival| {
+                one.node == node
+                    && one.passed_on
+                    && one.limit.is_some()
+                    && one.at + PROPAGATION_TIME <= end.at
             };
-            arrivals.iter().copied().any(|one| told(&one)) && !is_excused(node, from, end.at)
+            arrivals.iter().copied().any(|one| passed_limit_on(&one)) && !is_excused(node, from, end.at)
         };
-        let got = in_window.iter().filter(|one| is_told(one.node)).count();
-        (got as f64 > allowed(limit)).then_some(Exceeded { at: end.at, limit, got })
+        let received = in_window.iter().filter(|one| is_bound(one.node)).count();
+        (received as f64 > allowed(limit)).then_some(Exceeded { at: end.at, limit, received })
     })
     .collect()
 }
@@ -131,7 +139,7 @@
         false
     }
 
-    fn one(start: Instant) -> [Named; 1] {
+    fn one(start: Instant) -> [AdvertisedLimit; 1] {
         [(start, Some(1.0))]
     }
 
@@ -139,13 +147,14 @@
     fn a_limit_is_the_greatest_that_was_named_within_the_window_and_begins_anew_after_a_break() {
         let start = Instant::now();
         let at = |ms| start + Duration::from_millis(ms);
-        let named = [(at(0), Some(2.0)), (at(1_000), Some(9.0)), (at(2_000), None), (at(3_000), Some(1.0))];
-        assert_eq!(greatest_limit(&named, at(500), at(900)), 2.0);
-        assert_eq!(greatest_limit(&named, at(1_500), at(9_000)), 9.0);
-        assert_eq!(greatest_limit(&named, at(2_500), at(9_000)), 1.0);
-        assert_eq!(limited_since(&named, at(1_500)), Some(at(0)));
-        assert_eq!(limited_since(&named, at(2_500)), None);
-        assert_eq!(limited_since(&named, at(3_500)), Some(at(3_000)));
+        let advertised =
+            [(at(0), Some(2.0)), (at(1_000), Some(9.0)), (at(2_000), None), (at(3_000), Some(1.0))];
+        assert_eq!(max_limit(&advertised, at(500), at(900)), 2.0);
+        assert_eq!(max_limit(&advertised, at(1_500), at(9_000)), 9.0);
+        assert_eq!(max_limit(&advertised, at(2_500), at(9_000)), 1.0);
+        assert_eq!(limited_since(&advertised, at(1_500)), Some(at(0)));
+        assert_eq!(limited_since(&advertised, at(2_500)), None);
+        assert_eq!(limited_since(&advertised, at(3_500)), Some(at(3_000)));
     }
 
     #[test]
@@ -167,9 +176,9 @@
         let all = arrivals(start, Some(1.0), &times);
         assert_eq!(exceeded(&all, &one(start), never).len(), 1);
         assert_eq!(exceeded(&all, &one(start), |node, _, _| node == 0), []);
-        let untold: Vec<Arrival> =
+        let not_passed_on: Vec<Arrival> =
             all.iter().map(|one| Arrival { passed_on: one.node == 1, ..*one }).collect();
-        assert_eq!(exceeded(&untold, &one(start), never), []);
+        assert_eq!(exceeded(&not_passed_on, &one(start), never), []);
     }
 
     #[test]
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -8,48 +8,48 @@
 use serde_json::Value;
 
 use crate::{
-    limit_judge::{Arrival, WINDOW, allowed, exceeded, named_by},
-    router::{Got, Router, gauge},
+    limit_judge::{Arrival, WINDOW, advertised_by, allowed, exceeded},
+    router::{CallerResponse, Router, gauge},
 };
 
 const NODES: usize = 3;
 /// Callers of each node, each with one request at a time.
 const CALLERS: usize = 2;
 /// The pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(20);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// How long requests go on after a limit was named: four windows, the first of which may pass without any request.
-const WATCHED: Duration = Duration::from_secs(16);
+const OBSERVATION_TIME: Duration = Duration::from_secs(16);
 /// A request that is refused at once is answered long before this; one that waits for a slot is so at its deadline, 3.5 s.
-const LONG_BEFORE_DEADLINE: Duration = Duration::from_millis(1_750);
+const MAX_REFUSAL_DELAY: Duration = Duration::from_millis(1_750);
 /// A path that model engines serve.
 const PATH: &str = "/claim/1";
 
 /// What a caller got, and how long that took.
-struct Answered {
-    got: Got,
+struct TimedResponse {
+    response: CallerResponse,
     after: Duration,
 }
 
 struct Nodes {
-    place: Cluster,
+    cluster: Cluster,
     routers: Vec<Router>,
 }
 
 impl Nodes {
     async fn start() -> Self {
-        let place = Cluster::start().await.expect("a place starts");
-        place.configure(1, &[KEY]);
+        let cluster = Cluster::start().await.expect("the cluster starts");
+        cluster.configure(1, &[KEY]);
         let mut routers = Vec::new();
         for number in 0..NODES {
-            routers.push(Router::start_at(place.store_address, &format!("node-{number}")).await);
+            routers.push(Router::start_at(cluster.store_address, &format!("node-{number}")).await);
         }
-        let nodes = Self { place, routers };
+        let nodes = Self { cluster, routers };
         for router in &nodes.routers {
             let counted = async || gauge(router, "paddlemount_forward_nodes").await == Some(NODES as f64);
             router.until("counted", counted).await;
             let serves = async || {
                 let id = format!("first-{}", rand::random::<u64>());
-                router.send(PATH, &id).await.is_some_and(|got| got.status == StatusCode::OK)
+                router.send(PATH, &id).await.is_some_and(|response| response.status == StatusCode::OK)
             };
             router.until("serving", serves).await;
         }
@@ -57,33 +57,33 @@
     }
 
     /// Sends requests to some nodes until a moment; what their callers got.
-    async fn ask_until(&self, nodes: &[usize], until: Instant) -> Vec<Answered> {
+    async fn send_until(&self, nodes: &[usize], until: Instant) -> Vec<TimedResponse> {
         let callers = nodes.iter().flat_map(|node| (0..CALLERS).map(move |caller| (*node, caller)));
         let calls = callers.map(async |(node, caller)| {
             let mut answers = Vec::new();
             while Instant::now() < until {
                 let id = format!("{node}-{caller}-{}-{}", answers.len(), rand::random::<u64>());
-                let asked_at = Instant::now();
-                let got = self.routers[node].send(PATH, &id).await.expect("an answer");
-                answers.push(Answered { got, after: asked_at.elapsed() });
-                tokio::time::sleep(PAUSE).await;
+                let sent_at = Instant::now();
+                let response = self.routers[node].send(PATH, &id).await.expect("an answer");
+                answers.push(TimedResponse { response, after: sent_at.elapsed() });
+                tokio::time::sleep(REQUEST_INTERVAL).await;
             }
             answers
         });
         join_all(calls).await.into_iter().flatten().collect()
     }
 
-    async fn ask_for(&self, length: Duration) -> Vec<Answered> {
-        self.ask_until(&[0, 1, 2], Instant::now() + length).await
+    async fn send_for(&self, length: Duration) -> Vec<TimedResponse> {
+        self.send_until(&[0, 1, 2], Instant::now() + length).await
     }
 
     /// Sends requests to all nodes until something is so.
-    async fn ask_while_not(&self, what: &str, is_so: impl Fn() -> bool) {
-        let asks = async || {
-            self.ask_for(PAUSE).await;
-            is_so()
+    async fn send_until_met(&self, what: &str, is_met: impl Fn() -> bool) {
+        let sends = async || {
+            self.send_for(REQUEST_INTERVAL).await;
+            is_met()
         };
-        self.routers[0].until(what, asks).await;
+        self.routers[0].until(what, sends).await;
     }
 
     /// Log lines of one event, of all nodes.
@@ -111,7 +111,7 @@
 }
 
 fn exceeded_at(runner: &Runner) -> usize {
-    exceeded(&arrivals_at(runner), &named_by(runner), |_, _, _| false).len()
+    exceeded(&arrivals_at(runner), &advertised_by(runner), |_, _, _| false).len()
 }
 
 fn count_after(runner: &Runner, from: Instant) -> usize {
@@ -119,7 +119,7 @@
 }
 
 /// The most requests that reached a back end in one window that begins after `from`.
-fn most_in_window(runner: &Runner, from: Instant) -> usize {
+fn max_in_window(runner: &Runner, from: Instant) -> usize {
     let times: Vec<Instant> = runner.seen().iter().map(|seen| seen.at).filter(|at| *at > from).collect();
     let within = |start: &Instant| times.iter().filter(|at| *at >= start && **at < *start + WINDOW).count();
     times.iter().map(within).max().unwrap_or(0)
@@ -129,56 +129,56 @@
 #[tokio::test]
 async fn a_back_end_gets_no_more_than_the_limit_that_it_names_from_all_nodes_together() {
     let nodes = Nodes::start().await;
-    let runner = &nodes.place.engines[0];
-    nodes.ask_for(Duration::from_secs(1)).await;
+    let runner = &nodes.cluster.engines[0];
+    nodes.send_for(Duration::from_secs(1)).await;
     runner.advertise_limit("1.1");
-    let named = Instant::now();
-    let answers = nodes.ask_for(WATCHED).await;
+    let advertised_at = Instant::now();
+    let answers = nodes.send_for(OBSERVATION_TIME).await;
     assert_eq!(exceeded_at(runner), 0, "windows with too many requests");
-    assert!(answers.iter().all(|answer| answer.got.status == StatusCode::OK), "the others serve");
-    let settled = named + WINDOW;
+    assert!(answers.iter().all(|answer| answer.response.status == StatusCode::OK), "the others serve");
+    let settled = advertised_at + WINDOW;
     let used = count_after(runner, settled);
-    let aim = 1.1 * (named + WATCHED - settled).as_secs_f64();
+    let aim = 1.1 * (advertised_at + OBSERVATION_TIME - settled).as_secs_f64();
     assert!(used as f64 >= aim / 2.0, "{used} requests where {aim} may come");
 }
 
 #[tokio::test]
 async fn where_all_back_ends_name_limits_they_are_used_and_what_goes_beyond_is_refused_at_once() {
     let nodes = Nodes::start().await;
-    nodes.ask_for(Duration::from_secs(1)).await;
-    nodes.place.engines.iter().for_each(|engine| engine.advertise_limit("5"));
-    let named = Instant::now();
-    let answers = nodes.ask_for(WATCHED).await;
-    for engine in &nodes.place.engines {
+    nodes.send_for(Duration::from_secs(1)).await;
+    nodes.cluster.engines.iter().for_each(|engine| engine.advertise_limit("5"));
+    let advertised_at = Instant::now();
+    let answers = nodes.send_for(OBSERVATION_TIME).await;
+    for engine in &nodes.cluster.engines {
         assert_eq!(exceeded_at(engine), 0, "{}: windows with too many requests", engine.id());
     }
-    let refused: Vec<_> = answers.iter().filter(|answer| answer.got.status != StatusCode::OK).collect();
+    let refused: Vec<_> = answers.iter().filter(|answer| answer.response.status != StatusCode::OK).collect();
     assert!(!refused.is_empty(), "callers ask for more than the limits allow");
     for answer in refused {
-        assert_eq!(answer.got.status, StatusCode::SERVICE_UNAVAILABLE, "{}", answer.got.body);
-        assert!(answer.got.headers.contains_key(header::RETRY_AFTER));
-        assert!(answer.after < LONG_BEFORE_DEADLINE, "refused after {:?}", answer.after);
+        assert_eq!(answer.response.status, StatusCode::SERVICE_UNAVAILABLE, "{}", answer.response.body);
+        assert!(answer.response.headers.contains_key(header::RETRY_AFTER));
+        assert!(answer.after < MAX_REFUSAL_DELAY, "refused after {:?}", answer.after);
     }
-    let settled = named + WINDOW;
-    let used: usize = nodes.place.engines.iter().map(|engine| count_after(engine, settled)).sum();
-    let aim = 3.0 * 5.0 * (named + WATCHED - settled).as_secs_f64();
+    let settled = advertised_at + WINDOW;
+    let used: usize = nodes.cluster.engines.iter().map(|engine| count_after(engine, settled)).sum();
+    let aim = 3.0 * 5.0 * (advertised_at + OBSERVATION_TIME - settled).as_secs_f64();
     assert!(used as f64 >= aim / 2.0, "{used} requests where {aim} may come");
 }
 
 #[tokio::test]
 async fn a_node_that_was_told_of_a_limit_by_another_one_keeps_to_it() {
     let nodes = Nodes::start().await;
-    let runner = &nodes.place.engines[0];
+    let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0.5");
-    let heard = async || {
-        nodes.ask_until(&[1], Instant::now() + PAUSE).await;
+    let all_limited = async || {
+        nodes.send_until(&[1], Instant::now() + REQUEST_INTERVAL).await;
         nodes.lines_of("backend_limited").len() >= NODES
     };
-    nodes.routers[0].until("told to all", heard).await;
-    let told = Instant::now();
-    nodes.ask_until(&[0, 2], told + WATCHED).await;
-    let most = most_in_window(runner, told);
-    assert!(most as f64 <= allowed(0.5), "{most} requests in one window");
+    nodes.routers[0].until("limited at all nodes", all_limited).await;
+    let limited_at = Instant::now();
+    nodes.send_until(&[0, 2], limited_at + OBSERVATION_TIME).await;
+    let max = max_in_window(runner, limited_at);
+    assert!(max as f64 <= allowed(0.5), "{max} requests in one window");
     let others = nodes.lines_of("backend_limited").into_iter().filter(|line| line["heard"] == "told").count();
     assert!(others >= 1, "other nodes were told");
 }
@@ -186,51 +186,51 @@
 #[tokio::test]
 async fn a_limit_ends_with_an_answer_that_names_none() {
     let nodes = Nodes::start().await;
-    let runner = &nodes.place.engines[0];
+    let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0.5");
-    nodes.ask_while_not("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
+    nodes.send_until_met("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
     runner.withdraw_limit();
-    nodes.ask_while_not("unlimited", || nodes.lines_of("backend_unlimited").len() >= NODES).await;
+    nodes.send_until_met("unlimited", || nodes.lines_of("backend_unlimited").len() >= NODES).await;
     let ended = Instant::now();
-    nodes.ask_for(Duration::from_secs(2)).await;
-    let got = count_after(runner, ended);
-    assert!(got as f64 > allowed(0.5), "{got} requests in 2 s after the end of the limit");
+    nodes.send_for(Duration::from_secs(2)).await;
+    let received = count_after(runner, ended);
+    assert!(received as f64 > allowed(0.5), "{received} requests in 2 s after the end of the limit");
 }
 
 #[tokio::test]
 async fn a_limit_of_nothing_is_kept_to_and_its_end_is_noticed() {
     let nodes = Nodes::start().await;
-    let runner = &nodes.place.engines[0];
+    let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0");
-    nodes.ask_for(WATCHED).await;
+    nodes.send_for(OBSERVATION_TIME).await;
     assert_eq!(exceeded_at(runner), 0, "windows with too many requests");
     runner.withdraw_limit();
-    nodes.ask_while_not("unlimited", || !nodes.lines_of("backend_unlimited").is_empty()).await;
+    nodes.send_until_met("unlimited", || !nodes.lines_of("backend_unlimited").is_empty()).await;
 }
 
 #[tokio::test]
 async fn a_new_start_of_a_back_end_ends_the_limit_of_the_process_before_it() {
     let nodes = Nodes::start().await;
-    let runner = &nodes.place.engines[0];
+    let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0");
-    nodes.ask_while_not("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
+    nodes.send_until_met("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
     runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
-    nodes.routers[0].until("whole again", async || nodes.place.all_running()).await;
+    nodes.routers[0].until("whole again", async || nodes.cluster.all_running()).await;
     let back = Instant::now();
-    let most = allowed(0.0) as usize;
-    nodes.ask_while_not("serving again", || count_after(runner, back) > most).await;
+    let max = allowed(0.0) as usize;
+    nodes.send_until_met("serving again", || count_after(runner, back) > max).await;
 }
 
 #[tokio::test]
 async fn a_limit_that_cannot_be_read_bounds_nothing() {
     let nodes = Nodes::start().await;
-    let runner = &nodes.place.engines[0];
+    let runner = &nodes.cluster.engines[0];
     for (number, text) in ["-1", "NaN", "soon", "inf", ""].into_iter().enumerate() {
         runner.advertise_limit(text);
         let before = runner.seen().len();
-        let most = before + allowed(0.0) as usize;
-        nodes.ask_while_not("served on", || runner.seen().len() > most).await;
-        nodes.ask_while_not("told", || nodes.lines_of("limit_unreadable").len() > number).await;
+        let max = before + allowed(0.0) as usize;
+        nodes.send_until_met("served on", || runner.seen().len() > max).await;
+        nodes.send_until_met("told", || nodes.lines_of("limit_unreadable").len() > number).await;
     }
     assert_eq!(nodes.lines_of("backend_limited").len(), 0);
 }
--- a/crates/cli/tests/forward/planned_soak.rs
+++ b/crates/cli/tests/forward/planned_soak.rs
@@ -24,11 +24,11 @@
 
 const NODES: usize = 3;
 /// Callers for each node.
-const CALLERS_A_NODE: usize = 8;
+const CALLERS_PER_NODE: usize = 8;
 const SERIES: u64 = 3;
 /// How long a caller waits that was refused.
-const COME_BACK: Duration = Duration::from_millis(50);
-const SECONDS_IN_CI: u64 = 8;
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+const CI_SECONDS: u64 = 8;
 /// Seeds that are played each time; those that once failed stay here with their cause. 2: requests on new connections were
 /// reset as a stop closed its listener. 143: a stream was begun after callers were no longer taken, and cut.
 const SEEDS: [u64; 3] = [1, 2, 143];
@@ -47,7 +47,7 @@
 
 impl Unanswered {
     /// Whether it may have crossed the node's close of a connection that rested.
-    fn may_have_crossed(&self) -> bool {
+    fn may_have_crossed_close(&self) -> bool {
         self.reused && self.ending == Ending::Cut(String::new())
     }
 }
@@ -63,17 +63,17 @@
 }
 
 struct PlannedSoak {
-    place: Cluster,
+    cluster: Cluster,
     routers: Vec<Mutex<Option<Arc<Router>>>>,
     /// Held by the series that stops a node.
-    taken: Vec<tokio::sync::Mutex<()>>,
+    node_locks: Vec<tokio::sync::Mutex<()>>,
     document: tokio::sync::Mutex<u64>,
     weights: Mutex<u64>,
     began: Instant,
     until: Instant,
-    told: Mutex<Vec<String>>,
+    events: Mutex<Vec<String>>,
     /// Lines of processes that have ended.
-    past_lines: Mutex<Vec<String>>,
+    saved_lines: Mutex<Vec<String>>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
@@ -82,23 +82,23 @@
 
 impl PlannedSoak {
     async fn start(nodes: usize, seconds: u64) -> Self {
-        let place = Cluster::start().await.expect("a place starts");
-        place.configure(1, &[KEY]);
+        let cluster = Cluster::start().await.expect("the cluster starts");
+        cluster.configure(1, &[KEY]);
         let mut routers = Vec::new();
         for number in 0..nodes {
-            routers.push(Mutex::new(Some(Arc::new(start_node(&place, number).await))));
+            routers.push(Mutex::new(Some(Arc::new(start_node(&cluster, number).await))));
         }
         let began = Instant::now();
         Self {
-            place,
+            cluster,
             routers,
-            taken: (0..nodes).map(|_| tokio::sync::Mutex::default()).collect(),
+            node_locks: (0..nodes).map(|_| tokio::sync::Mutex::default()).collect(),
             document: tokio::sync::Mutex::new(1),
             weights: Mutex::new(1),
             began,
             until: began + Duration::from_secs(seconds),
-            told: Mutex::default(),
-            past_lines: Mutex::default(),
+            events: Mutex::default(),
+            saved_lines: Mutex::default(),
         }
     }
 
@@ -106,8 +106,8 @@
         locked(&self.routers[number]).clone()
     }
 
-    fn tell(&self, what: &str) {
-        locked(&self.told).push(format!("{:7.3} s  {what}", self.began.elapsed().as_secs_f64()));
+    fn log(&self, what: &str) {
+        locked(&self.events).push(format!("{:7.3} s  {what}", self.began.elapsed().as_secs_f64()));
     }
 
     /// One caller: uses a connection for as long as it may, then opens one to any node.
@@ -130,10 +130,10 @@
                 requests += 1;
                 let at = self.began.elapsed();
                 match caller.call(path, &id).await {
-                    Ending::Whole { status, closes, .. } => {
+                    Ending::Complete { status, closes, .. } => {
                         *statuses.entry(status).or_default() += 1;
                         if status == 503 {
-                            tokio::time::sleep(COME_BACK).await;
+                            tokio::time::sleep(RETRY_DELAY).await;
                         }
                         if closes {
                             break;
@@ -155,7 +155,7 @@
     }
 
     /// One series of planned work.
-    async fn work(&self, seed: u64, series: u64) {
+    async fn run_planned_work(&self, seed: u64, series: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(series));
         while Instant::now() < self.until {
             tokio::time::sleep(Duration::from_millis(random.random_range(20..400))).await;
@@ -165,7 +165,7 @@
                 3 => self.hang_up(&mut random, node).await,
                 4 => self.change_settings(&mut random, node),
                 5 => self.change_document(&mut random).await,
-                6 => self.name_weights(),
+                6 => self.advance_target_version(),
                 7 => self.drain(&mut random).await,
                 _ => self.slow_down(&mut random),
             }
@@ -175,22 +175,22 @@
     /// Outages of the store, one after the other.
     async fn outages(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(SERIES));
-        let troubles = [StoreFault::Silent, StoreFault::Refuses, StoreFault::LosesAnswers];
+        let faults = [StoreFault::Silent, StoreFault::Refuses, StoreFault::LosesAnswers];
         while Instant::now() < self.until {
             tokio::time::sleep(Duration::from_millis(random.random_range(200..2_000))).await;
-            let trouble = troubles[random.random_range(0..troubles.len())];
-            self.tell(&format!("store {trouble:?}"));
-            self.place.store.set_fault(trouble);
+            let fault = faults[random.random_range(0..faults.len())];
+            self.log(&format!("store {fault:?}"));
+            self.cluster.store.set_fault(fault);
             tokio::time::sleep(Duration::from_millis(random.random_range(200..3_000))).await;
-            self.place.store.set_fault(StoreFault::None);
+            self.cluster.store.set_fault(StoreFault::None);
         }
     }
 
     /// A planned stop, at times told twice or beside other signals.
     async fn stop(&self, random: &mut StdRng, node: usize) {
-        let Ok(_taken) = self.taken[node].try_lock() else { return };
+        let Ok(_guard) = self.node_locks[node].try_lock() else { return };
         let Some(router) = self.router(node) else { return };
-        self.tell(&format!("node {node} is stopped"));
+        self.log(&format!("node {node} is stopped"));
         router.terminate();
         if random.random_range(0..3) == 0 {
             tokio::time::sleep(Duration::from_millis(random.random_range(0..3_000))).await;
@@ -198,22 +198,22 @@
             router.terminate();
         }
         router.until("gone after its grace period", async || router.is_gone()).await;
-        self.keep_lines(&router);
+        self.save_lines(&router);
         *locked(&self.routers[node]) = None;
-        let fresh = start_node(&self.place, node).await;
+        let fresh = start_node(&self.cluster, node).await;
         if random.random_range(0..2) == 0 {
             fresh.hang_up();
         }
         *locked(&self.routers[node]) = Some(Arc::new(fresh));
     }
 
-    fn keep_lines(&self, router: &Router) {
-        locked(&self.past_lines).extend(router.lines());
+    fn save_lines(&self, router: &Router) {
+        locked(&self.saved_lines).extend(router.lines());
     }
 
     async fn hang_up(&self, random: &mut StdRng, node: usize) {
         let Some(router) = self.router(node) else { return };
-        self.tell(&format!("node {node} is told of its settings"));
+        self.log(&format!("node {node} is told of its settings"));
         for _ in 0..random.random_range(1..5) {
             router.hang_up();
             tokio::time::sleep(Duration::from_millis(random.random_range(0..40))).await;
@@ -223,7 +223,7 @@
     /// The settings file changes, at times into something that cannot be used, with or without a signal.
     fn change_settings(&self, random: &mut StdRng, node: usize) {
         let Some(router) = self.router(node) else { return };
-        self.tell(&format!("the settings of node {node} change"));
+        self.log(&format!("the settings of node {node} change"));
         let text = router.read_settings();
         let changed = match random.random_range(0..3) {
             0 => format!("{text}\n# changed\n"),
@@ -239,61 +239,61 @@
 
     /// Versions of the document in quick succession, each with another bound for connections that rest.
     async fn change_document(&self, random: &mut StdRng) {
-        self.tell("the document changes");
+        self.log("the document changes");
         for _ in 0..random.random_range(1..4) {
             let mut version = self.document.lock().await;
             *version += 1;
-            self.place.configure_idle(*version, &[KEY], random.random_range(2_000..20_000));
+            self.cluster.configure_idle(*version, &[KEY], random.random_range(2_000..20_000));
             drop(version);
             tokio::time::sleep(Duration::from_millis(random.random_range(0..150))).await;
         }
     }
 
-    fn name_weights(&self) {
+    fn advance_target_version(&self) {
         let version = {
             let mut weights = locked(&self.weights);
             *weights += 1;
             *weights
         };
-        self.tell(&format!("version {version} is named"));
-        self.place.set_target_version(version);
+        self.log(&format!("version {version} is named"));
+        self.cluster.set_target_version(version);
     }
 
     /// A back end leaves as planned, and is there again.
     async fn drain(&self, random: &mut StdRng) {
-        let engine = &self.place.engines[random.random_range(0..self.place.engines.len())];
-        self.tell(&format!("{} is leaving", engine.id()));
-        self.place.drain(engine);
+        let engine = &self.cluster.engines[random.random_range(0..self.cluster.engines.len())];
+        self.log(&format!("{} is leaving", engine.id()));
+        self.cluster.drain(engine);
         tokio::time::sleep(Duration::from_millis(random.random_range(100..1_500))).await;
-        self.place.register(engine, "ready");
+        self.cluster.register(engine, "ready");
     }
 
     /// Some streams take long.
     fn slow_down(&self, random: &mut StdRng) {
-        for engine in &self.place.engines {
+        for engine in &self.cluster.engines {
             let behaviour = [Behaviour::Slow, Behaviour::Long][random.random_range(0..2)];
             engine.script(&vec![behaviour; random.random_range(0..6)]);
         }
     }
 
     /// Requests that crossed a close, as the nodes tell.
-    fn crossed(&self) -> usize {
+    fn closed_unread(&self) -> usize {
         let running = (0..self.routers.len()).filter_map(|number| self.router(number));
-        let lines = running.flat_map(|router| router.lines()).chain(locked(&self.past_lines).clone());
+        let lines = running.flat_map(|router| router.lines()).chain(locked(&self.saved_lines).clone());
         lines.filter(|line| line.contains("\"closed_unread\"")).count()
     }
 }
 
-async fn start_node(place: &Cluster, number: usize) -> Router {
-    let router = Router::start_at(place.store_address, &format!("node-{number}")).await;
-    router.until("ready", async || router.ask_readiness().await.is_some_and(|status| status == 200)).await;
+async fn start_node(cluster: &Cluster, number: usize) -> Router {
+    let router = Router::start_at(cluster.store_address, &format!("node-{number}")).await;
+    router.until("ready", async || router.fetch_readiness().await.is_some_and(|status| status == 200)).await;
     router
 }
 
 async fn soak(seed: u64, seconds: u64, nodes: usize, with_outages: bool) {
     let soak = PlannedSoak::start(nodes, seconds).await;
-    let callers = (0..nodes * CALLERS_A_NODE).map(|number| soak.call(number, seed));
-    let series = (0..SERIES).map(|series| soak.work(seed, series));
+    let callers = (0..nodes * CALLERS_PER_NODE).map(|number| soak.call(number, seed));
+    let series = (0..SERIES).map(|series| soak.run_planned_work(seed, series));
     let outages = async {
         if with_outages {
             soak.outages(seed).await;
@@ -312,22 +312,22 @@
         counts.into_iter().for_each(|(status, count)| *statuses.entry(status).or_default() += count);
         unanswered.extend(cut);
     }
-    let crossed = soak.crossed();
+    let closed_unread = soak.closed_unread();
     println!(
-        "seed {seed}, {seconds} s, {nodes} nodes: answers by status {statuses:?}, {} without an answer, {crossed} crossed a close",
+        "seed {seed}, {seconds} s, {nodes} nodes: answers by status {statuses:?}, {} without an answer, {closed_unread} crossed a close",
         unanswered.len()
     );
-    let told = locked(&soak.told).join("\n");
+    let events = locked(&soak.events).join("\n");
     let listed: Vec<String> = unanswered.iter().map(ToString::to_string).collect();
     let listed = listed.join("\n");
-    assert!(unanswered.iter().all(Unanswered::may_have_crossed), "seed {seed}:\n{told}\n{listed}");
-    assert!(unanswered.len() <= crossed, "seed {seed}: more than the nodes tell:\n{told}\n{listed}");
+    assert!(unanswered.iter().all(Unanswered::may_have_crossed_close), "seed {seed}:\n{events}\n{listed}");
+    assert!(unanswered.len() <= closed_unread, "seed {seed}: more than the nodes tell:\n{events}\n{listed}");
     let served = statuses.get(&200).copied().unwrap_or_default();
-    assert!(served > 0, "nothing was served: {statuses:?}\n{told}");
+    assert!(served > 0, "nothing was served: {statuses:?}\n{events}");
 }
 
-async fn play(with_outages: bool) {
-    let seconds = from_environment("PADDLEMOUNT_SOAK_SECONDS").unwrap_or(SECONDS_IN_CI);
+async fn run_seeds(with_outages: bool) {
+    let seconds = from_environment("PADDLEMOUNT_SOAK_SECONDS").unwrap_or(CI_SECONDS);
     let nodes = from_environment("PADDLEMOUNT_SOAK_NODES").map_or(NODES, |nodes| nodes as usize);
     match from_environment("PADDLEMOUNT_SOAK_SEED") {
         Some(seed) => soak(seed, seconds, nodes, with_outages).await,
@@ -341,10 +341,10 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn planned_work_leaves_no_request_without_an_answer() {
-    play(false).await;
+    run_seeds(false).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn planned_work_during_outages_of_the_store_leaves_no_request_without_an_answer() {
-    play(true).await;
+    run_seeds(true).await;
 }
--- a/crates/cli/tests/forward/poison.rs
+++ b/crates/cli/tests/forward/poison.rs
@@ -7,81 +7,84 @@
 
 use crate::{
     fleet::fleet,
-    router::{Got, Router},
+    router::{CallerResponse, Router},
 };
 
 /// The body of a request that crashes whatever runs it.
 const POISON: &str = "crashes whatever runs it";
 /// How often its caller comes.
-const TIMES: usize = 14;
+const ATTEMPTS: usize = 14;
 /// Crashes after which it is clear that the request is their cause.
-const CRASHES: usize = 3;
+const CRASHES_UNTIL_HELD: usize = 3;
 /// Runs beyond these that may begin until all nodes have heard of it.
-const STRAYS: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 /// How long a place may need to be whole again.
-const PATIENCE: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn poisoned(place: &Cluster) {
-    for runner in place.engines.iter().chain(&place.bookings) {
+fn arm_poison(cluster: &Cluster) {
+    for runner in cluster.engines.iter().chain(&cluster.bookings) {
         runner.crash_on(POISON.as_bytes());
     }
 }
 
-fn poison_runs(place: &Cluster) -> usize {
-    let runners = place.engines.iter().chain(&place.bookings);
+fn poison_runs(cluster: &Cluster) -> usize {
+    let runners = cluster.engines.iter().chain(&cluster.bookings);
     runners.flat_map(Runner::seen).filter(|seen| seen.ran && seen.body == POISON.as_bytes()).count()
 }
 
-async fn whole_again(place: &Cluster) {
+async fn wait_until_running(cluster: &Cluster) {
     let began = Instant::now();
-    while !place.all_running() {
-        assert!(began.elapsed() < PATIENCE, "crashed runners are not back");
+    while !cluster.all_running() {
+        assert!(began.elapsed() < RECOVERY_TIMEOUT, "crashed runners are not back");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 /// Sends the poison at node after node, each time to a place that is whole and through a node that serves others.
 async fn send_poison(
-    place: &Cluster,
+    cluster: &Cluster,
     routers: &[Router],
     path: &str,
     name: &str,
-    times: usize,
-) -> Vec<Option<Got>> {
+    attempts: usize,
+) -> Vec<Option<CallerResponse>> {
     let mut answers = Vec::new();
-    for time in 0..times {
-        whole_again(place).await;
-        let router = &routers[time % routers.len()];
-        serves(router, path).await;
-        answers.push(router.send_body(path, &format!("{name}-{time}"), KEY, POISON).await);
+    for attempt in 0..attempts {
+        wait_until_running(cluster).await;
+        let router = &routers[attempt % routers.len()];
+        wait_until_serving(router, path).await;
+        answers.push(router.send_body(path, &format!("{name}-{attempt}"), KEY, POISON).await);
     }
     answers
 }
 
-async fn serves(router: &Router, path: &str) {
+async fn wait_until_serving(router: &Router, path: &str) {
     let served = async || {
         let id = format!("ordinary-{}", rand::random::<u64>());
-        router.send(path, &id).await.is_some_and(|got| got.status == StatusCode::OK && got.whole)
+        router
+            .send(path, &id)
+            .await
+            .is_some_and(|response| response.status == StatusCode::OK && response.complete)
     };
     router.until("serving", served).await;
 }
 
 /// One caller comes again and again, at any node, on a route of each kind.
 async fn poison_is_held_back(path: &str) {
-    let (place, _links, routers) = fleet().await;
-    poisoned(&place);
-    let answers = send_poison(&place, &routers, path, "poison", TIMES).await;
-    let runs = poison_runs(&place);
+    let (cluster, _links, routers) = fleet().await;
+    arm_poison(&cluster);
+    let answers = send_poison(&cluster, &routers, path, "poison", ATTEMPTS).await;
+    let runs = poison_runs(&cluster);
     assert!(
-        runs <= CRASHES + STRAYS,
-        "{path}: {runs} of {TIMES} requests reached a back end that they crashed"
+        runs <= CRASHES_UNTIL_HELD + MAX_LATE_RUNS,
+        "{path}: {runs} of {ATTEMPTS} requests reached a back end that they crashed"
     );
     let last = answers.last().and_then(Option::as_ref).expect("a held request is answered");
     assert_eq!(last.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(last.headers.contains_key(http::header::RETRY_AFTER), "the caller is told when to come back");
-    whole_again(&place).await;
+    wait_until_running(&cluster).await;
     for router in &routers {
-        serves(router, path).await;
+        wait_until_serving(router, path).await;
     }
 }
 
@@ -107,41 +110,41 @@
 
 #[tokio::test]
 async fn what_is_held_back_outlasts_all_nodes() {
-    let (place, _links, routers) = fleet().await;
-    poisoned(&place);
-    send_poison(&place, &routers, "/chat/1", "before", TIMES).await;
-    let before = poison_runs(&place);
+    let (cluster, _links, routers) = fleet().await;
+    arm_poison(&cluster);
+    send_poison(&cluster, &routers, "/chat/1", "before", ATTEMPTS).await;
+    let before = poison_runs(&cluster);
     drop(routers);
     let mut routers = Vec::new();
     for number in 0..3 {
-        routers.push(Router::start_at(place.store_address, &format!("node-{number}")).await);
+        routers.push(Router::start_at(cluster.store_address, &format!("node-{number}")).await);
     }
-    for answer in send_poison(&place, &routers, "/chat/1", "after", 6).await {
+    for answer in send_poison(&cluster, &routers, "/chat/1", "after", 6).await {
         let answer = answer.expect("a held request is answered");
         assert_eq!(
             (answer.status, answer.body.contains("held_back")),
             (StatusCode::SERVICE_UNAVAILABLE, true)
         );
     }
-    assert_eq!(poison_runs(&place), before, "nodes that start anew hold it back at once");
+    assert_eq!(poison_runs(&cluster), before, "nodes that start anew hold it back at once");
 }
 
 #[tokio::test]
 async fn nodes_without_a_store_tell_each_other_what_to_hold_back() {
-    let (place, _links, routers) = fleet().await;
-    poisoned(&place);
+    let (cluster, _links, routers) = fleet().await;
+    arm_poison(&cluster);
     // The first crashes are found before the outage: a back end that starts again is known only by the store.
-    let answers = send_poison(&place, &routers, "/chat/1", "first", CRASHES - 1).await;
-    assert_eq!(answers.len(), CRASHES - 1);
-    whole_again(&place).await;
+    let answers = send_poison(&cluster, &routers, "/chat/1", "first", CRASHES_UNTIL_HELD - 1).await;
+    assert_eq!(answers.len(), CRASHES_UNTIL_HELD - 1);
+    wait_until_running(&cluster).await;
     for router in &routers {
-        serves(router, "/chat/1").await;
+        wait_until_serving(router, "/chat/1").await;
     }
-    place.store.set_fault(StoreFault::Refuses);
+    cluster.store.set_fault(StoreFault::Refuses);
     let mut held = vec![false; routers.len()];
-    for time in 0..200 {
-        let number = time % routers.len();
-        let answer = routers[number].send_body("/chat/1", &format!("out-{time}"), KEY, POISON).await;
+    for attempt in 0..200 {
+        let number = attempt % routers.len();
+        let answer = routers[number].send_body("/chat/1", &format!("out-{attempt}"), KEY, POISON).await;
         held[number] = answer.is_some_and(|answer| answer.body.contains("held_back"));
         if held.iter().all(|held| *held) {
             break;
@@ -149,32 +152,35 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert!(held.iter().all(|held| *held), "{held:?}");
-    assert!(poison_runs(&place) <= CRASHES + STRAYS);
+    assert!(poison_runs(&cluster) <= CRASHES_UNTIL_HELD + MAX_LATE_RUNS);
 }
 
 #[tokio::test]
 async fn a_hold_whose_answer_the_store_loses_is_kept() {
-    let (place, _links, routers) = fleet().await;
-    poisoned(&place);
-    send_poison(&place, &routers, "/chat/1", "first", CRASHES - 1).await;
-    whole_again(&place).await;
+    let (cluster, _links, routers) = fleet().await;
+    arm_poison(&cluster);
+    send_poison(&cluster, &routers, "/chat/1", "first", CRASHES_UNTIL_HELD - 1).await;
+    wait_until_running(&cluster).await;
     for router in &routers {
-        serves(router, "/chat/1").await;
+        wait_until_serving(router, "/chat/1").await;
     }
-    place.store.set_fault(StoreFault::LosesChanges);
-    send_poison(&place, &routers, "/chat/1", "lost", 6).await;
-    place.store.set_fault(StoreFault::None);
-    send_poison(&place, &routers, "/chat/1", "after", 6).await;
-    let runs = poison_runs(&place);
-    assert!(runs <= CRASHES + STRAYS, "{runs} requests reached a back end that they crashed");
+    cluster.store.set_fault(StoreFault::LosesChanges);
+    send_poison(&cluster, &routers, "/chat/1", "lost", 6).await;
+    cluster.store.set_fault(StoreFault::None);
+    send_poison(&cluster, &routers, "/chat/1", "after", 6).await;
+    let runs = poison_runs(&cluster);
+    assert!(
+        runs <= CRASHES_UNTIL_HELD + MAX_LATE_RUNS,
+        "{runs} requests reached a back end that they crashed"
+    );
     for router in &routers {
-        let released = router.told("request_released");
+        let released = router.logged("request_released");
         assert!(!released, "a hold was given up: {:#?}", router.lines());
     }
 }
 
 /// Callers that send the same request and others over and over, for as long as `faults` take.
-async fn ordinary_callers(routers: &[Router], faults: impl Future<Output = ()>) -> Vec<Got> {
+async fn ordinary_callers(routers: &[Router], faults: impl Future<Output = ()>) -> Vec<CallerResponse> {
     let done = std::cell::Cell::new(false);
     let call = async |caller: usize| {
         let mut answers = Vec::new();
@@ -196,52 +202,52 @@
     answers.into_iter().flatten().collect()
 }
 
-fn none_was_held_back(answers: &[Got], routers: &[Router]) {
-    let held = answers.iter().filter(|got| got.body.contains("held_back")).count();
+fn none_was_held_back(answers: &[CallerResponse], routers: &[Router]) {
+    let held = answers.iter().filter(|response| response.body.contains("held_back")).count();
     let lines = routers.iter().flat_map(Router::lines);
-    let told: Vec<String> =
+    let crash_lines: Vec<String> =
         lines.filter(|line| line.contains("\"run_crashed\"") || line.contains("\"request_")).collect();
-    assert_eq!(held, 0, "of {} ordinary requests:\n{}", answers.len(), told.join("\n"));
-    assert!(routers.iter().all(|router| !router.told("request_held")));
-    let crashed = routers.iter().any(|router| router.told("run_crashed"));
+    assert_eq!(held, 0, "of {} ordinary requests:\n{}", answers.len(), crash_lines.join("\n"));
+    assert!(routers.iter().all(|router| !router.logged("request_held")));
+    let crashed = routers.iter().any(|router| router.logged("run_crashed"));
     assert!(crashed, "the faults met no run, and nothing is shown");
 }
 
 #[tokio::test]
 async fn ordinary_requests_that_were_caught_in_a_lost_rack_are_not_held_back() {
-    let (place, _links, routers) = fleet().await;
+    let (cluster, _links, routers) = fleet().await;
     let faults = async {
         for _ in 0..6 {
             tokio::time::sleep(Duration::from_millis(150)).await;
-            for runner in place.engines.iter().chain(&place.bookings) {
+            for runner in cluster.engines.iter().chain(&cluster.bookings) {
                 runner.crash();
             }
-            whole_again(&place).await;
+            wait_until_running(&cluster).await;
         }
     };
     let answers = ordinary_callers(&routers, faults).await;
     none_was_held_back(&answers, &routers);
     for router in &routers {
-        serves(router, "/chat/1").await;
+        wait_until_serving(router, "/chat/1").await;
     }
 }
 
 #[tokio::test]
 async fn ordinary_requests_that_were_caught_in_a_release_are_not_held_back() {
-    let (place, _links, routers) = fleet().await;
+    let (cluster, _links, routers) = fleet().await;
     let faults = async {
         for _ in 0..3 {
-            for runner in place.engines.iter().chain(&place.bookings) {
+            for runner in cluster.engines.iter().chain(&cluster.bookings) {
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 runner.crash();
-                whole_again(&place).await;
+                wait_until_running(&cluster).await;
             }
         }
     };
     let answers = ordinary_callers(&routers, faults).await;
     none_was_held_back(&answers, &routers);
     for router in &routers {
-        serves(router, "/chat/1").await;
+        wait_until_serving(router, "/chat/1").await;
     }
 }
 
@@ -249,27 +255,29 @@
 /// for the cause, and held back for 600 s.
 #[tokio::test]
 async fn a_request_under_which_back_ends_end_as_they_had_said_is_not_held_back() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let router = Router::start(&place).await;
-    for round in 0..CRASHES {
-        whole_again(&place).await;
-        serves(&router, "/chat/1").await;
-        for engine in &place.engines {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let router = Router::start(&cluster).await;
+    for round in 0..CRASHES_UNTIL_HELD {
+        wait_until_running(&cluster).await;
+        wait_until_serving(&router, "/chat/1").await;
+        for engine in &cluster.engines {
             engine.announce_leaving();
             engine.script(&[Behaviour::Long]);
         }
         let id = format!("long-{round}");
         let ends = async {
-            router.until("running", async || place.engines.iter().any(|engine| engine.runs(&id) == 1)).await;
+            router
+                .until("running", async || cluster.engines.iter().any(|engine| engine.runs(&id) == 1))
+                .await;
             tokio::time::sleep(Duration::from_millis(300)).await;
-            place.engines.iter().for_each(Runner::crash);
+            cluster.engines.iter().for_each(Runner::crash);
         };
-        let (got, ()) = tokio::join!(router.send_body("/chat/1", &id, KEY, "takes long"), ends);
-        assert!(got.is_none_or(|got| !got.whole), "its engine has ended under it");
+        let (response, ()) = tokio::join!(router.send_body("/chat/1", &id, KEY, "takes long"), ends);
+        assert!(response.is_none_or(|response| !response.complete), "its engine has ended under it");
     }
-    whole_again(&place).await;
-    serves(&router, "/chat/1").await;
+    wait_until_running(&cluster).await;
+    wait_until_serving(&router, "/chat/1").await;
     let last = router.send_body("/chat/1", "last", KEY, "takes long").await.expect("an answer");
     assert_eq!(last.status, StatusCode::OK, "{}", last.body);
 }
--- a/crates/cli/tests/forward/quota.rs
+++ b/crates/cli/tests/forward/quota.rs
@@ -14,44 +14,45 @@
 const WINDOW_S: f64 = 10.0;
 const REQUESTS: usize = 400;
 
-async fn fleet(place: &Cluster) -> Vec<Router> {
+async fn fleet(cluster: &Cluster) -> Vec<Router> {
     let mut routers = Vec::new();
     for number in 0..3 {
-        routers.push(Router::start_at(place.store_address, &format!("node-{number}")).await);
+        routers.push(Router::start_at(cluster.store_address, &format!("node-{number}")).await);
     }
     for router in &routers {
         router
-            .until("counted", async || router.ask_metrics().await.contains("paddlemount_forward_nodes 3"))
+            .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 3"))
             .await;
     }
     routers
 }
 
-fn router_tells(router: &Router, told: impl Fn(&String) -> bool) -> bool {
-    router.lines().iter().any(told)
+fn has_logged(router: &Router, matches: impl Fn(&String) -> bool) -> bool {
+    router.lines().iter().any(matches)
 }
 
 #[tokio::test]
 async fn a_tenant_beyond_its_quota_is_refused_at_all_nodes_and_what_is_refused_does_not_run() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure_quota(1, &[KEY], TOKENS_PER_SECOND);
-    let routers = fleet(&place).await;
-    let runs = |id: &str| place.bookings.iter().map(|runner: &Runner| runner.runs(id)).sum::<usize>();
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure_quota(1, &[KEY], TOKENS_PER_SECOND);
+    let routers = fleet(&cluster).await;
+    let runs = |id: &str| cluster.bookings.iter().map(|runner: &Runner| runner.runs(id)).sum::<usize>();
     let began = Instant::now();
     let (mut granted, mut refused) = (0.0, 0);
     for number in 0..REQUESTS {
         let id = format!("q{number}");
         let router = &routers[number % routers.len()];
-        let got = router.send("/hold/1", &id).await.expect("an answer");
-        match got.status {
+        let response = router.send("/hold/1", &id).await.expect("an answer");
+        match response.status {
             StatusCode::OK => granted += 1.0,
             StatusCode::TOO_MANY_REQUESTS => {
                 refused += 1;
                 assert_eq!(runs(&id), 0);
-                let after: f64 = got.headers[RETRY_AFTER].to_str().expect("text").parse().expect("seconds");
+                let after: f64 =
+                    response.headers[RETRY_AFTER].to_str().expect("text").parse().expect("seconds");
                 assert!((0.1..=5.0).contains(&after), "{after}");
             }
-            status => panic!("{status}: {}", got.body),
+            status => panic!("{status}: {}", response.body),
         }
     }
     // Each window that has begun may hold the rate for as long, and the burst.
@@ -59,26 +60,26 @@
     let most = windows * (WINDOW_S + 1.0) * TOKENS_PER_SECOND as f64;
     assert!(refused > 0, "more was asked for than may run");
     assert!(granted > 0.0 && granted * TOKENS_OF_A_REQUEST <= most, "{granted} granted");
-    let told =
+    let matches =
         |line: &String| line.contains("\"outcome\":\"over_quota\"") && line.contains("\"per_second\":");
-    routers[0].until("told", async || router_tells(&routers[0], told)).await;
+    routers[0].until("logged", async || has_logged(&routers[0], matches)).await;
 }
 
 #[tokio::test]
 async fn a_quota_that_is_raised_or_taken_away_refuses_nothing_any_more() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure_quota(1, &[KEY], 1);
-    let router = Router::start(&place).await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure_quota(1, &[KEY], 1);
+    let router = Router::start(&cluster).await;
     let refused = async || {
-        let got = router.send("/chat/1", "r1").await;
-        got.is_some_and(|got| got.status == StatusCode::TOO_MANY_REQUESTS)
+        let response = router.send("/chat/1", "r1").await;
+        response.is_some_and(|response| response.status == StatusCode::TOO_MANY_REQUESTS)
     };
     router.until("refused", refused).await;
-    place.configure(2, &[KEY]);
+    cluster.configure(2, &[KEY]);
     let applied = |line: &String| line.contains("configuration_applied") && line.contains("\"version\":2");
-    router.until("applied", async || router_tells(&router, applied)).await;
+    router.until("applied", async || has_logged(&router, applied)).await;
     for number in 0..20 {
-        let got = router.send("/chat/1", &format!("s{number}")).await.expect("an answer");
-        assert_eq!(got.status, StatusCode::OK, "{}", got.body);
+        let response = router.send("/chat/1", &format!("s{number}")).await.expect("an answer");
+        assert_eq!(response.status, StatusCode::OK, "{}", response.body);
     }
 }
--- a/crates/cli/tests/forward/raw_caller.rs
+++ b/crates/cli/tests/forward/raw_caller.rs
@@ -13,15 +13,15 @@
 };
 
 /// How long an answer may take to come or to end.
-const PATIENCE: Duration = Duration::from_secs(10);
-const READ: usize = 16 << 10;
-const MOST_HEADERS: usize = 64;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+const READ_BUFFER_BYTES: usize = 16 << 10;
+const MAX_HEADERS: usize = 64;
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// An answer that came whole.
-    Whole {
+    Complete {
         /// Its status.
         status: u16,
         /// Its headers.
@@ -39,8 +39,8 @@
 
 impl Ending {
     /// Whether a whole answer came.
-    pub const fn is_whole(&self) -> bool {
-        matches!(self, Self::Whole { .. })
+    pub const fn is_complete(&self) -> bool {
+        matches!(self, Self::Complete { .. })
     }
 }
 
@@ -94,11 +94,11 @@
     /// Waits for the answer's end, or the connection's.
     pub async fn ending(&mut self) -> Ending {
         loop {
-            if let Some(whole) = self.whole_answer() {
-                return whole;
+            if let Some(complete) = self.complete_answer() {
+                return complete;
             }
-            let mut bytes = vec![0; READ];
-            match timeout(PATIENCE, self.stream.read(&mut bytes)).await {
+            let mut bytes = vec![0; READ_BUFFER_BYTES];
+            match timeout(ANSWER_TIMEOUT, self.stream.read(&mut bytes)).await {
                 Ok(Ok(count)) if count > 0 => self.received.extend_from_slice(&bytes[..count]),
                 _ => return Ending::Cut(String::from_utf8_lossy(&self.received).into_owned()),
             }
@@ -111,8 +111,8 @@
         self.ending().await
     }
 
-    fn whole_answer(&mut self) -> Option<Ending> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    fn complete_answer(&mut self) -> Option<Ending> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         let httparse::Status::Complete(head) = parsed.parse(&self.received).expect("an answer") else {
             return None;
@@ -131,11 +131,11 @@
                 let length = length.parse().expect("a length");
                 (rest.get(..length)?.to_vec(), length)
             }
-            None => unchunked(rest)?,
+            None => decode_chunked(rest)?,
         };
         self.received.drain(..head + length);
         let body = String::from_utf8_lossy(&body).into_owned();
-        Some(Ending::Whole { status, headers: all, body, closes, retry_after })
+        Some(Ending::Complete { status, headers: all, body, closes, retry_after })
     }
 }
 
@@ -164,7 +164,7 @@
 }
 
 /// A body in chunks, and the bytes that it took; nothing before its end is here.
-fn unchunked(mut bytes: &[u8]) -> Option<(Vec<u8>, usize)> {
+fn decode_chunked(mut bytes: &[u8]) -> Option<(Vec<u8>, usize)> {
     let (mut body, all) = (Vec::new(), bytes.len());
     loop {
         let httparse::Status::Complete((digits, size)) = httparse::parse_chunk_size(bytes).ok()? else {
--- a/crates/cli/tests/forward/restored.rs
+++ b/crates/cli/tests/forward/restored.rs
@@ -18,19 +18,19 @@
 /// A key that is added late.
 const LATE_KEY: &str = "key-that-comes";
 /// How long the store is away in a drill.
-const AWAY: Duration = Duration::from_millis(300);
+const OUTAGE: Duration = Duration::from_millis(300);
 
 /// Revisions that the copy lacks, more than the nodes' own writes make good for within a test.
-const MANY: u32 = 500;
+const LOST_REVISIONS: u32 = 500;
 /// How long an accepted change may take to be in force at a node.
-const IN_FORCE: Duration = Duration::from_secs(5);
+const MAX_CONVERGENCE_TIME: Duration = Duration::from_secs(5);
 /// How long a node may take to hear of a change.
-const HEARD: Duration = Duration::from_millis(1_500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
-async fn place() -> Cluster {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    place
+async fn cluster() -> Cluster {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    cluster
 }
 
 async fn status(router: &Router, key: &str) -> Option<StatusCode> {
@@ -47,60 +47,60 @@
 }
 
 /// Revisions pass that nobody needs.
-fn pass_revisions(place: &Cluster, count: u32) {
+fn pass_revisions(cluster: &Cluster, count: u32) {
     for slots in 0..count {
-        place.change_slots(&place.bookings[0], 10 + slots % 2);
+        cluster.change_slots(&cluster.bookings[0], 10 + slots % 2);
     }
 }
 
 #[tokio::test]
 async fn a_configuration_that_is_written_after_the_stores_return_is_in_force() {
-    let place = place().await;
-    let router = Router::start(&place).await;
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
     until_served(&router, KEY).await;
-    let copy = place.store.backup();
-    pass_revisions(&place, MANY);
-    tokio::time::sleep(HEARD).await;
-    let written = place.store.restore(&copy);
-    place.store.rewrite(&written);
-    place.configure(2, &[KEY, LATE_KEY]);
+    let backup = cluster.store.backup();
+    pass_revisions(&cluster, LOST_REVISIONS);
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    let written = cluster.store.restore(&backup);
+    cluster.store.rewrite(&written);
+    cluster.configure(2, &[KEY, LATE_KEY]);
     until_served(&router, LATE_KEY).await;
-    router.until("told", async || router.told("store_restored")).await;
+    router.until("logged", async || router.logged("store_restored")).await;
 }
 
 #[tokio::test]
 async fn revisions_that_were_given_out_again_are_no_continuation() {
     // By the next watch the store is past the revision that the node knows, by other changes.
-    let place = place().await;
-    let router = Router::start(&place).await;
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
     until_served(&router, KEY).await;
-    let copy = place.store.backup();
-    pass_revisions(&place, MANY);
-    tokio::time::sleep(HEARD).await;
-    place.store.set_fault(StoreFault::Refuses);
-    tokio::time::sleep(AWAY).await;
-    let written = place.store.restore(&copy);
-    place.store.rewrite(&written);
-    place.configure(2, &[KEY, LATE_KEY]);
-    pass_revisions(&place, MANY * 2);
-    place.store.set_fault(StoreFault::None);
+    let backup = cluster.store.backup();
+    pass_revisions(&cluster, LOST_REVISIONS);
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    cluster.store.set_fault(StoreFault::Refuses);
+    tokio::time::sleep(OUTAGE).await;
+    let written = cluster.store.restore(&backup);
+    cluster.store.rewrite(&written);
+    cluster.configure(2, &[KEY, LATE_KEY]);
+    pass_revisions(&cluster, LOST_REVISIONS * 2);
+    cluster.store.set_fault(StoreFault::None);
     until_served(&router, LATE_KEY).await;
 }
 
 #[tokio::test]
 async fn a_leader_gives_orders_under_tokens_that_rise_over_restores() {
-    let place = place().await;
-    let copy = place.store.backup();
-    let router = Router::start(&place).await;
+    let cluster = cluster().await;
+    let backup = cluster.store.backup();
+    let router = Router::start(&cluster).await;
     until_leading(&router).await;
-    pass_revisions(&place, MANY);
-    place.set_target_version(2);
-    let loaded = |version| place.engines.iter().all(|engine| engine.version() == version);
+    pass_revisions(&cluster, LOST_REVISIONS);
+    cluster.set_target_version(2);
+    let loaded = |version| cluster.engines.iter().all(|engine| engine.version() == version);
     router.until("loaded", async || loaded(2)).await;
     for version in 3..5 {
-        let written = place.store.restore(&copy);
-        place.store.rewrite(&written);
-        place.set_target_version(version);
+        let written = cluster.store.restore(&backup);
+        cluster.store.rewrite(&written);
+        cluster.set_target_version(version);
         router.until("loaded again", async || loaded(version)).await;
     }
     assert!(!router.lines().iter().any(|line| line.contains("\"fenced\"")), "no order is refused as older");
@@ -108,64 +108,65 @@
 
 #[tokio::test]
 async fn a_key_that_was_taken_away_stays_away_while_the_copy_has_it() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY, REMOVED_KEY]);
-    let router = Router::start(&place).await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY, REMOVED_KEY]);
+    let router = Router::start(&cluster).await;
     until_served(&router, REMOVED_KEY).await;
-    let copy = place.store.backup();
-    place.configure(2, &[KEY]);
+    let backup = cluster.store.backup();
+    cluster.configure(2, &[KEY]);
     let refused = async || status(&router, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
     router.until("refusing the key", refused).await;
-    let written = place.store.restore(&copy);
+    let written = cluster.store.restore(&backup);
     for _ in 0..20 {
         assert_eq!(status(&router, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
-        tokio::time::sleep(AWAY / 10).await;
+        tokio::time::sleep(OUTAGE / 10).await;
     }
-    place.store.rewrite(&written);
+    cluster.store.rewrite(&written);
     until_served(&router, KEY).await;
     assert_eq!(status(&router, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
 }
 
 #[tokio::test]
 async fn a_request_that_is_held_back_stays_held_and_is_written_again() {
-    let place = place().await;
-    let router = Router::start(&place).await;
+    let cluster = cluster().await;
+    let router = Router::start(&cluster).await;
     until_leading(&router).await;
     until_served(&router, KEY).await;
-    let copy = place.store.backup();
-    place.engines.iter().for_each(|engine| engine.crash_on(POISON.as_bytes()));
-    let held = async || {
-        router.until("whole", async || place.all_running()).await;
+    let backup = cluster.store.backup();
+    cluster.engines.iter().for_each(|engine| engine.crash_on(POISON.as_bytes()));
+    let is_held = async || {
+        router.until("whole", async || cluster.all_running()).await;
         let id = format!("poison-{}", rand::random::<u64>());
-        let got = router.send_body("/chat/1", &id, KEY, POISON).await;
-        got.is_some_and(|got| got.body.contains("held_back"))
+        let response = router.send_body("/chat/1", &id, KEY, POISON).await;
+        response.is_some_and(|response| response.body.contains("held_back"))
+    };
+    router.until("held back", is_held).await;
+    router.until("written", async || cluster.has_quarantined_request()).await;
+    let runs = || {
+        cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.body == POISON.as_bytes()).count()
     };
-    router.until("held back", held).await;
-    router.until("written", async || place.has_quarantined_request()).await;
-    let runs =
-        || place.engines.iter().flat_map(Runner::seen).filter(|seen| seen.body == POISON.as_bytes()).count();
     let before = runs();
-    let written = place.store.restore(&copy);
-    place.store.rewrite(&written);
-    router.until("written again", async || place.has_quarantined_request()).await;
-    assert!(held().await, "it is held back all the time");
+    let written = cluster.store.restore(&backup);
+    cluster.store.rewrite(&written);
+    router.until("written again", async || cluster.has_quarantined_request()).await;
+    assert!(is_held().await, "it is held back all the time");
     assert_eq!(runs(), before);
 }
 
 #[tokio::test]
 async fn nodes_that_are_told_by_others_hear_what_follows_a_restore() {
-    let place = place().await;
-    let first = Router::start_at(place.store_address, "node-0").await;
+    let cluster = cluster().await;
+    let first = Router::start_at(cluster.store_address, "node-0").await;
     until_leading(&first).await;
-    let second = Router::start_at(place.store_address, "node-1").await;
+    let second = Router::start_at(cluster.store_address, "node-1").await;
     until_served(&second, KEY).await;
-    second.until("reporting", async || second.told("parent_changed")).await;
-    let copy = place.store.backup();
-    pass_revisions(&place, MANY);
-    tokio::time::sleep(HEARD).await;
-    let written = place.store.restore(&copy);
-    place.store.rewrite(&written);
-    place.configure(2, &[KEY, LATE_KEY]);
+    second.until("reporting", async || second.logged("parent_changed")).await;
+    let backup = cluster.store.backup();
+    pass_revisions(&cluster, LOST_REVISIONS);
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    let written = cluster.store.restore(&backup);
+    cluster.store.rewrite(&written);
+    cluster.configure(2, &[KEY, LATE_KEY]);
     for router in [&first, &second] {
         until_served(router, LATE_KEY).await;
     }
@@ -175,31 +176,31 @@
 /// know better.
 #[tokio::test]
 async fn a_node_that_starts_before_all_is_written_again_goes_by_what_the_others_know() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY, REMOVED_KEY]);
-    let first = Router::start_at(place.store_address, "node-0").await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY, REMOVED_KEY]);
+    let first = Router::start_at(cluster.store_address, "node-0").await;
     until_leading(&first).await;
-    let copy = place.store.backup();
-    place.configure(2, &[KEY]);
+    let backup = cluster.store.backup();
+    cluster.configure(2, &[KEY]);
     let refused = async || status(&first, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
     first.until("refusing the key", refused).await;
-    let written = place.store.restore(&copy);
+    let written = cluster.store.restore(&backup);
     // Once a node leads again nothing is written, and both nodes know the same revision.
-    first.until("told", async || first.told("store_restored")).await;
+    first.until("logged", async || first.logged("store_restored")).await;
     until_leading(&first).await;
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     // It serves at once by what it reads; an accepted change is in force within seconds.
-    let second = Router::start_at(place.store_address, "node-1").await;
+    let second = Router::start_at(cluster.store_address, "node-1").await;
     let started = Instant::now();
     until_served(&second, KEY).await;
     let refused = async || status(&second, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
     second.until("refusing the key as well", refused).await;
-    assert!(started.elapsed() < IN_FORCE, "{:?} after its start", started.elapsed());
+    assert!(started.elapsed() < MAX_CONVERGENCE_TIME, "{:?} after its start", started.elapsed());
     for _ in 0..60 {
         assert_eq!(status(&second, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
-        tokio::time::sleep(AWAY / 10).await;
+        tokio::time::sleep(OUTAGE / 10).await;
     }
-    place.store.rewrite(&written);
+    cluster.store.rewrite(&written);
     until_served(&second, KEY).await;
     assert_eq!(status(&second, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
 }
--- a/crates/cli/tests/forward/router.rs
+++ b/crates/cli/tests/forward/router.rs
@@ -25,12 +25,12 @@
 use crate::program::forwarding_program;
 
 /// How long anything that is waited for may take.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Retries that all test nodes together may make beside their share, in a window.
 pub const RETRY_SLACK: u64 = 56;
 /// Retries that they may make for a hundred requests.
-pub const RETRIES_PER_CENT: u64 = 20;
+pub const RETRY_PERCENT: u64 = 20;
 /// The window in which retries count.
 pub const RETRY_WINDOW: Duration = Duration::from_secs(10);
 /// The bound of weights of test nodes.
@@ -70,7 +70,7 @@
 
 /// What a caller got.
 #[derive(Debug)]
-pub struct Got {
+pub struct CallerResponse {
     /// The status.
     pub status: StatusCode,
     /// Headers by name in lower case.
@@ -78,28 +78,28 @@
     /// The body, as far as it came.
     pub body: String,
     /// Whether the body came whole.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Router {
     /// Starts a node on `place` and waits until it is ready.
-    pub async fn start(place: &Cluster) -> Self {
-        let router = Self::start_unready(place).await;
-        router.until("ready", async || router.ask_readiness().await == Some(StatusCode::OK)).await;
+    pub async fn start(cluster: &Cluster) -> Self {
+        let router = Self::start_unready(cluster).await;
+        router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
     /// Starts a node for the first time in its place's life, in place of one that started again.
-    pub async fn start_first(place: &Cluster) -> Self {
-        let text = format!("first_start = true\n{}", settings(place, 5_000));
+    pub async fn start_first(cluster: &Cluster) -> Self {
+        let text = format!("first_start = true\n{}", settings(cluster, 5_000));
         let router = Self::start_with(&text).await;
-        router.until("ready", async || router.ask_readiness().await == Some(StatusCode::OK)).await;
+        router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
     /// Starts a node and waits until it listens.
-    pub async fn start_unready(place: &Cluster) -> Self {
-        Self::start_at(place.store_address, "node-1").await
+    pub async fn start_unready(cluster: &Cluster) -> Self {
+        Self::start_at(cluster.store_address, "node-1").await
     }
 
     /// Starts a node of this name that reaches the store at `store`.
@@ -114,10 +114,10 @@
     }
 
     /// Starts a node that is killed so many seconds after it is told to stop, and waits until it is ready.
-    pub async fn start_with_grace(place: &Cluster, seconds: u64) -> Self {
-        let text = settings(place, 5_000).replace("grace_s = 6", &format!("grace_s = {seconds}"));
+    pub async fn start_with_grace(cluster: &Cluster, seconds: u64) -> Self {
+        let text = settings(cluster, 5_000).replace("grace_s = 6", &format!("grace_s = {seconds}"));
         let router = Self::start_with(&text).await;
-        router.until("ready", async || router.ask_readiness().await == Some(StatusCode::OK)).await;
+        router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
@@ -137,7 +137,7 @@
     }
 
     async fn start_with(text: &str) -> Self {
-        let file = format!("paddlemount-forward-{}-{}.toml", std::process::id(), rand_name());
+        let file = format!("paddlemount-forward-{}-{}.toml", std::process::id(), unique_number());
         let path = std::env::temp_dir().join(file);
         std::fs::write(&path, text).expect("a settings file can be written");
         let mut child = forwarding_program()
@@ -148,10 +148,10 @@
             .expect("the program starts");
         let lines = Arc::new(Mutex::new(Vec::new()));
         let output = child.stdout.take().expect("standard output is piped");
-        let kept = Arc::clone(&lines);
+        let output_lines = Arc::clone(&lines);
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                kept.lock().unwrap_or_else(PoisonError::into_inner).push(line);
+                output_lines.lock().unwrap_or_else(PoisonError::into_inner).push(line);
             }
         });
         let started = wait_for(async || line_of(&lines, "started")).await;
@@ -169,23 +169,23 @@
     }
 
     /// Waits until something is so.
-    pub async fn until(&self, what: &str, mut is_so: impl AsyncFnMut() -> bool) {
+    pub async fn until(&self, what: &str, mut is_met: impl AsyncFnMut() -> bool) {
         let began = Instant::now();
-        while !is_so().await {
-            assert!(began.elapsed() < PATIENCE, "not {what} in time; lines: {:#?}", self.lines());
+        while !is_met().await {
+            assert!(began.elapsed() < WAIT_TIMEOUT, "not {what} in time; lines: {:#?}", self.lines());
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
     /// Asks whether callers should come.
-    pub async fn ask_readiness(&self) -> Option<StatusCode> {
+    pub async fn fetch_readiness(&self) -> Option<StatusCode> {
         let request = Request::get(format!("http://{}/", self.readiness)).body(Full::default());
         let answer = self.client.request(request.expect("a request")).await.ok()?;
         Some(answer.status())
     }
 
     /// The metrics as text.
-    pub async fn ask_metrics(&self) -> String {
+    pub async fn fetch_metrics(&self) -> String {
         let request = Request::get(format!("http://{}/metrics", self.metrics)).body(Full::default());
         let answer = self.client.request(request.expect("a request")).await.expect("metrics are told");
         let body = answer.into_body().collect().await.expect("metrics are whole").to_bytes();
@@ -193,17 +193,23 @@
     }
 
     /// Sends a request with the tenant's key.
-    pub async fn send(&self, path: &str, id: &str) -> Option<Got> {
+    pub async fn send(&self, path: &str, id: &str) -> Option<CallerResponse> {
         self.send_with_key(path, id, KEY).await
     }
 
     /// Sends a request with a key; nothing where the connection ends without a head.
-    pub async fn send_with_key(&self, path: &str, id: &str, key: &str) -> Option<Got> {
+    pub async fn send_with_key(&self, path: &str, id: &str, key: &str) -> Option<CallerResponse> {
         self.send_body(path, id, key, "the body").await
     }
 
     /// Sends a request with a key and a body; nothing where the connection ends without a head.
-    pub async fn send_body(&self, path: &str, id: &str, key: &str, body: impl Into<Bytes>) -> Option<Got> {
+    pub async fn send_body(
+        &self,
+        path: &str,
+        id: &str,
+        key: &str,
+        body: impl Into<Bytes>,
+    ) -> Option<CallerResponse> {
         let mut request = Request::post(format!("http://{}{path}", self.callers))
             .header(http::header::HOST, HOST)
             .header(http::header::AUTHORIZATION, format!("Bearer {key}"))
@@ -218,7 +224,7 @@
         let answer = self.client.request(request).await.ok()?;
         let (head, mut body) = answer.into_parts();
         let mut bytes = Vec::new();
-        let whole = loop {
+        let complete = loop {
             match body.frame().await {
                 Some(Ok(frame)) => bytes.extend_from_slice(&frame.into_data().unwrap_or_default()),
                 Some(Err(_)) => break false,
@@ -226,7 +232,7 @@
             }
         };
         let body = String::from_utf8_lossy(&bytes).into_owned();
-        Some(Got { status: head.status, headers: head.headers, body, whole })
+        Some(CallerResponse { status: head.status, headers: head.headers, body, complete })
     }
 
     /// Lines that the process has written.
@@ -235,7 +241,7 @@
     }
 
     /// Whether an event of this name was told.
-    pub fn told(&self, event: &str) -> bool {
+    pub fn logged(&self, event: &str) -> bool {
         line_of(&self.lines, event).is_some()
     }
 
@@ -290,7 +296,7 @@
             if let Some(status) = self.child().try_wait().expect("a child can be waited for") {
                 return status.success();
             }
-            assert!(began.elapsed() < PATIENCE, "not ended in time");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "not ended in time");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -314,8 +320,8 @@
 }
 
 /// Settings of a node on `place`.
-pub fn settings(place: &Cluster, revocation_ms: u64) -> String {
-    settings_at(place.store_address, "node-1", revocation_ms)
+pub fn settings(cluster: &Cluster, revocation_ms: u64) -> String {
+    settings_at(cluster.store_address, "node-1", revocation_ms)
 }
 
 fn settings_at(store: SocketAddr, name: &str, revocation_ms: u64) -> String {
@@ -324,7 +330,7 @@
          [listen]\ncallers = \"127.0.0.1:0\"\nreadiness = \"127.0.0.1:0\"\nmetrics = \"127.0.0.1:0\"\npeers = \"127.0.0.1:0\"\n\
          [store]\naddress = \"{}\"\nshortest_lease_ms = 1000\n\
          [bounds]\nconfiguration_ms = 2000\nrevocation_ms = {revocation_ms}\nrevocation_fails_closed = true\n\
-         grace_s = 6\nretry_share = 0.{RETRIES_PER_CENT}\nretry_slack = {RETRY_SLACK}\nretry_window_s = {}\nlease_ms = 3000\nweights_ms = {}\ndrain_ms = {}\n",
+         grace_s = 6\nretry_share = 0.{RETRY_PERCENT}\nretry_slack = {RETRY_SLACK}\nretry_window_s = {}\nlease_ms = 3000\nweights_ms = {}\ndrain_ms = {}\n",
         store,
         RETRY_WINDOW.as_secs(),
         WEIGHTS_BOUND.as_millis(),
@@ -338,7 +344,7 @@
     settings_at(store, name, 5_000).replace("peers = \"127.0.0.1:0\"\n", &advertised)
 }
 
-fn rand_name() -> u64 {
+fn unique_number() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
@@ -351,7 +357,7 @@
 
 /// A present value among a node's metrics.
 pub async fn gauge(router: &Router, name: &str) -> Option<f64> {
-    let text = router.ask_metrics().await;
+    let text = router.fetch_metrics().await;
     let line = text.lines().find(|line| line.starts_with(name))?;
     line.rsplit(' ').next()?.parse().ok()
 }
@@ -368,7 +374,7 @@
         if let Some(found) = find().await {
             return found;
         }
-        assert!(began.elapsed() < PATIENCE, "not found in time");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "not found in time");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/cli/tests/forward/soak/callers.rs
+++ b/crates/cli/tests/forward/soak/callers.rs
@@ -5,28 +5,28 @@
 use paddlemount_platform_standin::cluster::KEY;
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
-use super::{ORDINARY, POISON, Play, REMOVED_KEY, Soak, locked};
+use super::{ORDINARY, POISON, REMOVED_KEY, Scenario, Soak, locked};
 use crate::{
     raw_caller::{Ending, RawCaller},
-    router::Got,
+    router::CallerResponse,
 };
 
 /// How long the caller of the request that crashes what runs it waits between two tries.
-const POISON_PAUSE: Duration = Duration::from_millis(400);
+const POISON_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a caller waits that was refused, or whose node is away: requests that are refused at once earn retries too, and with
 /// more of them no play comes near the retry budget.
-const COME_BACK: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 const PATHS: [&str; 4] = ["/hold/1", "/quote/1", "/chat/1", "/claim/1"];
 /// Paths whose requests may be sent on to a second back end.
 const REPEATABLE_PATHS: [&str; 4] = ["/claim/1", "/claim/1", "/claim/1", "/quote/1"];
 
 /// What callers of a play choose from: every other play of namings asks for what may be repeated, or no play would come near the
 /// retry budget.
-fn paths_of(play: Play, seed: u64) -> [&'static str; 4] {
-    match (play, seed % 2) {
-        (Play::Namings, 1) => REPEATABLE_PATHS,
+fn paths_of(scenario: Scenario, seed: u64) -> [&'static str; 4] {
+    match (scenario, seed % 2) {
+        (Scenario::TargetVersions, 1) => REPEATABLE_PATHS,
         _ => PATHS,
     }
 }
@@ -54,35 +54,41 @@
     pub body: String,
     pub node: usize,
     pub at: Instant,
-    pub got: Option<Got>,
+    pub response: Option<CallerResponse>,
 }
 
 /// A request as a caller's retry budget counts it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct OfferedRequest {
     pub service: Service,
     pub at: Instant,
 }
 
 impl Soak {
     /// Callers ask from now on for something on this path.
-    pub(super) fn ask(&self, path: &str, at: Instant) {
-        locked(&self.asked).push(Asked { service: service_of(path), at });
+    pub(super) fn record_offered(&self, path: &str, at: Instant) {
+        locked(&self.offered).push(OfferedRequest { service: service_of(path), at });
     }
 
     /// A caller that goes to any node with each request.
-    pub(super) async fn call(&self, play: Play, caller: usize, seed: u64, until: Instant) -> Vec<Sent> {
+    pub(super) async fn call(
+        &self,
+        scenario: Scenario,
+        caller: usize,
+        seed: u64,
+        until: Instant,
+    ) -> Vec<Sent> {
         let mut random = StdRng::seed_from_u64(seed ^ (caller as u64) << 32);
-        let paths = paths_of(play, seed);
+        let paths = paths_of(scenario, seed);
         let mut sent = Vec::new();
         while Instant::now() < until {
             let node = random.random_range(0..self.nodes());
             let path = paths[random.random_range(0..paths.len())];
             let key = if random.random_range(0..5) == 0 { REMOVED_KEY } else { KEY };
             let id = format!("{caller}-{}-{:x}", sent.len(), random.next_u64());
-            let body = match play {
-                Play::AllFaults => ORDINARY.to_owned(),
-                Play::Namings | Play::Announcements => own_body(&id),
+            let body = match scenario {
+                Scenario::AllFaults => ORDINARY.to_owned(),
+                Scenario::TargetVersions | Scenario::Announcements => unique_body(&id),
             };
             sent.extend(self.send(node, path, id, key, body).await);
             tokio::time::sleep(Duration::from_millis(random.random_range(5..60))).await;
@@ -98,7 +104,7 @@
             let node = random.random_range(0..self.nodes());
             let id = format!("poison-{}-{:x}", sent.len(), random.next_u64());
             sent.extend(self.send(node, "/chat/1", id, KEY, POISON.into()).await);
-            tokio::time::sleep(POISON_PAUSE).await;
+            tokio::time::sleep(POISON_INTERVAL).await;
         }
         sent
     }
@@ -113,10 +119,10 @@
     ) -> Option<Sent> {
         let router = self.router(node)?;
         let at = Instant::now();
-        self.ask(path, at);
+        self.record_offered(path, at);
         let call = router.send_body(path, &id, key, body.clone());
-        let got = tokio::time::timeout(PATIENCE, call).await.ok().flatten();
-        Some(Sent { id, path, key, body, node, at, got })
+        let response = tokio::time::timeout(ANSWER_TIMEOUT, call).await.ok().flatten();
+        Some(Sent { id, path, key, body, node, at, response })
     }
 
     /// A caller that uses one connection until its process is gone, or it was told to close, and then opens one to any node.
@@ -131,16 +137,16 @@
             };
             match connection {
                 Some(mut connection) => {
-                    let paths = paths_of(Play::Namings, seed);
-                    self.use_up(&mut connection, node, paths, &mut random, until, &mut sent).await;
+                    let paths = paths_of(Scenario::TargetVersions, seed);
+                    self.call_until_closed(&mut connection, node, paths, &mut random, until, &mut sent).await;
                 }
-                None => tokio::time::sleep(COME_BACK).await,
+                None => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         sent
     }
 
-    async fn use_up(
+    async fn call_until_closed(
         &self,
         connection: &mut RawCaller,
         node: usize,
@@ -153,17 +159,17 @@
             let path = paths[random.random_range(0..paths.len())];
             let id = format!("held-{}-{:x}", sent.len(), random.next_u64());
             let at = Instant::now();
-            self.ask(path, at);
-            let body = own_body(&id);
+            self.record_offered(path, at);
+            let body = unique_body(&id);
             connection.send_body(path, &id, &body).await;
             let ending = connection.ending().await;
-            let goes_on = matches!(&ending, Ending::Whole { closes: false, .. });
-            let refused = matches!(&ending, Ending::Whole { status: 503, .. });
-            sent.push(Sent { id, path, key: KEY, body, node, at, got: got_by(ending) });
+            let stays_open = matches!(&ending, Ending::Complete { closes: false, .. });
+            let refused = matches!(&ending, Ending::Complete { status: 503, .. });
+            sent.push(Sent { id, path, key: KEY, body, node, at, response: response_of(ending) });
             if refused {
-                tokio::time::sleep(COME_BACK).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            if !goes_on {
+            if !stays_open {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(random.random_range(1..40))).await;
@@ -173,15 +179,15 @@
 
 /// The body of a request like no other: where engines crash in series under requests that are all the same, these can't be
 /// told from one that crashes what runs it, and are rightly held back.
-pub fn own_body(id: &str) -> String {
+pub fn unique_body(id: &str) -> String {
     format!("{ORDINARY} of {id}")
 }
 
-fn got_by(ending: Ending) -> Option<Got> {
+fn response_of(ending: Ending) -> Option<CallerResponse> {
     match ending {
-        Ending::Whole { status, headers, body, .. } => {
+        Ending::Complete { status, headers, body, .. } => {
             let status = http::StatusCode::from_u16(status).expect("a status");
-            Some(Got { status, headers, body, whole: true })
+            Some(CallerResponse { status, headers, body, complete: true })
         }
         Ending::Cut(_) => None,
     }
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -10,29 +10,29 @@
 
 use super::{
     ORDINARY, POISON, REMOVED_KEY, Soak,
-    announced::{self, Unheeded},
-    callers::{Sent, Service, own_body},
-    disturbance::CONTACT,
+    announced::{self, IgnoredAnnouncement},
+    callers::{Sent, Service, unique_body},
+    disturbance::SETTLE_TIME,
     locked,
     retries::{Arrival, Budget, Window, fullest_window},
-    weights::{Begun, BegunLate, begun_late},
+    weights::{LateStart, StartedRequest, late_starts},
 };
 use crate::{
-    delivery::WHOLE_STREAM,
+    delivery::COMPLETE_STREAM,
     limit_judge,
-    router::{DRAIN_TIMEOUT, Got, RETRIES_PER_CENT, RETRY_SLACK, RETRY_WINDOW, WEIGHTS_BOUND},
+    router::{CallerResponse, DRAIN_TIMEOUT, RETRY_PERCENT, RETRY_SLACK, RETRY_WINDOW, WEIGHTS_BOUND},
 };
 
 /// The bound after which a removed key runs nothing, with the time that a request needs to its node.
-const REVOCATION: Duration = Duration::from_millis(5_200);
+const REVOCATION_BOUND: Duration = Duration::from_millis(5_200);
 /// Crashes that show that a request is their cause.
-const CRASHES: usize = 3;
+const CRASHES_UNTIL_HELD: usize = 3;
 /// How long after them all nodes that nothing disturbs know of it.
-const TOLD: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Runs that may still begin after that.
-const LATE_RUNS: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 /// What a busy machine may need to pass a request on.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
 
 impl Soak {
     /// What is wrong with what callers got and back ends saw.
@@ -42,48 +42,53 @@
         for one in &seen {
             by_id.entry(&one.id).or_default().push(one);
         }
-        let mut wrong: Vec<String> = seen.iter().filter_map(wrong_at_back_end).collect();
+        let mut violations: Vec<String> = seen.iter().filter_map(back_end_violation).collect();
         let removed_at = *locked(&self.removed_at);
         for one in sent {
             let seen = by_id.get(one.id.as_str()).map_or(&[][..], Vec::as_slice);
             let runs = seen.iter().filter(|seen| seen.ran).count();
-            if let Some(what) = wrong_for_caller(one, runs) {
-                wrong.push(format!("{what}: {one:?}, {seen:?}"));
+            if let Some(what) = caller_violation(one, runs) {
+                violations.push(format!("{what}: {one:?}, {seen:?}"));
             }
-            let late = removed_at.is_some_and(|removed| one.at > removed + REVOCATION);
+            let late = removed_at.is_some_and(|removed| one.at > removed + REVOCATION_BOUND);
             if one.key == REMOVED_KEY && late && runs > 0 {
-                wrong.push(format!("a removed key ran: {one:?}"));
+                violations.push(format!("a removed key ran: {one:?}"));
             }
         }
         let late = self.late_poison(sent);
-        if late.len() > LATE_RUNS {
-            wrong.push(format!("{} runs of a request that crashes came late: {late:?}", late.len()));
+        if late.len() > MAX_LATE_RUNS {
+            violations.push(format!("{} runs of a request that crashes came late: {late:?}", late.len()));
         }
-        let late = self.on_older_weights(sent, WEIGHTS_BOUND + ON_ITS_WAY);
-        wrong.extend(late.iter().map(|late| self.describe_late(late)));
-        wrong.extend(self.unheeded(sent).iter().map(|unheeded| format!("{unheeded:?}")));
-        wrong.extend(self.over_limits(sent));
+        let late = self.started_on_older_weights(sent, WEIGHTS_BOUND + IN_FLIGHT_ALLOWANCE);
+        violations.extend(late.iter().map(|late| self.describe_late(late)));
+        violations.extend(
+            self.ignored_announcements(sent)
+                .iter()
+                .map(|ignored_announcements| format!("{ignored_announcements:?}")),
+        );
+        violations.extend(self.over_limits(sent));
         let over = self.fullest_windows().into_iter().filter(|(_, window)| window.is_over());
-        wrong.extend(over.map(|(service, window)| self.describe_window(service, &window)));
-        wrong
+        violations.extend(over.map(|(service, window)| self.describe_window(service, &window)));
+        violations
     }
 
     /// Statements of back ends that nodes have not heeded.
-    fn unheeded(&self, sent: &[Sent]) -> Vec<Unheeded> {
+    fn ignored_announcements(&self, sent: &[Sent]) -> Vec<IgnoredAnnouncement> {
         let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
         let disturbances = locked(&self.disturbances);
-        let runners = self.place.engines.iter().chain(&self.place.bookings);
+        let runners = self.cluster.engines.iter().chain(&self.cluster.bookings);
         let seen_by: Vec<Vec<ReceivedRequest>> = runners.map(Runner::seen).collect();
         let of_runner = |seen: &Vec<ReceivedRequest>| {
             let arrivals: Vec<announced::Arrival> = seen
                 .iter()
                 .filter_map(|seen| {
                     let sent = by_id.get(seen.id.as_str())?;
-                    let passed_on = seen.ran && sent.got.as_ref().is_some_and(|got| got.is_answer_of(seen));
+                    let passed_on = seen.ran
+                        && sent.response.as_ref().is_some_and(|response| response.is_answer_of(seen));
                     Some(announced::Arrival { seen, node: sent.node, sent_at: sent.at, passed_on })
                 })
                 .collect();
-            announced::unheeded(&arrivals, &disturbances, DRAIN_TIMEOUT)
+            announced::ignored_announcements(&arrivals, &disturbances, DRAIN_TIMEOUT)
         };
         seen_by.iter().flat_map(of_runner).collect()
     }
@@ -93,16 +98,17 @@
         let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
         let disturbances = locked(&self.disturbances);
         let is_excused = |node: usize, from: Instant, to: Instant| {
-            disturbances.iter().any(|disturbance| disturbance.parts_node(node, from - CONTACT, to))
+            disturbances.iter().any(|disturbance| disturbance.disconnects_node(node, from - SETTLE_TIME, to))
         };
-        let runners = self.place.engines.iter().chain(&self.place.bookings);
+        let runners = self.cluster.engines.iter().chain(&self.cluster.bookings);
         let over = runners.flat_map(|runner| {
             let arrivals: Vec<limit_judge::Arrival> = runner
                 .seen()
                 .iter()
                 .filter_map(|seen| {
                     let sent = by_id.get(seen.id.as_str())?;
-                    let passed_on = seen.ran && sent.got.as_ref().is_some_and(|got| got.is_answer_of(seen));
+                    let passed_on = seen.ran
+                        && sent.response.as_ref().is_some_and(|response| response.is_answer_of(seen));
                     let limit = seen.limit.as_ref().and_then(|text| text.parse().ok());
                     Some(limit_judge::Arrival {
                         node: sent.node,
@@ -113,13 +119,13 @@
                     })
                 })
                 .collect();
-            let over = limit_judge::exceeded(&arrivals, &limit_judge::named_by(runner), is_excused);
+            let over = limit_judge::exceeded(&arrivals, &limit_judge::advertised_by(runner), is_excused);
             let describe = |over: limit_judge::Exceeded| {
                 let (at, may) = (self.second(over.at), limit_judge::allowed(over.limit));
                 format!(
                     "{at:7.3} s: {} got {} requests by a limit of {}, {may} may come",
                     runner.id(),
-                    over.got,
+                    over.received,
                     over.limit
                 )
             };
@@ -129,8 +135,8 @@
     }
 
     /// What came nearest to the bounds of weights and retries.
-    pub(super) fn nearest(&self, sent: &[Sent]) -> String {
-        let older = self.on_older_weights(sent, Duration::ZERO);
+    pub(super) fn tightest_margins(&self, sent: &[Sent]) -> String {
+        let older = self.started_on_older_weights(sent, Duration::ZERO);
         let longest = older.iter().map(|late| late.known_for).max().unwrap_or_default();
         let windows = self.fullest_windows().into_iter();
         let windows: Vec<String> =
@@ -139,19 +145,19 @@
     }
 
     /// Requests of undisturbed nodes that began on older weights more than `bound` after newer ones could be known.
-    fn on_older_weights(&self, sent: &[Sent], bound: Duration) -> Vec<BegunLate> {
+    fn started_on_older_weights(&self, sent: &[Sent], bound: Duration) -> Vec<LateStart> {
         let nodes: BTreeMap<&str, usize> = sent.iter().map(|one| (one.id.as_str(), one.node)).collect();
-        let ran = self.place.engines.iter().flat_map(Runner::seen).filter(|seen| seen.ran);
-        let begun = ran.filter_map(|seen| {
+        let ran = self.cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.ran);
+        let started = ran.filter_map(|seen| {
             let node = *nodes.get(seen.id.as_str())?;
-            Some(Begun { id: seen.id, node, version: seen.version, at: seen.at })
+            Some(StartedRequest { id: seen.id, node, version: seen.version, at: seen.at })
         });
-        let begun: Vec<Begun> = begun.collect();
-        begun_late(&begun, &locked(&self.namings), &locked(&self.disturbances), bound)
+        let started: Vec<StartedRequest> = started.collect();
+        late_starts(&started, &locked(&self.targets), &locked(&self.disturbances), bound)
     }
 
-    fn describe_late(&self, late: &BegunLate) -> String {
-        let Begun { id, node, version, at } = &late.begun;
+    fn describe_late(&self, late: &LateStart) -> String {
+        let StartedRequest { id, node, version, at } = &late.started;
         format!(
             "{:7.3} s: {id} of node {node} began on version {version}, {:?} after {} could be known",
             self.second(*at),
@@ -162,24 +168,25 @@
 
     /// The window of each service in which repeats came nearest to what is allowed.
     fn fullest_windows(&self) -> Vec<(Service, Window)> {
-        let budget = Budget { per_cent: RETRIES_PER_CENT, slack: RETRY_SLACK, window: RETRY_WINDOW };
-        let services = [(Service::Engines, &self.place.engines), (Service::Bookings, &self.place.bookings)];
+        let budget = Budget { percent: RETRY_PERCENT, slack: RETRY_SLACK, window: RETRY_WINDOW };
+        let services =
+            [(Service::Engines, &self.cluster.engines), (Service::Bookings, &self.cluster.bookings)];
         let windows = services.into_iter().filter_map(|(service, runners)| {
-            let all = locked(&self.asked);
-            let asked = all.iter().filter(|asked| asked.service == service).map(|asked| asked.at);
-            let asked: Vec<Instant> = asked.collect();
+            let all = locked(&self.offered);
+            let offered = all.iter().filter(|offered| offered.service == service).map(|offered| offered.at);
+            let offered: Vec<Instant> = offered.collect();
             let seen: Vec<ReceivedRequest> = runners.iter().flat_map(Runner::seen).collect();
             let arrivals: Vec<Arrival> =
                 seen.iter().map(|seen| Arrival { id: &seen.id, at: seen.at }).collect();
-            Some((service, fullest_window(&asked, &arrivals, &budget)?))
+            Some((service, fullest_window(&offered, &arrivals, &budget)?))
         });
         windows.collect()
     }
 
     fn describe_window(&self, service: Service, window: &Window) -> String {
-        let Window { from, to, repeats, requests, allowed } = window;
+        let Window { from, to, retries, requests, allowed } = window;
         format!(
-            "{service:?} from {:.3} to {:.3} s: {repeats} repeats for {requests} requests, {allowed} allowed",
+            "{service:?} from {:.3} to {:.3} s: {retries} repeats for {requests} requests, {allowed} allowed",
             self.second(*from),
             self.second(*to)
         )
@@ -192,7 +199,7 @@
     }
 
     fn seen(&self) -> Vec<ReceivedRequest> {
-        self.place.engines.iter().chain(&self.place.bookings).flat_map(Runner::seen).collect()
+        self.cluster.engines.iter().chain(&self.cluster.bookings).flat_map(Runner::seen).collect()
     }
 
     /// The identities of tries that crashed a back end.
@@ -206,28 +213,32 @@
         let runs = self.poison_runs();
         let mut crashing: Vec<&Sent> = sent.iter().filter(|one| runs.contains(&one.id)).collect();
         crashing.sort_by_key(|one| one.at);
-        let Some(third) = crashing.get(CRASHES - 1).map(|one| one.at) else { return Vec::new() };
-        let late = crashing.into_iter().filter(|one| one.at > third + TOLD && !self.was_disturbed(one.at));
+        let Some(last_expected) = crashing.get(CRASHES_UNTIL_HELD - 1).map(|one| one.at) else {
+            return Vec::new();
+        };
+        let late = crashing
+            .into_iter()
+            .filter(|one| one.at > last_expected + PROPAGATION_TIME && !self.was_disturbed(one.at));
         late.map(|one| one.id.as_str()).collect()
     }
 
     fn was_disturbed(&self, at: Instant) -> bool {
-        locked(&self.disturbances).iter().any(|disturbance| disturbance.concerns_any(at))
+        locked(&self.disturbances).iter().any(|disturbance| disturbance.affects_any(at))
     }
 }
 
-impl Got {
+impl CallerResponse {
     /// Whether it is the whole answer of the back end that a request was meant for.
     fn is_answer_of(&self, seen: &ReceivedRequest) -> bool {
         let signature = self.headers.get(Cluster::SIGNATURE).and_then(|value| value.to_str().ok());
         let signed =
             signature.is_some_and(|signature| signature.ends_with(&format!("-{}", seen.intended_for)));
-        self.whole && self.status == StatusCode::OK && signed
+        self.complete && self.status == StatusCode::OK && signed
     }
 }
 
-fn wrong_at_back_end(seen: &ReceivedRequest) -> Option<String> {
-    let bodies = [ORDINARY.to_owned(), POISON.to_owned(), own_body(&seen.id)];
+fn back_end_violation(seen: &ReceivedRequest) -> Option<String> {
+    let bodies = [ORDINARY.to_owned(), POISON.to_owned(), unique_body(&seen.id)];
     let known_body = bodies.iter().any(|body| seen.body == body.as_bytes());
     if seen.had_authorization || seen.tenant != "alpha" || !known_body {
         return Some(format!("changed on its way: {seen:?}"));
@@ -236,7 +247,7 @@
     (seen.ran && other_weights).then(|| format!("cached parts of other weights: {seen:?}"))
 }
 
-fn wrong_for_caller(sent: &Sent, runs: usize) -> Option<&'static str> {
+fn caller_violation(sent: &Sent, runs: usize) -> Option<&'static str> {
     let allowed = match sent.path {
         "/hold/1" | "/chat/1" => 1,
         _ => 2,
@@ -244,17 +255,23 @@
     if runs > allowed {
         return Some("ran too often");
     }
-    let got = sent.got.as_ref()?;
+    let response = sent.response.as_ref()?;
     let is_stream = sent.path == "/chat/1" || sent.path == "/claim/1";
-    if sent.body != POISON && got.body.contains("held_back") {
+    if sent.body != POISON && response.body.contains("held_back") {
         return Some("an ordinary request was held back");
     }
-    match got.status {
+    match response.status {
         StatusCode::SERVICE_UNAVAILABLE if allowed == 1 && runs > 0 => Some("refused and ran"),
-        StatusCode::OK if !got.headers.contains_key(Cluster::SIGNATURE) => Some("no back end's answer"),
-        StatusCode::OK if is_stream && got.whole && got.body != WHOLE_STREAM => Some("not the whole stream"),
-        StatusCode::OK if is_stream && !WHOLE_STREAM.starts_with(&got.body) => Some("a stream out of order"),
-        StatusCode::OK if !is_stream && got.whole && got.body != "whole body" => Some("another body"),
+        StatusCode::OK if !response.headers.contains_key(Cluster::SIGNATURE) => Some("no back end's answer"),
+        StatusCode::OK if is_stream && response.complete && response.body != COMPLETE_STREAM => {
+            Some("not the whole stream")
+        }
+        StatusCode::OK if is_stream && !COMPLETE_STREAM.starts_with(&response.body) => {
+            Some("a stream out of order")
+        }
+        StatusCode::OK if !is_stream && response.complete && response.body != "whole body" => {
+            Some("another body")
+        }
         _ => None,
     }
 }
--- a/crates/cli/tests/forward/soak/mod.rs
+++ b/crates/cli/tests/forward/soak/mod.rs
@@ -14,8 +14,8 @@
 mod disturbance;
 mod faults;
 mod leaving;
-mod namings;
 mod retries;
+mod targets;
 mod weights;
 
 use std::{
@@ -28,9 +28,9 @@
 use paddlemount_platform_standin::{Cluster, cluster::KEY, proxy::Proxy};
 
 use self::{
-    callers::{Asked, Sent},
+    callers::{OfferedRequest, Sent},
     disturbance::Disturbance,
-    weights::Naming,
+    weights::TargetVersion,
 };
 use crate::router::{Router, from_environment};
 
@@ -38,7 +38,7 @@
 /// Callers that go to any node with each request.
 const CALLERS: usize = 6;
 /// Callers that hold on to one connection.
-const HOLDING_CALLERS: usize = 48;
+const PERSISTENT_CALLERS: usize = 48;
 /// Series of faults that go on at once.
 const SERIES: u64 = 3;
 /// A key that the operator takes away at some moment.
@@ -48,22 +48,22 @@
 /// The body of the request that crashes whatever runs it.
 const POISON: &str = "crashes whatever runs it";
 /// Seconds of a play of all faults in CI.
-const SECONDS_IN_CI: u64 = 12;
+const CI_SECONDS: u64 = 12;
 /// Seconds of a play of namings in CI: the bound of weights passes, with a rest in which it would be broken.
-const NAMING_SECONDS_IN_CI: u64 = 16;
+const TARGET_VERSION_CI_SECONDS: u64 = 16;
 /// How long an engine needs to load weights, about as long as those of the platform: all of them one after the other take
 /// longer than a look does.
-const LOAD: Duration = Duration::from_millis(600);
+const LOAD_TIME: Duration = Duration::from_millis(600);
 /// How often engines tell of their weights.
-const HEARTBEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// How long engines may take to get the last version once nothing disturbs them: a leader's lease, and some looks.
-const ROLLOUT_PATIENCE: Duration = Duration::from_secs(20);
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Seeds of all faults that are played each time; those that once failed stay here with their cause. 1: victims of a request
 /// that crashed what ran it were held back with it. 108: a run that was sent on to a second engine of a lost rack counted as a
 /// crash.
 const SEEDS: [u64; 4] = [1, 2, 3, 108];
 /// Seeds of namings that are played each time.
-const NAMING_SEEDS: [u64; 2] = [1, 2];
+const TARGET_VERSION_SEEDS: [u64; 2] = [1, 2];
 
 /// Seeds of back ends that leave and rest that are played each time. 144: an older entry, which a copy of the store told, ended a
 /// rest that a back end had asked for.
@@ -71,38 +71,38 @@
 
 /// What a soak plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Play {
+enum Scenario {
     /// Faults of all kinds.
     AllFaults,
     /// Namings of weights beside crashes, starts and stand-stills.
-    Namings,
+    TargetVersions,
     /// Back ends that leave or ask for rest, beside outages of the store and starts of nodes.
     Announcements,
 }
 
-impl Play {
-    const fn seconds_in_ci(self) -> u64 {
+impl Scenario {
+    const fn ci_seconds(self) -> u64 {
         match self {
-            Self::AllFaults | Self::Announcements => SECONDS_IN_CI,
-            Self::Namings => NAMING_SECONDS_IN_CI,
+            Self::AllFaults | Self::Announcements => CI_SECONDS,
+            Self::TargetVersions => TARGET_VERSION_CI_SECONDS,
         }
     }
 
     /// One in so many requests must be served, or a play shows nothing.
-    const fn least_served(self) -> usize {
+    const fn min_served_divisor(self) -> usize {
         match self {
             Self::AllFaults => 5,
             // In some plays all engines are away, and bookings refuse everything, most of the time.
-            Self::Namings | Self::Announcements => 50,
+            Self::TargetVersions | Self::Announcements => 50,
         }
     }
 }
 
 struct Soak {
-    place: Cluster,
+    cluster: Cluster,
     routers: Vec<Mutex<Option<Arc<Router>>>>,
     /// Held by the series whose fault concerns a node's process.
-    taken: Vec<tokio::sync::Mutex<()>>,
+    node_locks: Vec<tokio::sync::Mutex<()>>,
     store_links: Vec<Proxy>,
     runner_links: Vec<Proxy>,
     /// The ways on which other nodes reach each node.
@@ -110,13 +110,13 @@
     /// The version of the operator's document and the keys in it.
     document: tokio::sync::Mutex<u64>,
     /// Held by the series that makes the store come back from a copy.
-    restoring: tokio::sync::Mutex<()>,
-    namings: Mutex<Vec<Naming>>,
+    restore_lock: tokio::sync::Mutex<()>,
+    targets: Mutex<Vec<TargetVersion>>,
     removed_at: Mutex<Option<Instant>>,
     disturbances: Mutex<Vec<Disturbance>>,
     /// All requests of callers, those that wait for a node to serve included.
-    asked: Mutex<Vec<Asked>>,
-    told: Mutex<Vec<String>>,
+    offered: Mutex<Vec<OfferedRequest>>,
+    events: Mutex<Vec<String>>,
     began: Instant,
     until: Instant,
 }
@@ -127,18 +127,18 @@
 
 impl Soak {
     async fn start(nodes: usize, seconds: u64) -> Self {
-        let place = Cluster::start().await.expect("a place starts");
-        place.configure(1, &[KEY, REMOVED_KEY]);
+        let cluster = Cluster::start().await.expect("the cluster starts");
+        cluster.configure(1, &[KEY, REMOVED_KEY]);
         let mut runner_links = Vec::new();
-        for runner in place.engines.iter().chain(&place.bookings) {
+        for runner in cluster.engines.iter().chain(&cluster.bookings) {
             let link = Proxy::start_for_runner(runner).await.expect("a proxy starts");
-            place.register_at(runner, "ready", link.address);
+            cluster.register_at(runner, "ready", link.address);
             runner.crash_on(POISON.as_bytes());
             runner_links.push(link);
         }
         let (mut store_links, mut peer_links, mut routers) = (Vec::new(), Vec::new(), Vec::new());
         for number in 0..nodes {
-            let link = Proxy::start(place.store_address).await.expect("a proxy starts");
+            let link = Proxy::start(cluster.store_address).await.expect("a proxy starts");
             let peer_link = Proxy::start_without_target().await.expect("a proxy starts");
             let router = start_node(&link, &peer_link, number).await;
             store_links.push(link);
@@ -147,25 +147,25 @@
         }
         let now = Instant::now();
         let mut soak = Self {
-            place,
+            cluster,
             routers,
-            taken: (0..nodes).map(|_| tokio::sync::Mutex::default()).collect(),
+            node_locks: (0..nodes).map(|_| tokio::sync::Mutex::default()).collect(),
             store_links,
             runner_links,
             peer_links,
             document: tokio::sync::Mutex::new(1),
-            restoring: tokio::sync::Mutex::default(),
-            namings: Mutex::default(),
+            restore_lock: tokio::sync::Mutex::default(),
+            targets: Mutex::default(),
             removed_at: Mutex::default(),
             disturbances: Mutex::default(),
-            asked: Mutex::default(),
-            told: Mutex::default(),
+            offered: Mutex::default(),
+            events: Mutex::default(),
             began: now,
             until: now,
         };
-        soak.place.engines.iter().for_each(|engine| engine.set_load_time(LOAD));
+        soak.cluster.engines.iter().for_each(|engine| engine.set_load_time(LOAD_TIME));
         for number in 0..nodes {
-            soak.serves(number).await;
+            soak.wait_until_serving(number).await;
         }
         soak.began = Instant::now();
         soak.until = soak.began + Duration::from_secs(seconds);
@@ -180,17 +180,17 @@
         locked(&self.routers[number]).clone()
     }
 
-    fn tell(&self, what: String) {
+    fn log(&self, what: String) {
         let line = format!("{:7.3} s  {what}", self.began.elapsed().as_secs_f64());
-        locked(&self.told).push(line);
+        locked(&self.events).push(line);
     }
 
     /// What the nodes that still run have said of back ends that ended under requests, and of what back ends have announced, in
     /// order of time.
-    fn lines_about_crashes(&self) -> Vec<String> {
+    fn crash_lines(&self) -> Vec<String> {
         let routers = (0..self.nodes()).filter_map(|number| self.router(number));
         let about = |line: &String| {
-            let told = [
+            let events = [
                 "\"run_c",
                 "\"request_",
                 "\"leadership",
@@ -198,7 +198,7 @@
                 "\"backend_leaving",
                 "to another request",
             ];
-            told.iter().any(|word| line.contains(word))
+            events.iter().any(|word| line.contains(word))
         };
         let mut lines: Vec<String> = routers.flat_map(|router| router.lines()).filter(about).collect();
         lines.sort();
@@ -206,12 +206,12 @@
     }
 
     /// Waits until a node serves.
-    async fn serves(&self, number: usize) {
+    async fn wait_until_serving(&self, number: usize) {
         let router = self.router(number).expect("a node runs");
         let served = async || {
             let id = format!("settle-{number}-{}", rand::random::<u64>());
-            self.ask("/hold/1", Instant::now());
-            router.send("/hold/1", &id).await.is_some_and(|got| got.status == StatusCode::OK)
+            self.record_offered("/hold/1", Instant::now());
+            router.send("/hold/1", &id).await.is_some_and(|response| response.status == StatusCode::OK)
         };
         router.until("serving", served).await;
     }
@@ -219,35 +219,35 @@
     /// Engines tell of their weights, until all is over and each has the version that was named last; whether they got it.
     async fn heartbeats(&self) -> bool {
         loop {
-            self.place.publish_weights();
-            let newest = locked(&self.namings).last().map_or(0, |naming| naming.version);
+            self.cluster.publish_weights();
+            let newest = locked(&self.targets).last().map_or(0, |target| target.version);
             let over = Instant::now() >= self.until;
-            if over && self.place.engines.iter().all(|engine| engine.version() >= newest) {
+            if over && self.cluster.engines.iter().all(|engine| engine.version() >= newest) {
                 return true;
             }
-            if Instant::now() >= self.until + ROLLOUT_PATIENCE {
+            if Instant::now() >= self.until + ROLLOUT_TIMEOUT {
                 return false;
             }
-            tokio::time::sleep(HEARTBEAT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
     /// Everything that callers send while faults go on.
-    async fn calls(&self, play: Play, seed: u64) -> Vec<Sent> {
+    async fn calls(&self, scenario: Scenario, seed: u64) -> Vec<Sent> {
         let until = self.until;
-        let callers = (0..CALLERS).map(|caller| self.call(play, caller, seed, until));
+        let callers = (0..CALLERS).map(|caller| self.call(scenario, caller, seed, until));
         let callers = futures_util::future::join_all(callers);
-        let sent: Vec<Vec<Sent>> = match play {
-            Play::AllFaults => {
+        let sent: Vec<Vec<Sent>> = match scenario {
+            Scenario::AllFaults => {
                 let (mut sent, poison) = tokio::join!(callers, self.call_poison(seed, until));
                 sent.push(poison);
                 sent
             }
-            Play::Namings | Play::Announcements => {
+            Scenario::TargetVersions | Scenario::Announcements => {
                 let holding =
-                    (0..HOLDING_CALLERS).map(|caller| self.call_on_one_connection(caller, seed, until));
-                let (mut sent, held) = tokio::join!(callers, futures_util::future::join_all(holding));
-                sent.extend(held);
+                    (0..PERSISTENT_CALLERS).map(|caller| self.call_on_one_connection(caller, seed, until));
+                let (mut sent, persistent) = tokio::join!(callers, futures_util::future::join_all(holding));
+                sent.extend(persistent);
                 sent
             }
         };
@@ -255,11 +255,11 @@
     }
 
     /// The faults of one play.
-    async fn harm(&self, play: Play, seed: u64) {
-        let series = (0..SERIES).map(async |series| match play {
-            Play::AllFaults => self.faults(seed, series).await,
-            Play::Namings => self.faults_beside_namings(seed, series).await,
-            Play::Announcements => self.faults_beside_announcements(seed, series).await,
+    async fn inject_faults(&self, scenario: Scenario, seed: u64) {
+        let series = (0..SERIES).map(async |series| match scenario {
+            Scenario::AllFaults => self.faults(seed, series).await,
+            Scenario::TargetVersions => self.target_version_faults(seed, series).await,
+            Scenario::Announcements => self.announcement_faults(seed, series).await,
         });
         futures_util::future::join_all(series).await;
     }
@@ -270,57 +270,61 @@
     Router::start_behind(store.address, &name, peers).await
 }
 
-async fn soak(play: Play, seed: u64, seconds: u64, nodes: usize) {
+async fn soak(scenario: Scenario, seed: u64, seconds: u64, nodes: usize) {
     let soak = Soak::start(nodes, seconds).await;
-    let key_goes = soak.began + Duration::from_secs(seconds / 3);
+    let key_removed_at = soak.began + Duration::from_secs(seconds / 3);
     let (sent, (), (), rolled_out) = tokio::join!(
-        soak.calls(play, seed),
-        soak.harm(play, seed),
-        soak.take_key_away(key_goes),
+        soak.calls(scenario, seed),
+        soak.inject_faults(scenario, seed),
+        soak.remove_key(key_removed_at),
         soak.heartbeats()
     );
     for number in 0..nodes {
-        soak.serves(number).await;
+        soak.wait_until_serving(number).await;
     }
     // What is still on its way may arrive.
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let mut wrong = soak.violations(&sent);
+    let mut violations = soak.violations(&sent);
     if !rolled_out {
-        let held: Vec<u64> = soak.place.engines.iter().map(|engine| engine.version()).collect();
-        wrong.push(format!("engines did not get the last version: {held:?}"));
+        let loaded: Vec<u64> = soak.cluster.engines.iter().map(|engine| engine.version()).collect();
+        violations.push(format!("engines did not get the last version: {loaded:?}"));
     }
     let ordinary = sent.iter().filter(|one| one.body != POISON);
     let statuses = ordinary.fold(BTreeMap::new(), |mut counts: BTreeMap<u16, usize>, one| {
-        *counts.entry(one.got.as_ref().map_or(0, |got| got.status.as_u16())).or_default() += 1;
+        *counts.entry(one.response.as_ref().map_or(0, |response| response.status.as_u16())).or_default() += 1;
         counts
     });
-    let told = locked(&soak.told).join("\n");
-    let nearest = soak.nearest(&sent);
+    let events = locked(&soak.events).join("\n");
+    let tightest_margins = soak.tightest_margins(&sent);
     println!(
-        "{play:?}, seed {seed}, {seconds} s, {nodes} nodes: {} requests, ordinary ones by status {statuses:?}, {} runs of \
-         the one that crashes, {} namings, {} wrong; {nearest}",
+        "{scenario:?}, seed {seed}, {seconds} s, {nodes} nodes: {} requests, ordinary ones by status {statuses:?}, {} runs of \
+         the one that crashes, {} namings, {} wrong; {tightest_margins}",
         sent.len(),
         soak.poison_runs().len(),
-        locked(&soak.namings).len(),
-        wrong.len()
+        locked(&soak.targets).len(),
+        violations.len()
+    );
+    let lines = soak.crash_lines().join("\n");
+    assert!(
+        violations.is_empty(),
+        "{scenario:?}, seed {seed}:\n{events}\n{lines}\n{}",
+        violations.join("\n")
     );
-    let lines = soak.lines_about_crashes().join("\n");
-    assert!(wrong.is_empty(), "{play:?}, seed {seed}:\n{told}\n{lines}\n{}", wrong.join("\n"));
     let all: usize = statuses.values().sum();
     assert!(
-        statuses.get(&200).is_some_and(|count| *count > all / play.least_served()),
-        "hardly anything was served: {statuses:?}\n{told}"
+        statuses.get(&200).is_some_and(|count| *count > all / scenario.min_served_divisor()),
+        "hardly anything was served: {statuses:?}\n{events}"
     );
 }
 
-async fn play_seeds(play: Play, seeds: &[u64]) {
-    let seconds = from_environment("PADDLEMOUNT_SOAK_SECONDS").unwrap_or(play.seconds_in_ci());
+async fn run_seeds(scenario: Scenario, seeds: &[u64]) {
+    let seconds = from_environment("PADDLEMOUNT_SOAK_SECONDS").unwrap_or(scenario.ci_seconds());
     let nodes = from_environment("PADDLEMOUNT_SOAK_NODES").map_or(NODES, |nodes| nodes as usize);
     match from_environment("PADDLEMOUNT_SOAK_SEED") {
-        Some(seed) => soak(play, seed, seconds, nodes).await,
+        Some(seed) => soak(scenario, seed, seconds, nodes).await,
         None => {
             for seed in seeds {
-                soak(play, *seed, seconds, nodes).await;
+                soak(scenario, *seed, seconds, nodes).await;
             }
         }
     }
@@ -328,15 +332,15 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_under_faults_from_outside() {
-    play_seeds(Play::AllFaults, &SEEDS).await;
+    run_seeds(Scenario::AllFaults, &SEEDS).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn weights_and_retries_keep_their_bounds_beside_crashes_and_starts() {
-    play_seeds(Play::Namings, &NAMING_SEEDS).await;
+    run_seeds(Scenario::TargetVersions, &TARGET_VERSION_SEEDS).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_back_ends_say_of_themselves_is_heeded_beside_outages_and_starts() {
-    play_seeds(Play::Announcements, &ANNOUNCEMENT_SEEDS).await;
+    run_seeds(Scenario::Announcements, &ANNOUNCEMENT_SEEDS).await;
 }
