--- a/crates/cli/tests/forward/soak/retries.rs
+++ b/crates/cli/tests/forward/soak/retries.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     /// Repeats for a hundred requests.
-    pub per_cent: u64,
+    pub percent: u64,
     /// Repeats beside, in a window.
     pub slack: u64,
     /// The window.
@@ -33,7 +33,7 @@
     /// Its end.
     pub to: Instant,
     /// Arrivals beyond the first of each request.
-    pub repeats: u64,
+    pub retries: u64,
     /// Requests that callers sent.
     pub requests: u64,
     /// Repeats that were allowed.
@@ -43,7 +43,7 @@
 impl Window {
     /// Whether more was repeated than allowed.
     pub const fn is_over(&self) -> bool {
-        self.repeats > self.allowed
+        self.retries > self.allowed
     }
 }
 
@@ -52,23 +52,23 @@
 ///
 /// `asked` tells when callers sent requests for the service. They count in whichever has most: the window itself, the one
 /// before it, or the one half a window before it.
-pub fn fullest_window(asked: &[Instant], arrivals: &[Arrival], budget: &Budget) -> Option<Window> {
-    let asked = sorted(asked.to_vec());
-    let repeats = repeats(arrivals);
-    let ends = repeats.iter().copied();
+pub fn fullest_window(offered: &[Instant], arrivals: &[Arrival], budget: &Budget) -> Option<Window> {
+    let offered = sorted(offered.to_vec());
+    let retries = retries(arrivals);
+    let ends = retries.iter().copied();
     // A window that begins with a repeat has it in it.
-    let begins = repeats.iter().map(|at| *at + budget.window - Duration::from_nanos(1));
-    let windows = ends.chain(begins).map(|to| window_ending(to, &asked, &repeats, budget));
-    windows.max_by_key(|window| window.repeats as i64 - window.allowed as i64)
+    let begins = retries.iter().map(|at| *at + budget.window - Duration::from_nanos(1));
+    let windows = ends.chain(begins).map(|to| window_ending(to, &offered, &retries, budget));
+    windows.max_by_key(|window| window.retries as i64 - window.allowed as i64)
 }
 
-fn sorted(mut moments: Vec<Instant>) -> Vec<Instant> {
-    moments.sort();
-    moments
+fn sorted(mut instants: Vec<Instant>) -> Vec<Instant> {
+    instants.sort();
+    instants
 }
 
 /// When requests arrived that had arrived before, in order.
-fn repeats(arrivals: &[Arrival]) -> Vec<Instant> {
+fn retries(arrivals: &[Arrival]) -> Vec<Instant> {
     let mut arrivals = arrivals.to_vec();
     arrivals.sort_by_key(|arrival| arrival.at);
     let mut known = BTreeSet::new();
@@ -76,18 +76,18 @@
 }
 
 /// The window that ends with what happens at `to`.
-fn window_ending(to: Instant, asked: &[Instant], repeats: &[Instant], budget: &Budget) -> Window {
+fn window_ending(to: Instant, offered: &[Instant], retries: &[Instant], budget: &Budget) -> Window {
     let from = to - budget.window;
-    let earlier = |by: Duration| count(asked, from - by, to - by);
+    let earlier = |by: Duration| count(offered, from - by, to - by);
     let half = budget.window / 2;
     let requests = earlier(Duration::ZERO).max(earlier(half)).max(earlier(budget.window));
-    let allowed = requests * budget.per_cent / 100 + budget.slack;
-    Window { from, to, repeats: count(repeats, from, to), requests, allowed }
+    let allowed = requests * budget.percent / 100 + budget.slack;
+    Window { from, to, retries: count(retries, from, to), requests, allowed }
 }
 
 /// How many of these sorted moments lie after `from`, up to and with `to`.
-fn count(moments: &[Instant], from: Instant, to: Instant) -> u64 {
-    let until = |end: Instant| moments.partition_point(|moment| *moment <= end);
+fn count(instants: &[Instant], from: Instant, to: Instant) -> u64 {
+    let until = |end: Instant| instants.partition_point(|instant| *instant <= end);
     (until(to) - until(from)) as u64
 }
 
@@ -95,24 +95,24 @@
 mod tests {
     use super::*;
 
-    const BUDGET: Budget = Budget { per_cent: 20, slack: 3, window: Duration::from_secs(10) };
+    const BUDGET: Budget = Budget { percent: 20, slack: 3, window: Duration::from_secs(10) };
 
-    fn moment(start: Instant, tenths: u64) -> Instant {
+    fn instant(start: Instant, tenths: u64) -> Instant {
         start + Duration::from_millis(tenths * 100)
     }
 
-    fn over_budget(asked: &[Instant], arrivals: &[Arrival]) -> Option<Window> {
-        fullest_window(asked, arrivals, &BUDGET).filter(Window::is_over)
+    fn over_budget(offered: &[Instant], arrivals: &[Arrival]) -> Option<Window> {
+        fullest_window(offered, arrivals, &BUDGET).filter(Window::is_over)
     }
 
     /// One request a tenth of a second; those for which `arrivals` is more than one are sent on so often.
     fn play(start: Instant, requests: u64, arrivals: impl Fn(u64) -> u64) -> Option<Window> {
         let ids: Vec<String> = (0..requests).map(|number| number.to_string()).collect();
-        let asked: Vec<Instant> = (0..requests).map(|number| moment(start, number)).collect();
-        let arrived = ids.iter().zip(&asked).enumerate().flat_map(|(number, (id, at))| {
+        let offered: Vec<Instant> = (0..requests).map(|number| instant(start, number)).collect();
+        let arrived = ids.iter().zip(&offered).enumerate().flat_map(|(number, (id, at))| {
             (0..arrivals(number as u64)).map(move |_| Arrival { id: id.as_str(), at: *at })
         });
-        over_budget(&asked, &arrived.collect::<Vec<_>>())
+        over_budget(&offered, &arrived.collect::<Vec<_>>())
     }
 
     #[test]
@@ -127,7 +127,7 @@
         let burst = |first: u64| move |number| 1 + u64::from((first..200).contains(&number));
         assert_eq!(play(start, 300, burst(177)), None);
         let over = play(start, 300, burst(176)).expect("over the budget");
-        assert_eq!((over.repeats, over.requests, over.allowed), (24, 100, 23));
+        assert_eq!((over.retries, over.requests, over.allowed), (24, 100, 23));
     }
 
     #[test]
@@ -140,7 +140,7 @@
     fn a_burst_across_the_border_of_two_windows_counts_whole() {
         let start = Instant::now() + Duration::from_secs(60);
         let burst = |number| 1 + u64::from((88..112).contains(&number));
-        assert_eq!(play(start, 300, burst).expect("over the budget").repeats, 24);
+        assert_eq!(play(start, 300, burst).expect("over the budget").retries, 24);
     }
 
     #[test]
@@ -154,12 +154,12 @@
     fn requests_of_the_window_before_count_where_they_are_more() {
         let start = Instant::now() + Duration::from_secs(60);
         let ids: Vec<String> = (0..22).map(|number| number.to_string()).collect();
-        let asked: Vec<Instant> = (0..100).map(|number| moment(start, number)).collect();
+        let offered: Vec<Instant> = (0..100).map(|number| instant(start, number)).collect();
         let arrivals_at = |at: Instant| -> Vec<Arrival> {
             ids.iter().flat_map(|id| [Arrival { id, at: start }, Arrival { id, at }]).collect()
         };
-        assert_eq!(over_budget(&asked, &arrivals_at(moment(start, 100))), None);
+        assert_eq!(over_budget(&offered, &arrivals_at(instant(start, 100))), None);
         // By then nobody has asked for anything for too long.
-        assert!(over_budget(&asked, &arrivals_at(moment(start, 120))).is_some());
+        assert!(over_budget(&offered, &arrivals_at(instant(start, 120))).is_some());
     }
 }
--- a/crates/cli/tests/forward/unanswered.rs
+++ b/crates/cli/tests/forward/unanswered.rs
@@ -11,7 +11,7 @@
 use paddlemount_platform_standin::{Behaviour, Cluster, cluster::KEY};
 
 use crate::{
-    delivery::WHOLE_STREAM,
+    delivery::COMPLETE_STREAM,
     raw_caller::{Ending, RawCaller},
     router::Router,
 };
@@ -19,37 +19,37 @@
 /// Callers of each kind.
 const CALLERS: usize = 24;
 /// When a node with a grace period of 6 s takes callers no longer, after the signal to stop.
-const CLOSES_AFTER: Duration = Duration::from_millis(2_240);
+const CLOSE_DELAY: Duration = Duration::from_millis(2_240);
 /// How long before and after that moment the node gets no processor time.
-const HELD_UP: Duration = Duration::from_millis(350);
+const FREEZE_MARGIN: Duration = Duration::from_millis(350);
 
-async fn place_and_router() -> (Cluster, Router) {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let router = Router::start(&place).await;
-    (place, router)
+async fn cluster_and_router() -> (Cluster, Router) {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let router = Router::start(&cluster).await;
+    (cluster, router)
 }
 
 /// Engines whose next streams take 3 s, before a node that has 4 s for a planned stop.
 async fn long_streams_and_short_grace() -> (Cluster, Router) {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    let router = Router::start_with_grace(&place, 4).await;
-    for engine in &place.engines {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    let router = Router::start_with_grace(&cluster, 4).await;
+    for engine in &cluster.engines {
         engine.script(&[Behaviour::Long; 4]);
     }
-    (place, router)
+    (cluster, router)
 }
 
 /// Stops the node, which gets no processor time around the moment at which it takes callers no longer; `act` does what
 /// callers do meanwhile.
-async fn stop_and_hold_up<T>(router: &Router, act: impl Future<Output = T>) -> T {
+async fn stop_and_freeze<T>(router: &Router, act: impl Future<Output = T>) -> T {
     let stopped = Instant::now();
     router.terminate();
-    tokio::time::sleep_until((stopped + CLOSES_AFTER - HELD_UP).into()).await;
+    tokio::time::sleep_until((stopped + CLOSE_DELAY - FREEZE_MARGIN).into()).await;
     router.freeze();
     let done = act.await;
-    tokio::time::sleep_until((stopped + CLOSES_AFTER + HELD_UP).into()).await;
+    tokio::time::sleep_until((stopped + CLOSE_DELAY + FREEZE_MARGIN).into()).await;
     router.thaw();
     done
 }
@@ -60,34 +60,34 @@
 }
 
 /// All callers got a whole answer; where not, the node's own words.
-async fn assert_whole(endings: &[Ending], router: &Router) {
-    let cut = endings.iter().filter(|ending| !ending.is_whole()).count();
-    router.until("told all", async || router.told("stopped")).await;
+async fn assert_all_complete(endings: &[Ending], router: &Router) {
+    let cut = endings.iter().filter(|ending| !ending.is_complete()).count();
+    router.until("stopped", async || router.logged("stopped")).await;
     assert_eq!(cut, 0, "of {}: {endings:?}\n{:#?}", endings.len(), router.lines());
 }
 
 #[tokio::test]
 async fn what_lies_in_resting_connections_at_a_planned_stop_is_answered() {
-    let (_place, router) = place_and_router().await;
+    let (_place, router) = cluster_and_router().await;
     let mut callers = Vec::new();
     for number in 0..CALLERS {
         let mut caller = RawCaller::connect(router.callers).await;
-        assert!(caller.call("/quote/1", &format!("first-{number}")).await.is_whole());
+        assert!(caller.call("/quote/1", &format!("first-{number}")).await.is_complete());
         callers.push(caller);
     }
-    stop_and_hold_up(&router, async {
+    stop_and_freeze(&router, async {
         for (number, caller) in callers.iter_mut().enumerate() {
             caller.send("/quote/1", &format!("second-{number}")).await;
         }
     })
     .await;
-    assert_whole(&endings(callers).await, &router).await;
+    assert_all_complete(&endings(callers).await, &router).await;
 }
 
 #[tokio::test]
 async fn what_waits_in_the_listeners_queue_at_a_planned_stop_is_answered() {
-    let (_place, router) = place_and_router().await;
-    let callers = stop_and_hold_up(&router, async {
+    let (_place, router) = cluster_and_router().await;
+    let callers = stop_and_freeze(&router, async {
         let mut callers = Vec::new();
         for number in 0..CALLERS {
             let mut caller = RawCaller::connect(router.callers).await;
@@ -97,19 +97,19 @@
         callers
     })
     .await;
-    assert_whole(&endings(callers).await, &router).await;
+    assert_all_complete(&endings(callers).await, &router).await;
 }
 
 /// A silent run was let go as soon as another back end was asked. Where that one refused, the caller's stream broke, though
 /// the run was well and went on after its pause: `attempt_ended` with `silent`, two with `not_run`, and `stream_broken`.
 #[tokio::test]
 async fn a_silent_run_is_kept_until_another_has_taken_its_stream() {
-    let (place, router) = place_and_router().await;
+    let (cluster, router) = cluster_and_router().await;
     // A node that does not know that it is alone allows itself two retries only.
     router
-        .until("counted", async || router.ask_metrics().await.contains("paddlemount_forward_nodes 1"))
+        .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
         .await;
-    let (first, others) = place.engines.split_first().expect("engines");
+    let (first, others) = cluster.engines.split_first().expect("engines");
     first.script(&[Behaviour::FallsSilent; CALLERS]);
     for engine in others {
         engine.script(&[Behaviour::Sheds; 4 * CALLERS]);
@@ -119,23 +119,23 @@
         async move { router.send("/claim/1", &format!("silent-{number}")).await.expect("an answer") }
     });
     let all = futures_util::future::join_all(calls).await;
-    let broken: Vec<_> = all.iter().filter(|got| got.status == 200 && !got.whole).collect();
+    let broken: Vec<_> = all.iter().filter(|response| response.status == 200 && !response.complete).collect();
     assert!(broken.is_empty(), "{broken:?}\n{:#?}", router.lines());
-    assert!(all.iter().any(|got| got.whole && got.body == WHOLE_STREAM));
+    assert!(all.iter().any(|response| response.complete && response.body == COMPLETE_STREAM));
 }
 
 /// A planned stop took callers for a fixed time and ended after another. A stream that began near the end of the first and
 /// lasted longer than the rest of the second was cut: `stopped` with `running: 1` after the whole grace period.
 #[tokio::test]
 async fn a_planned_stop_begins_no_stream_that_it_cannot_end() {
-    let (place, router) = long_streams_and_short_grace().await;
+    let (cluster, router) = long_streams_and_short_grace().await;
     let mut caller = RawCaller::connect(router.callers).await;
-    assert!(caller.call("/chat/1", "long-1").await.is_whole());
+    assert!(caller.call("/chat/1", "long-1").await.is_complete());
     router.terminate();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let ending = caller.call("/chat/1", "long-2").await;
-    let runs: usize = place.engines.iter().map(|engine| engine.runs("long-2")).sum();
-    let Ending::Whole { status: 503, closes: true, retry_after: Some(_), .. } = ending else {
+    let runs: usize = cluster.engines.iter().map(|engine| engine.runs("long-2")).sum();
+    let Ending::Complete { status: 503, closes: true, retry_after: Some(_), .. } = ending else {
         panic!("{ending:?}\n{:#?}", router.lines());
     };
     assert_eq!(runs, 0, "a refusal that says when to come back has not run");
@@ -146,16 +146,16 @@
 /// had had no answer by which its length could be known.
 #[tokio::test]
 async fn a_planned_stop_begins_nothing_after_it_takes_callers_no_longer() {
-    let (place, router) = long_streams_and_short_grace().await;
+    let (cluster, router) = long_streams_and_short_grace().await;
     let mut caller = RawCaller::connect(router.callers).await;
     caller.send("/chat/1", "before").await;
-    let runs = |id: &'static str| place.engines.iter().map(|engine| engine.runs(id)).sum::<usize>();
+    let runs = |id: &'static str| cluster.engines.iter().map(|engine| engine.runs(id)).sum::<usize>();
     router.until("running", async || runs("before") == 1).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     router.terminate();
-    assert!(matches!(caller.ending().await, Ending::Whole { status: 200, closes: false, .. }));
+    assert!(matches!(caller.ending().await, Ending::Complete { status: 200, closes: false, .. }));
     let ending = caller.call("/claim/1", "after").await;
-    let Ending::Whole { status: 503, closes: true, retry_after: Some(_), .. } = ending else {
+    let Ending::Complete { status: 503, closes: true, retry_after: Some(_), .. } = ending else {
         panic!("{ending:?}\n{:#?}", router.lines());
     };
     assert_eq!(runs("after"), 0);
@@ -166,7 +166,7 @@
 #[tokio::test]
 async fn a_refusal_outlives_a_body_that_is_still_on_its_way() {
     const HALF: usize = 30_000;
-    let (_place, router) = place_and_router().await;
+    let (_place, router) = cluster_and_router().await;
     for number in 0..CALLERS {
         let mut caller = RawCaller::connect(router.callers).await;
         caller.send_head("/nowhere/1", &format!("refused-{number}"), 2 * HALF).await;
@@ -175,7 +175,7 @@
         caller.write(&[b'x'; HALF]).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
         let ending = caller.ending().await;
-        assert!(matches!(ending, Ending::Whole { status: 404, .. }), "{number}: {ending:?}");
+        assert!(matches!(ending, Ending::Complete { status: 404, .. }), "{number}: {ending:?}");
     }
 }
 
@@ -183,16 +183,16 @@
 /// to on connections that were open already.
 #[tokio::test]
 async fn a_longer_rest_counts_for_connections_that_are_open() {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure_idle(1, &[KEY], 500);
-    let router = Router::start(&place).await;
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure_idle(1, &[KEY], 500);
+    let router = Router::start(&cluster).await;
     let mut caller = RawCaller::connect(router.callers).await;
-    assert!(caller.call("/quote/1", "rest-1").await.is_whole());
-    place.configure_idle(2, &[KEY], 15_000);
+    assert!(caller.call("/quote/1", "rest-1").await.is_complete());
+    cluster.configure_idle(2, &[KEY], 15_000);
     let applied = async || router.lines().iter().any(|line| line.contains("\"version\":2"));
     router.until("applied", applied).await;
     tokio::time::sleep(Duration::from_millis(6_500)).await;
-    assert!(caller.call("/quote/1", "rest-2").await.is_whole(), "{:#?}", router.lines());
+    assert!(caller.call("/quote/1", "rest-2").await.is_complete(), "{:#?}", router.lines());
 }
 
 /// A connection that has rested for as long as callers may count on is closed. What has come on it by then is answered,
@@ -200,38 +200,38 @@
 #[tokio::test]
 async fn what_lies_in_connections_that_have_rested_for_long_is_answered() {
     /// After a rest of 300 ms that callers may count on.
-    const CLOSES_AFTER: Duration = Duration::from_millis(5_300);
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure_idle(1, &[KEY], 300);
-    let router = Router::start(&place).await;
+    const CLOSE_DELAY: Duration = Duration::from_millis(5_300);
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure_idle(1, &[KEY], 300);
+    let router = Router::start(&cluster).await;
     let mut callers = Vec::new();
     for number in 0..CALLERS {
         let mut caller = RawCaller::connect(router.callers).await;
-        assert!(caller.call("/quote/1", &format!("rested-{number}")).await.is_whole());
+        assert!(caller.call("/quote/1", &format!("rested-{number}")).await.is_complete());
         callers.push(caller);
     }
-    tokio::time::sleep(CLOSES_AFTER - HELD_UP).await;
+    tokio::time::sleep(CLOSE_DELAY - FREEZE_MARGIN).await;
     router.freeze();
     for (number, caller) in callers.iter_mut().enumerate() {
         caller.send("/quote/1", &format!("at-last-{number}")).await;
     }
-    tokio::time::sleep(2 * HELD_UP).await;
+    tokio::time::sleep(2 * FREEZE_MARGIN).await;
     router.thaw();
     let endings = endings(callers).await;
-    assert!(endings.iter().all(Ending::is_whole), "{endings:?}\n{:#?}", router.lines());
+    assert!(endings.iter().all(Ending::is_complete), "{endings:?}\n{:#?}", router.lines());
 }
 
 /// A stream's head was passed on before its first event. What went wrong between the two could then only be told by cutting
 /// the answer.
 #[tokio::test]
 async fn what_breaks_before_its_first_event_is_answered_whole() {
-    let (place, router) = place_and_router().await;
-    for engine in &place.engines {
+    let (cluster, router) = cluster_and_router().await;
+    for engine in &cluster.engines {
         engine.script(&[Behaviour::BreaksAfterHead; 2]);
     }
     let mut caller = RawCaller::connect(router.callers).await;
     let ending = caller.call("/chat/1", "early-1").await;
-    assert!(matches!(ending, Ending::Whole { status: 502, .. }), "{ending:?}");
-    let runs: usize = place.engines.iter().map(|engine| engine.runs("early-1")).sum();
+    assert!(matches!(ending, Ending::Complete { status: 502, .. }), "{ending:?}");
+    let runs: usize = cluster.engines.iter().map(|engine| engine.runs("early-1")).sum();
     assert_eq!(runs, 1);
 }
--- a/crates/cli/tests/forward/weights_named.rs
+++ b/crates/cli/tests/forward/weights_named.rs
@@ -17,14 +17,14 @@
     runner::{Behaviour, Runner},
 };
 
-use crate::router::{Got, Router, gauge};
+use crate::router::{CallerResponse, Router, gauge};
 
 /// Longer than any test: engines never come to new weights.
-const LOAD: Duration = Duration::from_secs(600);
+const LOAD_TIME: Duration = Duration::from_secs(600);
 /// The bound of nodes that are kept from hearing of a version, in milliseconds.
-const BOUND_MS: u64 = 3_000;
+const PARTITION_BOUND_MS: u64 = 3_000;
 /// How long they are: past the bound, and past the age at which a node trusts no keys any more.
-const UNHEARD: Duration = Duration::from_millis(5_500);
+const PARTITION_TIME: Duration = Duration::from_millis(5_500);
 /// The bound of nodes that record a naming, in milliseconds. A leader has half of it for that, also where the machine is
 /// busy.
 const RECORDED_BOUND_MS: u64 = 8_000;
@@ -34,27 +34,27 @@
 const LONG_BOUND_MS: u64 = 600_000;
 
 /// A place whose engines do not come to new weights.
-async fn place() -> Cluster {
-    let place = Cluster::start().await.expect("a place starts");
-    place.configure(1, &[KEY]);
-    place.engines.iter().for_each(|engine| engine.set_load_time(LOAD));
-    place.set_target_version(1);
-    place
+async fn cluster() -> Cluster {
+    let cluster = Cluster::start().await.expect("the cluster starts");
+    cluster.configure(1, &[KEY]);
+    cluster.engines.iter().for_each(|engine| engine.set_load_time(LOAD_TIME));
+    cluster.set_target_version(1);
+    cluster
 }
 
-async fn ask(router: &Router, path: &str) -> Got {
+async fn send(router: &Router, path: &str) -> CallerResponse {
     let id = format!("w-{}", rand::random::<u64>());
     router.send(path, &id).await.expect("an answer")
 }
 
 async fn until_served(router: &Router) {
-    let served = async || ask(router, "/claim/1").await.status == StatusCode::OK;
+    let served = async || send(router, "/claim/1").await.status == StatusCode::OK;
     router.until("serving", served).await;
 }
 
 /// How often engines have run anything.
-fn runs(place: &Cluster) -> usize {
-    let seen = place.engines.iter().flat_map(Runner::seen);
+fn runs(cluster: &Cluster) -> usize {
+    let seen = cluster.engines.iter().flat_map(Runner::seen);
     seen.filter(|seen| seen.ran).count()
 }
 
@@ -64,139 +64,140 @@
     router.lines().into_iter().find(|line| line.contains("\"weights_named\"") && line.contains(&field))
 }
 
-fn told_of(router: &Router, version: u64) -> bool {
+fn knows_target(router: &Router, version: u64) -> bool {
     line_of(router, version).is_some()
 }
 
 /// Whether a node knew how long ago a version was named at most, when it told of it.
-fn tells_age_of(router: &Router, version: u64) -> bool {
+fn logs_age_of(router: &Router, version: u64) -> bool {
     let is_age = |rest: &str| rest.starts_with(|first: char| first.is_ascii_digit());
     let line = line_of(router, version).unwrap_or_default();
     line.split_once("\"at_most_ms\":").is_some_and(|(_, rest)| is_age(rest))
 }
 
 /// Requests are refused at once, not run, and their callers are told when to come back.
-async fn refuses_older_weights(place: &Cluster, router: &Router) {
-    router.until("told of the version", async || told_of(router, 2)).await;
+async fn refuses_older_weights(cluster: &Cluster, router: &Router) {
+    router.until("informed of the version", async || knows_target(router, 2)).await;
     let known = async || {
-        let got = ask(router, "/hold/1").await;
-        got.status == StatusCode::OK
+        let response = send(router, "/hold/1").await;
+        response.status == StatusCode::OK
     };
     router.until("serving what has no weights", known).await;
-    let before = runs(place);
+    let before = runs(cluster);
     for path in ["/claim/1", "/chat/1", "/claim/2"] {
-        let got = ask(router, path).await;
-        assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
-        assert!(got.headers.contains_key(header::RETRY_AFTER), "{path}");
-        assert!(got.body.contains("older_weights"), "{path}: {}", got.body);
+        let response = send(router, path).await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
+        assert!(response.headers.contains_key(header::RETRY_AFTER), "{path}");
+        assert!(response.body.contains("older_weights"), "{path}: {}", response.body);
     }
-    assert_eq!(runs(place), before, "nothing runs on older weights");
+    assert_eq!(runs(cluster), before, "nothing runs on older weights");
 }
 
 #[tokio::test]
 async fn a_node_that_starts_alone_uses_no_weights_older_than_the_ones_that_it_finds_named() {
     // A node that finds a version named at its start cannot know for how long it has been.
-    let place = place().await;
-    place.set_target_version(2);
-    let router = Router::start(&place).await;
-    refuses_older_weights(&place, &router).await;
+    let cluster = cluster().await;
+    cluster.set_target_version(2);
+    let router = Router::start(&cluster).await;
+    refuses_older_weights(&cluster, &router).await;
 }
 
 #[tokio::test]
 async fn a_node_that_stood_still_while_weights_were_named_counts_from_before() {
-    let place = place().await;
-    let router = Router::start_with_weights_bound(place.store_address, "node-1", BOUND_MS).await;
+    let cluster = cluster().await;
+    let router = Router::start_with_weights_bound(cluster.store_address, "node-1", PARTITION_BOUND_MS).await;
     until_served(&router).await;
     router.freeze();
-    place.set_target_version(2);
-    tokio::time::sleep(UNHEARD).await;
+    cluster.set_target_version(2);
+    tokio::time::sleep(PARTITION_TIME).await;
     router.thaw();
-    refuses_older_weights(&place, &router).await;
+    refuses_older_weights(&cluster, &router).await;
 }
 
 #[tokio::test]
 async fn a_node_that_was_cut_off_while_weights_were_named_counts_from_before() {
-    let place = place().await;
-    let link = Proxy::start(place.store_address).await.expect("a proxy starts");
-    let router = Router::start_with_weights_bound(link.address, "node-1", BOUND_MS).await;
+    let cluster = cluster().await;
+    let link = Proxy::start(cluster.store_address).await.expect("a proxy starts");
+    let router = Router::start_with_weights_bound(link.address, "node-1", PARTITION_BOUND_MS).await;
     until_served(&router).await;
     link.set(LinkFault::Silent);
-    place.set_target_version(2);
-    tokio::time::sleep(UNHEARD).await;
+    cluster.set_target_version(2);
+    tokio::time::sleep(PARTITION_TIME).await;
     link.set(LinkFault::None);
-    refuses_older_weights(&place, &router).await;
+    refuses_older_weights(&cluster, &router).await;
 }
 
 #[tokio::test]
 async fn a_node_that_starts_beside_others_is_told_how_lately_weights_were_named() {
     // Without being told it would refuse requests that all others serve.
-    let place = place().await;
+    let cluster = cluster().await;
     let start =
-        async |name: &str| Router::start_with_weights_bound(place.store_address, name, LONG_BOUND_MS).await;
+        async |name: &str| Router::start_with_weights_bound(cluster.store_address, name, LONG_BOUND_MS).await;
     let first = start("node-0").await;
     first.until("leading", async || gauge(&first, "paddlemount_forward_leads").await == Some(1.0)).await;
     until_served(&first).await;
-    place.set_target_version(2);
-    first.until("told of the version", async || told_of(&first, 2)).await;
+    cluster.set_target_version(2);
+    first.until("informed of the version", async || knows_target(&first, 2)).await;
     let started = start("node-1").await;
     until_served(&started).await;
 }
 
 /// A node leads, hears of a version, records that in the store, and is killed.
-async fn killed_after_a_naming(place: &Cluster, bound_ms: u64) {
-    let router = Router::start_with_weights_bound(place.store_address, "node-1", bound_ms).await;
+async fn kill_after_announcement(cluster: &Cluster, bound_ms: u64) {
+    let router = Router::start_with_weights_bound(cluster.store_address, "node-1", bound_ms).await;
     router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
     until_served(&router).await;
-    place.set_target_version(2);
-    router.until("recorded", async || place.has_recorded_target()).await;
+    cluster.set_target_version(2);
+    router.until("recorded", async || cluster.has_recorded_target()).await;
 }
 
 #[tokio::test]
 async fn where_all_nodes_start_again_soon_after_a_naming_older_weights_serve_on() {
     // All nodes were killed 1.0 s after a naming. Those that started again took it for old, as nobody could tell them more:
     // a day with two such starts was worth 0.60 in place of 0.71 (means of four plays each).
-    let place = place().await;
-    killed_after_a_naming(&place, LONG_BOUND_MS).await;
-    let started = Router::start_with_weights_bound(place.store_address, "node-1", LONG_BOUND_MS).await;
+    let cluster = cluster().await;
+    kill_after_announcement(&cluster, LONG_BOUND_MS).await;
+    let started = Router::start_with_weights_bound(cluster.store_address, "node-1", LONG_BOUND_MS).await;
     until_served(&started).await;
-    started.until("told of the version", async || told_of(&started, 2)).await;
-    assert!(tells_age_of(&started, 2), "{:#?}", started.lines());
+    started.until("informed of the version", async || knows_target(&started, 2)).await;
+    assert!(logs_age_of(&started, 2), "{:#?}", started.lines());
 }
 
 #[tokio::test]
 async fn where_all_nodes_start_again_long_after_a_naming_older_weights_serve_no_more() {
-    let place = place().await;
-    killed_after_a_naming(&place, RECORDED_BOUND_MS).await;
+    let cluster = cluster().await;
+    kill_after_announcement(&cluster, RECORDED_BOUND_MS).await;
     tokio::time::sleep(PAST_RECORDED_BOUND).await;
-    let started = Router::start_with_weights_bound(place.store_address, "node-1", RECORDED_BOUND_MS).await;
-    refuses_older_weights(&place, &started).await;
+    let started = Router::start_with_weights_bound(cluster.store_address, "node-1", RECORDED_BOUND_MS).await;
+    refuses_older_weights(&cluster, &started).await;
 }
 
 /// A request waits at an engine that says nothing, and newer weights are named meanwhile.
-async fn is_taken_back(behaviour: Behaviour, path: &str) {
-    let place = place().await;
-    let router = Router::start_with_weights_bound(place.store_address, "node-1", 1_000).await;
+async fn is_cancelled(behaviour: Behaviour, path: &str) {
+    let cluster = cluster().await;
+    let router = Router::start_with_weights_bound(cluster.store_address, "node-1", 1_000).await;
     until_served(&router).await;
-    place.engines.iter().for_each(|engine| engine.script(&[behaviour]));
-    let naming = async {
-        let waiting = async || place.engines.iter().any(|engine| engine.runs("waits") > 0);
+    cluster.engines.iter().for_each(|engine| engine.script(&[behaviour]));
+    let announcement = async {
+        let waiting = async || cluster.engines.iter().any(|engine| engine.runs("waits") > 0);
         router.until("waiting at an engine", waiting).await;
-        place.set_target_version(2);
+        cluster.set_target_version(2);
     };
-    let (got, ()) = tokio::join!(router.send(path, "waits"), naming);
-    assert!(got.is_some_and(|got| !got.status.is_success()));
-    let taken_back = |line: &String| line.contains("\"waits\"") && line.contains("its weights grew too old");
-    router.until("told", async || router.told("attempt_ended")).await;
-    assert!(router.lines().iter().any(taken_back), "{:#?}", router.lines());
+    let (response, ()) = tokio::join!(router.send(path, "waits"), announcement);
+    assert!(response.is_some_and(|response| !response.status.is_success()));
+    let is_cancelled_line =
+        |line: &String| line.contains("\"waits\"") && line.contains("its weights grew too old");
+    router.until("logged", async || router.logged("attempt_ended")).await;
+    assert!(router.lines().iter().any(is_cancelled_line), "{:#?}", router.lines());
 }
 
 #[tokio::test]
 async fn a_request_that_waits_is_taken_back_where_newer_weights_are_named_meanwhile() {
     // The wait was measured when the request was sent, and a version that was named later shortened it no more.
-    is_taken_back(Behaviour::Hangs, "/chat/1").await;
+    is_cancelled(Behaviour::Hangs, "/chat/1").await;
 }
 
 #[tokio::test]
 async fn a_stream_without_an_event_is_taken_back_where_newer_weights_are_named_meanwhile() {
-    is_taken_back(Behaviour::HangsAfterHead, "/chat/1").await;
+    is_cancelled(Behaviour::HangsAfterHead, "/chat/1").await;
 }
--- a/crates/cli/tests/planned_work.rs
+++ b/crates/cli/tests/planned_work.rs
@@ -37,7 +37,7 @@
 }
 
 /// Begins a stream, sends `signals` to the node while it runs, and checks that the stream comes whole.
-fn a_stream_outlasts(cluster: &Cluster, signals: &[&str]) {
+fn check_stream_survives(cluster: &Cluster, signals: &[&str]) {
     let node = &cluster.nodes[0];
     let messages = conversation("a signal");
     let request = serde_json::to_vec(&body(&messages, true, TOKENS)).expect("a body");
@@ -55,7 +55,7 @@
 #[test]
 fn a_signal_that_settings_have_changed_ends_nothing() {
     let cluster = slow_cluster();
-    a_stream_outlasts(&cluster, &["-HUP", "-HUP", "-HUP"]);
+    check_stream_survives(&cluster, &["-HUP", "-HUP", "-HUP"]);
     let messages = conversation("what comes after");
     check_stream(
         &chat(cluster.nodes[0].address("callers"), &body(&messages, true, TOKENS)),
@@ -67,7 +67,7 @@
 #[test]
 fn a_stop_that_is_told_again_cuts_off_no_stream() {
     let mut cluster = slow_cluster();
-    a_stream_outlasts(&cluster, &["-TERM", "-HUP", "-TERM"]);
+    check_stream_survives(&cluster, &["-TERM", "-HUP", "-TERM"]);
     assert_eq!(cluster.nodes[0].wait(), Some(0));
 }
 
@@ -77,7 +77,7 @@
     stream
 }
 
-fn ask_for_models(stream: &mut TcpStream) {
+fn request_models(stream: &mut TcpStream) {
     let request = format!("GET /v1/models HTTP/1.1\r\nhost: node\r\nauthorization: Bearer {KEY}\r\n\r\n");
     // Where the connection has ended already, reading the answer shows it.
     let _ = stream.write_all(request.as_bytes());
@@ -87,7 +87,7 @@
 fn is_answered(mut stream: TcpStream) -> bool {
     let mut first = [0];
     let came = stream.peek(&mut first).is_ok_and(|count| count > 0);
-    came && read_answer(&mut stream).whole
+    came && read_answer(&mut stream).complete
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let node = &cluster.nodes[0];
     let mut streams: Vec<TcpStream> = (0..CALLERS).map(|_| connect(node)).collect();
     for stream in &mut streams {
-        ask_for_models(stream);
+        request_models(stream);
         let answer: Answer = read_answer(stream);
         assert_eq!(answer.status, 200);
     }
@@ -104,7 +104,7 @@
     std::thread::sleep(Duration::from_millis(100));
     node.signal("-STOP");
     streams.extend((0..NEW_CALLERS).map(|_| connect(node)));
-    streams.iter_mut().for_each(ask_for_models);
+    streams.iter_mut().for_each(request_models);
     std::thread::sleep(Duration::from_millis(700));
     node.signal("-CONT");
     let cut = streams.into_iter().map(is_answered).filter(|answered| !answered).count();
@@ -114,50 +114,50 @@
 
 #[test]
 fn a_serving_node_answers_what_lies_in_connections_that_have_rested_for_long() {
-    const REST: Duration = Duration::from_millis(1_500);
-    const HELD_UP: Duration = Duration::from_millis(350);
+    const IDLE_TIME: Duration = Duration::from_millis(1_500);
+    const FREEZE_MARGIN: Duration = Duration::from_millis(350);
     let cluster = Cluster::start(1, 1, "[timeouts]\nkeep_alive_ms = 1500");
     let node = &cluster.nodes[0];
     let mut streams: Vec<TcpStream> = (0..CALLERS).map(|_| connect(node)).collect();
     for stream in &mut streams {
-        ask_for_models(stream);
+        request_models(stream);
         assert_eq!(read_answer(stream).status, 200);
     }
-    std::thread::sleep(REST - HELD_UP);
+    std::thread::sleep(IDLE_TIME - FREEZE_MARGIN);
     node.signal("-STOP");
-    streams.iter_mut().for_each(ask_for_models);
-    std::thread::sleep(2 * HELD_UP);
+    streams.iter_mut().for_each(request_models);
+    std::thread::sleep(2 * FREEZE_MARGIN);
     node.signal("-CONT");
     let cut = streams.into_iter().map(is_answered).filter(|answered| !answered).count();
     assert_eq!(cut, 0, "of {CALLERS}");
 }
 
 /// How much longer than callers are told a connection that rests stays open.
-const REST_SLACK: Duration = Duration::from_secs(5);
+const IDLE_SLACK: Duration = Duration::from_secs(5);
 /// The setting of the tests below, for how long callers are told that they may count on a connection.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-fn cluster_of_short_rests() -> Cluster {
-    Cluster::start(1, 1, &format!("[timeouts]\nkeep_alive_ms = {}", KEEP_ALIVE.as_millis()))
+fn cluster_with_short_keep_alive() -> Cluster {
+    Cluster::start(1, 1, &format!("[timeouts]\nkeep_alive_ms = {}", KEEP_ALIVE_TIMEOUT.as_millis()))
 }
 
 #[test]
 fn what_came_while_a_serving_node_was_held_up_across_the_end_of_a_rest_is_answered() {
-    const HELD_UP: Duration = Duration::from_millis(350);
-    let cluster = cluster_of_short_rests();
+    const FREEZE_MARGIN: Duration = Duration::from_millis(350);
+    let cluster = cluster_with_short_keep_alive();
     let node = &cluster.nodes[0];
     let mut streams: Vec<TcpStream> = (0..CALLERS).map(|_| connect(node)).collect();
-    let first_asked = Instant::now();
+    let first_sent = Instant::now();
     for stream in &mut streams {
-        ask_for_models(stream);
+        request_models(stream);
         assert_eq!(read_answer(stream).status, 200);
     }
     let last_answered = Instant::now();
-    let rest = KEEP_ALIVE + REST_SLACK;
-    std::thread::sleep((rest - HELD_UP).saturating_sub(first_asked.elapsed()));
+    let idle_time = KEEP_ALIVE_TIMEOUT + IDLE_SLACK;
+    std::thread::sleep((idle_time - FREEZE_MARGIN).saturating_sub(first_sent.elapsed()));
     node.signal("-STOP");
-    streams.iter_mut().for_each(ask_for_models);
-    std::thread::sleep((rest + HELD_UP).saturating_sub(last_answered.elapsed()));
+    streams.iter_mut().for_each(request_models);
+    std::thread::sleep((idle_time + FREEZE_MARGIN).saturating_sub(last_answered.elapsed()));
     node.signal("-CONT");
     let cut = streams.into_iter().map(is_answered).filter(|answered| !answered).count();
     assert_eq!(cut, 0, "of {CALLERS}");
@@ -165,37 +165,39 @@
 
 #[test]
 fn a_serving_node_tells_how_long_a_connection_may_rest_and_closes_it_later_without_a_reset() {
-    let cluster = cluster_of_short_rests();
+    let cluster = cluster_with_short_keep_alive();
     let mut stream = connect(&cluster.nodes[0]);
-    ask_for_models(&mut stream);
+    request_models(&mut stream);
     let answer = read_answer(&mut stream);
     assert_eq!(answer.header("keep-alive"), Some("timeout=1"));
-    std::thread::sleep(KEEP_ALIVE * 2);
-    ask_for_models(&mut stream);
+    std::thread::sleep(KEEP_ALIVE_TIMEOUT * 2);
+    request_models(&mut stream);
     assert_eq!(read_answer(&mut stream).status, 200, "it rests for longer than is told");
     assert_eq!(stream.read(&mut [0]).expect("an end, not a reset"), 0);
 }
 
 #[test]
 fn the_rest_of_a_head_that_came_while_a_serving_node_was_held_up_is_read() {
-    const HEAD: Duration = Duration::from_secs(2);
-    let cluster = Cluster::start(1, 1, &format!("[timeouts]\nhead_ms = {}", HEAD.as_millis()));
+    const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+    let cluster = Cluster::start(1, 1, &format!("[timeouts]\nhead_ms = {}", HEAD_TIMEOUT.as_millis()));
     let node = &cluster.nodes[0];
     let mut streams: Vec<TcpStream> = (0..CALLERS).map(|_| connect(node)).collect();
     for stream in &mut streams {
-        ask_for_models(stream);
+        request_models(stream);
         assert_eq!(read_answer(stream).status, 200);
     }
     let begun = b"GET /v1/models HTTP/1.1\r\nhost: node\r\n";
     // More than the node reads at once.
     let padding = "x".repeat(10_000);
-    let rest = format!("x-padding: {padding}\r\nauthorization: Bearer {KEY}\r\n\r\n");
+    let remainder = format!("x-padding: {padding}\r\nauthorization: Bearer {KEY}\r\n\r\n");
     streams.iter_mut().for_each(|stream| stream.write_all(begun).expect("the connection is open"));
     // Long enough for the node to have read what has come, and much less than the bound for a head.
-    std::thread::sleep(HEAD / 10);
+    std::thread::sleep(HEAD_TIMEOUT / 10);
     node.signal("-STOP");
-    streams.iter_mut().for_each(|stream| stream.write_all(rest.as_bytes()).expect("the connection is open"));
-    std::thread::sleep(HEAD * 2);
+    streams
+        .iter_mut()
+        .for_each(|stream| stream.write_all(remainder.as_bytes()).expect("the connection is open"));
+    std::thread::sleep(HEAD_TIMEOUT * 2);
     node.signal("-CONT");
     let refused =
         streams.iter_mut().map(|stream| read_answer(stream).status).filter(|status| *status != 200).count();
--- a/crates/cli/tests/poison.rs
+++ b/crates/cli/tests/poison.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use support::{
     Cluster, Process, chat,
-    expectations::{body, check_whole, conversation},
+    expectations::{body, check_complete, conversation},
     post, set_faults, state_of, wait_until,
 };
 
@@ -16,13 +16,13 @@
 /// The number of tokens by which the stand-in engines know the chat that crashes them.
 const POISON_TOKENS: u32 = 77;
 /// How often its caller comes.
-const TIMES: usize = 24;
+const ATTEMPTS: usize = 24;
 /// The pause between two of its tries.
-const PAUSE: Duration = Duration::from_millis(300);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(300);
 /// Tries after which all nodes must have heard: news rides on their probes, one each second.
-const TRIES_TO_HEAR: usize = 10;
+const ATTEMPTS_TO_PROPAGATE: usize = 10;
 /// Engines that may still end after that.
-const MOST_LATE: u64 = 3;
+const MAX_LATE_CRASHES: u64 = 3;
 
 fn crashes(cluster: &Cluster) -> u64 {
     let of = |engine: &Process| state_of(engine)["counters"]["crashes"].as_u64().unwrap();
@@ -39,23 +39,23 @@
     let ordinary = conversation("an ordinary chat");
     let mut last = Vec::new();
     let mut early = 0;
-    for time in 0..TIMES {
-        let node = &cluster.nodes[time % cluster.nodes.len()];
+    for attempt in 0..ATTEMPTS {
+        let node = &cluster.nodes[attempt % cluster.nodes.len()];
         let answer = chat(node.address("callers"), &body(&poison, false, POISON_TOKENS));
         last.push(answer.status);
-        std::thread::sleep(PAUSE);
-        if time < TRIES_TO_HEAR {
+        std::thread::sleep(ATTEMPT_INTERVAL);
+        if attempt < ATTEMPTS_TO_PROPAGATE {
             early = crashes(&cluster);
         }
     }
     let late = crashes(&cluster) - early;
-    assert!(late <= MOST_LATE, "{early} engines ended early and {late} late: {last:?}");
+    assert!(late <= MAX_LATE_CRASHES, "{early} engines ended early and {late} late: {last:?}");
     assert!(early >= 3, "the chat crashed hardly an engine, and nothing is shown");
     assert!(last.ends_with(&[503, 503]), "{last:?}");
     for node in &cluster.nodes {
         let address = node.address("callers");
         wait_until("ordinary chats are served", || chat(address, &body(&ordinary, false, 20)).status == 200);
-        check_whole(&chat(address, &body(&ordinary, false, 20)), &ordinary, 20);
+        check_complete(&chat(address, &body(&ordinary, false, 20)), &ordinary, 20);
     }
 }
 
--- a/crates/cli/tests/support/expectations.rs
+++ b/crates/cli/tests/support/expectations.rs
@@ -82,7 +82,7 @@
 
 pub fn check_stream(answer: &Answer, messages: &[ChatMessage], max_tokens: u32) {
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(answer.header("content-type"), Some("text/event-stream"));
     let expected = expected(messages, max_tokens);
     assert_eq!(answer.text(), expected_stream(answer, &expected));
@@ -90,7 +90,7 @@
     assert!(answer.text().contains(&format!("\"id\":\"{id}\"")));
 }
 
-pub fn check_whole(answer: &Answer, messages: &[ChatMessage], max_tokens: u32) {
+pub fn check_complete(answer: &Answer, messages: &[ChatMessage], max_tokens: u32) {
     assert_eq!(answer.status, 200, "{answer:?}");
     let expected = expected(messages, max_tokens);
     let got: ChatResponse = serde_json::from_slice(&answer.body).unwrap();
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -32,7 +32,7 @@
 pub const TENANT: &str = "kestrel";
 pub const CLUSTER_KEY: &str = "a cluster key for tests";
 /// Nothing in these tests takes this long unless it hangs.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
@@ -107,7 +107,7 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
-            assert!(start.elapsed() < PATIENCE, "the process does not end");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "the process does not end");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -235,7 +235,7 @@
 pub fn wait_ready(node: &Process) {
     let start = Instant::now();
     while get(node.address("admin"), "/readyz", &[]).status != 200 {
-        assert!(start.elapsed() < PATIENCE, "the node does not become ready");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "the node does not become ready");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -247,7 +247,7 @@
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     /// Whether the body's end was marked as HTTP demands.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Answer {
@@ -288,7 +288,7 @@
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "waited too long until {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited too long until {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -320,7 +320,7 @@
     body: &[u8],
 ) -> TcpStream {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut head =
         format!("{method} {path} HTTP/1.1\r\nhost: {address}\r\ncontent-length: {}\r\n", body.len());
     for (name, value) in headers {
@@ -346,14 +346,14 @@
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
     }
-    let mut answer = Answer { status, headers, body: Vec::new(), whole: false };
+    let mut answer = Answer { status, headers, body: Vec::new(), complete: false };
     if answer.header("transfer-encoding") == Some("chunked") {
-        answer.whole = read_chunks(&mut reader, &mut answer.body).is_some();
+        answer.complete = read_chunks(&mut reader, &mut answer.body).is_some();
     } else {
         let length: usize = answer.header("content-length").unwrap_or("0").parse().unwrap();
         answer.body = vec![0; length];
         reader.read_exact(&mut answer.body).unwrap();
-        answer.whole = true;
+        answer.complete = true;
     }
     answer
 }
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use support::{
     Cluster, MODEL, chat,
-    expectations::{body, check_stream, check_whole, conversation},
+    expectations::{body, check_complete, check_stream, conversation},
 };
 
 #[test]
@@ -19,7 +19,11 @@
                     let messages = conversation(&format!("case {number} {turn}"));
                     let max_tokens = if turn % 2 == 0 { 500 } else { 7 };
                     check_stream(&chat(address, &body(&messages, true, max_tokens)), &messages, max_tokens);
-                    check_whole(&chat(address, &body(&messages, false, max_tokens)), &messages, max_tokens);
+                    check_complete(
+                        &chat(address, &body(&messages, false, max_tokens)),
+                        &messages,
+                        max_tokens,
+                    );
                 });
             }
         }
