--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -31,7 +31,7 @@
 use super::{BUDGET_BYTES_PER_SECOND, BUDGET_MEMORY_BYTES, BUDGET_PROCESSOR_PERCENT, Slope};
 use crate::hollow::{
     cluster::ClusterSettings,
-    measure::{change_request, document, measure_changes, measure_steady, settled},
+    measure::{change_request, document, measure_changes, measure_steady, start_settled_cluster},
 };
 
 /// The target's sizes.
@@ -43,16 +43,16 @@
     /// Tenants.
     pub const TENANTS: f64 = 430.0;
     /// Changes of configuration a day.
-    pub const CHANGES_A_DAY: f64 = 840.0;
+    pub const CHANGES_PER_DAY: f64 = 840.0;
     /// Runners of one pool: 1,100 runners for 14 models.
     pub const POOL_RUNNERS: f64 = 1_100.0 / 14.0;
     /// Requests a second at one node: 12,000 at 350 nodes.
-    pub const REQUESTS_A_SECOND: f64 = 12_000.0 / 350.0;
+    pub const REQUESTS_PER_SECOND: f64 = 12_000.0 / 350.0;
     /// Cache events a second at one node where each feed is read by one node: 760,000 at 350 nodes.
-    pub const EVENTS_A_SECOND: f64 = 760_000.0 / 350.0;
+    pub const EVENTS_PER_SECOND: f64 = 760_000.0 / 350.0;
 }
 
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// Tenants and models of hollow nodes where they are not varied.
 const TENANTS: usize = 430;
@@ -90,17 +90,17 @@
 fn member(effort: Effort) -> Vec<Slope> {
     let (mut bytes, mut processor, mut memory) = (Vec::new(), Vec::new(), Vec::new());
     // Kept, as memory that one cluster gives back would be used by the next.
-    let mut kept = Vec::new();
+    let mut clusters = Vec::new();
     for nodes in [10, 25, 50, 70, 100] {
         let before = resident_bytes();
         let settings = ClusterSettings { nodes, zones: 3, regions: 1, loss: 0.0, seed: 1 };
-        let mut cluster = settled(settings, TENANTS, MODELS);
+        let mut cluster = start_settled_cluster(settings, TENANTS, MODELS);
         let (cost, _) = measure_steady(&mut cluster, effort.steady);
         let size = nodes as f64;
         bytes.push((size, cost.peer_bytes_per_second));
         processor.push((size, cost.processor_percent));
         memory.push((size, resident_bytes().saturating_sub(before) as f64));
-        kept.push(cluster);
+        clusters.push(cluster);
     }
     let members = "members of the region";
     let size = target::REGION_MEMBERS;
@@ -117,7 +117,7 @@
     for regions in [2, 3, 4, 5] {
         let nodes = 70 * regions;
         let settings = ClusterSettings { nodes, zones: regions * 2, regions, loss: 0.0, seed: 1 };
-        let mut cluster = settled(settings, 20, 2);
+        let mut cluster = start_settled_cluster(settings, 20, 2);
         let (cost, _) = measure_steady(&mut cluster, effort.steady.min(Duration::from_secs(120)));
         points.push((regions as f64, cost.greatest_peer_bytes_per_second));
     }
@@ -131,21 +131,21 @@
     let mut points = Vec::new();
     for count in [0_usize, 5, 10, 20, 40] {
         let settings = ClusterSettings { nodes: 20, zones: 3, regions: 1, loss: 0.0, seed: 1 };
-        let mut cluster = settled(settings, TENANTS, MODELS);
+        let mut cluster = start_settled_cluster(settings, TENANTS, MODELS);
         let began = cluster.now();
         measure_changes(&mut cluster, 0, count, Duration::from_millis(200));
         cluster.run_until(began + Duration::from_secs_f64(minutes * 60.0));
         let bytes: u64 = (0..cluster.len())
-            .map(|index| cluster.spent(index))
-            .map(|spent| spent.bytes_in + spent.bytes_out + spent.store_bytes)
+            .map(|index| cluster.usage(index))
+            .map(|usage| usage.bytes_in + usage.bytes_out + usage.store_bytes)
             .sum();
         let seconds = cluster.now().saturating_since(began).as_secs_f64();
-        let a_day = count as f64 / seconds * SECONDS_A_DAY;
-        points.push((a_day, bytes as f64 / cluster.len() as f64 / seconds));
+        let per_day = count as f64 / seconds * SECONDS_PER_DAY;
+        points.push((per_day, bytes as f64 / cluster.len() as f64 / seconds));
     }
     let budget = Some(BUDGET_BYTES_PER_SECOND);
     let over = "changes a day";
-    Slope::new("member", "bytes/s with changes, 20 members", over, points, target::CHANGES_A_DAY, budget)
+    Slope::new("member", "bytes/s with changes, 20 members", over, points, target::CHANGES_PER_DAY, budget)
 }
 
 /// A node that holds the configuration: size of the document, time to take in one change.
@@ -197,7 +197,7 @@
             number += 1;
             decide(&mut router, &blocks, number)
         });
-        points.push((runners as f64, each.as_secs_f64() * target::REQUESTS_A_SECOND * 100.0));
+        points.push((runners as f64, each.as_secs_f64() * target::REQUESTS_PER_SECOND * 100.0));
     }
     let quantity = "% of a core at 34 requests/s, prompts of 64 blocks";
     let budget = Some(BUDGET_PROCESSOR_PERCENT);
@@ -274,7 +274,7 @@
         processor.push((events as f64, each.as_secs_f64() * 100.0));
         bytes.push((events as f64, encoded.len() as f64));
     }
-    let (role, over, size) = ("feed owner", "events/s", target::EVENTS_A_SECOND);
+    let (role, over, size) = ("feed owner", "events/s", target::EVENTS_PER_SECOND);
     let budget = Some(BUDGET_PROCESSOR_PERCENT);
     vec![
         Slope::new(role, "% of a core, one owner for each feed", over, processor, size, budget),
@@ -329,7 +329,7 @@
     let (role, over) = ("claim replica", "claims remembered");
     // No share of requests that must not be repeated is given; a tenth of 34 requests/s, with 5 replicas each
     // and 10 minutes of memory, stands in.
-    let size = target::REQUESTS_A_SECOND / 10.0 * 5.0 * 600.0;
+    let size = target::REQUESTS_PER_SECOND / 10.0 * 5.0 * 600.0;
     vec![
         Slope::new(role, "ms to grant all of them", over, processor, size, None),
         Slope::new(
--- a/crates/bench/src/demo/caller.rs
+++ b/crates/bench/src/demo/caller.rs
@@ -21,11 +21,11 @@
 use tokio::time::Instant;
 
 /// A caller sends a request this often at most.
-const SENDS: u32 = 12;
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-const SHORTEST_PAUSE: Duration = Duration::from_millis(50);
+const MAX_SENDS: u32 = 12;
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A caller gives up after this time.
-const PATIENCE: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A whole answer of a model.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,12 +42,12 @@
 
 /// How one sending ended.
 #[derive(Debug)]
-enum Sending<T> {
+enum SendOutcome<T> {
     Answered(T),
     /// Nothing of the answer came, and sending again is safe.
-    Again(Duration),
+    Retry(Duration),
     /// It ended without a whole answer.
-    Broken(String),
+    Failed(String),
 }
 
 /// How a request ended for its caller.
@@ -84,8 +84,9 @@
         let mut resent = 0;
         loop {
             let post = post(self.node(turn, resent), "/v1/chat/completions", key, None, body.clone());
-            let sending = tokio::time::timeout(PATIENCE, self.chat_once(post, request.stream, started)).await;
-            if let Some(ending) = conclude(sending, &mut resent).await {
+            let outcome =
+                tokio::time::timeout(REQUEST_TIMEOUT, self.chat_once(post, request.stream, started)).await;
+            if let Some(ending) = finish_or_wait(outcome, &mut resent).await {
                 return ending;
             }
         }
@@ -96,11 +97,11 @@
         post: Request<Full<Bytes>>,
         stream: bool,
         started: Instant,
-    ) -> Sending<ChatAnswer> {
+    ) -> SendOutcome<ChatAnswer> {
         match self.open(post).await {
             Ok(response) if stream => read_stream(response, started).await,
-            Ok(response) => read_whole(response).await,
-            Err(again) => again,
+            Ok(response) => read_complete(response).await,
+            Err(outcome) => outcome,
         }
     }
 
@@ -118,21 +119,21 @@
         let mut resent = 0;
         loop {
             let post = post(self.node(turn, resent), &path, key, Some(idempotency_key), body.clone());
-            let sending = tokio::time::timeout(PATIENCE, self.book_once(post)).await;
-            if let Some(ending) = conclude(sending, &mut resent).await {
+            let outcome = tokio::time::timeout(REQUEST_TIMEOUT, self.book_once(post)).await;
+            if let Some(ending) = finish_or_wait(outcome, &mut resent).await {
                 return ending;
             }
         }
     }
 
-    async fn book_once(&self, post: Request<Full<Bytes>>) -> Sending<BookingAnswer> {
+    async fn book_once(&self, post: Request<Full<Bytes>>) -> SendOutcome<BookingAnswer> {
         match self.open(post).await {
             Ok(response) => match response.into_body().collect().await {
                 Ok(read) => parsed(&read.to_bytes()),
                 // The key makes it safe to ask again.
-                Err(_) => Sending::Again(SHORTEST_PAUSE),
+                Err(_) => SendOutcome::Retry(MIN_RETRY_DELAY),
             },
-            Err(again) => again,
+            Err(outcome) => outcome,
         }
     }
 
@@ -142,19 +143,19 @@
 
     /// Sends a request and reads the head of its answer; a refusal that says "not run", or a connection that did not come
     /// about, leads to another sending.
-    async fn open<T>(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Sending<T>> {
-        let response = self.client.request(request).await.map_err(|_| Sending::Again(SHORTEST_PAUSE))?;
+    async fn open<T>(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendOutcome<T>> {
+        let response = self.client.request(request).await.map_err(|_| SendOutcome::Retry(MIN_RETRY_DELAY))?;
         if response.status() == StatusCode::OK {
             return Ok(response);
         }
         let status = response.status();
-        let body = response.into_body().collect().await.map_err(|_| Sending::Again(SHORTEST_PAUSE))?;
+        let body = response.into_body().collect().await.map_err(|_| SendOutcome::Retry(MIN_RETRY_DELAY))?;
         let Ok(body) = serde_json::from_slice::<ErrorBody>(&body.to_bytes()) else {
-            return Err(Sending::Broken(format!("status {status}")));
+            return Err(SendOutcome::Failed(format!("status {status}")));
         };
         let pause = Duration::from_millis(body.error.retry_after_ms.unwrap_or(0));
         let retryable = body.error.outcome == Outcome::NotRun && status.as_u16() >= 409;
-        Err(if retryable { Sending::Again(pause) } else { Sending::Broken(body.error.message) })
+        Err(if retryable { SendOutcome::Retry(pause) } else { SendOutcome::Failed(body.error.message) })
     }
 
     async fn get<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
@@ -177,20 +178,20 @@
 }
 
 /// Ends a request, or pauses before it is sent again.
-async fn conclude<T>(
-    sending: Result<Sending<T>, tokio::time::error::Elapsed>,
+async fn finish_or_wait<T>(
+    outcome: Result<SendOutcome<T>, tokio::time::error::Elapsed>,
     resent: &mut u32,
 ) -> Option<Ending<T>> {
-    let sending = sending.unwrap_or_else(|_| Sending::Broken("no answer in time".to_owned()));
-    let (result, not_run) = match sending {
-        Sending::Answered(answer) => (Ok(answer), false),
-        Sending::Again(pause) if *resent + 1 < SENDS => {
-            tokio::time::sleep(pause.clamp(SHORTEST_PAUSE, LONGEST_PAUSE)).await;
+    let outcome = outcome.unwrap_or_else(|_| SendOutcome::Failed("no answer in time".to_owned()));
+    let (result, not_run) = match outcome {
+        SendOutcome::Answered(answer) => (Ok(answer), false),
+        SendOutcome::Retry(pause) if *resent + 1 < MAX_SENDS => {
+            tokio::time::sleep(pause.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)).await;
             *resent += 1;
             return None;
         }
-        Sending::Again(_) => (Err("refused by all nodes".to_owned()), true),
-        Sending::Broken(why) => (Err(why), false),
+        SendOutcome::Retry(_) => (Err("refused by all nodes".to_owned()), true),
+        SendOutcome::Failed(why) => (Err(why), false),
     };
     Some(Ending { result, resent: *resent, not_run })
 }
@@ -218,36 +219,36 @@
     request
 }
 
-fn parsed<T: DeserializeOwned>(body: &[u8]) -> Sending<T> {
+fn parsed<T: DeserializeOwned>(body: &[u8]) -> SendOutcome<T> {
     match serde_json::from_slice(body) {
-        Ok(answer) => Sending::Answered(answer),
-        Err(error) => Sending::Broken(format!("unreadable answer: {error}")),
+        Ok(answer) => SendOutcome::Answered(answer),
+        Err(error) => SendOutcome::Failed(format!("unreadable answer: {error}")),
     }
 }
 
-async fn read_whole(response: Response<Incoming>) -> Sending<ChatAnswer> {
+async fn read_complete(response: Response<Incoming>) -> SendOutcome<ChatAnswer> {
     let body = match response.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(error) => return Sending::Broken(format!("the answer broke off: {error}")),
+        Err(error) => return SendOutcome::Failed(format!("the answer broke off: {error}")),
     };
     let answer = match parsed::<ChatResponse>(&body) {
-        Sending::Answered(answer) => answer,
-        Sending::Again(pause) => return Sending::Again(pause),
-        Sending::Broken(why) => return Sending::Broken(why),
+        SendOutcome::Answered(answer) => answer,
+        SendOutcome::Retry(pause) => return SendOutcome::Retry(pause),
+        SendOutcome::Failed(why) => return SendOutcome::Failed(why),
     };
     let usage = answer.usage;
     match answer.choices.into_iter().next() {
-        Some(choice) => Sending::Answered(ChatAnswer {
+        Some(choice) => SendOutcome::Answered(ChatAnswer {
             text: choice.message.content,
             reason: choice.finish_reason.unwrap_or_default(),
             usage,
             first_token: None,
         }),
-        None => Sending::Broken("an answer without a choice".to_owned()),
+        None => SendOutcome::Failed("an answer without a choice".to_owned()),
     }
 }
 
-async fn read_stream(response: Response<Incoming>, started: Instant) -> Sending<ChatAnswer> {
+async fn read_stream(response: Response<Incoming>, started: Instant) -> SendOutcome<ChatAnswer> {
     let mut body = response.into_body();
     let mut buffer: Vec<u8> = Vec::new();
     let mut answer =
@@ -256,19 +257,19 @@
         let data = match frame.map(hyper::body::Frame::into_data) {
             Ok(Ok(data)) => data,
             Ok(Err(_)) => continue,
-            Err(error) => return Sending::Broken(format!("the stream broke off: {error}")),
+            Err(error) => return SendOutcome::Failed(format!("the stream broke off: {error}")),
         };
         buffer.extend_from_slice(&data);
         while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = buffer.drain(..=end).collect();
             match take_event(&line, &mut answer, started) {
-                Ok(true) => return Sending::Answered(answer),
+                Ok(true) => return SendOutcome::Answered(answer),
                 Ok(false) => {}
-                Err(why) => return Sending::Broken(why),
+                Err(why) => return SendOutcome::Failed(why),
             }
         }
     }
-    Sending::Broken("the stream ended without [DONE]".to_owned())
+    SendOutcome::Failed("the stream ended without [DONE]".to_owned())
 }
 
 /// Takes in one line; tells whether it was the end of the stream.
--- a/crates/bench/src/demo/cluster.rs
+++ b/crates/bench/src/demo/cluster.rs
@@ -35,8 +35,8 @@
 use crate::free_address::free_address;
 
 /// How long the nodes may take to become ready.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-const READY_POLL: Duration = Duration::from_millis(25);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A process of the cluster could not be started.
 #[derive(Debug, thiserror::Error)]
@@ -89,7 +89,7 @@
     pub async fn start() -> Result<Self, ClusterError> {
         let weight_store =
             start_standin(StandinSettings::WeightStore(WeightStoreSettings::default())).await?;
-        let kept_cache = start_standin(StandinSettings::CacheStore(CacheStoreSettings::default())).await?;
+        let cache_store = start_standin(StandinSettings::CacheStore(CacheStoreSettings::default())).await?;
         let engines = start_engines(weight_store.address()).await?;
         let bookings = start_bookings().await?;
         let addresses = (0..ZONES.len()).map(|_| NodeAddresses::reserve()).collect::<Result<Vec<_>, _>>()?;
@@ -100,45 +100,45 @@
         let platform = PlatformAddresses {
             configuration_store: store.address(),
             machine_list: list.address(),
-            kept_cache_store: kept_cache.address(),
+            cache_store: cache_store.address(),
         };
         let nodes = start_nodes(&addresses, &platform)?;
         let booking_addresses = bookings.iter().map(RunningStandin::address).collect();
         let mut standins = bookings;
-        standins.extend([weight_store, kept_cache, store, list]);
+        standins.extend([weight_store, cache_store, store, list]);
         let cluster = Self {
             engines: Mutex::new(engines),
             nodes: Mutex::new(nodes),
             bookings: booking_addresses,
             standins: Mutex::new(standins),
         };
-        cluster.wait_until_open().await?;
+        cluster.wait_until_serving().await?;
         Ok(cluster)
     }
 
     /// Waits until all nodes serve, claims included.
-    async fn wait_until_open(&self) -> Result<(), ClusterError> {
+    async fn wait_until_serving(&self) -> Result<(), ClusterError> {
         for number in 0..ZONES.len() {
             self.wait_until_ready(number).await?;
         }
-        self.wait_until_keys_are_granted().await;
+        self.wait_until_claims_granted().await;
         Ok(())
     }
 
     /// Where all nodes are new, none of them grants keys that were made before its start, or shortly after it.
-    async fn wait_until_keys_are_granted(&self) {
+    async fn wait_until_claims_granted(&self) {
         let open = || {
             let nodes = lock(&self.nodes);
             let mut running = nodes.iter().filter_map(|node| node.running.as_ref());
             running.all(|node| node.state().claims.usage().floor < node.state().clock.now())
         };
         while !open() {
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
     async fn wait_until_ready(&self, number: usize) -> Result<(), ClusterError> {
-        let until = tokio::time::Instant::now() + READY_WITHIN;
+        let until = tokio::time::Instant::now() + READY_TIMEOUT;
         let ready = || {
             let nodes = lock(&self.nodes);
             nodes[number].running.as_ref().is_some_and(|node| node.state().is_ready())
@@ -147,7 +147,7 @@
             if tokio::time::Instant::now() >= until {
                 return Err(ClusterError::NotReady(node_name(number)));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -168,7 +168,7 @@
     }
 
     /// Addresses and keys, for a person.
-    pub fn introduction(&self) -> String {
+    pub fn banner(&self) -> String {
         let mut text = format!(
             "Three nodes, {ENGINES} model runners in {} zones, {BOOKING_RUNNERS} booking runners, and the platform.\n",
             ZONES.len()
@@ -209,7 +209,7 @@
     }
 
     /// Starts a crashed engine again, in a new life and with an empty cache.
-    pub async fn bring_engine_back(&self, number: usize) -> Result<(), ClusterError> {
+    pub async fn restart_engine(&self, number: usize) -> Result<(), ClusterError> {
         let settings = lock(&self.engines)[number].settings.clone();
         let running = start_standin(StandinSettings::Engine(settings)).await?;
         lock(&self.engines)[number].running = Some(running);
--- a/crates/bench/src/demo/cluster/settings.rs
+++ b/crates/bench/src/demo/cluster/settings.rs
@@ -151,7 +151,7 @@
 pub(super) struct PlatformAddresses {
     pub(super) configuration_store: SocketAddr,
     pub(super) machine_list: SocketAddr,
-    pub(super) kept_cache_store: SocketAddr,
+    pub(super) cache_store: SocketAddr,
 }
 
 /// Settings of one node.
@@ -173,7 +173,7 @@
         admin = own.admin,
         store = platform.configuration_store,
         list = platform.machine_list,
-        kept = platform.kept_cache_store,
+        kept = platform.cache_store,
         hash = sha256_hex(OPERATOR_KEY),
     );
     NodeSettings::parse(&text).map_err(|mistakes| ClusterError::Settings(format!("{mistakes:?}")))
--- a/crates/bench/src/demo/faults.rs
+++ b/crates/bench/src/demo/faults.rs
@@ -9,7 +9,7 @@
 /// When the node begins to stop, as a share of the traffic's length.
 const RESTART_AT: f64 = 0.6;
 /// How long the engine is away.
-const ENGINE_AWAY: Duration = Duration::from_millis(1_500);
+const ENGINE_DOWNTIME: Duration = Duration::from_millis(1_500);
 /// The node that restarts.
 const RESTARTED_NODE: usize = 1;
 
@@ -19,8 +19,8 @@
     let busiest = cluster.busiest_engine(&Caller::new(Vec::new())).await;
     let engine = cluster.crash_engine(busiest).await;
     records.note(&format!("{engine}, the busiest, crashed"));
-    tokio::time::sleep(ENGINE_AWAY).await;
-    match cluster.bring_engine_back(busiest).await {
+    tokio::time::sleep(ENGINE_DOWNTIME).await;
+    match cluster.restart_engine(busiest).await {
         Ok(()) => records.note(&format!("{engine} is back, its cache empty")),
         Err(error) => records.fault_failed(&format!("{engine} did not come back: {error}")),
     }
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -36,7 +36,7 @@
 ";
 
 /// Requests a second while the demo is held.
-const HELD_REQUESTS_PER_SECOND: f64 = 4.0;
+const HOLD_REQUESTS_PER_SECOND: f64 = 4.0;
 
 /// What a demo does.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -82,7 +82,7 @@
 /// Runs `paddlemount demo` with the arguments that follow the word `demo`.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let outcome = read_arguments(arguments).and_then(|settings| match settings {
-        Some(settings) => demonstrate(&settings),
+        Some(settings) => run_demo(&settings),
         None => print(USAGE).map(|()| true),
     });
     match outcome {
@@ -117,11 +117,11 @@
     Ok(())
 }
 
-fn demonstrate(settings: &DemoSettings) -> Result<bool, DemoError> {
+fn run_demo(settings: &DemoSettings) -> Result<bool, DemoError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()?;
     runtime.block_on(async {
         let cluster = Arc::new(Cluster::start().await?);
-        print(&cluster.introduction())?;
+        print(&cluster.banner())?;
         let summary = run(&cluster, settings).await;
         print(&summary.table())?;
         if settings.hold {
@@ -129,7 +129,7 @@
         }
         print(&format!("{}\n", summary.json()))?;
         cluster.stop().await;
-        Ok(summary.is_flawless())
+        Ok(summary.passed())
     })
 }
 
@@ -147,15 +147,15 @@
 }
 
 async fn hold(cluster: &Arc<Cluster>, settings: &DemoSettings) -> Result<(), DemoError> {
-    print(&cluster.introduction())?;
+    print(&cluster.banner())?;
     print("\nThe cluster stays up under light traffic. Interrupt it (Ctrl-C) to end.\n")?;
     let light = DemoSettings {
         length: Duration::from_secs(365 * 86_400),
-        requests_per_second: HELD_REQUESTS_PER_SECOND,
+        requests_per_second: HOLD_REQUESTS_PER_SECOND,
         bookings_per_second: 1.0,
         ..*settings
     };
-    let records = Arc::new(Records::forgetful());
+    let records = Arc::new(Records::discarding());
     tokio::select! {
         () = traffic::run(cluster, &light, &records) => {}
         interrupted = tokio::signal::ctrl_c() => interrupted?,
--- a/crates/bench/src/demo/record.rs
+++ b/crates/bench/src/demo/record.rs
@@ -18,7 +18,7 @@
     /// Whether the answer was streamed.
     pub streamed: bool,
     /// Whether the answer is the one that the request should have got.
-    pub right: bool,
+    pub correct: bool,
     /// How it ended.
     pub ending: Ending<ChatAnswer>,
 }
@@ -31,7 +31,7 @@
     /// Its idempotency key.
     pub key: String,
     /// Whether the answer is the one that the request should have got.
-    pub right: bool,
+    pub correct: bool,
     /// How it ended.
     pub ending: Ending<BookingAnswer>,
 }
@@ -60,27 +60,27 @@
 
 /// What the callers experienced, while it happens.
 pub struct Records {
-    begun: Instant,
+    started_at: Instant,
     /// The length of the traffic.
     pub length: Duration,
-    keeps: bool,
+    retains: bool,
     content: Mutex<Content>,
 }
 
 impl Records {
     /// Nothing so far.
     pub fn new(length: Duration) -> Self {
-        Self { begun: Instant::now(), length, keeps: true, content: Mutex::default() }
+        Self { started_at: Instant::now(), length, retains: true, content: Mutex::default() }
     }
 
     /// Keeps nothing, for traffic without end.
-    pub fn forgetful() -> Self {
-        Self { keeps: false, ..Self::new(Duration::ZERO) }
+    pub fn discarding() -> Self {
+        Self { retains: false, ..Self::new(Duration::ZERO) }
     }
 
     /// Time since the start of the traffic.
     pub fn since_start(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     /// What is known.
@@ -90,14 +90,14 @@
 
     /// A question has ended.
     pub fn chat(&self, end: ChatEnd) {
-        if self.keeps {
+        if self.retains {
             self.content().chats.push(end);
         }
     }
 
     /// A booking has ended.
     pub fn booking(&self, end: BookingEnd) {
-        if self.keeps {
+        if self.retains {
             self.content().bookings.push(end);
         }
     }
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -13,9 +13,9 @@
 use super::record::{BookingEnd, ChatEnd, Content, Records};
 
 /// Rows of the table over time.
-const ROWS: u32 = 7;
+const TABLE_ROWS: u32 = 7;
 /// Causes that are shown of requests that failed.
-const SHOWN_CAUSES: usize = 5;
+const MAX_CAUSES: usize = 5;
 
 /// Milliseconds to the first token, from the caller's decision to ask.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -63,14 +63,15 @@
         let complete_bookings = content.bookings.iter().filter(|end| end.ending.result.is_ok()).count();
         let requests = content.chats.len() + content.bookings.len();
         let complete = complete_chats + complete_bookings;
-        let wrong_chats = content.chats.iter().filter(|end| end.ending.result.is_ok() && !end.right).count();
+        let wrong_chats =
+            content.chats.iter().filter(|end| end.ending.result.is_ok() && !end.correct).count();
         let resent = content.chats.iter().map(|end| end.ending.resent);
         let resent = resent.chain(content.bookings.iter().map(|end| end.ending.resent)).sum();
         let mut summary = Self {
             requests,
             complete,
             incomplete: requests - complete,
-            wrong: wrong_chats + wrong_bookings(&content.bookings, ledgers),
+            wrong: wrong_chats + count_wrong_bookings(&content.bookings, ledgers),
             ran_twice: ledgers.map_or(0, |ledgers| duplicate_runs(ledgers.iter().map(Vec::as_slice)).len()),
             prefix_hit_rate: hit_rate(content.chats.iter()),
             ttft_ms: first_token(content.chats.iter()),
@@ -84,7 +85,7 @@
     }
 
     /// Whether nothing was incomplete, wrong or run twice, and the faults took place.
-    pub const fn is_flawless(&self) -> bool {
+    pub const fn passed(&self) -> bool {
         self.incomplete == 0
             && self.wrong == 0
             && self.ran_twice == 0
@@ -104,14 +105,14 @@
 }
 
 /// Bookings whose answer is not theirs, that were answered and did not run, or that ran although the caller was told otherwise.
-fn wrong_bookings(bookings: &[BookingEnd], ledgers: Option<&[Vec<LedgerEntry>]>) -> usize {
+fn count_wrong_bookings(bookings: &[BookingEnd], ledgers: Option<&[Vec<LedgerEntry>]>) -> usize {
     let Some(ledgers) = ledgers else { return bookings.len() };
     let entries = ledgers.iter().flatten().filter_map(|entry| entry.key.as_ref());
     let ran: BTreeSet<&str> = entries.map(|key| key.as_str()).collect();
     let is_wrong = |end: &&BookingEnd| {
         let has_run = ran.contains(end.key.as_str());
         match &end.ending.result {
-            Ok(_) => !end.right || !has_run,
+            Ok(_) => !end.correct || !has_run,
             Err(_) => end.ending.not_run && has_run,
         }
     };
@@ -149,11 +150,11 @@
         "{:>9} {:>9} {:>9} {:>10} {:>10} {:>9} {:>9} {:>9}",
         "sent at", "requests", "complete", "sent again", "from cache", "ttft p50", "ttft p95", "ttft p99"
     ));
-    let row = length / ROWS;
-    for number in 0..ROWS {
+    let row = length / TABLE_ROWS;
+    for number in 0..TABLE_ROWS {
         let (from, until) = (row * number, row * (number + 1));
         line(time_row(content, from, until));
-        let is_last = number + 1 == ROWS;
+        let is_last = number + 1 == TABLE_ROWS;
         for note in content.notes.iter().filter(|note| note.at >= from && (note.at < until || is_last)) {
             line(format!("{:>8.1}s   {}", note.at.as_secs_f64(), note.what));
         }
@@ -168,7 +169,7 @@
         summary.wrong,
         summary.ran_twice
     ));
-    for FailureCause { cause, count } in causes(content).into_iter().take(SHOWN_CAUSES) {
+    for FailureCause { cause, count } in causes(content).into_iter().take(MAX_CAUSES) {
         line(format!("  {count} x {cause}"));
     }
     line(format!(
--- a/crates/bench/src/demo/traffic.rs
+++ b/crates/bench/src/demo/traffic.rs
@@ -26,7 +26,7 @@
 const TEMPLATES: usize = 8;
 const MAX_TOKENS: u32 = 120;
 /// One request in this many comes whole instead of streamed.
-const WHOLE_EVERY: usize = 4;
+const UNARY_EVERY: usize = 4;
 const OPERATIONS: [&str; 3] = ["slot", "hold", "charge"];
 const WORDS: [&str; 24] = [
     "the",
@@ -60,23 +60,23 @@
     let caller = Caller::new(cluster.caller_addresses());
     let mut requests = JoinSet::new();
     let mut planner = Planner::new(settings.seed);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let total = settings.requests_per_second + settings.bookings_per_second;
     let interval = Duration::from_secs_f64(1.0 / total);
     let mut chats_due = 0.0;
     let mut number = 0;
-    while begun.elapsed() < settings.length {
+    while started_at.elapsed() < settings.length {
         chats_due += settings.requests_per_second / total;
         let (caller, records) = (caller.clone(), Arc::clone(records));
         if chats_due >= 1.0 {
             chats_due -= 1.0;
-            requests.spawn(ask(caller, records, planner.question(number), number));
+            requests.spawn(send_question(caller, records, planner.question(number), number));
         } else {
             requests.spawn(book(caller, records, planner.booking(number), number));
         }
         number += 1;
         while requests.try_join_next().is_some() {}
-        tokio::time::sleep_until(begun + interval * number as u32).await;
+        tokio::time::sleep_until(started_at + interval * number as u32).await;
     }
     while let Some(ended) = requests.join_next().await {
         if let Err(error) = ended {
@@ -125,7 +125,7 @@
         let question = text(1_000_000 + number as u64, 200 + self.random.random_range(0..300));
         let message = |role: &str, content: String| ChatMessage { role: role.to_owned(), content };
         let messages = vec![message("system", opening.concat()), message("user", question)];
-        let stream = !number.is_multiple_of(WHOLE_EVERY);
+        let stream = !number.is_multiple_of(UNARY_EVERY);
         let max_tokens = Some(MAX_TOKENS);
         let request =
             ChatRequest { model: ModelId::from(MODEL), messages, stream, max_tokens, adapter: None };
@@ -154,15 +154,15 @@
     text
 }
 
-async fn ask(caller: Caller, records: Arc<Records>, question: Question, number: usize) {
+async fn send_question(caller: Caller, records: Arc<Records>, question: Question, number: usize) {
     let sent = records.since_start();
     let ending = caller.chat(number, &caller_key(question.tenant), &question.request).await;
-    let right = ending.result.as_ref().is_ok_and(|answer| {
+    let correct = ending.result.as_ref().is_ok_and(|answer| {
         let plan = expected(&question);
         let reason = if plan.reason == FinishReason::Stop { "stop" } else { "length" };
         answer.text == plan.text() && answer.reason == reason && answer.usage.completion_tokens == plan.tokens
     });
-    records.chat(ChatEnd { sent, streamed: question.request.stream, right, ending });
+    records.chat(ChatEnd { sent, streamed: question.request.stream, correct, ending });
 }
 
 /// What the question should get.
@@ -177,7 +177,7 @@
     let sent = records.since_start();
     let Booking { tenant, operation, key, body } = booking;
     let ending = caller.book(number, &caller_key(tenant), operation, &key, &body).await;
-    let right =
+    let correct =
         ending.result.as_ref().is_ok_and(|answer| answer.operation == operation && answer.request == body);
-    records.booking(BookingEnd { sent, key, right, ending });
+    records.booking(BookingEnd { sent, key, correct, ending });
 }
--- a/crates/bench/src/experiment/cluster.rs
+++ b/crates/bench/src/experiment/cluster.rs
@@ -68,27 +68,27 @@
 }
 
 /// The simulated time after the last request within which answers are waited for.
-const LONGEST_DRAIN: Duration = Duration::from_secs(60);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl<'a> Cluster<'a> {
     /// A cluster at time zero, with empty caches.
     pub(super) fn new(scenario: &'a Scenario, settings: &'a RunSettings) -> Self {
         let seed = settings.seed;
         let mut links = Links::new(link_settings(scenario), seed);
-        let truthful = settings.policy.knows_the_truth();
+        let exact = settings.policy.has_exact_state();
         let engines: Vec<SimulatedEngine> = (0..scenario.runners.count)
             .map(|position| {
-                let (zone, endpoint) = place(scenario, &mut links, position);
-                SimulatedEngine::new(scenario, position, zone, endpoint, seed, truthful)
+                let (zone, endpoint) = add_endpoint(scenario, &mut links, position);
+                SimulatedEngine::new(scenario, position, zone, endpoint, seed, exact)
             })
             .collect();
         let nodes: Vec<SimulatedNode> = (0..scenario.nodes.count)
             .map(|position| {
-                let (zone, endpoint) = place(scenario, &mut links, position);
+                let (zone, endpoint) = add_endpoint(scenario, &mut links, position);
                 SimulatedNode::new(zone, endpoint)
             })
             .collect();
-        let policies = if truthful { 1 } else { nodes.len() };
+        let policies = if exact { 1 } else { nodes.len() };
         let engine_positions =
             engines.iter().enumerate().map(|(position, engine)| (engine.id.clone(), position)).collect();
         let measured_from = at_seconds(scenario.run.warm_up_s);
@@ -115,14 +115,14 @@
             cluster.nodes[node].protection = cluster.build_protection(Timestamp::ZERO);
         }
         cluster.policies = (0..policies).map(|node| cluster.build_policy(node)).collect();
-        cluster.schedule_beginning();
+        cluster.schedule_initial_events();
         cluster
     }
 
     /// A node's policy, without any knowledge.
     pub(super) fn build_policy(&self, node: usize) -> Box<dyn Policy> {
         let node_state = &self.nodes[node];
-        let purpose = format!("policy of node {node} in life {}", node_state.life);
+        let purpose = format!("policy of node {node} in life {}", node_state.incarnation);
         policy::build(&PolicySettings {
             name: self.settings.policy,
             zone: node_state.zone.clone(),
@@ -134,11 +134,11 @@
         })
     }
 
-    fn schedule_beginning(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for (position, fault) in self.scenario.faults.iter().enumerate() {
             self.queue.schedule_at(at_seconds(fault.at_s), Event::Fault { position });
         }
-        if !self.settings.policy.knows_the_truth() {
+        if !self.settings.policy.has_exact_state() {
             self.schedule_observation();
         }
         self.schedule_next_request();
@@ -154,7 +154,7 @@
 
     /// Runs to the end and gives the result.
     pub(super) fn run(mut self) -> PolicyResult {
-        let until = self.ends_at + LONGEST_DRAIN;
+        let until = self.ends_at + DRAIN_TIMEOUT;
         while let Some((now, event)) = self.queue.pop_until(until) {
             self.handle(event, now);
             if now >= self.ends_at && self.requests.is_empty() {
@@ -179,16 +179,18 @@
             Event::ArriveAtNode { request } => self.arrive_at_node(request, now),
             Event::ArriveAtEngine { key, engine, sent } => self.arrive_at_engine(key, engine, *sent, now),
             Event::Step { engine } => self.step_engine(engine, now),
-            Event::Answer { key, engine, answer } => self.take_answer(key, engine, answer, now),
-            Event::AskStatus { node, engine, repeats } => self.ask_status(node, engine, repeats, now),
-            Event::StatusArrives { node, status } => self.take_status(node, &status, now),
-            Event::EngineSilent { node, engine } => self.mark_silent(node, engine, now),
+            Event::Answer { key, engine, answer } => self.handle_answer(key, engine, answer, now),
+            Event::RequestStatus { node, engine, recurring } => {
+                self.request_status(node, engine, recurring, now)
+            }
+            Event::StatusArrives { node, status } => self.handle_status(node, &status, now),
+            Event::EngineUnresponsive { node, engine } => self.mark_unresponsive(node, engine, now),
             Event::ReadFeed { node, engine } => self.read_feed(node, engine, now),
-            Event::FeedArrives { node, engine, batch } => self.take_feed(node, engine, &batch, now),
-            Event::SnapshotArrives { node, engine, page } => self.take_snapshot(node, engine, &page, now),
+            Event::FeedArrives { node, engine, batch } => self.handle_feed(node, engine, &batch, now),
+            Event::SnapshotArrives { node, engine, page } => self.handle_snapshot(node, engine, &page, now),
             Event::AdmissionTick { node } => self.tick_admission(node, now),
             Event::Fault { position } => self.begin_fault(position, now),
-            Event::EngineBack { engine } => self.bring_engine_back(engine, now),
+            Event::EngineRestart { engine } => self.restart_engine(engine, now),
         }
     }
 
@@ -233,7 +235,8 @@
             FaultEvent::EngineCrash { engines, down_s } => {
                 for engine in engines {
                     self.crash_engine(engine, now);
-                    self.queue.schedule_after(Duration::from_secs_f64(down_s), Event::EngineBack { engine });
+                    self.queue
+                        .schedule_after(Duration::from_secs_f64(down_s), Event::EngineRestart { engine });
                 }
             }
             FaultEvent::NodeRestart { nodes } => {
@@ -258,7 +261,7 @@
     Duration::from_secs_f64(milliseconds / 1_000.0)
 }
 
-fn place(scenario: &Scenario, links: &mut Links, position: usize) -> (ZoneId, Endpoint) {
+fn add_endpoint(scenario: &Scenario, links: &mut Links, position: usize) -> (ZoneId, Endpoint) {
     let zone = position % scenario.zones();
     let region = zone / scenario.places.zones_per_region;
     let endpoint = links.add(Zone(zone), Region(region));
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -15,7 +15,7 @@
 
 use super::{
     cluster::Cluster,
-    event::{Answer, AttemptKey, Event, Sent},
+    event::{Answer, AttemptKey, Dispatch, Event},
     metrics::PrefillSample,
     workload::{MODEL, WEIGHTS},
 };
@@ -36,7 +36,7 @@
 
 /// A request on its way to an engine.
 #[derive(Clone, Copy)]
-pub(super) struct InTransit {
+pub(super) struct InFlight {
     pub(super) key: AttemptKey,
     pub(super) missing_tokens: u32,
 }
@@ -50,7 +50,7 @@
     pub(super) step_at: Option<Timestamp>,
     /// Only looked up, never iterated over.
     pub(super) serving: HashMap<AttemptId, Serving>,
-    pub(super) in_transit: Vec<InTransit>,
+    pub(super) in_flight: Vec<InFlight>,
 }
 
 impl SimulatedEngine {
@@ -61,7 +61,7 @@
         zone: ZoneId,
         endpoint: Endpoint,
         seed: u64,
-        truthful: bool,
+        exact: bool,
     ) -> Self {
         let id = EngineId::from(format!("engine-{position:03}"));
         let settings = EngineModelSettings {
@@ -69,7 +69,7 @@
             pool: PoolId::from(POOL),
             zone,
             loaded: Some(LoadedModel { model: ModelId::from(MODEL), weights: WEIGHTS, adapters: Vec::new() }),
-            behaviour: behaviour(scenario, truthful),
+            behaviour: behaviour(scenario, exact),
             load_duration: Some(Duration::from_secs(10)),
             token_outputs: TokenOutputs::First,
         };
@@ -80,14 +80,14 @@
             endpoint,
             step_at: None,
             serving: HashMap::new(),
-            in_transit: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 }
 
-fn behaviour(scenario: &Scenario, truthful: bool) -> EngineBehaviour {
+fn behaviour(scenario: &Scenario, exact: bool) -> EngineBehaviour {
     let reports = &scenario.reports;
-    let (lag, feed) = if truthful {
+    let (lag, feed) = if exact {
         (0, FeedSettings { delay_ms: 0, loss: 0.0, retained_events: usize::MAX })
     } else {
         let feed = FeedSettings {
@@ -107,8 +107,14 @@
 
 impl Cluster<'_> {
     /// A try has reached its engine.
-    pub(super) fn arrive_at_engine(&mut self, key: AttemptKey, engine: usize, sent: Sent, now: Timestamp) {
-        self.engines[engine].in_transit.retain(|it| it.key != key);
+    pub(super) fn arrive_at_engine(
+        &mut self,
+        key: AttemptKey,
+        engine: usize,
+        sent: Dispatch,
+        now: Timestamp,
+    ) {
+        self.engines[engine].in_flight.retain(|it| it.key != key);
         let Some(open) = self.requests.get(&key.request) else { return };
         let Some((current, _, attempt)) = &open.current else { return };
         if *current != key {
@@ -132,7 +138,7 @@
             deadline: now + Duration::from_secs_f64(self.scenario.nodes.deadline_s),
             import: sent.import,
         };
-        self.note_import(key.request, engine, &request);
+        self.record_import(key.request, engine, &request);
         let state = &mut self.engines[engine];
         match state.model.submit(request, now) {
             Ok(()) => {
@@ -162,12 +168,12 @@
             state.step_at = None;
         }
         for output in state.model.advance(now) {
-            self.take_output(engine, output);
+            self.handle_output(engine, output);
         }
         self.reschedule(engine);
     }
 
-    fn take_output(&mut self, engine: usize, output: EngineOutput) {
+    fn handle_output(&mut self, engine: usize, output: EngineOutput) {
         let at = output.at;
         match output.event {
             EngineEvent::Started { attempt, cached_tokens, load, .. } => {
@@ -197,7 +203,7 @@
         let Some(open) = self.requests.get_mut(&key.request) else { return };
         open.has_run = true;
         let scope = self.workload.tenants[open.workload.tenant].scope;
-        let held_tokens = held_anywhere(&self.engines, scope, &open.workload.blocks);
+        let held_tokens = max_held_tokens(&self.engines, scope, &open.workload.blocks);
         let imported_tokens = open.imported_tokens.min(cached_tokens);
         let sample = PrefillSample {
             prompt_tokens: open.workload.prompt_tokens,
@@ -234,7 +240,7 @@
         arrival
     }
 
-    fn note_import(&mut self, request: u64, engine: usize, sent: &ModelRequest) {
+    fn record_import(&mut self, request: u64, engine: usize, sent: &ModelRequest) {
         let Some(transfer) = &sent.import else { return };
         let cached = self.engines[engine].model.cache().matched(sent.scope, &sent.blocks);
         let blocks = transfer.blocks.len().saturating_sub(cached) as u32;
@@ -254,7 +260,7 @@
     }
 
     /// A crashed engine begins a new life.
-    pub(super) fn bring_engine_back(&mut self, engine: usize, _now: Timestamp) {
+    pub(super) fn restart_engine(&mut self, engine: usize, _now: Timestamp) {
         let state = &mut self.engines[engine];
         let incarnation = state.model.incarnation().next();
         let seed = derived_seed(self.settings.seed ^ incarnation.0, state.id.as_str());
@@ -273,7 +279,7 @@
 }
 
 /// Tokens of the longest opening that one of the engines holds.
-fn held_anywhere(engines: &[SimulatedEngine], scope: CacheScope, blocks: &[BlockHash]) -> u32 {
+fn max_held_tokens(engines: &[SimulatedEngine], scope: CacheScope, blocks: &[BlockHash]) -> u32 {
     let up = engines.iter().filter(|state| state.model.is_up());
     let longest = up.map(|state| state.model.cache().matched(scope, blocks)).max();
     longest.unwrap_or(0) as u32 * BLOCK_TOKENS
--- a/crates/bench/src/experiment/event.rs
+++ b/crates/bench/src/experiment/event.rs
@@ -21,17 +21,17 @@
     /// A request reaches a node.
     ArriveAtNode { request: u64 },
     /// A try reaches an engine.
-    ArriveAtEngine { key: AttemptKey, engine: usize, sent: Box<Sent> },
+    ArriveAtEngine { key: AttemptKey, engine: usize, sent: Box<Dispatch> },
     /// An engine has something to do.
     Step { engine: usize },
     /// A message of an engine reaches a node.
     Answer { key: AttemptKey, engine: usize, answer: Answer },
     /// A node asks an engine for its status.
-    AskStatus { node: usize, engine: usize, repeats: bool },
+    RequestStatus { node: usize, engine: usize, recurring: bool },
     /// A status reaches a node.
     StatusArrives { node: usize, status: Box<EngineStatus> },
     /// A node learns that an engine does not answer.
-    EngineSilent { node: usize, engine: usize },
+    EngineUnresponsive { node: usize, engine: usize },
     /// A node reads an engine's feed.
     ReadFeed { node: usize, engine: usize },
     /// Part of a feed reaches a node.
@@ -43,11 +43,11 @@
     /// A fault of the scenario begins.
     Fault { position: usize },
     /// A crashed engine is back.
-    EngineBack { engine: usize },
+    EngineRestart { engine: usize },
 }
 
 /// What a node sends to an engine.
-pub(super) struct Sent {
+pub(super) struct Dispatch {
     pub(super) precondition: Precondition,
     pub(super) import: Option<KvTransfer>,
     pub(super) priority: Priority,
--- a/crates/bench/src/experiment/nodes.rs
+++ b/crates/bench/src/experiment/nodes.rs
@@ -14,10 +14,10 @@
 
 use super::{
     cluster::{Cluster, OpenRequest},
-    engines::{InTransit, POOL},
-    event::{Answer, AttemptKey, Event, Sent},
+    engines::{InFlight, POOL},
+    event::{Answer, AttemptKey, Dispatch, Event},
     metrics::RequestEnding,
-    overload::Protection,
+    overload::OverloadProtection,
     workload::{MODEL, WEIGHTS, WorkloadTenant},
 };
 use crate::simulation::Endpoint;
@@ -32,20 +32,20 @@
 }
 
 /// From a node's start until it takes requests: it asks all engines for their status first.
-const START_UP: Duration = Duration::from_millis(20);
+const START_UP_TIME: Duration = Duration::from_millis(20);
 
 /// One router node, apart from its policy.
 pub(super) struct SimulatedNode {
     pub(super) zone: ZoneId,
     pub(super) endpoint: Endpoint,
     /// Counts restarts.
-    pub(super) life: u32,
+    pub(super) incarnation: u32,
     /// When it has asked all engines for their status and takes requests.
     pub(super) ready_at: Timestamp,
     /// Feeds that this node reads, by engine.
     pub(super) feeds: BTreeMap<usize, FeedPosition>,
     /// Admission and retry budget, where they are in use.
-    pub(super) protection: Option<Protection>,
+    pub(super) protection: Option<OverloadProtection>,
 }
 
 impl SimulatedNode {
@@ -54,8 +54,8 @@
         Self {
             zone,
             endpoint,
-            life: 1,
-            ready_at: Timestamp::ZERO + START_UP,
+            incarnation: 1,
+            ready_at: Timestamp::ZERO + START_UP_TIME,
             feeds: BTreeMap::new(),
             protection: None,
         }
@@ -101,13 +101,13 @@
 impl Cluster<'_> {
     /// The policy that acts for a node.
     pub(super) fn policy_of(&self, node: usize) -> usize {
-        if self.settings.policy.knows_the_truth() { 0 } else { node }
+        if self.settings.policy.has_exact_state() { 0 } else { node }
     }
 
     /// Lets a node learn something.
-    pub(super) fn learn(&mut self, node: usize, event: RouterEvent<'_>, now: Timestamp) {
+    pub(super) fn observe(&mut self, node: usize, event: RouterEvent<'_>, now: Timestamp) {
         let policy = self.policy_of(node);
-        self.policies[policy].learn(event, now);
+        self.policies[policy].observe(event, now);
     }
 
     /// A request has reached its node.
@@ -122,8 +122,8 @@
 
     /// Chooses an engine for a request and sends it there.
     pub(super) fn dispatch(&mut self, request: u64, now: Timestamp) {
-        if self.settings.policy.knows_the_truth() {
-            self.tell_truth(now);
+        if self.settings.policy.has_exact_state() {
+            self.update_oracle(now);
         }
         let Some(open) = self.requests.get_mut(&request) else { return };
         open.attempts += 1;
@@ -133,37 +133,37 @@
         let tenant = &self.workload.tenants[open.workload.tenant];
         let names = RouteNames::new();
         let route = names.route(open, tenant, self.scenario.policies.reuse_weight);
-        let policy = &mut self.policies[if self.settings.policy.knows_the_truth() { 0 } else { node }];
+        let policy = &mut self.policies[if self.settings.policy.has_exact_state() { 0 } else { node }];
         let choice = policy.choose(&route, now);
         let engine =
             choice.precondition.as_ref().and_then(|it| self.engine_positions.get(&it.engine).copied());
         let (Some(precondition), Some(engine)) = (choice.precondition, engine) else {
-            return self.give_up(request, now);
+            return self.abandon(request, now);
         };
         let id = self.engines[engine].id.clone();
-        policy.learn(RouterEvent::Dispatched { attempt: &attempt, engine: &id, request: &route }, now);
-        self.note_in_transit(key, engine);
+        policy.observe(RouterEvent::Dispatched { attempt: &attempt, engine: &id, request: &route }, now);
+        self.record_in_flight(key, engine);
         let Some(open) = self.requests.get_mut(&request) else { return };
         open.current = Some((key, engine, attempt));
         open.dispatched_at = now;
         let priority = open.priority;
-        let sent = Box::new(Sent { precondition, import: choice.import, priority });
+        let sent = Box::new(Dispatch { precondition, import: choice.import, priority });
         let delay = self.links.transmit(self.nodes[node].endpoint, self.engines[engine].endpoint);
         self.queue
             .schedule_after(delay.unwrap_or(Duration::ZERO), Event::ArriveAtEngine { key, engine, sent });
     }
 
-    fn note_in_transit(&mut self, key: AttemptKey, engine: usize) {
+    fn record_in_flight(&mut self, key: AttemptKey, engine: usize) {
         let open = &self.requests[&key.request];
         let scope = self.workload.tenants[open.workload.tenant].scope;
         let cached = self.engines[engine].model.cache().matched(scope, &open.workload.blocks) as u32;
         let missing_tokens =
             open.workload.prompt_tokens.saturating_sub(cached * paddlemount_protocol::prefix::BLOCK_TOKENS);
-        self.engines[engine].in_transit.push(InTransit { key, missing_tokens });
+        self.engines[engine].in_flight.push(InFlight { key, missing_tokens });
     }
 
     /// A message of an engine has reached the node that sent the try.
-    pub(super) fn take_answer(&mut self, key: AttemptKey, engine: usize, answer: Answer, now: Timestamp) {
+    pub(super) fn handle_answer(&mut self, key: AttemptKey, engine: usize, answer: Answer, now: Timestamp) {
         let Some(open) = self.requests.get(&key.request) else { return };
         let Some((current, _, attempt)) = &open.current else { return };
         if *current != key {
@@ -173,43 +173,44 @@
         let id = self.engines[engine].id.clone();
         match answer {
             Answer::Started { incarnation, cached_tokens, load } => {
-                self.learn(node, RouterEvent::Load { engine: &id, report: load }, now);
+                self.observe(node, RouterEvent::Load { engine: &id, report: load }, now);
                 let started = RouterEvent::Started { attempt: &attempt, incarnation, cached_tokens };
-                self.learn(node, started, now);
+                self.observe(node, started, now);
                 if let Some(open) = self.requests.get_mut(&key.request) {
                     open.missing_tokens = open.workload.prompt_tokens.saturating_sub(cached_tokens);
                 }
             }
             Answer::FirstToken => {
-                self.learn(node, RouterEvent::FirstToken { attempt: &attempt }, now);
-                self.note_queueing(key.request, now);
-                self.pass_on_first_token(key.request, now);
+                self.observe(node, RouterEvent::FirstToken { attempt: &attempt }, now);
+                self.record_queueing(key.request, now);
+                self.forward_first_token(key.request, now);
             }
             Answer::Ended { load } => {
-                self.learn(node, RouterEvent::Load { engine: &id, report: load }, now);
+                self.observe(node, RouterEvent::Load { engine: &id, report: load }, now);
                 self.end_attempt(node, &attempt, AttemptEnding::Completed, now);
                 self.end_request(key.request, RequestEnding::Complete, now);
             }
             Answer::Refused => {
                 self.end_attempt(node, &attempt, AttemptEnding::Refused, now);
-                self.queue.schedule_after(Duration::ZERO, Event::AskStatus { node, engine, repeats: false });
-                self.try_again(key.request, engine, now);
+                self.queue
+                    .schedule_after(Duration::ZERO, Event::RequestStatus { node, engine, recurring: false });
+                self.retry_elsewhere(key.request, engine, now);
             }
             Answer::Failed { engine_lost } => {
                 self.end_attempt(node, &attempt, AttemptEnding::Failed, now);
                 if engine_lost {
-                    self.mark_silent(node, engine, now);
+                    self.mark_unresponsive(node, engine, now);
                 }
-                self.try_again(key.request, engine, now);
+                self.retry_elsewhere(key.request, engine, now);
             }
         }
     }
 
     fn end_attempt(&mut self, node: usize, attempt: &AttemptId, ending: AttemptEnding, now: Timestamp) {
-        self.learn(node, RouterEvent::Ended { attempt, ending }, now);
+        self.observe(node, RouterEvent::Ended { attempt, ending }, now);
     }
 
-    fn pass_on_first_token(&mut self, request: u64, now: Timestamp) {
+    fn forward_first_token(&mut self, request: u64, now: Timestamp) {
         let at = now + self.caller_delay();
         let Some(open) = self.requests.get_mut(&request) else { return };
         if open.first_token_sent {
@@ -220,21 +221,21 @@
     }
 
     /// Sends a request to another engine, where it has tries left.
-    pub(super) fn try_again(&mut self, request: u64, engine: usize, now: Timestamp) {
+    pub(super) fn retry_elsewhere(&mut self, request: u64, engine: usize, now: Timestamp) {
         let id = self.engines[engine].id.clone();
         let Some(open) = self.requests.get_mut(&request) else { return };
         open.current = None;
         open.excluded.push(id);
         let (node, attempts) = (open.node, open.attempts);
         if attempts >= self.scenario.nodes.attempts || !self.may_retry(node, attempts) {
-            return self.give_up(request, now);
+            return self.abandon(request, now);
         }
         let sent_at = self.requests[&request].workload.sent_at;
         self.metrics.retried(sent_at);
         self.dispatch(request, now);
     }
 
-    fn give_up(&mut self, request: u64, now: Timestamp) {
+    fn abandon(&mut self, request: u64, now: Timestamp) {
         let Some(open) = self.requests.get(&request) else { return };
         let ending = if open.has_run { RequestEnding::Failed } else { RequestEnding::NotRun };
         self.end_request(request, ending, now);
@@ -249,15 +250,15 @@
 
     /// A node loses everything; callers with requests there send them again to another node.
     pub(super) fn restart_node(&mut self, node: usize, now: Timestamp) {
-        self.nodes[node].life += 1;
-        self.nodes[node].ready_at = now + START_UP;
+        self.nodes[node].incarnation += 1;
+        self.nodes[node].ready_at = now + START_UP_TIME;
         self.nodes[node].protection = self.build_protection(now);
         for position in self.nodes[node].feeds.values_mut() {
             *position = FeedPosition::default();
         }
-        if !self.settings.policy.knows_the_truth() {
+        if !self.settings.policy.has_exact_state() {
             self.policies[node] = self.build_policy(node);
-            self.ask_all(node);
+            self.request_all_statuses(node);
         }
         for request in self.requests_at(node) {
             self.abandon_attempt(request, now);
--- a/crates/bench/src/experiment/observation.rs
+++ b/crates/bench/src/experiment/observation.rs
@@ -16,10 +16,10 @@
 };
 
 /// Events of one read at most.
-const FEED_LIMIT: usize = 4_096;
+const MAX_FEED_EVENTS: usize = 4_096;
 
 /// Blocks of one snapshot page.
-const SNAPSHOT_PAGE: usize = 4_096;
+const SNAPSHOT_PAGE_BLOCKS: usize = 4_096;
 
 impl Cluster<'_> {
     /// Starts the periodic requests of all nodes, spread over their intervals.
@@ -28,10 +28,10 @@
         let feed_interval = milliseconds(self.scenario.reports.feed_interval_ms);
         let (nodes, engines) = (self.nodes.len(), self.engines.len());
         for node in 0..nodes {
-            self.ask_all(node);
+            self.request_all_statuses(node);
             for engine in 0..engines {
                 let phase = (node * engines + engine) as f64 / (nodes * engines) as f64;
-                let ask = Event::AskStatus { node, engine, repeats: true };
+                let ask = Event::RequestStatus { node, engine, recurring: true };
                 self.queue.schedule_after(status_interval.mul_f64(phase), ask);
                 if self.reads_feed(node, engine) {
                     self.nodes[node].feeds.insert(engine, FeedPosition::default());
@@ -49,24 +49,25 @@
     }
 
     /// A node asks all engines for their status at once.
-    pub(super) fn ask_all(&mut self, node: usize) {
+    pub(super) fn request_all_statuses(&mut self, node: usize) {
         for engine in 0..self.engines.len() {
-            self.queue.schedule_after(Duration::ZERO, Event::AskStatus { node, engine, repeats: false });
+            self.queue
+                .schedule_after(Duration::ZERO, Event::RequestStatus { node, engine, recurring: false });
         }
     }
 
     /// A node's request for a status has reached the engine.
-    pub(super) fn ask_status(&mut self, node: usize, engine: usize, repeats: bool, now: Timestamp) {
-        if repeats {
+    pub(super) fn request_status(&mut self, node: usize, engine: usize, recurring: bool, now: Timestamp) {
+        if recurring {
             let interval = milliseconds(self.scenario.reports.status_interval_ms);
-            self.queue.schedule_after(interval, Event::AskStatus { node, engine, repeats });
+            self.queue.schedule_after(interval, Event::RequestStatus { node, engine, recurring });
         }
         let Some(delay) = self.delay_to_node(node, engine) else { return };
         let model = &self.engines[engine].model;
         let event = if model.is_up() {
             Event::StatusArrives { node, status: Box::new(model.status(now)) }
         } else {
-            Event::EngineSilent { node, engine }
+            Event::EngineUnresponsive { node, engine }
         };
         self.queue.schedule_after(delay, event);
     }
@@ -76,16 +77,16 @@
     }
 
     /// A status has reached a node.
-    pub(super) fn take_status(&mut self, node: usize, status: &EngineStatus, now: Timestamp) {
-        self.learn(node, RouterEvent::Status(status), now);
+    pub(super) fn handle_status(&mut self, node: usize, status: &EngineStatus, now: Timestamp) {
+        self.observe(node, RouterEvent::Status(status), now);
         let answers = RouterEvent::Draining { engine: &status.engine, draining: false };
-        self.learn(node, answers, now);
+        self.observe(node, answers, now);
     }
 
     /// A node sends nothing to an engine that doesn't answer, until it answers again.
-    pub(super) fn mark_silent(&mut self, node: usize, engine: usize, now: Timestamp) {
+    pub(super) fn mark_unresponsive(&mut self, node: usize, engine: usize, now: Timestamp) {
         let id = self.engines[engine].id.clone();
-        self.learn(node, RouterEvent::Draining { engine: &id, draining: true }, now);
+        self.observe(node, RouterEvent::Draining { engine: &id, draining: true }, now);
     }
 
     /// A node's read of a feed has reached the engine.
@@ -97,10 +98,10 @@
         if !model.is_up() {
             return;
         }
-        let same_life = model.incarnation() == position.incarnation;
-        let after = if same_life { position.after } else { EventSequence(0) };
-        let batch = model.cache_events(after, FEED_LIMIT, now);
-        if same_life && batch.last == position.after {
+        let same_incarnation = model.incarnation() == position.incarnation;
+        let after = if same_incarnation { position.after } else { EventSequence(0) };
+        let batch = model.cache_events(after, MAX_FEED_EVENTS, now);
+        if same_incarnation && batch.last == position.after {
             return;
         }
         let Some(delay) = self.delay_to_node(node, engine) else { return };
@@ -108,13 +109,19 @@
     }
 
     /// Part of a feed has reached a node.
-    pub(super) fn take_feed(&mut self, node: usize, engine: usize, batch: &CacheEventBatch, now: Timestamp) {
+    pub(super) fn handle_feed(
+        &mut self,
+        node: usize,
+        engine: usize,
+        batch: &CacheEventBatch,
+        now: Timestamp,
+    ) {
         if let Some(position) = self.nodes[node].feeds.get_mut(&engine) {
             position.incarnation = batch.incarnation;
             position.after = batch.last;
         }
         let id = self.engines[engine].id.clone();
-        self.learn(node, RouterEvent::Feed { engine: &id, batch }, now);
+        self.observe(node, RouterEvent::Feed { engine: &id, batch }, now);
         self.resynchronise(node, now);
     }
 
@@ -136,7 +143,7 @@
         let Some(delay) = self.delay_to_node(node, engine) else { return };
         let mut after = None;
         loop {
-            let page = self.engines[engine].model.snapshot(after, SNAPSHOT_PAGE);
+            let page = self.engines[engine].model.snapshot(after, SNAPSHOT_PAGE_BLOCKS);
             after = page.blocks.last().copied();
             let more = page.more;
             let event = Event::SnapshotArrives { node, engine, page: Box::new(page) };
@@ -148,38 +155,44 @@
     }
 
     /// A page of a snapshot has reached a node.
-    pub(super) fn take_snapshot(&mut self, node: usize, engine: usize, page: &CacheSnapshot, now: Timestamp) {
+    pub(super) fn handle_snapshot(
+        &mut self,
+        node: usize,
+        engine: usize,
+        page: &CacheSnapshot,
+        now: Timestamp,
+    ) {
         let id = self.engines[engine].id.clone();
-        self.learn(node, RouterEvent::Snapshot { engine: &id, snapshot: page }, now);
+        self.observe(node, RouterEvent::Snapshot { engine: &id, snapshot: page }, now);
     }
 
     /// Tells the oracle the present state of all caches and queues.
-    pub(super) fn tell_truth(&mut self, now: Timestamp) {
+    pub(super) fn update_oracle(&mut self, now: Timestamp) {
         for engine in 0..self.engines.len() {
             let id = self.engines[engine].id.clone();
             let up = self.engines[engine].model.is_up();
             if up {
-                let status = self.true_status(engine, now);
-                self.policies[0].learn(RouterEvent::Status(&status), now);
-                self.tell_true_cache(engine, now);
+                let status = self.exact_status(engine, now);
+                self.policies[0].observe(RouterEvent::Status(&status), now);
+                self.update_oracle_cache(engine, now);
             }
-            self.policies[0].learn(RouterEvent::Draining { engine: &id, draining: !up }, now);
+            self.policies[0].observe(RouterEvent::Draining { engine: &id, draining: !up }, now);
         }
     }
 
-    fn true_status(&self, engine: usize, now: Timestamp) -> EngineStatus {
+    fn exact_status(&self, engine: usize, now: Timestamp) -> EngineStatus {
         let state = &self.engines[engine];
         let present = state.model.current_load(now);
-        let on_the_way: u32 = state.in_transit.iter().map(|it| it.missing_tokens).sum();
+        let in_flight_tokens: u32 = state.in_flight.iter().map(|it| it.missing_tokens).sum();
         let load = LoadReport {
-            waiting: present.waiting + state.in_transit.len() as u32,
-            queued_prefill_tokens: present.queued_prefill_tokens + on_the_way,
+            waiting: present.waiting + state.in_flight.len() as u32,
+            queued_prefill_tokens: present.queued_prefill_tokens + in_flight_tokens,
             ..present
         };
         EngineStatus { load, ..state.model.status(now) }
     }
 
-    fn tell_true_cache(&mut self, engine: usize, now: Timestamp) {
+    fn update_oracle_cache(&mut self, engine: usize, now: Timestamp) {
         let state = &self.engines[engine];
         let position = self.nodes[0].feeds.entry(engine).or_default();
         if position.incarnation != state.model.incarnation() {
@@ -188,7 +201,7 @@
         let batch = state.model.cache_events(position.after, usize::MAX, now);
         if batch.last != position.after {
             position.after = batch.last;
-            self.policies[0].learn(RouterEvent::Feed { engine: &state.id, batch: &batch }, now);
+            self.policies[0].observe(RouterEvent::Feed { engine: &state.id, batch: &batch }, now);
         }
     }
 }
--- a/crates/bench/src/experiment/overload.rs
+++ b/crates/bench/src/experiment/overload.rs
@@ -21,14 +21,14 @@
 use crate::policy::PolicyName;
 
 /// What protects one node and the engines behind it.
-pub(super) struct Protection {
+pub(super) struct OverloadProtection {
     admission: Admission,
     retries: RetryBudget,
     /// The tick that is scheduled.
     tick_at: Option<Timestamp>,
 }
 
-impl Protection {
+impl OverloadProtection {
     fn new(settings: AdmissionSettings, slots: u32, nodes: u32, now: Timestamp) -> Self {
         let mut admission = Admission::new(settings);
         admission.apply(AdmissionEvent::Pool { pool: PoolId::from(POOL), slots, nodes }, now);
@@ -38,11 +38,12 @@
 
 impl Cluster<'_> {
     /// What protects a node that starts at `now`, where the scenario enforces limits and the policy is the product's.
-    pub(super) fn build_protection(&self, now: Timestamp) -> Option<Protection> {
+    pub(super) fn build_protection(&self, now: Timestamp) -> Option<OverloadProtection> {
         let enforced = self.scenario.limits.enforced && self.settings.policy == PolicyName::Prefix;
         let slots = self.scenario.runners.speed.batch_slots * self.scenario.runners.count as u32;
-        enforced
-            .then(|| Protection::new(self.admission_settings(), slots, self.scenario.nodes.count as u32, now))
+        enforced.then(|| {
+            OverloadProtection::new(self.admission_settings(), slots, self.scenario.nodes.count as u32, now)
+        })
     }
 
     fn admission_settings(&self) -> AdmissionSettings {
@@ -122,7 +123,7 @@
     }
 
     /// Tells a node's admission how long a request queued at its engine, once its first token has arrived.
-    pub(super) fn note_queueing(&mut self, request: u64, now: Timestamp) {
+    pub(super) fn record_queueing(&mut self, request: u64, now: Timestamp) {
         let Some(open) = self.requests.get(&request) else { return };
         let speed = &self.scenario.runners.speed;
         let prefill = f64::from(open.missing_tokens) / speed.prefill_tokens_per_second;
--- a/crates/bench/src/experiment/summary.rs
+++ b/crates/bench/src/experiment/summary.rs
@@ -89,7 +89,7 @@
 
     /// A table of the medians of each policy, in Markdown.
     pub fn table(results: &[PolicyResult]) -> String {
-        let columns: Vec<&Column> = COLUMNS.iter().chain(&FURTHER_COLUMNS).collect();
+        let columns: Vec<&Column> = COLUMNS.iter().chain(&EXTRA_COLUMNS).collect();
         let titles: Vec<&str> = columns.iter().map(|column| column.title).collect();
         let mut table = format!("| {} |\n|{}\n", titles.join(" | "), "---|".repeat(columns.len()));
         for summary in Self::by_policy(results) {
@@ -131,7 +131,7 @@
 ];
 
 /// What the table in Markdown shows beside these.
-const FURTHER_COLUMNS: [Column; 4] = [
+const EXTRA_COLUMNS: [Column; 4] = [
     Column::new("prefill use", |summary| format!("{:.3}", summary.prefill_utilisation)),
     Column::new("imbalance", |summary| format!("{:.2}", summary.imbalance)),
     Column::new("retries", |summary| format!("{:.4}", summary.retries)),
@@ -152,8 +152,8 @@
     }
 }
 
-fn seconds(back_after: Option<f64>) -> f64 {
-    back_after.unwrap_or(f64::INFINITY)
+fn seconds(recovered_after: Option<f64>) -> f64 {
+    recovered_after.unwrap_or(f64::INFINITY)
 }
 
 fn share(part: u64, whole: u64) -> f64 {
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -22,7 +22,7 @@
 pub const WEIGHTS: WeightsVersion = WeightsVersion(1);
 
 /// The rate at the start of a ramp, in proportion to the full rate.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// One request of the workload.
 #[derive(Clone, Debug, PartialEq)]
@@ -91,7 +91,7 @@
     /// The workload of a scenario under a seed. Policies compared under one seed get the same requests.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut tree_random = StdRng::seed_from_u64(derived_seed(seed, "prefix tree"));
-        let (tenants, traffic) = grow_tenants(scenario, &mut tree_random);
+        let (tenants, traffic) = build_tenants(scenario, &mut tree_random);
         let shift_period = scenario.prefixes.shift_period_s.map(Duration::from_secs_f64);
         Self {
             tenants,
@@ -123,7 +123,7 @@
     pub fn next_request(&mut self) -> WorkloadRequest {
         let gap = self.gaps.sample(&mut self.random) / self.rate_now();
         self.clock = self.clock + Duration::from_secs_f64(gap);
-        self.shift_where_due();
+        self.shift_if_due();
         let tenant = weighted_index(&self.traffic, &mut self.random);
         let shared = self.draw_path(tenant);
         let shared_blocks = shared.len();
@@ -137,10 +137,10 @@
     /// The present rate in proportion to the full one.
     fn rate_now(&self) -> f64 {
         let passed = self.clock.saturating_since(Timestamp::ZERO).as_secs_f64();
-        if passed < self.ramp_up_s { (passed / self.ramp_up_s).max(LEAST_RATE) } else { 1.0 }
+        if passed < self.ramp_up_s { (passed / self.ramp_up_s).max(MIN_RATE) } else { 1.0 }
     }
 
-    fn shift_where_due(&mut self) {
+    fn shift_if_due(&mut self) {
         let (Some(period), Some(at)) = (self.shift_period, self.next_shift) else { return };
         if self.clock >= at {
             self.next_shift = Some(at + period);
@@ -209,7 +209,7 @@
     }
 }
 
-fn grow_tenants(scenario: &Scenario, random: &mut StdRng) -> (Vec<WorkloadTenant>, Vec<f64>) {
+fn build_tenants(scenario: &Scenario, random: &mut StdRng) -> (Vec<WorkloadTenant>, Vec<f64>) {
     let mut tenants = Vec::new();
     let mut traffic = Vec::new();
     for (group, settings) in scenario.tenants.iter().enumerate() {
@@ -221,7 +221,7 @@
             };
             let tenant = TenantId::from(name);
             let scope = CacheScope::new(&tenant, &ModelId::from(MODEL), WEIGHTS, None);
-            let root = grow(&scenario.prefixes.levels, &[], scope, random);
+            let root = build_subtree(&scenario.prefixes.levels, &[], scope, random);
             tenants.push(WorkloadTenant { tenant, scope, group, root });
             traffic.push(settings.traffic);
         }
@@ -229,7 +229,12 @@
     (tenants, traffic)
 }
 
-fn grow(levels: &[PrefixLevel], before: &[BlockHash], scope: CacheScope, random: &mut StdRng) -> Siblings {
+fn build_subtree(
+    levels: &[PrefixLevel],
+    before: &[BlockHash],
+    scope: CacheScope,
+    random: &mut StdRng,
+) -> Siblings {
     let Some((level, deeper)) = levels.split_first() else { return Siblings::default() };
     let mut members = Vec::with_capacity(level.fan_out);
     for _ in 0..level.fan_out {
@@ -239,7 +244,7 @@
             let content = random.random::<u128>().to_le_bytes();
             chain.push(extend(chain.last().copied(), scope, &content));
         }
-        let children = grow(deeper, &chain, scope, random);
+        let children = build_subtree(deeper, &chain, scope, random);
         members.push(TreeNode { chain, children });
     }
     let mut ranks: Vec<usize> = (0..members.len()).collect();
--- a/crates/bench/src/free_address.rs
+++ b/crates/bench/src/free_address.rs
@@ -8,15 +8,15 @@
 
 /// Ports below those that the system gives to outgoing connections and to whoever asks for any: one of these may be taken between
 /// the look and the process's start.
-const KEPT_PORTS: Range<u16> = 20_000..32_000;
+const PORT_RANGE: Range<u16> = 20_000..32_000;
 /// Ports that are tried for one address.
-const MOST_TRIED: usize = 100;
+const MAX_ATTEMPTS: usize = 100;
 
 /// An address on loopback that is free now, and that nobody is given who does not ask for it.
 pub fn free_address() -> Result<SocketAddr, io::Error> {
     let mut last = io::Error::from(io::ErrorKind::AddrInUse);
-    for _ in 0..MOST_TRIED {
-        let address = SocketAddr::from(([127, 0, 0, 1], rand::random_range(KEPT_PORTS)));
+    for _ in 0..MAX_ATTEMPTS {
+        let address = SocketAddr::from(([127, 0, 0, 1], rand::random_range(PORT_RANGE)));
         match TcpListener::bind(address) {
             Ok(_free) => return Ok(address),
             Err(error) => last = error,
--- a/crates/bench/src/hollow/cluster.rs
+++ b/crates/bench/src/hollow/cluster.rs
@@ -74,7 +74,7 @@
 
 /// What a node has spent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct ResourceUsage {
     /// Bytes received, with all headers.
     pub bytes_in: u64,
     /// Bytes sent, with all headers.
@@ -96,36 +96,36 @@
     zone: ZoneId,
     region: RegionId,
     peers: Option<Peers>,
-    life: u32,
+    incarnation: u32,
     paused_until: Timestamp,
     wakeup: Option<Timestamp>,
-    served: BTreeMap<CallId, Served>,
-    next_served: u64,
-    asked: BTreeMap<CallId, Asked>,
-    spent: Spent,
+    incoming: BTreeMap<CallId, IncomingCall>,
+    next_incoming: u64,
+    outgoing: BTreeMap<CallId, OutgoingCall>,
+    usage: ResourceUsage,
     revision: Revision,
 }
 
 /// A peer's call that this node has still to answer.
-struct Served {
+struct IncomingCall {
     from: usize,
-    life: u32,
+    incarnation: u32,
     call: CallId,
     path: &'static str,
     signature: String,
 }
 
 /// A call of this node that is open.
-struct Asked {
+struct OutgoingCall {
     path: &'static str,
     signature: String,
 }
 
 enum Event {
     Wake(usize),
-    Request { from: usize, from_life: u32, to: usize, call: CallId, message: Message },
-    Answer { to: usize, life: u32, call: CallId, message: Message },
-    Timeout { node: usize, life: u32, call: CallId },
+    Request { from: usize, from_incarnation: u32, to: usize, call: CallId, message: Message },
+    Answer { to: usize, incarnation: u32, call: CallId, message: Message },
+    Timeout { node: usize, incarnation: u32, call: CallId },
     StoreRequest { caller: StoreCaller, request: StoreRequest },
     StoreReply { caller: StoreCaller, reply: StoreReply },
     StoreTimeout { caller: StoreCaller },
@@ -204,13 +204,13 @@
             zone: ZoneId::from(format!("zone-{zone:02}")),
             region: RegionId::from(format!("region-{region}")),
             peers: None,
-            life: 0,
+            incarnation: 0,
             paused_until: Timestamp::ZERO,
             wakeup: None,
-            served: BTreeMap::new(),
-            next_served: 0,
-            asked: BTreeMap::new(),
-            spent: Spent::default(),
+            incoming: BTreeMap::new(),
+            next_incoming: 0,
+            outgoing: BTreeMap::new(),
+            usage: ResourceUsage::default(),
             revision: Revision(0),
         });
     }
@@ -226,20 +226,20 @@
         let seeds = self.seeds();
         let seed = self.settings.seed;
         let node = &mut self.nodes[index];
-        node.life += 1;
+        node.incarnation += 1;
         let settings = MembershipSettings {
             node: node.name.clone(),
             address: node.address,
             zone: node.zone.clone(),
             region: node.region.clone(),
-            incarnation: Incarnation(now.0 + u64::from(node.life)),
+            incarnation: Incarnation(now.0 + u64::from(node.incarnation)),
             seeds,
-            seed: crate::simulation::derived_seed(seed + u64::from(node.life), node.name.as_str()),
+            seed: crate::simulation::derived_seed(seed + u64::from(node.incarnation), node.name.as_str()),
             timing: MembershipTiming::default(),
         };
         node.peers = Some(Peers::new(settings, now));
-        node.served.clear();
-        node.asked.clear();
+        node.incoming.clear();
+        node.outgoing.clear();
         node.wakeup = None;
         node.revision = Revision(0);
         node.paused_until = Timestamp::ZERO;
@@ -268,23 +268,23 @@
 
     /// Begins a node's planned stop; it runs on until killed.
     pub fn stop(&mut self, index: usize) {
-        self.feed(index, |peers, now| peers.handle(PeerEvent::Stop, now));
+        self.with_peers(index, |peers, now| peers.handle(PeerEvent::Stop, now));
     }
 
     /// Gives a node the machine list.
     pub fn list_machines(&mut self, index: usize, list: &MachineList) {
-        self.feed(index, |peers, now| peers.handle(PeerEvent::Machines(list), now));
+        self.with_peers(index, |peers, now| peers.handle(PeerEvent::Machines(list), now));
     }
 
     /// Runs until `until`.
     pub fn run_until(&mut self, until: Timestamp) {
         while let Some((_, event)) = self.queue.pop_until(until) {
-            self.take(event);
+            self.handle_event(event);
         }
         // Moves the clock to `until` also where nothing happens there.
         self.queue.schedule_at(until, Event::StoreExpiry);
         if let Some((_, event)) = self.queue.pop_until(until) {
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
@@ -333,18 +333,18 @@
         &self.nodes[index].region
     }
 
-    /// What a node has spent since the last [`reset_spent`](Self::reset_spent).
-    pub fn spent(&self, index: usize) -> Spent {
-        self.nodes[index].spent
+    /// What a node has spent since the last [`reset_usage`](Self::reset_spent).
+    pub fn usage(&self, index: usize) -> ResourceUsage {
+        self.nodes[index].usage
     }
 
     /// Counts from zero again.
-    pub fn reset_spent(&mut self) {
-        self.nodes.iter_mut().for_each(|node| node.spent = Spent::default());
+    pub fn reset_usage(&mut self) {
+        self.nodes.iter_mut().for_each(|node| node.usage = ResourceUsage::default());
     }
 
     /// What a running node believes of another node of its region.
-    pub fn belief(&self, index: usize, about: usize) -> Option<&MemberRecord> {
+    pub fn member_record(&self, index: usize, about: usize) -> Option<&MemberRecord> {
         self.peers(index)?.members().get(&self.nodes[about].name)
     }
 }
--- a/crates/bench/src/hollow/cluster/delivery.rs
+++ b/crates/bench/src/hollow/cluster/delivery.rs
@@ -13,7 +13,7 @@
 use paddlemount_node::peers::authentication::SignedRequest;
 use paddlemount_protocol::{configuration::StoredDocument, peer::encoded_bytes, time::Timestamp};
 
-use super::{Asked, Event, HollowCluster, Message, NodeObservation, Observation, Served};
+use super::{Event, HollowCluster, IncomingCall, Message, NodeObservation, Observation, OutgoingCall};
 use crate::hollow::{
     store::{AddressedReply, StoreCaller},
     wire,
@@ -31,22 +31,22 @@
         }
     }
 
-    pub(super) fn take(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         let Some(event) = self.defer_while_paused(event) else { return };
         match event {
             Event::Wake(node) => {
                 self.nodes[node].wakeup = None;
-                self.feed(node, |peers, now| peers.handle(PeerEvent::Tick, now));
+                self.with_peers(node, |peers, now| peers.handle(PeerEvent::Tick, now));
             }
-            Event::Request { from, from_life, to, call, message } => {
-                self.take_request(from, from_life, to, call, message);
+            Event::Request { from, from_incarnation, to, call, message } => {
+                self.handle_request(from, from_incarnation, to, call, message);
             }
-            Event::Answer { to, life, call, message } if self.nodes[to].life == life => {
-                self.take_answer(to, call, &message);
+            Event::Answer { to, incarnation, call, message } if self.nodes[to].incarnation == incarnation => {
+                self.handle_answer(to, call, &message);
             }
-            Event::Timeout { node, life, call } if self.nodes[node].life == life => {
-                if self.nodes[node].asked.remove(&call).is_some() {
-                    self.feed(node, |peers, now| peers.handle(PeerEvent::Failed { call }, now));
+            Event::Timeout { node, incarnation, call } if self.nodes[node].incarnation == incarnation => {
+                if self.nodes[node].outgoing.remove(&call).is_some() {
+                    self.with_peers(node, |peers, now| peers.handle(PeerEvent::Failed { call }, now));
                 }
             }
             Event::StoreRequest { caller, request } => {
@@ -66,9 +66,9 @@
                 self.send_replies(replies);
             }
             Event::Change { node, request } => {
-                let call = CallId(self.nodes[node].next_served);
-                self.nodes[node].next_served += 1;
-                self.feed(node, |peers, now| peers.handle(PeerEvent::Change { call, request }, now));
+                let call = CallId(self.nodes[node].next_incoming);
+                self.nodes[node].next_incoming += 1;
+                self.with_peers(node, |peers, now| peers.handle(PeerEvent::Change { call, request }, now));
             }
             Event::Answer { .. } | Event::Timeout { .. } => {}
         }
@@ -89,7 +89,14 @@
         Some(event)
     }
 
-    fn take_request(&mut self, from: usize, from_life: u32, to: usize, call: CallId, message: Message) {
+    fn handle_request(
+        &mut self,
+        from: usize,
+        from_incarnation: u32,
+        to: usize,
+        call: CallId,
+        message: Message,
+    ) {
         if self.nodes[to].peers.is_none() {
             return;
         }
@@ -106,36 +113,39 @@
         let request = wire::decode_request(message.path, &message.body).filter(|_| accepted.is_ok());
         let bytes = wire::request_bytes(message.path, signed.node.as_str(), message.body.len());
         let node = &mut self.nodes[to];
-        node.spent.bytes_in += bytes as u64;
-        node.spent.messages_in += 1;
-        node.spent.processor += began.elapsed();
+        node.usage.bytes_in += bytes as u64;
+        node.usage.messages_in += 1;
+        node.usage.processor += began.elapsed();
         let Some(request) = request else { return };
-        let served = CallId(node.next_served);
-        node.next_served += 1;
+        let incoming = CallId(node.next_incoming);
+        node.next_incoming += 1;
         let (path, signature) = (message.path, message.signature);
-        node.served.insert(served, Served { from, life: from_life, call, path, signature });
-        self.feed(to, |peers, now| peers.handle(PeerEvent::Request { call: served, request: &request }, now));
+        node.incoming
+            .insert(incoming, IncomingCall { from, incarnation: from_incarnation, call, path, signature });
+        self.with_peers(to, |peers, now| {
+            peers.handle(PeerEvent::Request { call: incoming, request: &request }, now)
+        });
     }
 
-    fn take_answer(&mut self, to: usize, call: CallId, message: &Message) {
+    fn handle_answer(&mut self, to: usize, call: CallId, message: &Message) {
         let began = Instant::now();
         let node = &mut self.nodes[to];
-        node.spent.bytes_in += wire::answer_bytes(message.body.len()) as u64;
-        node.spent.messages_in += 1;
-        let Some(asked) = node.asked.remove(&call) else { return };
-        let accepted = self.authenticator.accept_answer(&asked.signature, &message.body, &message.signature);
-        let answer = wire::decode_answer(asked.path, &message.body).filter(|_| accepted.is_ok());
-        node.spent.processor += began.elapsed();
+        node.usage.bytes_in += wire::answer_bytes(message.body.len()) as u64;
+        node.usage.messages_in += 1;
+        let Some(outgoing) = node.outgoing.remove(&call) else { return };
+        let accepted =
+            self.authenticator.accept_answer(&outgoing.signature, &message.body, &message.signature);
+        let answer = wire::decode_answer(outgoing.path, &message.body).filter(|_| accepted.is_ok());
+        node.usage.processor += began.elapsed();
         match answer {
-            Some(answer) => {
-                self.feed(to, |peers, now| peers.handle(PeerEvent::Answer { call, answer: &answer }, now))
-            }
-            None => self.feed(to, |peers, now| peers.handle(PeerEvent::Failed { call }, now)),
+            Some(answer) => self
+                .with_peers(to, |peers, now| peers.handle(PeerEvent::Answer { call, answer: &answer }, now)),
+            None => self.with_peers(to, |peers, now| peers.handle(PeerEvent::Failed { call }, now)),
         }
     }
 
     fn end_store_call(&mut self, caller: StoreCaller, result: Result<StoreReply, StoreFailure>) {
-        if self.nodes[caller.node].life != caller.life {
+        if self.nodes[caller.node].incarnation != caller.incarnation {
             return;
         }
         if let Ok(reply) = &result {
@@ -143,26 +153,30 @@
                 StoreReply::Document(StoredDocument::Present(read)) => encoded_bytes(read),
                 _ => 60,
             };
-            self.nodes[caller.node].spent.store_bytes += wire::answer_bytes(body) as u64;
+            self.nodes[caller.node].usage.store_bytes += wire::answer_bytes(body) as u64;
         }
         let call = caller.call;
-        self.feed(caller.node, |peers, now| peers.handle(PeerEvent::Store { call, result }, now));
+        self.with_peers(caller.node, |peers, now| peers.handle(PeerEvent::Store { call, result }, now));
     }
 
-    pub(super) fn feed(&mut self, index: usize, work: impl FnOnce(&mut Peers, Timestamp) -> Vec<PeerAction>) {
+    pub(super) fn with_peers(
+        &mut self,
+        index: usize,
+        work: impl FnOnce(&mut Peers, Timestamp) -> Vec<PeerAction>,
+    ) {
         let now = self.now();
         let Some(peers) = self.nodes[index].peers.as_mut() else { return };
         let began = Instant::now();
         let actions = work(peers, now);
         let next = peers.next_wakeup();
-        self.nodes[index].spent.processor += began.elapsed();
+        self.nodes[index].usage.processor += began.elapsed();
         for action in actions {
-            self.carry_out(index, action);
+            self.perform(index, action);
         }
         self.wake_at(index, next);
     }
 
-    pub(super) fn carry_out(&mut self, index: usize, action: PeerAction) {
+    pub(super) fn perform(&mut self, index: usize, action: PeerAction) {
         let observation = match action {
             PeerAction::Call { call, address, request, timeout } => {
                 self.send_request(index, call, address, &request, timeout);
@@ -205,44 +219,52 @@
             SignedRequest { method: "POST", path, receiver: address, node: &node.name, time, body: &body };
         let signature = self.authenticator.sign_request(&signed);
         let bytes = wire::request_bytes(path, node.name.as_str(), body.len());
-        let (from, life) = (node.endpoint, node.life);
+        let (from, incarnation) = (node.endpoint, node.incarnation);
         let node = &mut self.nodes[index];
-        node.spent.processor += began.elapsed();
-        node.spent.bytes_out += bytes as u64;
-        node.spent.messages_out += 1;
-        node.asked.insert(call, Asked { path, signature: signature.clone() });
-        self.queue.schedule_after(timeout, Event::Timeout { node: index, life, call });
+        node.usage.processor += began.elapsed();
+        node.usage.bytes_out += bytes as u64;
+        node.usage.messages_out += 1;
+        node.outgoing.insert(call, OutgoingCall { path, signature: signature.clone() });
+        self.queue.schedule_after(timeout, Event::Timeout { node: index, incarnation, call });
         let Some(to) = self.by_address.get(&address).copied() else { return };
         let Some(delay) = self.links.transmit(from, self.nodes[to].endpoint) else { return };
         let message = Message { path, time, signature, body };
-        self.queue.schedule_after(delay, Event::Request { from: index, from_life: life, to, call, message });
+        self.queue.schedule_after(
+            delay,
+            Event::Request { from: index, from_incarnation: incarnation, to, call, message },
+        );
     }
 
     fn send_answer(&mut self, index: usize, call: CallId, answer: &PeerAnswer) {
-        let Some(served) = self.nodes[index].served.remove(&call) else { return };
+        let Some(incoming) = self.nodes[index].incoming.remove(&call) else { return };
         let began = Instant::now();
         let body = wire::encode_answer(answer);
-        let signature = self.authenticator.sign_answer(&served.signature, &body);
+        let signature = self.authenticator.sign_answer(&incoming.signature, &body);
         let time = self.now();
         let node = &mut self.nodes[index];
-        node.spent.processor += began.elapsed();
-        node.spent.bytes_out += wire::answer_bytes(body.len()) as u64;
-        node.spent.messages_out += 1;
+        node.usage.processor += began.elapsed();
+        node.usage.bytes_out += wire::answer_bytes(body.len()) as u64;
+        node.usage.messages_out += 1;
         let from = node.endpoint;
-        let Some(delay) = self.links.transmit(from, self.nodes[served.from].endpoint) else { return };
-        let message = Message { path: served.path, time, signature, body };
-        let event = Event::Answer { to: served.from, life: served.life, call: served.call, message };
+        let Some(delay) = self.links.transmit(from, self.nodes[incoming.from].endpoint) else { return };
+        let message = Message { path: incoming.path, time, signature, body };
+        let event = Event::Answer {
+            to: incoming.from,
+            incarnation: incoming.incarnation,
+            call: incoming.call,
+            message,
+        };
         self.queue.schedule_after(delay, event);
     }
 
     fn send_to_store(&mut self, index: usize, call: CallId, request: StoreRequest, timeout: Duration) {
         let node = &mut self.nodes[index];
-        let caller = StoreCaller { node: index, life: node.life, call };
+        let caller = StoreCaller { node: index, incarnation: node.incarnation, call };
         let body = match &request {
             StoreRequest::Put { configuration, .. } => encoded_bytes(configuration),
             StoreRequest::Watch(_) | StoreRequest::Read => 60,
         };
-        node.spent.store_bytes += wire::request_bytes("/watch", "", body) as u64;
+        node.usage.store_bytes += wire::request_bytes("/watch", "", body) as u64;
         let from = node.endpoint;
         self.queue.schedule_after(timeout, Event::StoreTimeout { caller });
         if let Some(delay) = self.links.transmit(from, self.store_endpoint) {
--- a/crates/bench/src/hollow/measure.rs
+++ b/crates/bench/src/hollow/measure.rs
@@ -13,16 +13,16 @@
 };
 use serde::Serialize;
 
-use super::cluster::{ClusterSettings, HollowCluster, NodeObservation, Observation, Spent};
+use super::cluster::{ClusterSettings, HollowCluster, NodeObservation, Observation, ResourceUsage};
 
 /// Time that a starting cluster gets to settle.
-pub const SETTLE: Duration = Duration::from_secs(40);
+pub const SETTLE_TIME: Duration = Duration::from_secs(40);
 
 /// Greatest time that quantiles tell apart, in milliseconds.
-const GREATEST_MS: u64 = 3_600_000;
+const MAX_MS: u64 = 3_600_000;
 
 /// Longest time that a change or a death is followed.
-const FOLLOW: Duration = Duration::from_secs(30);
+const OBSERVATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A document with `tenants` tenants and `models` pools, as an operator's would be.
 pub fn document(tenants: usize, models: usize) -> RevisedConfiguration {
@@ -80,7 +80,7 @@
 impl Quantiles {
     /// The quantiles of `times`.
     pub fn of(times: &[Duration]) -> Self {
-        let mut histogram = Histogram::<u64>::new_with_max(GREATEST_MS, 3).expect("the bounds are valid");
+        let mut histogram = Histogram::<u64>::new_with_max(MAX_MS, 3).expect("the bounds are valid");
         for time in times {
             histogram.saturating_record(u64::try_from(time.as_millis()).unwrap_or(u64::MAX));
         }
@@ -125,13 +125,13 @@
     pub greatest_processor_percent: f64,
 }
 
-/// A cluster of `settings` that has run for [`SETTLE`] since its start in one herd.
-pub fn settled(settings: ClusterSettings, tenants: usize, models: usize) -> HollowCluster {
+/// A cluster of `settings` that has run for [`SETTLE_TIME`] since its start in one herd.
+pub fn start_settled_cluster(settings: ClusterSettings, tenants: usize, models: usize) -> HollowCluster {
     let mut cluster = HollowCluster::new(settings, document(tenants, models));
     (0..cluster.len()).for_each(|index| cluster.start(index));
-    cluster.run_for(SETTLE);
+    cluster.run_for(SETTLE_TIME);
     cluster.take_observations();
-    cluster.reset_spent();
+    cluster.reset_usage();
     cluster
 }
 
@@ -147,7 +147,7 @@
         followed.push(follow_change(cluster, number * 7 % cluster.len(), number, false));
         cluster.run_for(pause);
     }
-    summarise(followed)
+    summarize(followed)
 }
 
 /// Makes one change; the store goes down as soon as it holds it, and stays down.
@@ -156,7 +156,7 @@
 }
 
 /// What a series of changes came to.
-pub fn summarise(series: Vec<FollowedChange>) -> ChangeMeasurement {
+pub fn summarize(series: Vec<FollowedChange>) -> ChangeMeasurement {
     let mut measurement = ChangeMeasurement::default();
     let (mut spread, mut answered) = (Vec::new(), Vec::new());
     for followed in series {
@@ -196,7 +196,7 @@
     cluster.change(node, change_request(number));
     let mut followed = FollowedChange { began, made: false, everywhere_at: None, answer: None };
     let mut installed = vec![false; cluster.len()];
-    while cluster.now() < began + FOLLOW {
+    while cluster.now() < began + OBSERVATION_TIMEOUT {
         // Short steps until the store holds the change, so that an outage begins right then.
         let step = if followed.made { 100 } else { 1 };
         cluster.run_for(Duration::from_millis(step));
@@ -249,31 +249,31 @@
     let (mut first, mut everywhere) = (Vec::new(), Vec::new());
     let mut not_everywhere = 0;
     for number in 0..count {
-        let victim = (number * 11 + 1) % cluster.len();
+        let target = (number * 11 + 1) % cluster.len();
         let began = cluster.now();
         cluster.take_observations();
-        cluster.kill(victim);
-        let seen = follow_death(cluster, victim);
+        cluster.kill(target);
+        let seen = follow_death(cluster, target);
         first.extend(seen.first().map(|at| at.saturating_since(began)));
-        let witnesses = (0..cluster.len())
-            .filter(|index| *index != victim && cluster.region(*index) == cluster.region(victim))
+        let observers = (0..cluster.len())
+            .filter(|index| *index != target && cluster.region(*index) == cluster.region(target))
             .count();
-        if seen.len() >= witnesses {
+        if seen.len() >= observers {
             everywhere.extend(seen.last().map(|at| at.saturating_since(began)));
         } else {
             not_everywhere += 1;
         }
-        cluster.start(victim);
+        cluster.start(target);
         cluster.run_for(Duration::from_secs(20));
     }
     DeathMeasurement { first: Quantiles::of(&first), everywhere: Quantiles::of(&everywhere), not_everywhere }
 }
 
 /// When each node came to hold the victim to be dead.
-fn follow_death(cluster: &mut HollowCluster, victim: usize) -> Vec<Timestamp> {
-    let name = cluster.name(victim).clone();
+fn follow_death(cluster: &mut HollowCluster, target: usize) -> Vec<Timestamp> {
+    let name = cluster.name(target).clone();
     let mut seen: BTreeMap<usize, Timestamp> = BTreeMap::new();
-    cluster.run_for(FOLLOW);
+    cluster.run_for(OBSERVATION_TIMEOUT);
     for NodeObservation { at, node, observation } in cluster.take_observations() {
         if observation == (Observation::Member { node: name.clone(), state: MemberState::Dead }) {
             seen.entry(node).or_insert(at);
@@ -301,7 +301,7 @@
 
 /// Runs the cluster for `time` without any fault but loss.
 pub fn measure_steady(cluster: &mut HollowCluster, time: Duration) -> (CostMeasurement, FalseAlarms) {
-    cluster.reset_spent();
+    cluster.reset_usage();
     cluster.take_observations();
     let mut alarms = FalseAlarms { watched_seconds: time.as_secs(), ..FalseAlarms::default() };
     let mut last: BTreeMap<(paddlemount_protocol::identity::NodeId, bool), Timestamp> = BTreeMap::new();
@@ -328,21 +328,22 @@
 }
 
 fn cost(cluster: &HollowCluster, time: Duration) -> CostMeasurement {
-    let all: Vec<Spent> = (0..cluster.len()).map(|index| cluster.spent(index)).collect();
+    let all: Vec<ResourceUsage> = (0..cluster.len()).map(|index| cluster.usage(index)).collect();
     let seconds = time.as_secs_f64();
-    let mean =
-        |value: &dyn Fn(&Spent) -> f64| all.iter().map(value).sum::<f64>() / all.len() as f64 / seconds;
-    let greatest = |value: &dyn Fn(&Spent) -> f64| all.iter().map(value).fold(0.0, f64::max) / seconds;
-    let peer_bytes = |spent: &Spent| (spent.bytes_in + spent.bytes_out) as f64;
-    let store_bytes = |spent: &Spent| spent.store_bytes as f64;
-    let processor = |spent: &Spent| spent.processor.as_secs_f64() * 100.0;
+    let mean = |value: &dyn Fn(&ResourceUsage) -> f64| {
+        all.iter().map(value).sum::<f64>() / all.len() as f64 / seconds
+    };
+    let max = |value: &dyn Fn(&ResourceUsage) -> f64| all.iter().map(value).fold(0.0, f64::max) / seconds;
+    let peer_bytes = |usage: &ResourceUsage| (usage.bytes_in + usage.bytes_out) as f64;
+    let store_bytes = |usage: &ResourceUsage| usage.store_bytes as f64;
+    let processor = |usage: &ResourceUsage| usage.processor.as_secs_f64() * 100.0;
     CostMeasurement {
         peer_bytes_per_second: mean(&peer_bytes),
-        greatest_peer_bytes_per_second: greatest(&peer_bytes),
+        greatest_peer_bytes_per_second: max(&peer_bytes),
         store_bytes_per_second: mean(&store_bytes),
-        greatest_store_bytes_per_second: greatest(&store_bytes),
-        messages_per_second: mean(&|spent: &Spent| (spent.messages_in + spent.messages_out) as f64),
+        greatest_store_bytes_per_second: max(&store_bytes),
+        messages_per_second: mean(&|usage: &ResourceUsage| (usage.messages_in + usage.messages_out) as f64),
         processor_percent: mean(&processor),
-        greatest_processor_percent: greatest(&processor),
+        greatest_processor_percent: max(&processor),
     }
 }
--- a/crates/bench/src/hollow/report.rs
+++ b/crates/bench/src/hollow/report.rs
@@ -8,7 +8,7 @@
     cluster::{ClusterSettings, HollowCluster},
     measure::{
         ChangeMeasurement, CostMeasurement, DeathMeasurement, FalseAlarms, follow_until_outage,
-        measure_changes, measure_deaths, measure_steady, settled, summarise,
+        measure_changes, measure_deaths, measure_steady, start_settled_cluster, summarize,
     },
 };
 
@@ -17,7 +17,7 @@
 const MODELS: usize = 14;
 
 /// Pause between two changes.
-const PAUSE: Duration = Duration::from_secs(2);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Shapes that are measured: nodes, zones, regions.
 pub const SHAPES: [(usize, usize, usize); 5] = [(3, 3, 1), (10, 3, 1), (50, 3, 1), (100, 4, 2), (350, 13, 5)];
@@ -71,9 +71,9 @@
 pub fn measure(shape: (usize, usize, usize), loss: f64, seed: u64, effort: Effort) -> SizeReport {
     let (nodes, zones, regions) = shape;
     let settings = ClusterSettings { nodes, zones, regions, loss, seed };
-    let mut cluster = settled(settings, TENANTS, MODELS);
+    let mut cluster = start_settled_cluster(settings, TENANTS, MODELS);
     let (cost, false_alarms) = measure_steady(&mut cluster, effort.steady);
-    let changes = measure_changes(&mut cluster, 0, effort.changes, PAUSE);
+    let changes = measure_changes(&mut cluster, 0, effort.changes, CHANGE_INTERVAL);
     let outage = measure_outage(&mut cluster, effort);
     let deaths = measure_deaths(&mut cluster, effort.deaths);
     SizeReport {
@@ -109,10 +109,10 @@
         if round == 0 {
             let (_, alarms) = measure_steady(cluster, Duration::from_secs(60));
             unconfirmed = alarms.unconfirmed_seconds;
-            during = measure_changes(cluster, 20_000, rounds, PAUSE);
+            during = measure_changes(cluster, 20_000, rounds, CHANGE_INTERVAL);
         }
         cluster.store.is_down = false;
         cluster.run_for(Duration::from_secs(15));
     }
-    Outage { before: summarise(before), during, unconfirmed }
+    Outage { before: summarize(before), during, unconfirmed }
 }
--- a/crates/bench/src/hollow/store.rs
+++ b/crates/bench/src/hollow/store.rs
@@ -19,7 +19,7 @@
     /// The node.
     pub node: usize,
     /// The node's life.
-    pub life: u32,
+    pub incarnation: u32,
     /// Its call.
     pub call: CallId,
 }
@@ -96,8 +96,8 @@
                 let stored = StoreReply::Put(StorePutResult::Stored { revision });
                 let mut replies = vec![AddressedReply::new(caller, stored)];
                 let present = self.present();
-                let told = |watcher: Watcher| AddressedReply::new(watcher.caller, present.clone());
-                replies.extend(self.watchers.drain(..).map(told));
+                let notify = |watcher: Watcher| AddressedReply::new(watcher.caller, present.clone());
+                replies.extend(self.watchers.drain(..).map(notify));
                 replies
             }
         }
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -25,11 +25,11 @@
 use super::{LoadError, Workload, prompts::Prompt};
 
 /// The beginning of each event of a node's stream, and its last event.
-const EVENT: &[u8] = b"data: ";
+const EVENT_PREFIX: &[u8] = b"data: ";
 const LAST_EVENT: &[u8] = b"[DONE]";
 
 /// Stands in an answer's text for a line that cannot be read, so that it compares as wrong.
-const UNREADABLE: char = char::REPLACEMENT_CHARACTER;
+const UNREADABLE_MARKER: char = char::REPLACEMENT_CHARACTER;
 
 /// Where a request goes.
 #[derive(Clone, Debug)]
@@ -232,7 +232,7 @@
 
     /// Takes in one line of a node's stream; a line that cannot be read makes the answer wrong.
     fn read_event(&mut self, line: &[u8]) {
-        let Some(event) = line.strip_prefix(EVENT) else { return };
+        let Some(event) = line.strip_prefix(EVENT_PREFIX) else { return };
         if event == LAST_EVENT {
             self.ended = true;
             return;
@@ -240,7 +240,7 @@
         let Ok(chunk) = serde_json::from_slice::<ChatChunk>(event) else {
             match serde_json::from_slice::<ErrorBody>(event) {
                 Ok(body) => self.broken = Some(body.error.code),
-                Err(_) => self.text.push(UNREADABLE),
+                Err(_) => self.text.push(UNREADABLE_MARKER),
             }
             return;
         };
@@ -255,7 +255,7 @@
 
     fn read_frame(&mut self, line: &[u8]) {
         let Ok(frame) = serde_json::from_slice::<Frame>(line) else {
-            self.text.push(UNREADABLE);
+            self.text.push(UNREADABLE_MARKER);
             return;
         };
         match frame.content {
--- a/crates/bench/src/load/hold.rs
+++ b/crates/bench/src/load/hold.rs
@@ -27,10 +27,10 @@
 const WARM_UP_STREAMS: usize = 50;
 
 /// Streams that are being opened at the same time.
-const OPENING_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_OPENS: usize = 64;
 
 /// Time for a node to settle before its memory is read.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// Settings of holding streams open.
 #[derive(Clone, Debug, PartialEq)]
@@ -79,12 +79,12 @@
     let opener = Opener { clients, prompts, node: settings.node };
     let process = settings.node_process.map(ProcessId);
     drop(runtime.block_on(opener.open_all(0, WARM_UP_STREAMS.min(settings.streams)))?);
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let before = process.map(ProcessId::resident_bytes).transpose()?;
     let started = Instant::now();
     let open = runtime.block_on(opener.open_all(WARM_UP_STREAMS, settings.streams))?;
     let opening_seconds = started.elapsed().as_secs_f64();
-    std::thread::sleep(settings.hold.max(SETTLE));
+    std::thread::sleep(settings.hold.max(SETTLE_TIME));
     let with_streams = process.map(ProcessId::resident_bytes).transpose()?;
     runtime.block_on(check_open(open))?;
     let memory = before.zip(with_streams).map(|(before, open)| HoldMemory {
@@ -107,7 +107,7 @@
         let mut opening = JoinSet::new();
         let mut results = Vec::with_capacity(count);
         for number in first..first + count {
-            if opening.len() >= OPENING_AT_ONCE {
+            if opening.len() >= MAX_CONCURRENT_OPENS {
                 results.extend(opening.join_next().await);
             }
             let opener = self.clone();
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -41,7 +41,7 @@
 };
 
 /// How long a run waits for answers after the last request was sent, beyond the deadline.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Who sends what to which model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -163,7 +163,7 @@
     send_all(settings, &sender, &targets, started);
     let busy = started.elapsed();
     drop(sender);
-    let limit = Duration::from_millis(settings.workload.deadline_ms) + LAST_ANSWERS;
+    let limit = Duration::from_millis(settings.workload.deadline_ms) + DRAIN_TIMEOUT;
     let collected = runtime.block_on(async { tokio::time::timeout(limit, collector).await });
     let after = process::processor_time(&processes)?;
     let Ok(Ok(samples)) = collected else { return Err(LoadError::Settings("answers did not end in time")) };
--- a/crates/bench/src/load/report.rs
+++ b/crates/bench/src/load/report.rs
@@ -12,13 +12,13 @@
 };
 
 /// The longest time that is told apart, in microseconds.
-const LONGEST_MICROSECONDS: u64 = 600_000_000;
+const MAX_MICROSECONDS: u64 = 600_000_000;
 
 /// Decimal digits to which times are kept.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Messages of failures that a report names.
-const NAMED_FAILURES: usize = 5;
+const MAX_REPORTED_FAILURES: usize = 5;
 
 /// The result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -119,7 +119,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    Histogram::new_with_max(MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
         .expect("the bounds are constants that a histogram accepts")
 }
 
@@ -191,7 +191,7 @@
     fn add_failed(&mut self, message: &str) {
         self.report.failed += 1;
         let failures = &mut self.report.failures;
-        if failures.len() < NAMED_FAILURES && !failures.iter().any(|named| named == message) {
+        if failures.len() < MAX_REPORTED_FAILURES && !failures.iter().any(|named| named == message) {
             failures.push(message.to_owned());
         }
     }
@@ -260,8 +260,8 @@
 impl LoadReport {
     /// Whether every request, through nodes and direct, got the whole answer that it must get.
     pub fn all_complete(&self) -> bool {
-        let whole = |target: &TargetReport| target.complete == target.requests;
-        whole(&self.node) && self.engine.as_ref().is_none_or(whole)
+        let is_complete = |target: &TargetReport| target.complete == target.requests;
+        is_complete(&self.node) && self.engine.as_ref().is_none_or(is_complete)
     }
 }
 
--- a/crates/bench/src/policy/baseline.rs
+++ b/crates/bench/src/policy/baseline.rs
@@ -7,11 +7,11 @@
 
 use super::{
     Choice, Policy,
-    engine_table::{EngineTable, KnownEngine},
+    engine_table::{EngineState, EngineTable},
 };
 
-fn choice_of(known: Option<&KnownEngine>, request: &RouteRequest<'_>) -> Choice {
-    Choice { precondition: known.map(|known| known.precondition(request)), import: None }
+fn choice_for(engine_state: Option<&EngineState>, request: &RouteRequest<'_>) -> Choice {
+    Choice { precondition: engine_state.map(|engine_state| engine_state.precondition(request)), import: None }
 }
 
 /// Engines in turn, each node beginning elsewhere.
@@ -28,15 +28,15 @@
 }
 
 impl Policy for RoundRobin {
-    fn learn(&mut self, event: RouterEvent<'_>, now: Timestamp) {
-        self.engines.learn(&event, now);
+    fn observe(&mut self, event: RouterEvent<'_>, now: Timestamp) {
+        self.engines.observe(&event, now);
     }
 
     fn choose(&mut self, request: &RouteRequest<'_>, _now: Timestamp) -> Choice {
         self.turn += 1;
         let count = self.engines.serving(request).count();
         let chosen = self.engines.serving(request).nth(self.turn % count.max(1));
-        choice_of(chosen, request)
+        choice_for(chosen, request)
     }
 }
 
@@ -54,19 +54,22 @@
 }
 
 impl Policy for LeastLoaded {
-    fn learn(&mut self, event: RouterEvent<'_>, now: Timestamp) {
-        self.engines.learn(&event, now);
+    fn observe(&mut self, event: RouterEvent<'_>, now: Timestamp) {
+        self.engines.observe(&event, now);
     }
 
     fn choose(&mut self, request: &RouteRequest<'_>, _now: Timestamp) -> Choice {
-        let least = self.engines.serving(request).map(KnownEngine::requests).min();
-        let equals: Vec<&KnownEngine> =
-            self.engines.serving(request).filter(|known| Some(known.requests()) == least).collect();
+        let least = self.engines.serving(request).map(EngineState::requests).min();
+        let equals: Vec<&EngineState> = self
+            .engines
+            .serving(request)
+            .filter(|engine_state| Some(engine_state.requests()) == least)
+            .collect();
         if equals.is_empty() {
             return Choice::default();
         }
         let drawn = self.random.random_range(0..equals.len());
-        choice_of(Some(equals[drawn]), request)
+        choice_for(Some(equals[drawn]), request)
     }
 }
 
@@ -84,14 +87,16 @@
 }
 
 impl Policy for Sticky {
-    fn learn(&mut self, event: RouterEvent<'_>, now: Timestamp) {
-        self.engines.learn(&event, now);
+    fn observe(&mut self, event: RouterEvent<'_>, now: Timestamp) {
+        self.engines.observe(&event, now);
     }
 
     fn choose(&mut self, request: &RouteRequest<'_>, _now: Timestamp) -> Choice {
         let depth = self.blocks.min(request.blocks.len()).max(1);
         let opening = request.blocks.get(depth - 1).map_or(0, |hash| hash.0 as u64);
-        let rank = |known: &&KnownEngine| xxh3_64_with_seed(known.engine().as_str().as_bytes(), opening);
-        choice_of(self.engines.serving(request).max_by_key(rank), request)
+        let rank = |engine_state: &&EngineState| {
+            xxh3_64_with_seed(engine_state.engine().as_str().as_bytes(), opening)
+        };
+        choice_for(self.engines.serving(request).max_by_key(rank), request)
     }
 }
--- a/crates/bench/src/policy/engine_table.rs
+++ b/crates/bench/src/policy/engine_table.rs
@@ -10,13 +10,13 @@
 };
 
 /// An engine as a simple policy sees it.
-pub struct KnownEngine {
+pub struct EngineState {
     status: EngineStatus,
     draining: bool,
     sent_at: BTreeMap<AttemptId, Timestamp>,
 }
 
-impl KnownEngine {
+impl EngineState {
     /// Its name.
     pub const fn engine(&self) -> &EngineId {
         &self.status.engine
@@ -51,7 +51,7 @@
             && !request.excluded.contains(&status.engine)
     }
 
-    fn take_load(&mut self, report: LoadReport) {
+    fn update_load(&mut self, report: LoadReport) {
         if report.measured_at >= self.status.load.measured_at {
             self.status.load = report;
         }
@@ -61,25 +61,27 @@
 /// All engines that a node knows.
 #[derive(Default)]
 pub struct EngineTable {
-    engines: BTreeMap<EngineId, KnownEngine>,
+    engines: BTreeMap<EngineId, EngineState>,
 }
 
 impl EngineTable {
     /// Takes in what the node learned; cache contents are passed over.
-    pub fn learn(&mut self, event: &RouterEvent<'_>, now: Timestamp) {
+    pub fn observe(&mut self, event: &RouterEvent<'_>, now: Timestamp) {
         match event {
-            RouterEvent::Status(status) => self.take_status(status),
-            RouterEvent::Load { engine, report } => self.with(engine, |known| known.take_load(*report)),
-            RouterEvent::Dispatched { attempt, engine, .. } => self.with(engine, |known| {
-                known.sent_at.insert((*attempt).clone(), now);
+            RouterEvent::Status(status) => self.update_status(status),
+            RouterEvent::Load { engine, report } => {
+                self.with(engine, |engine_state| engine_state.update_load(*report))
+            }
+            RouterEvent::Dispatched { attempt, engine, .. } => self.with(engine, |engine_state| {
+                engine_state.sent_at.insert((*attempt).clone(), now);
             }),
             RouterEvent::Ended { attempt, .. } => {
-                for known in self.engines.values_mut() {
-                    known.sent_at.remove(*attempt);
+                for engine_state in self.engines.values_mut() {
+                    engine_state.sent_at.remove(*attempt);
                 }
             }
             RouterEvent::Draining { engine, draining } => {
-                self.with(engine, |known| known.draining = *draining);
+                self.with(engine, |engine_state| engine_state.draining = *draining);
             }
             RouterEvent::Removed { engine } => {
                 self.engines.remove(*engine);
@@ -89,22 +91,22 @@
     }
 
     /// Engines that can serve a request, in the order of their names.
-    pub fn serving<'a>(&'a self, request: &'a RouteRequest<'_>) -> impl Iterator<Item = &'a KnownEngine> {
-        self.engines.values().filter(|known| known.serves(request))
+    pub fn serving<'a>(&'a self, request: &'a RouteRequest<'_>) -> impl Iterator<Item = &'a EngineState> {
+        self.engines.values().filter(|engine_state| engine_state.serves(request))
     }
 
-    fn take_status(&mut self, status: &EngineStatus) {
-        let known = self.engines.entry(status.engine.clone()).or_insert_with(|| KnownEngine {
+    fn update_status(&mut self, status: &EngineStatus) {
+        let engine_state = self.engines.entry(status.engine.clone()).or_insert_with(|| EngineState {
             status: status.clone(),
             draining: false,
             sent_at: BTreeMap::new(),
         });
-        known.status = status.clone();
+        engine_state.status = status.clone();
     }
 
-    fn with(&mut self, engine: &EngineId, change: impl FnOnce(&mut KnownEngine)) {
-        if let Some(known) = self.engines.get_mut(engine) {
-            change(known);
+    fn with(&mut self, engine: &EngineId, change: impl FnOnce(&mut EngineState)) {
+        if let Some(engine_state) = self.engines.get_mut(engine) {
+            change(engine_state);
         }
     }
 }
--- a/crates/bench/src/policy/mod.rs
+++ b/crates/bench/src/policy/mod.rs
@@ -31,7 +31,7 @@
 /// One node's way of choosing an engine.
 pub trait Policy: Send {
     /// Takes in what the node learned.
-    fn learn(&mut self, event: RouterEvent<'_>, now: Timestamp);
+    fn observe(&mut self, event: RouterEvent<'_>, now: Timestamp);
 
     /// Chooses an engine.
     fn choose(&mut self, request: &RouteRequest<'_>, now: Timestamp) -> Choice;
@@ -75,7 +75,7 @@
     }
 
     /// Whether all nodes act as one that knows the truth at once.
-    pub const fn knows_the_truth(self) -> bool {
+    pub const fn has_exact_state(self) -> bool {
         matches!(self, Self::Oracle)
     }
 }
@@ -127,9 +127,9 @@
         PolicyName::Sticky => Box::new(Sticky::new(settings.sticky_blocks)),
         PolicyName::Prefix => Box::new(PrefixPolicy::new(router_settings(settings), settings.nodes)),
         PolicyName::Oracle => {
-            let truth =
+            let exact =
                 RouterSettings { mechanisms: Mechanisms::with_exact_state(), ..router_settings(settings) };
-            Box::new(PrefixPolicy::new(truth, 1))
+            Box::new(PrefixPolicy::new(exact, 1))
         }
     }
 }
--- a/crates/bench/src/policy/prefix.rs
+++ b/crates/bench/src/policy/prefix.rs
@@ -20,7 +20,7 @@
 }
 
 impl Policy for PrefixPolicy {
-    fn learn(&mut self, event: RouterEvent<'_>, now: Timestamp) {
+    fn observe(&mut self, event: RouterEvent<'_>, now: Timestamp) {
         self.router.apply(event, now);
     }
 
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -28,7 +28,7 @@
     /// How long the run is.
     pub run: Run,
     /// Regions, zones and their distances.
-    pub places: Places,
+    pub places: Topology,
     /// The model engines.
     pub runners: Runners,
     /// The router nodes.
@@ -67,7 +67,7 @@
 /// Regions, zones and their distances.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Places {
+pub struct Topology {
     /// Regions.
     pub regions: usize,
     /// Zones of each region.
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -50,8 +50,8 @@
 /// Events that lie ahead, in time order. Events of the same time come out in the order they went in.
 pub struct EventQueue<E> {
     now: Timestamp,
-    scheduled_so_far: u64,
-    ahead: BinaryHeap<Reverse<Scheduled<E>>>,
+    next_order: u64,
+    pending: BinaryHeap<Reverse<Scheduled<E>>>,
 }
 
 impl<E> Default for EventQueue<E> {
@@ -63,7 +63,7 @@
 impl<E> EventQueue<E> {
     /// An empty queue at time zero.
     pub const fn new() -> Self {
-        Self { now: Timestamp::ZERO, scheduled_so_far: 0, ahead: BinaryHeap::new() }
+        Self { now: Timestamp::ZERO, next_order: 0, pending: BinaryHeap::new() }
     }
 
     /// The time of the event taken last.
@@ -73,9 +73,9 @@
 
     /// Adds an event at `at`, or at the present time where `at` has passed.
     pub fn schedule_at(&mut self, at: Timestamp, event: E) {
-        let order = self.scheduled_so_far;
-        self.scheduled_so_far += 1;
-        self.ahead.push(Reverse(Scheduled { at: at.max(self.now), order, event }));
+        let order = self.next_order;
+        self.next_order += 1;
+        self.pending.push(Reverse(Scheduled { at: at.max(self.now), order, event }));
     }
 
     /// Adds an event `delay` after the present time.
@@ -85,12 +85,12 @@
 
     /// The time of the next event.
     pub fn next_at(&self) -> Option<Timestamp> {
-        self.ahead.peek().map(|Reverse(scheduled)| scheduled.at)
+        self.pending.peek().map(|Reverse(scheduled)| scheduled.at)
     }
 
     /// Takes the next event and moves the present time to it.
     pub fn pop(&mut self) -> Option<(Timestamp, E)> {
-        let Reverse(scheduled) = self.ahead.pop()?;
+        let Reverse(scheduled) = self.pending.pop()?;
         self.now = scheduled.at;
         Some((scheduled.at, scheduled.event))
     }
@@ -149,7 +149,7 @@
     pub between_regions: LinkQuality,
 }
 
-struct Place {
+struct Location {
     zone: Zone,
     region: Region,
 }
@@ -157,7 +157,7 @@
 /// The simulated network: decides whether and after what delay a message arrives.
 pub struct Links {
     settings: LinkSettings,
-    places: Vec<Place>,
+    locations: Vec<Location>,
     cuts: BTreeSet<(Scope, Scope)>,
     random: StdRng,
 }
@@ -166,13 +166,13 @@
     /// A network without processes.
     pub fn new(settings: LinkSettings, seed: u64) -> Self {
         let random = StdRng::seed_from_u64(derived_seed(seed, "links"));
-        Self { settings, places: Vec::new(), cuts: BTreeSet::new(), random }
+        Self { settings, locations: Vec::new(), cuts: BTreeSet::new(), random }
     }
 
     /// Adds a process.
     pub fn add(&mut self, zone: Zone, region: Region) -> Endpoint {
-        self.places.push(Place { zone, region });
-        Endpoint(self.places.len() - 1)
+        self.locations.push(Location { zone, region });
+        Endpoint(self.locations.len() - 1)
     }
 
     /// Cuts all messages from `from` to `to`; the other way stays open.
@@ -224,7 +224,7 @@
     }
 
     fn quality(&self, from: Endpoint, to: Endpoint) -> LinkQuality {
-        let (from, to) = (&self.places[from.0], &self.places[to.0]);
+        let (from, to) = (&self.locations[from.0], &self.locations[to.0]);
         if from.region != to.region {
             self.settings.between_regions
         } else if from.zone != to.zone {
@@ -235,7 +235,7 @@
     }
 
     fn scopes(&self, endpoint: Endpoint) -> [Scope; 3] {
-        let place = &self.places[endpoint.0];
-        [Scope::Endpoint(endpoint), Scope::Zone(place.zone), Scope::Region(place.region)]
+        let location = &self.locations[endpoint.0];
+        [Scope::Endpoint(endpoint), Scope::Zone(location.zone), Scope::Region(location.region)]
     }
 }
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -26,13 +26,13 @@
     let summary = demo::run(&cluster, &settings).await;
     cluster.stop().await;
     println!("{}\n{}", summary.table(), summary.json());
-    assert!(summary.is_flawless(), "{}", summary.json());
+    assert!(summary.passed(), "{}", summary.json());
     assert!(summary.requests >= 60 && summary.bookings >= 20);
     assert!(summary.prefix_hit_rate > 0.0 && summary.ttft_ms.p50 > 0.0);
 }
 
 /// Ports from which the system gives any free one to whoever asks, and to each outgoing connection.
-fn given_ports() -> std::ops::RangeInclusive<u16> {
+fn ephemeral_ports() -> std::ops::RangeInclusive<u16> {
     let text =
         std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").expect("the range can be read");
     let ports: Vec<u16> = text.split_whitespace().map(|port| port.parse().expect("a port")).collect();
@@ -47,8 +47,9 @@
     let addresses = cluster.caller_addresses().into_iter().chain(cluster.admin_addresses());
     let addresses: Vec<_> = addresses.chain(cluster.engine_addresses()).collect();
     cluster.stop().await;
-    let given: Vec<_> = addresses.iter().filter(|address| given_ports().contains(&address.port())).collect();
-    assert!(given.is_empty(), "{given:?} of {addresses:?}");
+    let ephemeral: Vec<_> =
+        addresses.iter().filter(|address| ephemeral_ports().contains(&address.port())).collect();
+    assert!(ephemeral.is_empty(), "{ephemeral:?} of {addresses:?}");
 }
 
 fn entry(key: &str) -> LedgerEntry {
@@ -65,10 +66,10 @@
 fn booking(key: &str, result: Result<(), &str>, not_run: bool) -> BookingEnd {
     let answer = BookingAnswer { operation: "hold".to_owned(), receipt: 1, request: serde_json::Value::Null };
     let ending = Ending { result: result.map(|()| answer).map_err(str::to_owned), resent: 0, not_run };
-    BookingEnd { sent: Duration::ZERO, key: key.to_owned(), right: true, ending }
+    BookingEnd { sent: Duration::ZERO, key: key.to_owned(), correct: true, ending }
 }
 
-fn chat(right: bool, result: Result<(), &str>) -> ChatEnd {
+fn chat(correct: bool, result: Result<(), &str>) -> ChatEnd {
     let answer = ChatAnswer {
         text: "text".to_owned(),
         reason: "stop".to_owned(),
@@ -76,10 +77,10 @@
         first_token: Some(Duration::from_millis(40)),
     };
     let ending = Ending { result: result.map(|()| answer).map_err(str::to_owned), resent: 1, not_run: false };
-    ChatEnd { sent: Duration::ZERO, streamed: true, right, ending }
+    ChatEnd { sent: Duration::ZERO, streamed: true, correct, ending }
 }
 
-fn judge(fill: impl FnOnce(&Records), ledger: &[LedgerEntry]) -> Summary {
+fn summarize(fill: impl FnOnce(&Records), ledger: &[LedgerEntry]) -> Summary {
     let records = Records::new(Duration::from_secs(1));
     fill(&records);
     Summary::new(&records, Some(&[ledger.to_vec()]))
@@ -87,37 +88,39 @@
 
 #[test]
 fn whole_and_right_answers_are_flawless() {
-    let summary = judge(
+    let summary = summarize(
         |records| {
             records.chat(chat(true, Ok(())));
             records.booking(booking("a", Ok(()), false));
         },
         &[entry("a")],
     );
-    assert!(summary.is_flawless(), "{}", summary.json());
+    assert!(summary.passed(), "{}", summary.json());
     assert_eq!((summary.requests, summary.complete, summary.resent), (2, 2, 1));
     assert!((39.0..41.0).contains(&summary.ttft_ms.p50));
 }
 
 #[test]
 fn each_flaw_is_counted_and_spoils_the_result() {
-    let incomplete = judge(|records| records.chat(chat(true, Err("broke off"))), &[]);
-    assert_eq!((incomplete.incomplete, incomplete.is_flawless()), (1, false));
+    let incomplete = summarize(|records| records.chat(chat(true, Err("broke off"))), &[]);
+    assert_eq!((incomplete.incomplete, incomplete.passed()), (1, false));
     assert!(incomplete.table().contains("1 x broke off"));
-    let wrong = judge(|records| records.chat(chat(false, Ok(()))), &[]);
-    assert_eq!((wrong.wrong, wrong.is_flawless()), (1, false));
-    let doubled = judge(|records| records.booking(booking("a", Ok(()), false)), &[entry("a"), entry("a")]);
-    assert_eq!((doubled.ran_twice, doubled.is_flawless()), (1, false));
-    let never_ran = judge(|records| records.booking(booking("a", Ok(()), false)), &[]);
-    assert_eq!((never_ran.wrong, never_ran.is_flawless()), (1, false));
-    let untrue = judge(|records| records.booking(booking("a", Err("refused"), true)), &[entry("a")]);
-    assert_eq!((untrue.wrong, untrue.is_flawless()), (1, false));
-    let missing_fault = judge(
+    let wrong = summarize(|records| records.chat(chat(false, Ok(()))), &[]);
+    assert_eq!((wrong.wrong, wrong.passed()), (1, false));
+    let doubled =
+        summarize(|records| records.booking(booking("a", Ok(()), false)), &[entry("a"), entry("a")]);
+    assert_eq!((doubled.ran_twice, doubled.passed()), (1, false));
+    let never_ran = summarize(|records| records.booking(booking("a", Ok(()), false)), &[]);
+    assert_eq!((never_ran.wrong, never_ran.passed()), (1, false));
+    let false_not_run =
+        summarize(|records| records.booking(booking("a", Err("refused"), true)), &[entry("a")]);
+    assert_eq!((false_not_run.wrong, false_not_run.passed()), (1, false));
+    let failed_fault = summarize(
         |records| {
             records.chat(chat(true, Ok(())));
             records.fault_failed("the engine did not come back");
         },
         &[],
     );
-    assert!(!missing_fault.is_flawless());
+    assert!(!failed_fault.passed());
 }
--- a/crates/bench/tests/feed_owners.rs
+++ b/crates/bench/tests/feed_owners.rs
@@ -4,7 +4,7 @@
 
 use paddlemount_bench::hollow::{
     cluster::{ClusterSettings, HollowCluster},
-    measure::settled,
+    measure::start_settled_cluster,
 };
 use paddlemount_core::feed_owners::{OWNERS_PER_FEED, owners, owns};
 use paddlemount_protocol::identity::{EngineId, NodeId};
@@ -13,7 +13,7 @@
 const ENGINES: usize = 200;
 
 fn cluster() -> HollowCluster {
-    settled(ClusterSettings { nodes: NODES, zones: 3, regions: 1, loss: 0.0, seed: 7 }, 20, 2)
+    start_settled_cluster(ClusterSettings { nodes: NODES, zones: 3, regions: 1, loss: 0.0, seed: 7 }, 20, 2)
 }
 
 fn engines() -> Vec<EngineId> {
--- a/crates/bench/tests/hollow_cluster.rs
+++ b/crates/bench/tests/hollow_cluster.rs
@@ -5,14 +5,14 @@
 use paddlemount_bench::{
     hollow::{
         cluster::{ClusterSettings, HollowCluster, Observation},
-        measure::{change_request, settled},
+        measure::{change_request, start_settled_cluster},
     },
     simulation::{Scope, Zone},
 };
 use paddlemount_protocol::{configuration::ChangeOutcome, identity::Revision, peer::membership::MemberState};
 
 fn cluster(nodes: usize, loss: f64) -> HollowCluster {
-    settled(ClusterSettings { nodes, zones: 3, regions: 1, loss, seed: 7 }, 20, 2)
+    start_settled_cluster(ClusterSettings { nodes, zones: 3, regions: 1, loss, seed: 7 }, 20, 2)
 }
 
 fn serves(cluster: &HollowCluster, index: usize) -> bool {
@@ -25,7 +25,7 @@
 }
 
 fn state(cluster: &HollowCluster, index: usize, about: usize) -> Option<MemberState> {
-    cluster.belief(index, about).map(|record| record.state)
+    cluster.member_record(index, about).map(|record| record.state)
 }
 
 fn outcome(cluster: &mut HollowCluster) -> Option<ChangeOutcome> {
@@ -83,11 +83,11 @@
     cluster.take_observations();
     cluster.run_for(Duration::from_secs(30));
     assert!((0..12).all(|index| state(&cluster, index, 5) == Some(MemberState::Alive)));
-    let died = cluster
+    let declared_dead = cluster
         .take_observations()
         .into_iter()
         .any(|seen| matches!(seen.observation, Observation::Member { state: MemberState::Dead, .. }));
-    assert!(!died);
+    assert!(!declared_dead);
 }
 
 #[test]
@@ -156,7 +156,7 @@
 #[test]
 fn a_change_is_refused_while_a_region_is_cut_off_and_made_when_it_is_back() {
     let settings = ClusterSettings { nodes: 12, zones: 4, regions: 2, loss: 0.0, seed: 7 };
-    let mut cluster = settled(settings, 20, 2);
+    let mut cluster = start_settled_cluster(settings, 20, 2);
     let (one, other) = (paddlemount_bench::simulation::Region(0), paddlemount_bench::simulation::Region(1));
     cluster.links.cut_between(Scope::Region(one), Scope::Region(other));
     cluster.run_for(Duration::from_secs(40));
