--- a/crates/bench/src/drill.rs
+++ b/crates/bench/src/drill.rs
@@ -1,9 +1,9 @@
-//! Drills: a simulated cluster under faults, judged against what must always hold.
+//! Drills run a simulated cluster under faults and check invariants on what happened.
 //!
-//! Nodes run `core`'s own state machines (membership, configuration, routing, requests, claims, lease,
-//! placement); engines, store and booking service are the stand-ins' models; time and network are simulated.
-//! One seed gives one run. A broken promise is printed with the events that explain it and the command
-//! that repeats it.
+//! Nodes run `core`'s state machines (membership, configuration, routing, requests, claims, lease,
+//! placement); engines, the store and the booking service are the models of the stand-ins; time and network
+//! are simulated. A run is determined by its seed. A violation is printed with the events that explain it and
+//! the command that reproduces it.
 
 mod bookings;
 mod callers;
@@ -36,38 +36,33 @@
 pub use history::{History, Invariant, Violation};
 pub use settings::{Breakage, Drill, Fault, RunSettings, UnknownDrill};
 
-/// A broken promise of one run.
+/// An invariant that a run violated, with the events that explain it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failure {
-    /// The drill.
     pub drill: String,
-    /// The seed.
     pub seed: u64,
     /// The promise.
     #[serde(rename = "promise")]
     pub invariant: Invariant,
-    /// What was seen.
+    /// What was observed.
     pub what: String,
-    /// The events that explain it.
     pub trace: Vec<String>,
-    /// The command that repeats the run.
+    /// The command that reproduces the run.
     pub repeat: String,
 }
 
-/// The last line of a report.
+/// Totals of a series of runs, printed as the last line.
 #[derive(Clone, Debug, Serialize)]
 pub struct DrillSummary {
-    /// Drills.
     pub drills: usize,
-    /// Runs.
     pub runs: usize,
-    /// Runs that broke a promise.
+    /// Runs with at least one violation.
     pub violations: usize,
-    /// Seconds that it took.
+    /// Wall-clock seconds.
     pub seconds: f64,
 }
 
-/// Runs one drill under one seed; at most one failure for each promise.
+/// Runs one drill with one seed and returns at most one failure per invariant.
 pub fn run(settings: &RunSettings) -> Vec<Failure> {
     let history = cluster::SimCluster::new(settings.clone()).run();
     let mut failures: Vec<Failure> = Vec::new();
@@ -86,7 +81,7 @@
     Failure { drill, seed, invariant, what, trace: history.explain(violation), repeat }
 }
 
-/// Runs drills under all seeds on some threads; failures come in the order of drills and seeds.
+/// Runs each drill with each seed on up to `threads` threads. Failures are ordered by drill and seed.
 pub fn run_all(
     drills: &[Drill],
     seeds: Range<u64>,
--- a/crates/bench/src/drill/bookings.rs
+++ b/crates/bench/src/drill/bookings.rs
@@ -1,4 +1,4 @@
-//! Bookings at the simulated nodes: claims, dispatches, records.
+//! Booking requests at the simulated nodes: claims, dispatches and their outcomes.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 const CALLER_DELAY: Duration = Duration::from_millis(1);
 
 impl SimCluster {
-    /// A node takes a booking, or refuses it.
+    /// Starts to serve a booking at a node, or refuses it.
     pub fn serve_booking(&mut self, at: NodeIncarnation, key: &str, attempt: usize, now: Timestamp) {
         let stopping = self.nodes[at.node].stopping;
         let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
@@ -105,7 +105,7 @@
         self.send(from, target, event);
     }
 
-    /// A claim message arrives at a replica.
+    /// Handles a claim message at a replica.
     pub fn claim_message(
         &mut self,
         to: NodeIncarnation,
@@ -126,7 +126,7 @@
         self.send(replica, target, event);
     }
 
-    /// A replica's answer arrives.
+    /// Handles the reply of a replica.
     pub fn claim_reply(
         &mut self,
         at: NodeIncarnation,
@@ -142,7 +142,7 @@
         self.claim_event(at, owner, event, now);
     }
 
-    /// A timer of a claimed request fires.
+    /// Handles a timer of a claimed request.
     pub fn claim_timer(&mut self, at: NodeIncarnation, owner: &AttemptId, now: Timestamp) {
         self.claim_event(at, owner, ClaimEvent::Tick, now);
     }
@@ -171,7 +171,7 @@
         self.claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
     }
 
-    /// A booking arrives at its back end, which runs whatever it is sent.
+    /// Runs a booking at a booking instance. The instance does not deduplicate.
     pub fn booking(
         &mut self,
         instance: usize,
@@ -204,7 +204,7 @@
         self.send(back_end, node, Event::BookingReply { to: from, owner, answer });
     }
 
-    /// A back end's answer arrives.
+    /// Handles the reply of a booking instance.
     pub fn booking_reply(
         &mut self,
         at: NodeIncarnation,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// A dispatch has waited long enough; ignored where it was answered.
+    /// Ends a dispatch that timed out; ignored if a later dispatch has started.
     pub fn booking_timeout(&mut self, at: NodeIncarnation, owner: &AttemptId, number: u32, now: Timestamp) {
         let unclear_is_not_run = self.has_breakage(Breakage::UnclearIsNotRun);
         let Some(active) = self.memory(at).and_then(|memory| memory.claims.get(owner)) else { return };
--- a/crates/bench/src/drill/callers.rs
+++ b/crates/bench/src/drill/callers.rs
@@ -1,4 +1,4 @@
-//! Callers and operators: what they ask, when, and how they go on after an ending.
+//! Callers and operators: the requests they send and how they retry.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 const MAX_ATTEMPTS: usize = 5;
 const HEDGED_SHARE: f64 = 0.25;
 
-/// The document at the start.
+/// The configuration document at the start of a run.
 pub fn initial_document() -> Configuration {
     let mut configuration = Configuration::default();
     for tenant in ["kestrel", "benoni"] {
@@ -56,7 +56,7 @@
     configuration
 }
 
-/// A change of a tenant's weight.
+/// A change request that sets a tenant's weight.
 pub fn weight_change(id: &str, weight: u32, if_revision: Option<Revision>) -> ChangeRequest {
     ChangeRequest {
         id: ChangeId::from(id),
@@ -72,7 +72,7 @@
 }
 
 impl SimCluster {
-    /// Plans what callers and operators ask.
+    /// Schedules all requests of callers and operators.
     pub fn schedule_callers(&mut self) {
         let any_time = FIRST_REQUEST_MS..LAST_REQUEST_MS;
         for number in 0..MODEL_REQUESTS {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A caller sends a model request, to `node` where one is given.
+    /// Sends a model request to `node`, or to a random available node.
     pub fn send_model_request(&mut self, number: u32, node: Option<usize>, now: Timestamp) {
         let open: Vec<usize> = self.available_nodes(now).into_iter().collect();
         let chosen = node.or_else(|| open.choose(&mut self.random).copied());
@@ -112,12 +112,12 @@
         self.serve_model(self.nodes[node].incarnation_of(node), &request, now);
     }
 
-    /// The number of a request that the drill itself adds.
+    /// The request number with which a drill probes a restarted node.
     pub const fn restart_probe_number(node: usize) -> u32 {
         MODEL_REQUESTS + node as u32
     }
 
-    /// A caller sends a booking, sometimes to two nodes at once.
+    /// Sends a booking, sometimes to two nodes at once.
     pub fn send_booking(&mut self, key: &str, attempt: usize, now: Timestamp) {
         let open: Vec<usize> = self.available_nodes(now).into_iter().collect();
         let hedged = self.random.random_bool(HEDGED_SHARE);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A try has ended, or the caller has waited long enough: it asks again with the same key.
+    /// Handles the end or the timeout of a booking attempt and schedules a retry with the same key.
     pub fn booking_ended(&mut self, key: &str, attempt: usize, ending: Option<ClaimOutcome>, now: Timestamp) {
         let booking = self.history.bookings.entry(key.to_owned()).or_default();
         if attempt >= booking.endings.len() {
@@ -159,7 +159,7 @@
         self.queue.schedule_at(now + pause, next);
     }
 
-    /// Two operators change the same object by way of two nodes, based on the same revision.
+    /// Submits two changes of the same object through two nodes, based on the same revision.
     pub fn race_operators(&mut self, fault: usize, now: Timestamp) {
         let revision = Some(self.store.present().revision);
         for (operator, node) in [(0_u32, 1), (1, 3)] {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// An operator rolls out the next weights.
+    /// Submits a rollout of the next weights version.
     pub fn roll_out(&mut self, now: Timestamp) {
         let request = ChangeRequest {
             id: ChangeId::from("roll-out"),
--- a/crates/bench/src/drill/cluster.rs
+++ b/crates/bench/src/drill/cluster.rs
@@ -25,47 +25,37 @@
 const NODES: usize = 7;
 const ENGINES: usize = 4;
 const BOOKINGS: usize = 2;
-/// The zone of the platform's services, which is never cut.
+/// The zone of the platform's services, which is never partitioned.
 const PLATFORM_ZONE: Zone = Zone(9);
-/// The run's length.
+/// Virtual duration of a run.
 pub const RUN_DURATION: Duration = Duration::from_secs(60);
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A booking instance.
+/// A simulated booking instance.
 pub struct SimBooking {
-    /// Its place in the network.
     pub endpoint: Endpoint,
-    /// What it has booked.
     pub model: BookingModel,
 }
 
-/// The cluster and everything around it.
+/// The simulated cluster with its callers, network and event queue.
 pub struct SimCluster {
-    /// What is run.
     pub settings: RunSettings,
-    /// Faults and their times.
     pub windows: Vec<FaultWindow>,
-    /// Events that lie ahead.
     pub queue: EventQueue<Event>,
-    /// The network.
     pub links: Links,
-    /// Nodes.
     pub nodes: Vec<SimNode>,
-    /// Engines.
     pub engines: Vec<SimEngine>,
-    /// Booking instances.
     pub bookings: Vec<SimBooking>,
     /// The configuration store.
     pub store: SimStore,
-    /// Engines that the machine list says are leaving.
+    /// Engines that the machine list shows as draining.
     pub leaving: Vec<usize>,
-    /// Random choices of callers and faults.
+    /// Random source of callers and faults.
     pub random: StdRng,
-    /// What happened.
     pub history: History,
-    /// Whether replies are lost after their effect.
+    /// Whether replies of the store and of back ends are lost.
     pub loses_replies: bool,
-    /// Whether streams stall and their frames come late.
+    /// Whether streams stall.
     pub late_answers: bool,
 }
 
@@ -80,7 +70,7 @@
 }
 
 impl SimCluster {
-    /// A cluster whose processes are about to start.
+    /// A cluster before any node has started.
     pub fn new(settings: RunSettings) -> Self {
         let seed = settings.seed;
         let mut links = Links::new(link_settings(), seed);
@@ -114,7 +104,7 @@
         }
     }
 
-    /// Runs to the end and judges.
+    /// Runs the simulation to its end and checks the invariants.
     pub fn run(mut self) -> History {
         (0..self.nodes.len()).for_each(|node| self.queue.schedule_at(Timestamp::ZERO, Event::Start(node)));
         self.schedule_callers();
@@ -131,12 +121,12 @@
         self.history
     }
 
-    /// Whether a mechanism is switched off.
+    /// Whether a mechanism is disabled.
     pub fn has_breakage(&self, breakage: Breakage) -> bool {
         self.settings.breakage == breakage
     }
 
-    /// Sends an event over the network; tells whether it was sent at all.
+    /// Sends an event over the network and returns whether it will arrive.
     pub fn send(&mut self, from: Endpoint, to: Endpoint, event: Event) -> bool {
         let delay = self.links.transmit(from, to);
         if let Some(delay) = delay {
@@ -145,13 +135,13 @@
         delay.is_some()
     }
 
-    /// The memory of a node's life that still runs.
+    /// The state of a node incarnation, if it still runs.
     pub fn memory(&mut self, at: NodeIncarnation) -> Option<&mut NodeMemory> {
         let node = &mut self.nodes[at.node];
         if node.incarnation == at.incarnation { node.memory.as_mut() } else { None }
     }
 
-    /// Starts a node without memory.
+    /// Starts a node without state.
     pub fn start(&mut self, number: usize, now: Timestamp) {
         let seeds = self.nodes.iter().map(|node| node.address).collect();
         let node = &mut self.nodes[number];
@@ -170,7 +160,7 @@
         self.queue.schedule_at(now, Event::PeriodicTick(at));
     }
 
-    /// The judge looks at what each node holds and whether it serves.
+    /// Checks the revision of each node and whether the node may serve with it.
     pub(super) fn check_nodes(&mut self, now: Timestamp) {
         self.queue.schedule_after(CHECK_INTERVAL, Event::CheckNodes);
         let due = invariants::required_revision(&self.history, now);
@@ -198,7 +188,7 @@
         self.memory(at)?.peers.configuration().cloned()
     }
 
-    /// Nodes that callers can reach: they run, are not paused, and are in the engines' region.
+    /// Nodes that accept requests: running, not paused or stopping, and in the engines' region.
     pub fn available_nodes(&self, now: Timestamp) -> BTreeSet<usize> {
         let open = |number: &usize| {
             let node = &self.nodes[*number];
@@ -208,7 +198,7 @@
     }
 }
 
-/// Links without faults.
+/// Delays of the network without faults.
 fn link_settings() -> LinkSettings {
     let quality = |delay_us, jitter_us| LinkQuality {
         delay: Duration::from_micros(delay_us),
--- a/crates/bench/src/drill/command.rs
+++ b/crates/bench/src/drill/command.rs
@@ -1,4 +1,4 @@
-//! The command `paddlemount bench drill`.
+//! The subcommand `paddlemount bench drill`.
 
 use lexopt::{Arg, Parser, ValueExt};
 
--- a/crates/bench/src/drill/delivery.rs
+++ b/crates/bench/src/drill/delivery.rs
@@ -1,11 +1,11 @@
-//! Which part of the cluster an event goes to.
+//! Delivery of simulation events to the component that handles them.
 
 use paddlemount_protocol::time::Timestamp;
 
 use super::{cluster::SimCluster, event::Event};
 
 impl SimCluster {
-    /// Lets an event happen, unless it was meant for a life that has ended; a paused node gets it later.
+    /// Delivers an event. Drops it if its node incarnation has ended, and defers it while the node is paused.
     pub(super) fn handle_event(&mut self, event: Event, now: Timestamp) {
         if let Some(at) = event.target() {
             let node = &self.nodes[at.node];
--- a/crates/bench/src/drill/engines.rs
+++ b/crates/bench/src/drill/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of the simulation: the stand-ins' model with its streams.
+//! Simulated engines: the engine model of the stand-ins with its streams.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -26,32 +26,30 @@
 use crate::simulation::Endpoint;
 
 const LOAD_TIME: Duration = Duration::from_secs(2);
-/// The share of frames after which a stream stalls, where answers are late.
+/// Probability that a stream stalls after a frame while answers are late.
 const STALL_SHARE: f64 = 0.06;
-/// Time in which a leaving back end may still get new work.
+/// Time after which a draining engine must get no new work.
 const DRAINING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Where a try's frames go.
+/// Destination of the frames of one attempt.
 struct Stream {
     to: NodeIncarnation,
     request: RequestId,
-    /// The last frame's arrival; a connection keeps its order.
+    /// Arrival time of the last frame; a connection preserves their order.
     last_at: Timestamp,
     broken: bool,
 }
 
-/// One engine.
+/// One simulated engine.
 pub struct SimEngine {
-    /// Its place in the network.
     pub endpoint: Endpoint,
-    /// Its model.
     pub model: EngineModel,
     streams: BTreeMap<AttemptId, Stream>,
     due: Option<Timestamp>,
 }
 
 impl SimEngine {
-    /// An engine with the first weights.
+    /// An engine with the initial weights loaded.
     pub fn new(number: usize, endpoint: Endpoint, seed: u64) -> Self {
         let settings = EngineModelSettings {
             engine: EngineId::from(format!("engine-{number}")),
@@ -71,7 +69,7 @@
     }
 }
 
-/// The number of a try within its request.
+/// The number of an attempt within its request.
 fn attempt_number(attempt: &AttemptId) -> &str {
     attempt.as_str().rsplit('.').next().unwrap_or_default()
 }
@@ -81,7 +79,7 @@
 }
 
 impl SimCluster {
-    /// A try arrives at an engine.
+    /// Submits an attempt to an engine.
     pub fn submit(&mut self, number: usize, dispatch: Dispatch, now: Timestamp) {
         let Some(ModelRequestSpec { tenant, prompt, tokens }) = self.request_spec(&dispatch.request) else {
             return;
@@ -122,7 +120,7 @@
         self.reply_request(number, dispatch.from, &dispatch.request, event);
     }
 
-    /// The engine has taken a try: the judge compares what was meant with what the engine is.
+    /// Checks the precondition of an accepted attempt against the actual state of the engine.
     fn accepted(&mut self, number: usize, dispatch: &Dispatch, now: Timestamp) {
         let engine = &mut self.engines[number];
         let stream =
@@ -160,7 +158,7 @@
         self.send(from, target, Event::Request { to, request: request.clone(), event: Box::new(event) });
     }
 
-    /// A node wants the rest of a stream.
+    /// Resumes a stream from frame `next`.
     #[expect(clippy::too_many_arguments, reason = "one event's parts")]
     pub fn resume(
         &mut self,
@@ -199,19 +197,19 @@
         }
     }
 
-    /// A node gives a try up.
+    /// Cancels an attempt at an engine.
     pub fn cancel(&mut self, number: usize, attempt: &AttemptId, now: Timestamp) {
         self.engines[number].model.cancel(attempt, now);
         self.advance_engine(number, now);
     }
 
-    /// An engine has something to do.
+    /// Handles a scheduled step of an engine.
     pub fn step_engine(&mut self, number: usize, now: Timestamp) {
         self.engines[number].due = None;
         self.advance_engine(number, now);
     }
 
-    /// Sends what the engine has put out, and plans when it is due next.
+    /// Sends the engine's pending output and schedules its next step.
     pub fn advance_engine(&mut self, number: usize, now: Timestamp) {
         for output in self.engines[number].model.advance(now) {
             self.output(number, output, now);
@@ -247,7 +245,7 @@
         self.frame(number, &attempt, content, now);
     }
 
-    /// A pool's version never goes back once a newer one was accepted for it.
+    /// Checks that an engine does not load weights older than the accepted configuration requires.
     fn load_started(&mut self, number: usize, weights: WeightsVersion, now: Timestamp) {
         let name = format!("engine-{number}");
         self.history.record(now, name.as_str(), format!("loads weights {weights}"));
@@ -282,7 +280,7 @@
         self.queue.schedule_at(at, event);
     }
 
-    /// An order arrives at an engine.
+    /// Handles a placement order at an engine.
     pub fn order(&mut self, number: usize, from: NodeIncarnation, order: &Order, now: Timestamp) {
         if !self.engines[number].model.is_up() {
             return;
@@ -298,7 +296,7 @@
         self.advance_engine(number, now);
     }
 
-    /// An engine crashes; the connections of its streams break.
+    /// Stops an engine's model and breaks the connections of its streams.
     pub fn drop_engine(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         engine.model.crash();
@@ -310,7 +308,7 @@
         }
     }
 
-    /// An engine comes back empty.
+    /// Restarts an engine with an empty cache.
     pub fn restart_engine(&mut self, number: usize, now: Timestamp) {
         let incarnation = self.engines[number].model.incarnation().next();
         self.engines[number].model.restart(incarnation, self.settings.seed ^ incarnation.0);
--- a/crates/bench/src/drill/event.rs
+++ b/crates/bench/src/drill/event.rs
@@ -1,4 +1,4 @@
-//! What happens in the simulated cluster.
+//! Events of the simulated cluster.
 
 use paddlemount_core::{
     claims::ClaimOutcome,
@@ -17,76 +17,104 @@
     time::Timestamp,
 };
 
-/// One life of one node.
+/// One incarnation of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeIncarnation {
-    /// The node.
     pub node: usize,
-    /// Its life, from 1.
+    /// Starts at 1.
     pub incarnation: u32,
 }
 
-/// A try on its way to an engine.
+/// An attempt in flight to an engine.
 pub struct Dispatch {
-    /// Whose try it is.
+    /// The node that sent it.
     pub from: NodeIncarnation,
-    /// The request.
     pub request: RequestId,
-    /// The try.
     pub attempt: AttemptId,
-    /// What must be true of the engine.
     pub precondition: Precondition,
-    /// Tokens that the caller already has.
+    /// Tokens that the caller has received already.
     pub already: u32,
 }
 
 /// A call to the configuration store.
 #[derive(Clone, Debug)]
 pub enum StoreCall {
-    /// Of configuration.
     Peers(CallId, StoreRequest),
-    /// Of the placement lease.
     Lease(LeaseRequest),
 }
 
-/// The store's reply, or its failure.
+/// A reply of the store, or the failure of the call.
 #[derive(Clone, Debug)]
 pub enum StoreAnswer {
-    /// Of configuration.
     Peers(CallId, Result<StoreReply, StoreFailure>),
-    /// Of the placement lease.
     Lease(Option<LeaseResult>),
 }
 
 /// An event of the simulation.
 pub enum Event {
-    /// A node's membership and configuration have something to do.
+    /// A timer of a node's membership and configuration fires.
     Wake(NodeIncarnation),
-    /// A node asks engines, the machine list and the lease.
+    /// Once a second, a node polls engines, the machine list and the lease.
     PeriodicTick(NodeIncarnation),
     /// A peer's call arrives.
-    PeerRequest { to: NodeIncarnation, from: NodeIncarnation, call: CallId, request: PeerRequest },
+    PeerRequest {
+        to: NodeIncarnation,
+        from: NodeIncarnation,
+        call: CallId,
+        request: PeerRequest,
+    },
     /// A peer's answer arrives.
-    PeerAnswer { to: NodeIncarnation, call: CallId, answer: PeerAnswer },
-    /// A call to a peer has waited long enough.
-    PeerTimeout { to: NodeIncarnation, call: CallId },
+    PeerAnswer {
+        to: NodeIncarnation,
+        call: CallId,
+        answer: PeerAnswer,
+    },
+    /// A call to a peer times out.
+    PeerTimeout {
+        to: NodeIncarnation,
+        call: CallId,
+    },
     /// A call arrives at the store.
-    StoreCall { from: NodeIncarnation, call: StoreCall },
-    /// The store's answer, or the end of the wait for it.
-    StoreAnswer { to: NodeIncarnation, answer: StoreAnswer },
-    /// A watch of the store has waited long enough.
-    WatchExpires { from: NodeIncarnation, call: CallId, after: Revision },
-    /// An engine has something to do.
+    StoreCall {
+        from: NodeIncarnation,
+        call: StoreCall,
+    },
+    /// The store's answer arrives, or the call times out.
+    StoreAnswer {
+        to: NodeIncarnation,
+        answer: StoreAnswer,
+    },
+    /// A watch ends without a change.
+    WatchExpires {
+        from: NodeIncarnation,
+        call: CallId,
+        after: Revision,
+    },
+    /// A step of an engine is due.
     EngineStep(usize),
-    /// A node asks an engine for its status.
-    StatusRequested { engine: usize, from: NodeIncarnation, requested_at: Timestamp },
+    /// A status request arrives at an engine.
+    StatusRequested {
+        engine: usize,
+        from: NodeIncarnation,
+        requested_at: Timestamp,
+    },
     /// An engine's status arrives.
-    Status { to: NodeIncarnation, status: Box<EngineStatus>, requested_at: Timestamp },
+    Status {
+        to: NodeIncarnation,
+        status: Box<EngineStatus>,
+        requested_at: Timestamp,
+    },
     /// The machine list arrives.
-    Machines { to: NodeIncarnation, leaving: Vec<usize> },
-    /// A try arrives at an engine.
-    Submit { engine: usize, dispatch: Box<Dispatch> },
-    /// A node wants the rest of a stream.
+    Machines {
+        to: NodeIncarnation,
+        leaving: Vec<usize>,
+    },
+    /// An attempt arrives at an engine.
+    Submit {
+        engine: usize,
+        dispatch: Box<Dispatch>,
+    },
+    /// A request to resume a stream arrives at an engine.
     Resume {
         engine: usize,
         from: NodeIncarnation,
@@ -95,14 +123,28 @@
         incarnation: Incarnation,
         next: u32,
     },
-    /// A node gives a try up.
-    Cancel { engine: usize, attempt: AttemptId },
-    /// Something arrives for a model request.
-    Request { to: NodeIncarnation, request: RequestId, event: Box<RequestEvent> },
-    /// A model request's timer.
-    RequestTimer { to: NodeIncarnation, request: RequestId },
+    /// A cancellation arrives at an engine.
+    Cancel {
+        engine: usize,
+        attempt: AttemptId,
+    },
+    /// An event of a model request arrives at its node.
+    Request {
+        to: NodeIncarnation,
+        request: RequestId,
+        event: Box<RequestEvent>,
+    },
+    /// A timer of a model request fires.
+    RequestTimer {
+        to: NodeIncarnation,
+        request: RequestId,
+    },
     /// An order arrives at an engine.
-    Order { engine: usize, from: NodeIncarnation, order: Order },
+    Order {
+        engine: usize,
+        from: NodeIncarnation,
+        order: Order,
+    },
     /// An engine's answer to an order arrives.
     OrderDone {
         to: NodeIncarnation,
@@ -111,43 +153,82 @@
         result: Result<OrderResult, EngineRefusal>,
     },
     /// A claim message arrives at a replica.
-    Claim { to: NodeIncarnation, from: NodeIncarnation, owner: AttemptId, message: ClaimMessage },
+    Claim {
+        to: NodeIncarnation,
+        from: NodeIncarnation,
+        owner: AttemptId,
+        message: ClaimMessage,
+    },
     /// A replica's answer arrives.
-    ClaimReply { to: NodeIncarnation, replica: usize, owner: AttemptId, is_claim: bool, reply: ClaimReply },
-    /// A claimed request's timer.
-    ClaimTimer { to: NodeIncarnation, owner: AttemptId },
-    /// A booking arrives at its back end.
-    Booking { instance: usize, from: NodeIncarnation, owner: AttemptId, number: u32 },
-    /// A back end's answer arrives.
-    BookingReply { to: NodeIncarnation, owner: AttemptId, answer: Result<String, String> },
-    /// A dispatch has waited long enough.
-    BookingTimeout { to: NodeIncarnation, owner: AttemptId, number: u32 },
+    ClaimReply {
+        to: NodeIncarnation,
+        replica: usize,
+        owner: AttemptId,
+        is_claim: bool,
+        reply: ClaimReply,
+    },
+    /// A timer of a claimed request fires.
+    ClaimTimer {
+        to: NodeIncarnation,
+        owner: AttemptId,
+    },
+    /// A booking arrives at a booking instance.
+    Booking {
+        instance: usize,
+        from: NodeIncarnation,
+        owner: AttemptId,
+        number: u32,
+    },
+    /// The reply of a booking instance arrives.
+    BookingReply {
+        to: NodeIncarnation,
+        owner: AttemptId,
+        answer: Result<String, String>,
+    },
+    /// A dispatch of a booking times out.
+    BookingTimeout {
+        to: NodeIncarnation,
+        owner: AttemptId,
+        number: u32,
+    },
     /// A caller sends a model request.
-    SendModelRequest { number: u32, node: Option<usize> },
-    /// A caller sends a booking, for the first time or again.
-    SendBooking { key: String, attempt: usize },
-    /// A caller has its answer, or has waited long enough.
-    BookingEnded { key: String, attempt: usize, ending: Option<ClaimOutcome> },
-    /// An operator asks for a change.
-    SubmitChange { node: usize, request: Box<ChangeRequest> },
-    /// Two operators race.
-    RaceOperators { fault: usize },
-    /// A stopping node ends if nothing runs there.
+    SendModelRequest {
+        number: u32,
+        node: Option<usize>,
+    },
+    /// A caller sends a booking for the first time, or retries it.
+    SendBooking {
+        key: String,
+        attempt: usize,
+    },
+    /// A booking attempt ends or times out at its caller.
+    BookingEnded {
+        key: String,
+        attempt: usize,
+        ending: Option<ClaimOutcome>,
+    },
+    /// An operator submits a change.
+    SubmitChange {
+        node: usize,
+        request: Box<ChangeRequest>,
+    },
+    /// Two operators submit conflicting changes.
+    RaceOperators {
+        fault: usize,
+    },
+    /// A stopping node ends if it has no requests left.
     EndWhenIdle(usize),
-    /// A fault begins.
     FaultBegin(usize),
-    /// A fault ends.
     FaultEnd(usize),
-    /// A node starts.
     Start(usize),
-    /// An engine comes back.
+    /// A crashed engine restarts.
     EngineStart(usize),
-    /// The judge looks at all nodes.
+    /// The invariants of all nodes are checked.
     CheckNodes,
 }
 
 impl Event {
-    /// The node that the event happens at.
+    /// The node incarnation that handles the event.
     pub const fn target(&self) -> Option<NodeIncarnation> {
         match self {
             Self::Wake(to)
--- a/crates/bench/src/drill/faults.rs
+++ b/crates/bench/src/drill/faults.rs
@@ -1,4 +1,4 @@
-//! Brings about the faults of a drill.
+//! Injects the faults of a drill.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 };
 use crate::simulation::{Region, Scope, Zone};
 
-/// Time after its start at which a node must serve.
+/// Time after its start within which a node must serve.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time in which a caller notices a broken connection.
+/// Time until a caller detects a broken connection.
 const BREAK_DETECTION_DELAY: Duration = Duration::from_millis(10);
 const RACES: u64 = 4;
 const RACE_PERIOD: Duration = Duration::from_millis(1_500);
@@ -29,7 +29,7 @@
 const STOPPED_NODE: usize = 3;
 
 impl SimCluster {
-    /// A fault begins.
+    /// Starts a fault.
     pub fn begin_fault(&mut self, number: usize, now: Timestamp) {
         let fault = self.windows[number].fault;
         self.history.record(now, FAULT, format!("{fault:?} begins"));
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A fault ends.
+    /// Ends a fault.
     pub fn end_fault(&mut self, number: usize, now: Timestamp) {
         let fault = self.windows[number].fault;
         self.history.record(now, FAULT, format!("{fault:?} ends"));
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A node ends at once; the connections of its callers break.
+    /// Ends a node without notice and breaks the connections of its callers.
     pub fn crash_node(&mut self, number: usize, ending: AnswerEnding, now: Timestamp) {
         let Some(memory) = self.nodes[number].memory.take() else { return };
         self.history.record(now, format!("node-{number}"), "ends");
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A node starts again, and a caller soon asks just this node.
+    /// Restarts a node and schedules a probe request to it.
     fn restart_node(&mut self, number: usize, now: Timestamp) {
         if self.nodes[number].memory.is_some() {
             return;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The node that believes to hold the placement lease is paused for longer than the lease lives.
+    /// Pauses the holder of the placement lease for longer than the lease's TTL.
     fn pause_holder(&mut self, number: usize, now: Timestamp) {
         let holds = |node: &usize| {
             self.nodes[*node].memory.as_ref().is_some_and(|memory| memory.lease.token(now).is_some())
@@ -151,7 +151,7 @@
         self.history.record(now, FAULT, format!("node-{node} is paused"));
     }
 
-    /// A planned stop: no new work, tell the peers, end when all requests have ended.
+    /// Starts a planned stop: the node takes no new work, notifies its peers and ends once it is idle.
     fn stop_node(&mut self, now: Timestamp) {
         let at = self.nodes[STOPPED_NODE].incarnation_of(STOPPED_NODE);
         self.nodes[STOPPED_NODE].stopping = true;
@@ -159,7 +159,7 @@
         self.end_when_idle(STOPPED_NODE, now);
     }
 
-    /// Ends a stopping node once nothing runs there; asked again until then.
+    /// Ends a stopping node once it is idle, and checks again later otherwise.
     pub fn end_when_idle(&mut self, number: usize, now: Timestamp) {
         let waits = !self.has_breakage(Breakage::StopDoesNotWait);
         let node = &self.nodes[number];
--- a/crates/bench/src/drill/history.rs
+++ b/crates/bench/src/drill/history.rs
@@ -1,4 +1,4 @@
-//! What happened in a drill, as the judge and a person need it.
+//! The history of a run: what the invariant checks need, and a trace for people.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
     time::Timestamp,
 };
 
-/// What must always hold, in the order of the users' list.
+/// An invariant of the product.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
@@ -17,15 +17,15 @@
     CacheBoundary,
     /// Every streamed answer arrives complete and in order.
     WholeStream,
-    /// A restarted node serves at once.
+    /// A restarted node serves without delay.
     ServesAfterRestart,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller gets the complete answer to its own request.
     OwnAnswer,
     /// A refusal that says "not run" is true.
     NotRunIsTrue,
-    /// A request that must not be repeated runs at most once.
+    /// A request that must not be retried runs at most once.
     AtMostOnce,
-    /// A leaving back end gets no new work.
+    /// A draining back end gets no new work.
     LeavingGetsNothing,
     /// A planned stop cuts off no request.
     StopCutsNothing,
@@ -34,7 +34,7 @@
 }
 
 impl Invariant {
-    /// All promises.
+    /// All invariants.
     pub const ALL: [Self; 9] = [
         Self::CacheBoundary,
         Self::WholeStream,
@@ -48,112 +48,98 @@
     ];
 }
 
-/// A promise that was seen to break.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
     pub invariant: Invariant,
-    /// When it was seen.
     pub at: Timestamp,
-    /// What was seen, for people.
+    /// A description for people.
     pub what: String,
-    /// Names of things whose events explain it: requests, keys, engines, nodes.
+    /// Requests, keys, engines and nodes whose events explain the violation.
     pub subjects: Vec<String>,
 }
 
-/// One event of a run.
+/// One event of the trace.
 #[derive(Clone, Debug)]
 pub struct TraceEntry {
-    /// When.
     pub at: Timestamp,
-    /// What it is about: a request, key, engine, node or change.
+    /// The request, key, engine, node or change concerned.
     pub subject: String,
-    /// What happened.
     pub what: String,
 }
 
 /// A model request as its caller sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// The node that it was sent to.
     pub node: usize,
-    /// When.
     pub sent_at: Timestamp,
-    /// Tokens that it should get.
+    /// Expected number of tokens.
     pub tokens: u32,
     /// Texts received, in order.
     pub received: Vec<String>,
-    /// How it ended; none while it runs.
+    /// None while it runs.
     pub ending: Option<AnswerEnding>,
-    /// Whether the node must serve it whatever happens, as it has just been restarted.
+    /// Whether refusing it violates [`Invariant::ServesAfterRestart`].
     pub must_be_served: bool,
     /// Whether an engine ever began to run it.
     pub ran: bool,
 }
 
-/// How a model request ended.
+/// The end of a model request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerEnding {
-    /// The end of the stream was marked.
+    /// The stream ended with its end marker.
     Finished,
-    /// Refused.
     Refused(Refusal),
-    /// The node crashed.
     NodeCrashed,
-    /// The node ended as planned and cut it off.
+    /// A planned stop cut it off.
     CutByStop,
 }
 
-/// A booking as its caller sees it, over all of its tries.
+/// A booking as its caller sees it, over all attempts.
 #[derive(Clone, Debug, Default)]
 pub struct Booking {
-    /// Answers that the caller got.
     pub answers: Vec<String>,
-    /// Endings of its tries.
+    /// Outcomes by attempt; none while an attempt is open.
     pub endings: Vec<Option<Outcome>>,
-    /// Runs at back ends: instance and time.
+    /// Runs by booking instance and time.
     pub runs: Vec<(usize, Timestamp)>,
-    /// "Not run" was said at these times.
+    /// Times at which it was refused as not run.
     pub not_run_at: Vec<Timestamp>,
 }
 
-/// A change that an operator asked for.
+/// A change that an operator submitted.
 #[derive(Clone, Debug)]
 pub struct RequestedChange {
-    /// The node.
     pub node: usize,
-    /// When.
     pub at: Timestamp,
-    /// How it ended, and when.
+    /// Time and outcome.
     pub ended: Option<(Timestamp, ChangeOutcome)>,
 }
 
-/// Everything that the judge needs.
+/// Everything that the invariant checks need.
 #[derive(Default)]
 pub struct History {
     /// Model requests.
     pub answers: BTreeMap<RequestId, Answer>,
     /// Bookings by key.
     pub bookings: BTreeMap<String, Booking>,
-    /// Changes.
     pub changes: BTreeMap<ChangeId, RequestedChange>,
-    /// When an engine's leaving was published.
+    /// When the machine list first showed an engine as draining.
     pub leaving_since: BTreeMap<EngineId, Timestamp>,
-    /// When an operator was told that a revision is accepted.
+    /// When a revision was first reported as accepted.
     pub accepted_at: BTreeMap<Revision, Timestamp>,
-    /// Violations seen as they happened.
     pub violations: Vec<Violation>,
-    /// All events.
     pub trace: Vec<TraceEntry>,
 }
 
 impl History {
-    /// Notes an event.
+    /// Adds an event to the trace.
     pub fn record(&mut self, at: Timestamp, subject: impl Into<String>, what: impl Into<String>) {
         self.trace.push(TraceEntry { at, subject: subject.into(), what: what.into() });
     }
 
-    /// Notes a broken promise.
+    /// Adds a violation.
     pub fn record_violation(
         &mut self,
         invariant: Invariant,
@@ -165,7 +151,7 @@
         self.violations.push(Violation { invariant, at, what: what.into(), subjects });
     }
 
-    /// The events that explain a violation: those of its subjects and all faults, up to its time.
+    /// The trace up to a violation: events of its subjects, and all faults.
     pub fn explain(&self, violation: &Violation) -> Vec<String> {
         let relevant = |entry: &&TraceEntry| {
             let about = violation.subjects.contains(&entry.subject);
@@ -178,5 +164,5 @@
     }
 }
 
-/// The subject of events that the drill itself causes.
+/// The subject of injected faults in the trace.
 pub const FAULT: &str = "fault";
--- a/crates/bench/src/drill/invariants.rs
+++ b/crates/bench/src/drill/invariants.rs
@@ -1,4 +1,4 @@
-//! Judges a whole history against the promises, once the run has ended.
+//! Invariant checks on the history of a run.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::history::{Answer, AnswerEnding, History, Invariant};
 
-/// Adds what is seen only at the end of a run.
+/// Adds the violations that show only at the end of a run.
 pub fn check_all(history: &mut History, documents: &[RevisedConfiguration], end: Timestamp) {
     check_answers(history, end);
     check_bookings(history, end);
@@ -59,7 +59,7 @@
     history.answers = answers;
 }
 
-/// Texts are `request/attempt/index`.
+/// Splits `request/attempt/index`.
 fn split_token_text(text: &str) -> (&str, u32, u32) {
     let mut parts = text.rsplitn(3, '/');
     let index = parts.next().and_then(|part| part.parse().ok()).unwrap_or(u32::MAX);
@@ -79,7 +79,7 @@
     out_of_place.map(|(position, text)| format!("{request}: {text} at place {position}"))
 }
 
-/// Text of another request, or of an earlier try after a later one took over.
+/// Finds text of another request, or of an earlier attempt after a later one.
 fn find_foreign_text(request: &str, answer: &Answer) -> Option<String> {
     let mut latest = 0;
     for text in &answer.received {
@@ -115,7 +115,7 @@
     history.bookings = bookings;
 }
 
-/// An accepted change is in the document from its revision on; a refused one never was.
+/// Checks that an accepted change stays in the document and that a refused one never enters it.
 fn check_changes(history: &mut History, documents: &[RevisedConfiguration], end: Timestamp) {
     let changes = std::mem::take(&mut history.changes);
     for (id, change) in &changes {
@@ -146,10 +146,10 @@
     history.changes = changes;
 }
 
-/// Time in which an accepted configuration must be in force at every node that serves.
+/// Time within which an accepted configuration must be in force at every serving node.
 pub const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// The revision that every serving node must hold at `now`.
+/// The oldest revision that a serving node may hold at `now`.
 pub fn required_revision(history: &History, now: Timestamp) -> Revision {
     let due = |(_, accepted): &(&Revision, &Timestamp)| **accepted + PROPAGATION_TIMEOUT <= now;
     history.accepted_at.iter().filter(due).map(|(revision, _)| *revision).max().unwrap_or_default()
--- a/crates/bench/src/drill/models.rs
+++ b/crates/bench/src/drill/models.rs
@@ -25,11 +25,9 @@
 
 const DEADLINE: Duration = Duration::from_secs(25);
 
-/// What a caller asks a model for.
+/// A model request of a caller.
 pub struct ModelRequestSpec {
-    /// In whose name.
     pub tenant: TenantId,
-    /// The whole prompt.
     pub prompt: String,
     /// Tokens to generate.
     pub tokens: u32,
@@ -40,7 +38,7 @@
 }
 
 impl SimCluster {
-    /// A node takes a model request, or refuses it.
+    /// Starts to serve a model request at a node, or refuses it.
     pub fn serve_model(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
         let Some(ModelRequestSpec { tenant, prompt, tokens }) = self.request_spec(request) else { return };
         let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
@@ -80,7 +78,7 @@
         self.handle_request_event(at, request, RequestEvent::Arrived, now);
     }
 
-    /// Lets a request's state machine take an event, and carries out what follows.
+    /// Passes an event to the request's state machine and performs the resulting actions.
     pub fn handle_request_event(
         &mut self,
         at: NodeIncarnation,
@@ -101,7 +99,7 @@
         self.schedule_timer(at, request, now);
     }
 
-    /// What a broken node makes of an event.
+    /// Alters an event as the run's breakage demands.
     fn apply_breakage(
         &mut self,
         at: NodeIncarnation,
@@ -181,12 +179,12 @@
         None
     }
 
-    /// Tells whether the event was sent at all.
+    /// Returns whether the event was sent.
     fn send_to_engine(&mut self, at: NodeIncarnation, engine: usize, event: Event) -> bool {
         self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event)
     }
 
-    /// A node has given a request its ending; nothing where the node's life has ended.
+    /// Ends a request at its node; none if the node incarnation has ended.
     fn end_request(
         &mut self,
         at: NodeIncarnation,
@@ -199,7 +197,7 @@
         Some(())
     }
 
-    /// Chooses an engine; during a rollout also one with the other version, as long as nothing was sent.
+    /// Chooses an engine. During a rollout it falls back to the other version unless the answer has begun.
     fn choose(
         &mut self,
         at: NodeIncarnation,
@@ -226,7 +224,7 @@
         }
     }
 
-    /// Chooses an engine that serves a version; nothing where the node or the request has ended.
+    /// Chooses an engine that serves `weights`; none if the node or the request has ended.
     fn choose_version_of(
         &mut self,
         at: NodeIncarnation,
@@ -282,7 +280,7 @@
         }
     }
 
-    /// A timer fires; it may have been put off meanwhile.
+    /// Handles a timer, which may have been postponed meanwhile.
     pub fn request_timer(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
         let Some(active) = self.memory(at).and_then(|memory| memory.requests.get_mut(request)) else {
             return;
@@ -295,7 +293,7 @@
         }
     }
 
-    /// The caller's answer has ended.
+    /// Records the end of an answer.
     pub fn end_answer(&mut self, request: &RequestId, ending: AnswerEnding, now: Timestamp) {
         self.history.record(now, request.as_str(), format!("ends: {ending:?}"));
         if let Some(answer) = self.history.answers.get_mut(request) {
@@ -303,7 +301,7 @@
         }
     }
 
-    /// What the caller of a request asks for.
+    /// The tenant, prompt and length of a request, derived from its number.
     pub fn request_spec(&self, request: &RequestId) -> Option<ModelRequestSpec> {
         let number: usize = request.as_str().rsplit('-').next()?.parse().ok()?;
         let tenant = TenantId::from(["kestrel", "benoni"][number % 2]);
--- a/crates/bench/src/drill/node.rs
+++ b/crates/bench/src/drill/node.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes: where each stands, and what it holds in memory while it runs.
+//! Simulated nodes, and the state that each holds while it runs.
 
 use std::{
     collections::BTreeMap,
@@ -34,95 +34,78 @@
 
 /// Nodes in the region of the engines.
 pub const PRIMARY_NODES: usize = 5;
-/// Zones of that region.
+/// Zones of the engines' region.
 pub const PRIMARY_ZONES: usize = 3;
 
 /// A model request that a node serves.
 pub struct ActiveRequest {
-    /// Its state machine.
     pub machine: ModelRequest,
-    /// Its tenant.
     pub tenant: TenantId,
-    /// The weights that it uses.
     pub weights: WeightsVersion,
-    /// The boundary of its cached state.
+    /// Scope of its cached state.
     pub scope: CacheScope,
-    /// Its prompt's blocks.
     pub blocks: Vec<BlockHash>,
     /// Tokens to generate.
     pub tokens: u32,
-    /// Whether a timer is under way.
+    /// The scheduled timer.
     pub timer: Option<Timestamp>,
 }
 
 /// A booking that a node serves.
 pub struct ActiveClaim {
-    /// Its state machine.
     pub coordinator: ClaimCoordinator,
-    /// The caller's key.
+    /// The idempotency key.
     pub key: String,
-    /// The caller's try.
+    /// The caller's attempt.
     pub attempt: usize,
     /// Dispatches so far.
     pub dispatches: u32,
 }
 
-/// What a node holds in memory.
+/// State of a node, which a restart loses.
 pub struct NodeMemory {
     /// Membership and configuration.
     pub peers: Peers,
-    /// Peers' calls that are still to be answered.
+    /// Unanswered calls of peers.
     pub served: BTreeMap<CallId, (NodeIncarnation, CallId)>,
-    /// Operators' changes under way.
+    /// Open changes of operators.
     pub changes: BTreeMap<CallId, ChangeId>,
-    /// Numbers the two above.
+    /// Numbers the calls and changes above.
     pub next_call: u64,
-    /// When the next wake-up is due.
     pub wakeup: Option<Timestamp>,
-    /// Routing.
     pub router: Router,
-    /// The last status of each engine.
     pub statuses: BTreeMap<EngineId, EngineStatus>,
-    /// Claims that this node remembers.
     pub replica: ClaimReplica,
-    /// The placement lease.
     pub lease: LeaseHolder,
-    /// Placement.
     pub placer: Placer,
-    /// Model requests under way.
+    /// Open model requests.
     pub requests: BTreeMap<RequestId, ActiveRequest>,
-    /// Bookings under way.
+    /// Open bookings.
     pub claims: BTreeMap<AttemptId, ActiveClaim>,
 }
 
 /// A node, running or not.
 pub struct SimNode {
-    /// Its name.
     pub name: NodeId,
-    /// Where it listens for peers.
+    /// Its address for peers.
     pub address: SocketAddr,
-    /// Its place in the network.
     pub endpoint: Endpoint,
-    /// Its zone.
     pub zone: usize,
-    /// Its region.
     pub region: usize,
-    /// Lives so far.
+    /// Incarnations so far.
     pub incarnation: u32,
-    /// Whether it takes no new work.
+    /// Whether a planned stop has begun.
     pub stopping: bool,
-    /// Until when it is paused.
     pub paused_until: Timestamp,
-    /// When it started last.
     pub started_at: Timestamp,
-    /// The revision that it held last in this life.
+    /// The last revision that it held in this incarnation.
     pub revision: Revision,
-    /// Its memory while it runs.
+    /// None while it does not run.
     pub memory: Option<NodeMemory>,
 }
 
 impl SimNode {
-    /// A node that has never run. The first [`PRIMARY_NODES`] stand in the region of the engines.
+    /// A node that has never run. The first [`PRIMARY_NODES`] are in the engines' region.
     pub fn new(number: usize, links: &mut Links) -> Self {
         let is_primary = number < PRIMARY_NODES;
         let zone = if is_primary { number % PRIMARY_ZONES } else { PRIMARY_ZONES };
@@ -143,7 +126,7 @@
         }
     }
 
-    /// Its present life.
+    /// Its current incarnation.
     pub const fn incarnation_of(&self, node: usize) -> NodeIncarnation {
         NodeIncarnation { node, incarnation: self.incarnation }
     }
@@ -154,7 +137,7 @@
 }
 
 impl NodeMemory {
-    /// What a node holds that has just started its present life.
+    /// The state of a node that has just started.
     pub fn new(node: &SimNode, seeds: Vec<SocketAddr>, settings: &RunSettings, now: Timestamp) -> Self {
         let zone = ZoneId::from(format!("zone-{}", node.zone));
         let seed = derived_seed(settings.seed + u64::from(node.incarnation), node.name.as_str());
--- a/crates/bench/src/drill/peers.rs
+++ b/crates/bench/src/drill/peers.rs
@@ -20,7 +20,7 @@
 };
 
 impl SimCluster {
-    /// Lets a node's membership and configuration take an event.
+    /// Passes an event to a node's membership and configuration and performs the resulting actions.
     pub fn handle_peer_event(&mut self, at: NodeIncarnation, event: PeerEvent<'_>, now: Timestamp) {
         let Some(memory) = self.memory(at) else { return };
         let actions = memory.peers.handle(event, now);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A wake-up is due.
+    /// Handles a timer of a node's membership and configuration.
     pub fn wake(&mut self, at: NodeIncarnation, now: Timestamp) {
         if let Some(memory) = self.memory(at) {
             memory.wakeup = None;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A peer's call arrives.
+    /// Handles a call of a peer.
     pub fn peer_request(
         &mut self,
         to: NodeIncarnation,
@@ -98,17 +98,17 @@
         self.handle_peer_event(to, PeerEvent::Request { call: served, request }, now);
     }
 
-    /// A peer's answer arrives.
+    /// Handles an answer of a peer.
     pub fn peer_answer(&mut self, to: NodeIncarnation, call: CallId, answer: &PeerAnswer, now: Timestamp) {
         self.handle_peer_event(to, PeerEvent::Answer { call, answer }, now);
     }
 
-    /// A call to a peer has waited long enough.
+    /// Handles the timeout of a call to a peer.
     pub fn peer_timeout(&mut self, to: NodeIncarnation, call: CallId, now: Timestamp) {
         self.handle_peer_event(to, PeerEvent::Failed { call }, now);
     }
 
-    /// An operator, or a rollout that is complete, asks a node for a change.
+    /// Submits a change of an operator or of a completed rollout.
     pub fn submit_change(&mut self, node: usize, request: ChangeRequest, now: Timestamp) {
         let at = self.nodes[node].incarnation_of(node);
         let Some(memory) = self.memory(at) else { return };
--- a/crates/bench/src/drill/placement.rs
+++ b/crates/bench/src/drill/placement.rs
@@ -1,4 +1,4 @@
-//! What simulated nodes do every second: statuses of engines, the machine list, the placement lease, orders.
+//! Periodic work of the simulated nodes: engine statuses, the machine list, the placement lease and orders.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 const LEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl SimCluster {
-    /// What a node does every second.
+    /// The periodic work of a node.
     pub fn periodic_tick(&mut self, at: NodeIncarnation, now: Timestamp) {
         self.queue.schedule_after(SECOND, Event::PeriodicTick(at));
         (0..self.engines.len()).for_each(|engine| self.request_status(at, engine, now));
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Asks an engine for its status.
+    /// Requests the status of an engine.
     pub fn request_status(&mut self, at: NodeIncarnation, engine: usize, now: Timestamp) {
         let event = Event::StatusRequested { engine, from: at, requested_at: now };
         self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event);
     }
 
-    /// The question arrives.
+    /// Handles a status request at an engine.
     pub fn status_requested(
         &mut self,
         engine: usize,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// An engine's status arrives.
+    /// Handles the status of an engine.
     pub fn status(
         &mut self,
         at: NodeIncarnation,
@@ -79,7 +79,7 @@
         self.apply_placement(at, actions, now);
     }
 
-    /// The machine list arrives.
+    /// Handles the machine list.
     pub fn machines(&mut self, at: NodeIncarnation, leaving: &[usize], now: Timestamp) {
         if self.has_breakage(Breakage::LeavingIgnored) {
             return;
@@ -102,7 +102,7 @@
         self.apply_placement(at, actions, now);
     }
 
-    /// The store's answer, or the end of the wait for it.
+    /// Handles an answer of the store, or the timeout of a call.
     pub fn store_answer(&mut self, at: NodeIncarnation, answer: StoreAnswer, now: Timestamp) {
         match answer {
             StoreAnswer::Peers(call, result) => {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Carries out what placement asks for.
+    /// Performs the actions of placement.
     pub fn apply_placement(&mut self, at: NodeIncarnation, actions: Vec<PlacementAction>, now: Timestamp) {
         for action in actions {
             match action {
@@ -156,7 +156,7 @@
         self.submit_change(at.node, request, now);
     }
 
-    /// An engine's answer to an order arrives.
+    /// Handles an engine's answer to an order.
     pub fn order_done(
         &mut self,
         at: NodeIncarnation,
--- a/crates/bench/src/drill/settings.rs
+++ b/crates/bench/src/drill/settings.rs
@@ -1,4 +1,4 @@
-//! Drills, the faults that they bring about, and mechanisms that can be switched off to test the drills.
+//! Drills, their faults, and mechanisms that tests disable to check that the drills detect it.
 
 use std::{str::FromStr, time::Duration};
 
@@ -7,64 +7,63 @@
 
 use crate::simulation::derived_seed;
 
-/// A mechanism that is switched off, to show that the drills notice. For tests only.
+/// A mechanism that is disabled. For tests only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Breakage {
-    /// Everything works.
+    /// Nothing is disabled.
     #[default]
     None,
-    /// Requests are sent to engines under whatever life and weights they have.
+    /// Engines accept requests whatever incarnation and weights were demanded.
     NoPreconditions,
     /// A broken connection is taken as the end of the answer.
     BreakIsEnd,
-    /// A restarted node learns the configuration from the store alone.
+    /// A restarted node reads the configuration from the store only.
     NoLearningFromPeers,
-    /// Frames count whatever try they belong to.
+    /// Frames are accepted whatever attempt they belong to.
     FramesOfAnyAttempt,
-    /// A dispatch without a clear ending is reported as not run.
+    /// A dispatch with an unknown outcome is reported as not run.
     UnclearIsNotRun,
     /// Bookings run without a claim.
     NoClaims,
     /// A restarted replica grants keys older than itself.
     FreshReplicaGrantsOldKeys,
-    /// The machine list's word on leaving machines is ignored.
+    /// The draining state in the machine list is ignored.
     LeavingIgnored,
     /// A planned stop does not wait for requests.
     StopDoesNotWait,
-    /// The store replaces the document whatever its revision is.
+    /// The store skips the comparison of revisions.
     PutWithoutCompare,
-    /// A node serves on however long its configuration has not been confirmed.
+    /// A node serves without a confirmed configuration.
     ServesUnconfirmed,
 }
 
-/// A fault or event that a drill brings about.
+/// A fault or operation that a drill injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// An engine crashes and comes back empty.
+    /// An engine crashes and restarts with an empty cache.
     EngineCrash,
-    /// Events of engines' feeds are lost.
+    /// Events of engine feeds are lost.
     EventLoss,
-    /// A node crashes and comes back without memory.
+    /// A node crashes and restarts without state.
     NodeCrash,
-    /// More than half of the nodes crash and come back together.
+    /// More than half of the nodes crash and restart together.
     HerdRestart,
-    /// A zone is cut off.
+    /// A zone is partitioned.
     ZoneCut,
-    /// A region is cut off.
+    /// A region is partitioned.
     RegionCut,
-    /// The store is down.
+    /// The store is unavailable.
     StoreOutage,
-    /// The store is slow.
     StoreSlow,
     /// Replies of the store and of back ends are lost after their effect.
     LostReplies,
-    /// The holder of the placement lease is paused beyond its life.
+    /// The holder of the placement lease is paused beyond the lease's TTL.
     PausedHolder,
-    /// Operators race each other.
+    /// Operators submit conflicting changes.
     RacingOperators,
-    /// A back end is about to leave.
+    /// A back end is draining.
     LeavingEngine,
-    /// A node is stopped as planned and started again.
+    /// A node is stopped as planned and restarted.
     PlannedStop,
     /// New weights are rolled out.
     Rollout,
@@ -72,7 +71,7 @@
     LateAnswers,
 }
 
-/// All faults with their names.
+/// All faults with their names on the command line.
 const FAULTS: [(Fault, &str); 15] = [
     (Fault::EngineCrash, "engine-crash"),
     (Fault::EventLoss, "event-loss"),
@@ -91,7 +90,7 @@
     (Fault::LateAnswers, "late-answers"),
 ];
 
-/// Pairs of faults that are drilled at once.
+/// Pairs of faults that are injected together.
 const PAIRS: [(Fault, Fault); 12] = [
     (Fault::EngineCrash, Fault::NodeCrash),
     (Fault::EngineCrash, Fault::Rollout),
@@ -107,12 +106,11 @@
     (Fault::PlannedStop, Fault::StoreOutage),
 ];
 
-/// One drill: its faults together.
+/// A set of faults that are injected in one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drill {
-    /// Its name; those of its faults, joined by `+`.
+    /// The names of its faults, joined by `+`.
     pub name: String,
-    /// Its faults.
     pub faults: Vec<Fault>,
 }
 
@@ -133,7 +131,7 @@
         single.chain(pairs).collect()
     }
 
-    /// The drill of some faults.
+    /// The drill with these faults.
     pub fn of(faults: &[Fault]) -> Self {
         let name =
             |fault: &Fault| FAULTS.iter().find(|(known, _)| known == fault).map_or("", |(_, name)| name);
@@ -150,30 +148,24 @@
     }
 }
 
-/// One run of a drill.
+/// Settings of one run of a drill.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunSettings {
-    /// The drill.
     pub drill: Drill,
-    /// The seed of all randomness.
     pub seed: u64,
-    /// What is switched off.
     pub breakage: Breakage,
 }
 
-/// When a fault begins and ends.
+/// The time span of a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultWindow {
-    /// The fault.
     pub fault: Fault,
-    /// Its begin.
     pub begin: Timestamp,
-    /// Its end.
     pub end: Timestamp,
 }
 
 impl RunSettings {
-    /// When each fault begins and ends, by the seed. Faults of a pair overlap.
+    /// The time span of each fault, derived from the seed. The faults of a pair overlap.
     pub fn windows(&self) -> Vec<FaultWindow> {
         let mut random = StdRng::seed_from_u64(derived_seed(self.seed, "faults"));
         let window = |fault: &Fault| {
--- a/crates/bench/src/drill/store.rs
+++ b/crates/bench/src/drill/store.rs
@@ -1,4 +1,4 @@
-//! The configuration store in the simulation.
+//! The simulated configuration store.
 
 use std::time::Duration;
 
@@ -27,23 +27,21 @@
 const REFUSAL_DELAY: Duration = Duration::from_millis(2);
 const REPLY_LOSS: f64 = 0.4;
 
-/// The store, with every document that it ever held.
+/// The store, with every document that it has held.
 pub struct SimStore {
-    /// Its place in the network.
     pub endpoint: Endpoint,
-    /// The store itself.
     pub model: ConfigurationStoreModel,
-    /// Documents by revision.
+    /// In the order of their revisions.
     pub documents: Vec<RevisedConfiguration>,
-    /// Whether it refuses everything.
+    /// Whether it refuses all calls.
     pub down: bool,
-    /// Added to each answer.
+    /// Maximum delay added to each reply.
     pub delay: Duration,
     watches: Vec<(NodeIncarnation, CallId, Revision)>,
 }
 
 impl SimStore {
-    /// A store with the first document.
+    /// A store with the initial document.
     pub fn new(endpoint: Endpoint) -> Self {
         let configuration = super::callers::initial_document();
         let value = serde_json::to_value(&configuration).expect("a configuration has a JSON form");
@@ -56,7 +54,7 @@
         Self { endpoint, model, documents, down: false, delay: Duration::ZERO, watches: Vec::new() }
     }
 
-    /// The present document.
+    /// The current document.
     pub fn present(&self) -> &RevisedConfiguration {
         self.documents.last().expect("the store begins with a document")
     }
@@ -73,7 +71,7 @@
 }
 
 impl SimCluster {
-    /// Sends a call to the store; its wait ends after `timeout` in any case.
+    /// Sends a call to the store, which ends after `timeout` at the latest.
     pub fn call_store(&mut self, from: NodeIncarnation, call: StoreCall, timeout: Duration) {
         let unanswered = match &call {
             StoreCall::Peers(number, _) => StoreAnswer::Peers(*number, Err(StoreFailure::Unclear)),
@@ -84,7 +82,7 @@
         self.send(endpoint, store, Event::StoreCall { from, call });
     }
 
-    /// A call arrives at the store.
+    /// Handles a call at the store.
     pub fn store_call(&mut self, from: NodeIncarnation, call: StoreCall, now: Timestamp) {
         if self.store.down {
             let answer = match call {
@@ -140,7 +138,7 @@
         }
     }
 
-    /// A watch ends without a change.
+    /// Ends a watch without a change.
     pub fn watch_expires(&mut self, from: NodeIncarnation, call: CallId, after: Revision) {
         let before = self.store.watches.len();
         self.store.watches.retain(|(node, number, _)| (*node, *number) != (from, call));
