--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,5 +1,5 @@
-//! What each role of a node costs: slopes over sizes, measured on the product's own state machines and
-//! message encodings, and their values at the target's size.
+//! Cost of each role of a node: measurements over sizes on the product's state machines and message
+//! encodings, with linear fits and their values at the target size.
 
 pub mod command;
 pub mod fit;
@@ -10,40 +10,38 @@
 
 use fit::Fit;
 
-/// Bytes a second that a node may spend on control, both ways.
+/// Budget of a node for control traffic, both ways.
 pub const BUDGET_BYTES_PER_SECOND: f64 = 8_192.0;
 
-/// Per cent of a core that a node may spend on control.
+/// Budget of a node for control work, in per cent of one core.
 pub const BUDGET_PROCESSOR_PERCENT: f64 = 1.7;
 
-/// Bytes of memory that a node may spend on control.
+/// Budget of a node for control state.
 pub const BUDGET_MEMORY_BYTES: f64 = 64.0 * 1024.0 * 1024.0;
 
-/// One measured quantity over several sizes.
+/// One quantity measured over several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// The role that pays it.
+    /// The role of the node.
     pub role: &'static str,
-    /// What was measured, with its unit.
+    /// The measured quantity with its unit.
     pub quantity: &'static str,
-    /// What was varied, with its unit.
+    /// The varied size with its unit.
     pub over: &'static str,
     /// Pairs of size and value.
     pub points: Vec<(f64, f64)>,
-    /// The straight line through the points.
+    /// The line fitted to the points.
     pub fit: Fit,
-    /// The size at the target.
     pub target_size: f64,
-    /// The fitted value at the target.
     pub at_target: f64,
     /// Whether the target lies beyond the measured sizes.
     pub is_extrapolated: bool,
-    /// The share of the budget that this is, where there is one; 1.0 is all of it.
+    /// The value at the target as a share of the budget, if there is one.
     pub share_of_budget: Option<f64>,
 }
 
 impl Slope {
-    /// The slope of `points`, and its value at `target_size` as a share of `budget`.
+    /// Fits `points` and evaluates the fit at `target_size` against `budget`.
     pub fn new(
         role: &'static str,
         quantity: &'static str,
--- a/crates/bench/src/capacity/command.rs
+++ b/crates/bench/src/capacity/command.rs
@@ -1,4 +1,4 @@
-//! `paddlemount bench capacity`.
+//! The subcommand `paddlemount bench capacity`.
 
 use std::{io::Write, path::PathBuf};
 
@@ -46,7 +46,7 @@
     lines.map(|line| line + "\n").collect()
 }
 
-/// The table of the page, in Markdown.
+/// A Markdown table.
 fn table(slopes: &[Slope]) -> String {
     let mut text = String::from(
         "| role | quantity | over | measured at | slope ± error | r² | target size | at target | share of budget |\n\
@@ -72,7 +72,7 @@
     text
 }
 
-/// Three significant digits.
+/// Formats with about three significant digits.
 fn number(value: f64) -> String {
     let magnitude = value.abs();
     if magnitude == 0.0 {
--- a/crates/bench/src/capacity/fit.rs
+++ b/crates/bench/src/capacity/fit.rs
@@ -1,22 +1,20 @@
-//! Straight lines by least squares.
+//! Linear least-squares fits.
 
 use serde::Serialize;
 
-/// A straight line through points.
+/// A line fitted to points.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Fit {
     /// The value at size 0.
     pub intercept: f64,
-    /// The rise with each unit of size.
     pub slope: f64,
     /// The standard error of the slope.
     pub slope_error: f64,
-    /// The share of the variance that the line explains, up to 1.0.
     pub r_squared: f64,
 }
 
 impl Fit {
-    /// The line with the least sum of squared distances to `points`, of which there are three at least.
+    /// The least-squares line of at least three points.
     pub fn of(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
--- a/crates/bench/src/capacity/plots.rs
+++ b/crates/bench/src/capacity/plots.rs
@@ -1,4 +1,4 @@
-//! The slopes as small SVG files.
+//! SVG plots of the slopes.
 
 use std::path::Path;
 
@@ -16,7 +16,6 @@
 #[derive(Debug, thiserror::Error)]
 #[error("cannot draw {file}: {message}")]
 pub struct PlotError {
-    /// The file.
     file: String,
     /// The cause.
     message: String,
@@ -35,7 +34,7 @@
     Ok(())
 }
 
-/// The file of a slope's plot.
+/// The file name of a slope's plot.
 pub fn file_name(slope: &Slope) -> String {
     let name = format!("{} {} {}", slope.role, slope.quantity, slope.over).to_lowercase();
     let name = name.replace('%', "percent");
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -1,4 +1,4 @@
-//! The measurements, one function for each role.
+//! Measurements, one function per role.
 
 use std::{
     hint::black_box,
@@ -34,7 +34,7 @@
     measure::{change_request, document, measure_changes, measure_steady, start_settled_cluster},
 };
 
-/// The target's sizes.
+/// Sizes of the target installation.
 pub mod target {
     /// Members of one region: 350 nodes in 5 regions.
     pub const REGION_MEMBERS: f64 = 70.0;
@@ -42,39 +42,38 @@
     pub const REGIONS: f64 = 5.0;
     /// Tenants.
     pub const TENANTS: f64 = 430.0;
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub const CHANGES_PER_DAY: f64 = 840.0;
-    /// Runners of one pool: 1,100 runners for 14 models.
+    /// Engines of one pool: 1,100 for 14 models.
     pub const POOL_RUNNERS: f64 = 1_100.0 / 14.0;
-    /// Requests a second at one node: 12,000 at 350 nodes.
+    /// Requests per second at one node: 12,000 at 350 nodes.
     pub const REQUESTS_PER_SECOND: f64 = 12_000.0 / 350.0;
-    /// Cache events a second at one node where each feed is read by one node: 760,000 at 350 nodes.
+    /// Cache events per second at one node if each feed has one reader: 760,000 at 350 nodes.
     pub const EVENTS_PER_SECOND: f64 = 760_000.0 / 350.0;
 }
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Tenants and models of hollow nodes where they are not varied.
+/// Tenants and models of hollow nodes unless varied.
 const TENANTS: usize = 430;
 const MODELS: usize = 14;
 
-/// How much is measured.
+/// Extent of the measurements.
 #[derive(Clone, Copy, Debug)]
 pub struct Effort {
     /// Virtual time of each hollow cluster.
     pub steady: Duration,
-    /// Repetitions of each timed piece of work.
     pub repetitions: u32,
 }
 
 impl Effort {
-    /// Under a minute in all.
+    /// A quick run of under a minute.
     pub const QUICK: Self = Self { steady: Duration::from_secs(60), repetitions: 20 };
-    /// For the page.
+    /// A full run.
     pub const FULL: Self = Self { steady: Duration::from_secs(600), repetitions: 100 };
 }
 
-/// All slopes.
+/// Measures all roles.
 pub fn measure(effort: Effort) -> Vec<Slope> {
     let mut slopes = member(effort);
     slopes.push(representative(effort));
@@ -86,10 +85,10 @@
     slopes
 }
 
-/// A node as a member of a region: bytes, processor time, memory over the members of the region.
+/// A member of a region: bytes, processor time and memory over the members of the region.
 fn member(effort: Effort) -> Vec<Slope> {
     let (mut bytes, mut processor, mut memory) = (Vec::new(), Vec::new(), Vec::new());
-    // Kept, as memory that one cluster gives back would be used by the next.
+    // Not dropped in the loop: the next cluster would reuse the freed memory.
     let mut clusters = Vec::new();
     for nodes in [10, 25, 50, 70, 100] {
         let before = resident_bytes();
@@ -111,7 +110,7 @@
     ]
 }
 
-/// The node that spends most, over the regions: a representative towards the others.
+/// A representative of its region, as the node with the most traffic, over the number of regions.
 fn representative(effort: Effort) -> Slope {
     let mut points = Vec::new();
     for regions in [2, 3, 4, 5] {
@@ -125,7 +124,7 @@
     Slope::new("representative", "bytes/s both ways", "regions of 70 nodes", points, target::REGIONS, budget)
 }
 
-/// What changes add to the bytes of a member.
+/// Bytes of a member over the rate of configuration changes.
 fn changes(effort: Effort) -> Slope {
     let minutes = effort.steady.as_secs_f64().max(60.0) / 60.0;
     let mut points = Vec::new();
@@ -148,7 +147,7 @@
     Slope::new("member", "bytes/s with changes, 20 members", over, points, target::CHANGES_PER_DAY, budget)
 }
 
-/// A node that holds the configuration: size of the document, time to take in one change.
+/// A node that follows the configuration: document size, and time to apply a change.
 fn configuration(effort: Effort) -> Vec<Slope> {
     let (mut bytes, mut watched, mut replayed) = (Vec::new(), Vec::new(), Vec::new());
     for tenants in [50, 100, 200, 430, 860] {
@@ -186,7 +185,7 @@
     RevisedConfiguration { revision: before.revision.next(), configuration }
 }
 
-/// A node that routes: time of one decision over the runners of the pool.
+/// A node that routes requests: time of a decision over the engines of the pool.
 fn data_path(effort: Effort) -> Slope {
     let mut points = Vec::new();
     for runners in [10, 20, 40, 80, 160] {
@@ -257,7 +256,7 @@
     router.choose(&route, Timestamp(1_000 + number)).chosen.is_some()
 }
 
-/// A node that reads engines' feeds: time and bytes over events.
+/// A node that reads engine feeds: processor time and bytes over events.
 fn feed_owner(effort: Effort) -> Vec<Slope> {
     let (mut processor, mut bytes) = (Vec::new(), Vec::new());
     for events in [250, 500, 1_000, 2_000, 4_000] {
@@ -289,7 +288,7 @@
     ]
 }
 
-/// Events of one stored block each, every fourth followed by an eviction.
+/// Events of one block each, every fourth an eviction.
 fn feed(events: usize) -> CacheEventBatch {
     let change = |number: u128| {
         let blocks = vec![BlockHash(number * 0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)];
@@ -306,7 +305,7 @@
     }
 }
 
-/// A replica of claims: time and memory over the claims that it remembers.
+/// A claim replica: time and memory over the claims that it stores.
 fn claim_replica(effort: Effort) -> Vec<Slope> {
     let (mut processor, mut memory, mut message) = (Vec::new(), Vec::new(), 0);
     for claims in [1_000, 2_000, 4_000, 8_000] {
@@ -327,8 +326,8 @@
     }
     log::debug!("a claim has {message} bytes");
     let (role, over) = ("claim replica", "claims remembered");
-    // No share of requests that must not be repeated is given; a tenth of 34 requests/s, with 5 replicas each
-    // and 10 minutes of memory, stands in.
+    // Assumes that a tenth of 34 requests/s carries a claim, with 5 replicas each and 10 minutes of
+    // retention.
     let size = target::REQUESTS_PER_SECOND / 10.0 * 5.0 * 600.0;
     vec![
         Slope::new(role, "ms to grant all of them", over, processor, size, None),
@@ -356,7 +355,7 @@
     }
 }
 
-/// The median time of `work`.
+/// The median run time of `work`.
 fn time<T>(effort: Effort, mut work: impl FnMut() -> T) -> Duration {
     let mut times: Vec<Duration> = (0..effort.repetitions)
         .map(|_| {
@@ -369,7 +368,7 @@
     times[times.len() / 2]
 }
 
-/// Memory of this process, in bytes; 0 where the machine does not tell.
+/// Resident memory of this process; 0 if the system does not report it.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -1,4 +1,4 @@
-//! The command `paddlemount bench`: arguments, and what each subcommand prints.
+//! The command `paddlemount bench`: arguments and output.
 
 use std::{
     ffi::OsString,
@@ -18,7 +18,7 @@
     scenario::{Scenario, ScenarioError},
 };
 
-/// How the command is used.
+/// Usage text.
 pub const USAGE: &str = "\
 paddlemount bench: experiments in virtual time
 
@@ -39,44 +39,31 @@
 pub(crate) const DEFAULT_SEED: u64 = 1;
 const DEFAULT_THREADS: usize = 4;
 
-/// Why the command did not run.
+/// An error of the command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The arguments can't be read.
     #[error("{0}; see paddlemount bench --help")]
     Arguments(#[from] lexopt::Error),
-    /// A subcommand is missing or unknown.
     #[error("there is no subcommand {0:?}; use run, report, scenarios, hollow or capacity")]
     UnknownSubcommand(String),
-    /// An option that the subcommand needs is missing.
+    /// A required option is missing.
     #[error("{0} is missing; see paddlemount bench --help")]
     Missing(&'static str),
-    /// A range of seeds can't be read.
     #[error("--seeds {text:?} is not a range; write it as 1..6")]
     Seeds {
-        /// What was given.
         text: String,
-        /// Why, where a bound is not a number.
+        /// The parse error of a bound, if it is not a number.
         source: Option<ParseIntError>,
     },
-    /// The scenario can't be used.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    /// The results can't be written.
     #[error("cannot write {place}: {source}")]
-    Output {
-        /// Where to.
-        place: String,
-        /// Why.
-        source: io::Error,
-    },
-    /// No drill has this name.
+    Output { place: String, source: io::Error },
     #[error(transparent)]
     UnknownDrill(#[from] UnknownDrill),
-    /// Drills broke promises.
+    /// The number of runs with violations.
     #[error("{0} runs broke a promise")]
     Violations(usize),
-    /// The plots can't be drawn.
     #[error("cannot draw the report: {0}")]
     Report(#[from] report::ReportError),
 }
@@ -96,7 +83,7 @@
     output: Option<PathBuf>,
 }
 
-/// Runs `paddlemount bench` with the arguments that follow the word `bench`.
+/// Runs `paddlemount bench` with the arguments after `bench`.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     match dispatch(Parser::from_args(arguments)) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -1,8 +1,8 @@
-//! How long one routing decision takes on one core, and how much memory the belief takes.
+//! Benchmark of one routing decision on one core, and of the memory of the cache index.
 //!
-//! The router is filled to its bound with prompts from a tree of nested openings, so that holders,
-//! heat and eviction ages are those of a node that has run for long. Only
-//! [`Router::choose`] and, apart from it, the learning from one request are timed.
+//! The router is filled to its bound with prompts from a tree of nested prefixes, so that holders, heat and
+//! eviction ages are those of a node that has run for long. Only [`Router::choose`] and, separately, the
+//! update from one request are timed.
 
 use std::{hint::black_box, time::Instant};
 
@@ -21,16 +21,15 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use serde::Serialize;
 
-/// What to measure.
+/// Settings of the benchmark.
 #[derive(Clone, Debug)]
 pub struct DecisionBenchSettings {
-    /// Numbers of runners, one measurement each.
+    /// Pool sizes, one measurement each.
     pub runners: Vec<usize>,
-    /// Decisions that are timed in each.
+    /// Timed decisions per measurement.
     pub decisions: usize,
-    /// Records that the belief holds at most.
+    /// Maximum number of records in the cache index.
     pub belief_records: usize,
-    /// Seed of prompts and choices.
     pub seed: u64,
 }
 
@@ -45,40 +44,34 @@
     }
 }
 
-/// One measurement.
+/// The result for one pool size.
 #[derive(Clone, Debug, Serialize)]
 pub struct DecisionBenchResult {
-    /// Runners in the pool.
+    /// Engines in the pool.
     pub runners: usize,
-    /// Decisions that were timed.
     pub decisions: usize,
-    /// Mean number of engines weighed.
+    /// Mean number of candidate engines per decision.
     pub mean_candidates: f64,
-    /// Mean number of blocks in a prompt.
+    /// Mean number of blocks per prompt.
     pub mean_blocks: f64,
-    /// Time of one decision.
     pub choose_us: TimePercentiles,
-    /// Time to learn from one request: dispatch, start, first token, end.
+    /// Time to apply the events of one request: dispatch, start, first token, end.
     pub learn_us: TimePercentiles,
-    /// Pairs of prefix and engine in the belief.
+    /// Records in the cache index.
     pub belief_records: usize,
-    /// Bytes of the records by their own count.
+    /// Size of the records as the index reports it.
     pub belief_bytes: usize,
-    /// Bytes for each record by their own count.
     pub bytes_per_record: f64,
-    /// Growth of the resident memory while the router was filled, for each record; none where the
-    /// system doesn't tell. Counted in the first measurement only, since memory is reused later.
+    /// Growth of resident memory per record while the router was filled; none if the system does not report
+    /// it. Only in the first measurement, since later ones reuse memory.
     pub resident_bytes_per_record: Option<f64>,
 }
 
 /// Percentiles in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TimePercentiles {
-    /// Median.
     pub p50: f64,
-    /// 99 of 100 are faster.
     pub p99: f64,
-    /// The slowest.
     pub max: f64,
 }
 
@@ -90,12 +83,12 @@
 const CONTRACT_BLOCKS: usize = 50;
 const OWN_BLOCKS: usize = 8;
 const WEIGHTS: WeightsVersion = WeightsVersion(1);
-/// Requests reach one node at this distance: 12,000 a second over 350 nodes.
+/// Interval of requests at one node: 12,000 a second over 350 nodes.
 const REQUEST_MICROS: u64 = 29_000;
-/// Engines report their load this often.
+/// Interval of the engines' load reports.
 const REPORT_MICROS: u64 = 500_000;
 
-/// Measures each number of runners in turn.
+/// Runs one measurement per pool size.
 pub fn run(settings: &DecisionBenchSettings) -> Vec<DecisionBenchResult> {
     let measure = |(index, runners): (usize, &usize)| {
         let before = resident_bytes();
@@ -144,7 +137,7 @@
         bench
     }
 
-    /// All engines report their load.
+    /// Applies a load report of every engine.
     fn report(&mut self) {
         self.reported = self.now;
         for number in 0..self.runners {
@@ -186,7 +179,7 @@
         }
     }
 
-    /// Hashes of a prompt: preamble, rules, contract and text of its own; low numbers are more frequent.
+    /// Block hashes of a random prompt: preamble, rules, contract and unique text, with skewed popularity.
     fn prompt(&mut self) -> Vec<BlockHash> {
         let tenant = self.skewed(TENANTS as u64);
         let rule = tenant * RULES_PER_TENANT + self.skewed(RULES_PER_TENANT);
@@ -213,7 +206,7 @@
         ((uniform * uniform * count as f64) as u64).min(count - 1)
     }
 
-    /// Fills the belief until it has dropped its oldest records once.
+    /// Fills the cache index until it has evicted its oldest records once.
     fn fill(&mut self) {
         let mut before = 0;
         loop {
@@ -319,7 +312,7 @@
     TimePercentiles { p50: at(0.5), p99: at(0.99), max: at(1.0) }
 }
 
-/// Bytes of this process in memory, where the system tells.
+/// Resident memory of this process, if the system reports it.
 fn resident_bytes() -> Option<usize> {
     const PAGE_BYTES: usize = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
--- a/crates/bench/src/free_address.rs
+++ b/crates/bench/src/free_address.rs
@@ -1,4 +1,4 @@
-//! Addresses for processes that are told where to listen before they start, or that start again there.
+//! Loopback addresses for processes that need a fixed address before they start or across restarts.
 
 use std::{
     io,
@@ -6,13 +6,13 @@
     ops::Range,
 };
 
-/// Ports below those that the system gives to outgoing connections and to whoever asks for any: one of these may be taken between
-/// the look and the process's start.
+/// Below the ephemeral port range, so that the system assigns no port of it to another socket between the
+/// check and the start of the process.
 const PORT_RANGE: Range<u16> = 20_000..32_000;
-/// Ports that are tried for one address.
+/// Ports to try for one address.
 const MAX_ATTEMPTS: usize = 100;
 
-/// An address on loopback that is free now, and that nobody is given who does not ask for it.
+/// Returns a loopback address that is free now and outside the ephemeral port range.
 pub fn free_address() -> Result<SocketAddr, io::Error> {
     let mut last = io::Error::from(io::ErrorKind::AddrInUse);
     for _ in 0..MAX_ATTEMPTS {
--- a/crates/bench/src/hollow.rs
+++ b/crates/bench/src/hollow.rs
@@ -1,7 +1,8 @@
-//! Hollow nodes: many nodes of membership and configuration in one process, over a simulated network.
+//! Hollow nodes: the membership and configuration parts of many nodes in one process, over a simulated
+//! network.
 //!
-//! They run the product's own state machines, encode every message as on the wire and sign it; only sockets
-//! and HTTP parsing are left out. Bytes count HTTP heads and TCP/IP headers, see [`wire`].
+//! They run the product's state machines, and encode and sign every message as on the wire; only sockets and
+//! HTTP parsing are left out. Byte counts include HTTP heads and TCP/IP headers, see [`wire`].
 
 pub mod cluster;
 pub mod command;
--- a/crates/bench/src/hollow/cluster.rs
+++ b/crates/bench/src/hollow/cluster.rs
@@ -27,65 +27,54 @@
 /// The key that all hollow nodes share.
 const CLUSTER_KEY: &str = "hollow-cluster-key-0123456789";
 
-/// Nodes of each region that every node is told of at its start.
+/// Nodes of each region that every node gets as seeds.
 const SEEDS_PER_REGION: usize = 2;
 
-/// Shape and network of a cluster.
+/// Size and network of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterSettings {
-    /// Nodes, spread evenly over the zones.
+    /// Spread evenly over the zones.
     pub nodes: usize,
-    /// Zones, spread evenly over the regions.
+    /// Spread evenly over the regions.
     pub zones: usize,
-    /// Regions.
     pub regions: usize,
-    /// The share of messages that are lost, from 0.0 to 1.0. A lost one is not sent again, as TCP would do.
+    /// Probability that a message is lost, from 0.0 to 1.0. TCP retransmission is not simulated.
     pub loss: f64,
-    /// Seed of all randomness.
     pub seed: u64,
 }
 
-/// What was seen, where and when.
+/// An observation with its time and node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeObservation {
-    /// When.
     pub at: Timestamp,
-    /// The number of the node at which it was seen.
+    /// Index of the observing node.
     pub node: usize,
-    /// What.
     pub observation: Observation,
 }
 
-/// Something that was seen at a node.
+/// An observation at a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// It put a revision in force.
+    /// The node installed a revision.
     Installed(Revision),
-    /// It changed its mind about a member.
-    Member {
-        /// The member.
-        node: NodeId,
-        /// What it believes now.
-        state: MemberState,
-    },
-    /// A change that it took ended.
+    /// The state of a member changed.
+    Member { node: NodeId, state: MemberState },
+    /// A change that the node coordinated ended.
     ChangeEnded(ChangeOutcome),
 }
 
-/// What a node has spent.
+/// Resources that a node has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUsage {
-    /// Bytes received, with all headers.
+    /// Including all headers.
     pub bytes_in: u64,
-    /// Bytes sent, with all headers.
+    /// Including all headers.
     pub bytes_out: u64,
-    /// Messages received.
     pub messages_in: u64,
-    /// Messages sent.
     pub messages_out: u64,
-    /// Processor time of decoding, deciding, encoding and signing.
+    /// Processor time for decoding, state machines, encoding and signing.
     pub processor: Duration,
-    /// Bytes to and from the store, with all headers.
+    /// Bytes to and from the store, including all headers.
     pub store_bytes: u64,
 }
 
@@ -106,7 +95,7 @@
     revision: Revision,
 }
 
-/// A peer's call that this node has still to answer.
+/// A call of a peer that this node has not answered yet.
 struct IncomingCall {
     from: usize,
     incarnation: u32,
@@ -115,7 +104,7 @@
     signature: String,
 }
 
-/// A call of this node that is open.
+/// An open call of this node.
 struct OutgoingCall {
     path: &'static str,
     signature: String,
@@ -140,16 +129,15 @@
     body: Vec<u8>,
 }
 
-/// The cluster.
+/// A cluster of hollow nodes in virtual time.
 pub struct HollowCluster {
     settings: ClusterSettings,
     queue: EventQueue<Event>,
-    /// The network; cuts are made here.
+    /// The network, where tests inject partitions.
     pub links: Links,
     store_endpoint: Endpoint,
-    /// The store.
     pub store: HollowStore,
-    /// The share of the store's replies that are lost.
+    /// Share of the store's replies that are lost.
     pub store_reply_loss: f64,
     nodes: Vec<HollowNode>,
     by_address: BTreeMap<SocketAddr, usize>,
@@ -159,7 +147,7 @@
 }
 
 impl HollowCluster {
-    /// A cluster without any running node.
+    /// A cluster of nodes that have not started.
     pub fn new(settings: ClusterSettings, document: RevisedConfiguration) -> Self {
         let quality = |delay_us, jitter_us| LinkQuality {
             delay: Duration::from_micros(delay_us),
@@ -215,12 +203,12 @@
         });
     }
 
-    /// The present time.
+    /// The current virtual time.
     pub const fn now(&self) -> Timestamp {
         self.queue.now()
     }
 
-    /// Starts a node, or starts it again without memory. It knows the first two nodes of each region.
+    /// Starts or restarts a node without state. Its seeds are the first nodes of each region.
     pub fn start(&mut self, index: usize) {
         let now = self.now();
         let seeds = self.seeds();
@@ -251,37 +239,36 @@
         self.nodes.iter().take(count).map(|node| node.address).collect()
     }
 
-    /// Ends a node without notice.
+    /// Stops a node without notice.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].peers = None;
     }
 
-    /// Stops a node's process for a while; what arrives meanwhile waits.
+    /// Suspends a node; events for it are delivered after `time`.
     pub fn pause(&mut self, index: usize, time: Duration) {
         self.nodes[index].paused_until = self.now() + time;
     }
 
-    /// Lets an operator ask a node for a change now.
+    /// Submits a change to a node.
     pub fn change(&mut self, index: usize, request: ChangeRequest) {
         self.queue.schedule_after(Duration::ZERO, Event::Change { node: index, request: Box::new(request) });
     }
 
-    /// Begins a node's planned stop; it runs on until killed.
+    /// Begins a planned stop; the node runs on until [`kill`](Self::kill).
     pub fn stop(&mut self, index: usize) {
         self.with_peers(index, |peers, now| peers.handle(PeerEvent::Stop, now));
     }
 
-    /// Gives a node the machine list.
+    /// Delivers the machine list to a node.
     pub fn list_machines(&mut self, index: usize, list: &MachineList) {
         self.with_peers(index, |peers, now| peers.handle(PeerEvent::Machines(list), now));
     }
 
-    /// Runs until `until`.
+    /// Runs until `until`, and moves the clock there even without events.
     pub fn run_until(&mut self, until: Timestamp) {
         while let Some((_, event)) = self.queue.pop_until(until) {
             self.handle_event(event);
         }
-        // Moves the clock to `until` also where nothing happens there.
         self.queue.schedule_at(until, Event::StoreExpiry);
         if let Some((_, event)) = self.queue.pop_until(until) {
             self.handle_event(event);
@@ -293,7 +280,7 @@
         self.run_until(self.now() + time);
     }
 
-    /// Takes what was seen since the last call.
+    /// Returns the observations since the last call.
     pub fn take_observations(&mut self) -> Vec<NodeObservation> {
         std::mem::take(&mut self.observations)
     }
@@ -308,7 +295,7 @@
         self.nodes.is_empty()
     }
 
-    /// A running node's state machine.
+    /// The state machine of a node, if it runs.
     pub fn peers(&self, index: usize) -> Option<&Peers> {
         self.nodes[index].peers.as_ref()
     }
@@ -333,17 +320,17 @@
         &self.nodes[index].region
     }
 
-    /// What a node has spent since the last [`reset_usage`](Self::reset_spent).
+    /// Resources that a node has used since the last [`reset_usage`](Self::reset_usage).
     pub fn usage(&self, index: usize) -> ResourceUsage {
         self.nodes[index].usage
     }
 
-    /// Counts from zero again.
+    /// Resets the resource counters of all nodes.
     pub fn reset_usage(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.usage = ResourceUsage::default());
     }
 
-    /// What a running node believes of another node of its region.
+    /// A running node's member record of another node.
     pub fn member_record(&self, index: usize, about: usize) -> Option<&MemberRecord> {
         self.peers(index)?.members().get(&self.nodes[about].name)
     }
--- a/crates/bench/src/hollow/cluster/delivery.rs
+++ b/crates/bench/src/hollow/cluster/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of messages, timers and store calls within a [`HollowCluster`].
+//! Delivery of messages, timers and store calls in a [`HollowCluster`].
 
 use std::{
     net::SocketAddr,
--- a/crates/bench/src/hollow/command.rs
+++ b/crates/bench/src/hollow/command.rs
@@ -1,4 +1,4 @@
-//! `paddlemount bench hollow`.
+//! The subcommand `paddlemount bench hollow`.
 
 use std::{io::Write, thread};
 
@@ -7,13 +7,13 @@
 use super::report::{Effort, SHAPES, SizeReport, measure};
 use crate::command::CommandError;
 
-/// How the subcommand is used.
+/// Usage text of the subcommand.
 pub const USAGE: &str = "\
   paddlemount bench hollow [--quick] [--nodes N] [--seed N]
                         one line of JSON for each size and share of lost messages
 ";
 
-/// Shares of lost messages that are measured.
+/// Message loss rates that are measured.
 const LOSSES: [f64; 2] = [0.0, 0.01];
 
 /// Runs the subcommand with the arguments that `parser` has left.
@@ -46,7 +46,7 @@
 
 type Run = ((usize, usize, usize), f64);
 
-/// Two at a time, as more would disturb the measured processor time.
+/// Runs two measurements at a time; more would distort the measured processor time.
 fn measure_all(runs: &[Run], seed: u64, effort: Effort) -> Vec<SizeReport> {
     let mut reports = Vec::new();
     for pair in runs.chunks(2) {
--- a/crates/bench/src/hollow/measure.rs
+++ b/crates/bench/src/hollow/measure.rs
@@ -15,16 +15,16 @@
 
 use super::cluster::{ClusterSettings, HollowCluster, NodeObservation, Observation, ResourceUsage};
 
-/// Time that a starting cluster gets to settle.
+/// Time for a starting cluster to settle.
 pub const SETTLE_TIME: Duration = Duration::from_secs(40);
 
-/// Greatest time that quantiles tell apart, in milliseconds.
+/// Upper bound of recorded times, in milliseconds.
 const MAX_MS: u64 = 3_600_000;
 
-/// Longest time that a change or a death is followed.
+/// Time after which a change or a death that is not everywhere counts as missed.
 const OBSERVATION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A document with `tenants` tenants and `models` pools, as an operator's would be.
+/// A configuration document with `tenants` tenants and `models` pools.
 pub fn document(tenants: usize, models: usize) -> RevisedConfiguration {
     let mut configuration = Configuration::default();
     for index in 0..models {
@@ -51,7 +51,7 @@
     Tenant { key_hashes: vec![format!("{index:064x}")], weight, ..Tenant::default() }
 }
 
-/// The `number`th change of a series: another weight for one tenant.
+/// The change with this number in a series; each sets another weight of one tenant.
 pub fn change_request(number: usize) -> ChangeRequest {
     let weight = u32::try_from(number % 900).unwrap_or(0) + 2;
     ChangeRequest {
@@ -64,21 +64,17 @@
     }
 }
 
-/// Quantiles of a set of times, in milliseconds.
+/// Quantiles of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Times in the set.
     pub count: u64,
-    /// Half are not longer.
     pub p50_ms: u64,
-    /// 99 in 100 are not longer.
     pub p99_ms: u64,
-    /// The longest.
     pub max_ms: u64,
 }
 
 impl Quantiles {
-    /// The quantiles of `times`.
+    /// Computes the quantiles of `times`.
     pub fn of(times: &[Duration]) -> Self {
         let mut histogram = Histogram::<u64>::new_with_max(MAX_MS, 3).expect("the bounds are valid");
         for time in times {
@@ -93,39 +89,39 @@
     }
 }
 
-/// What changes came to.
+/// Outcome and latency of a series of changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ChangeMeasurement {
-    /// From the request until the last running node had it in force.
+    /// From the request until the last running node installed the change.
     pub in_force_everywhere: Quantiles,
-    /// From the request until the operator's answer said so.
+    /// From the request until the operator was answered that the change is in force.
     pub answered: Quantiles,
-    /// Answers by kind.
+    /// Answers by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
-    /// Changes that some running node did not hold after 30 s.
+    /// Changes that some running node did not install within 30 s.
     pub not_everywhere: u64,
 }
 
-/// What a node spends a second.
+/// Resource use of a node per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct CostMeasurement {
-    /// Bytes both ways between nodes, with headers, mean over nodes.
+    /// Bytes sent and received between nodes, including headers; mean over nodes.
     pub peer_bytes_per_second: f64,
-    /// The same of the node that spends most.
+    /// Maximum over nodes.
     pub greatest_peer_bytes_per_second: f64,
-    /// Bytes to and from the store, mean over nodes.
+    /// Mean over nodes.
     pub store_bytes_per_second: f64,
-    /// The same of the node that spends most.
+    /// Maximum over nodes.
     pub greatest_store_bytes_per_second: f64,
-    /// Messages both ways between nodes, mean over nodes.
+    /// Messages sent and received between nodes; mean over nodes.
     pub messages_per_second: f64,
-    /// Share of one core in per cent, mean over nodes; sockets and HTTP parsing left out.
+    /// Percentage of one core without sockets and HTTP parsing; mean over nodes.
     pub processor_percent: f64,
-    /// The same of the node that spends most.
+    /// Maximum over nodes.
     pub greatest_processor_percent: f64,
 }
 
-/// A cluster of `settings` that has run for [`SETTLE_TIME`] since its start in one herd.
+/// A cluster whose nodes all started at once and ran for [`SETTLE_TIME`].
 pub fn start_settled_cluster(settings: ClusterSettings, tenants: usize, models: usize) -> HollowCluster {
     let mut cluster = HollowCluster::new(settings, document(tenants, models));
     (0..cluster.len()).for_each(|index| cluster.start(index));
@@ -135,7 +131,7 @@
     cluster
 }
 
-/// Makes `count` changes at nodes in turn, `pause` apart.
+/// Makes `count` changes through nodes in turn, `pause` apart.
 pub fn measure_changes(
     cluster: &mut HollowCluster,
     first: usize,
@@ -150,12 +146,12 @@
     summarize(followed)
 }
 
-/// Makes one change; the store goes down as soon as it holds it, and stays down.
+/// Makes one change. The store fails as soon as it holds the change, and stays down.
 pub fn follow_until_outage(cluster: &mut HollowCluster, number: usize) -> FollowedChange {
     follow_change(cluster, number * 7 % cluster.len(), number, true)
 }
 
-/// What a series of changes came to.
+/// Aggregates a series of changes.
 pub fn summarize(series: Vec<FollowedChange>) -> ChangeMeasurement {
     let mut measurement = ChangeMeasurement::default();
     let (mut spread, mut answered) = (Vec::new(), Vec::new());
@@ -176,7 +172,7 @@
     measurement
 }
 
-/// What was seen of one change.
+/// The observed course of one change.
 pub struct FollowedChange {
     began: Timestamp,
     made: bool,
@@ -197,7 +193,7 @@
     let mut followed = FollowedChange { began, made: false, everywhere_at: None, answer: None };
     let mut installed = vec![false; cluster.len()];
     while cluster.now() < began + OBSERVATION_TIMEOUT {
-        // Short steps until the store holds the change, so that an outage begins right then.
+        // Short steps until the store holds the change, so that the outage begins right then.
         let step = if followed.made { 100 } else { 1 };
         cluster.run_for(Duration::from_millis(step));
         followed.made |= cluster.store.document.revision > before;
@@ -233,18 +229,18 @@
     }
 }
 
-/// How long a death took to be noticed.
+/// How long a death took to be detected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DeathMeasurement {
-    /// From the death until the first node of the region held the member to be dead.
+    /// From the death until the first node of the region declared it.
     pub first: Quantiles,
-    /// From the death until all running nodes of the region did.
+    /// From the death until all running nodes of the region declared it.
     pub everywhere: Quantiles,
-    /// Deaths that some node of the region did not notice within 30 s.
+    /// Deaths that some node of the region did not declare within 30 s.
     pub not_everywhere: u64,
 }
 
-/// Kills `count` nodes, each started again once its death was noticed.
+/// Kills `count` nodes one after another, and restarts each once its death was observed.
 pub fn measure_deaths(cluster: &mut HollowCluster, count: usize) -> DeathMeasurement {
     let (mut first, mut everywhere) = (Vec::new(), Vec::new());
     let mut not_everywhere = 0;
@@ -269,7 +265,7 @@
     DeathMeasurement { first: Quantiles::of(&first), everywhere: Quantiles::of(&everywhere), not_everywhere }
 }
 
-/// When each node came to hold the victim to be dead.
+/// The times at which the other nodes declared the target dead, in order.
 fn follow_death(cluster: &mut HollowCluster, target: usize) -> Vec<Timestamp> {
     let name = cluster.name(target).clone();
     let mut seen: BTreeMap<usize, Timestamp> = BTreeMap::new();
@@ -284,22 +280,20 @@
     times
 }
 
-/// False suspicions and false deaths, where all nodes run.
+/// False suspicions and false deaths while all nodes run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct FalseAlarms {
-    /// Virtual seconds that were watched.
     pub watched_seconds: u64,
-    /// Members that were suspected, counted once for each suspicion and not for each node that heard of it.
+    /// Suspicions of members, each counted once and not per node.
     pub suspicions: u64,
-    /// Members that were held to be dead.
+    /// Members that were declared dead.
     pub deaths: u64,
-    /// Suspicions scaled to a day.
     pub suspicions_per_day: f64,
-    /// Node-seconds in which a node could not confirm its revision and took no new work.
+    /// Node-seconds without a confirmed revision, in which a node takes no new work.
     pub unconfirmed_seconds: u64,
 }
 
-/// Runs the cluster for `time` without any fault but loss.
+/// Runs the cluster for `time` without faults other than message loss.
 pub fn measure_steady(cluster: &mut HollowCluster, time: Duration) -> (CostMeasurement, FalseAlarms) {
     cluster.reset_usage();
     cluster.take_observations();
--- a/crates/bench/src/hollow/report.rs
+++ b/crates/bench/src/hollow/report.rs
@@ -1,4 +1,4 @@
-//! The measurements of hollow nodes at several sizes, as one report.
+//! A report of the measurements on hollow nodes for one cluster size.
 
 use std::time::Duration;
 
@@ -16,58 +16,54 @@
 const TENANTS: usize = 430;
 const MODELS: usize = 14;
 
-/// Pause between two changes.
+/// Interval between two changes.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Shapes that are measured: nodes, zones, regions.
+/// Measured cluster sizes: nodes, zones, regions.
 pub const SHAPES: [(usize, usize, usize); 5] = [(3, 3, 1), (10, 3, 1), (50, 3, 1), (100, 4, 2), (350, 13, 5)];
 
-/// How much is measured.
+/// Extent of the measurements.
 #[derive(Clone, Copy, Debug)]
 pub struct Effort {
-    /// Changes for each size and condition.
+    /// Changes per size and condition.
     pub changes: usize,
-    /// Deaths for each size and condition.
+    /// Deaths per size and condition.
     pub deaths: usize,
-    /// Virtual time without faults, for costs and false alarms.
+    /// Virtual time without faults, for cost and false alarms.
     pub steady: Duration,
 }
 
 impl Effort {
-    /// Enough for a look.
+    /// A quick run.
     pub const QUICK: Self = Self { changes: 5, deaths: 2, steady: Duration::from_secs(60) };
-    /// Enough for the page.
+    /// A full run.
     pub const FULL: Self = Self { changes: 40, deaths: 10, steady: Duration::from_secs(900) };
 }
 
-/// What was measured at one size under one condition.
+/// Measurements of one size under one loss rate.
 #[derive(Clone, Debug, Serialize)]
 pub struct SizeReport {
-    /// Nodes.
     pub nodes: usize,
-    /// Zones.
     pub zones: usize,
-    /// Regions.
     pub regions: usize,
-    /// The share of messages that are lost and not sent again.
+    /// Share of messages that are lost and not retransmitted.
     pub loss: f64,
     /// Without faults.
     pub cost: CostMeasurement,
-    /// Without faults but loss.
+    /// Without faults other than message loss.
     pub false_alarms: FalseAlarms,
-    /// Changes while the store works.
+    /// Changes while the store is available.
     pub changes: ChangeMeasurement,
-    /// Changes of which the store held each and then went down for 60 s.
+    /// Changes after each of which the store failed as soon as it held the change.
     pub changes_before_outage: ChangeMeasurement,
-    /// Changes asked for while the store was down.
+    /// Changes submitted while the store was down.
     pub changes_during_outage: ChangeMeasurement,
-    /// Node-seconds without confirmation in 60 s of outage.
+    /// Node-seconds without a confirmed revision in 60 s of outage.
     pub unconfirmed_in_outage: u64,
-    /// Nodes that died.
     pub deaths: DeathMeasurement,
 }
 
-/// Measures one shape.
+/// Measures one cluster size.
 pub fn measure(shape: (usize, usize, usize), loss: f64, seed: u64, effort: Effort) -> SizeReport {
     let (nodes, zones, regions) = shape;
     let settings = ClusterSettings { nodes, zones, regions, loss, seed };
@@ -97,7 +93,7 @@
     unconfirmed: u64,
 }
 
-/// The store goes down as soon as it holds a change, so that only peers can spread it.
+/// Fails the store as soon as it holds a change, so that only peers can spread the change.
 fn measure_outage(cluster: &mut HollowCluster, effort: Effort) -> Outage {
     let mut before = Vec::new();
     let mut during = ChangeMeasurement::default();
--- a/crates/bench/src/hollow/store.rs
+++ b/crates/bench/src/hollow/store.rs
@@ -1,4 +1,4 @@
-//! The configuration store as hollow nodes see it: one document, watches, outages, lost replies.
+//! The configuration store of hollow nodes, with watches and outages.
 
 use std::time::Duration;
 
@@ -13,23 +13,18 @@
     time::Timestamp,
 };
 
-/// A call that waits at the store.
+/// The caller of an open store call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreCaller {
-    /// The node.
     pub node: usize,
-    /// The node's life.
     pub incarnation: u32,
-    /// Its call.
     pub call: CallId,
 }
 
-/// What the store answers a call.
+/// A reply with its receiver.
 #[derive(Clone, Debug)]
 pub struct AddressedReply {
-    /// Who gets it.
     pub caller: StoreCaller,
-    /// What it says.
     pub reply: StoreReply,
 }
 
@@ -39,7 +34,7 @@
     }
 }
 
-/// A watch that no change has ended yet.
+/// An open watch.
 #[derive(Clone, Copy, Debug)]
 struct Watcher {
     caller: StoreCaller,
@@ -47,14 +42,12 @@
     until: Timestamp,
 }
 
-/// The store.
+/// A configuration store with one document.
 #[derive(Debug, Default)]
 pub struct HollowStore {
-    /// The document.
     pub document: RevisedConfiguration,
-    /// Whether calls go unanswered.
+    /// While true, calls get no reply.
     pub is_down: bool,
-    /// Requests served so far.
     pub requests: u64,
     watchers: Vec<Watcher>,
 }
@@ -65,7 +58,7 @@
         Self { document, ..Self::default() }
     }
 
-    /// Serves a request; returns replies to it and to watches that it ends.
+    /// Serves a request. Returns the reply to it and to the watches that it ends.
     pub fn serve(
         &mut self,
         caller: StoreCaller,
@@ -103,7 +96,7 @@
         }
     }
 
-    /// Replies to watches whose wait is over.
+    /// Ends the watches whose time is over, and returns the replies to them.
     pub fn expire(&mut self, now: Timestamp) -> Vec<AddressedReply> {
         let (expired, waiting): (Vec<Watcher>, Vec<Watcher>) =
             self.watchers.drain(..).partition(|watcher| watcher.until <= now);
--- a/crates/bench/src/hollow/wire.rs
+++ b/crates/bench/src/hollow/wire.rs
@@ -1,4 +1,4 @@
-//! What a message between nodes costs on the wire.
+//! Message encoding between nodes, and the bytes that a message takes on the wire.
 
 use paddlemount_core::peers::{PeerAnswer, PeerRequest};
 use paddlemount_protocol::{
@@ -6,11 +6,11 @@
     peer::{configuration, membership},
 };
 
-/// Bytes of IPv4 and TCP headers, with timestamps, of one segment.
+/// IPv4 and TCP headers of one segment, with timestamps.
 pub const SEGMENT_HEADER_BYTES: usize = 52;
 
-/// Bytes both ways of opening and closing a TCP connection: two segments with options, five without. A node
-/// probes each member about once a minute, so that no connection between two nodes stays open.
+/// Opening and closing a TCP connection, both ways: two segments with options, five without. A node probes
+/// each member about once a minute, so connections between two nodes do not stay open.
 const CONNECTION_BYTES: usize = 2 * 60 + 5 * SEGMENT_HEADER_BYTES;
 
 /// Payload of one segment on Ethernet.
@@ -22,7 +22,7 @@
 /// Digits of a time in microseconds.
 const TIME_BYTES: usize = 16;
 
-/// The path that carries a request.
+/// The HTTP path of a request.
 pub const fn path(request: &PeerRequest) -> &'static str {
     match request {
         PeerRequest::Membership(_) => membership::PATH,
@@ -30,7 +30,7 @@
     }
 }
 
-/// The body of a request.
+/// Encodes the body of a request.
 pub fn encode_request(request: &PeerRequest) -> Vec<u8> {
     match request {
         PeerRequest::Membership(request) => encode(request),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The body of an answer.
+/// Encodes the body of an answer.
 pub fn encode_answer(answer: &PeerAnswer) -> Vec<u8> {
     match answer {
         PeerAnswer::Membership(answer) => encode(answer),
@@ -46,7 +46,7 @@
     }
 }
 
-/// The request in a body that was posted to `path`.
+/// Decodes the body of a request that was posted to `path`.
 pub fn decode_request(path: &str, body: &[u8]) -> Option<PeerRequest> {
     if path == membership::PATH {
         serde_json::from_slice(body).ok().map(PeerRequest::Membership)
@@ -55,7 +55,7 @@
     }
 }
 
-/// The answer in a body that came from `path`.
+/// Decodes the body of an answer from `path`.
 pub fn decode_answer(path: &str, body: &[u8]) -> Option<PeerAnswer> {
     if path == membership::PATH {
         serde_json::from_slice(body).ok().map(PeerAnswer::Membership)
@@ -68,7 +68,7 @@
     serde_json::to_vec(message).unwrap_or_default()
 }
 
-/// Bytes of a request on a connection of its own: connection, head, body and segment headers.
+/// Bytes of a request on a new connection: handshake, HTTP head, body and segment headers.
 pub fn request_bytes(path: &str, node: &str, body: usize) -> usize {
     let head = format!(
         "POST {path} HTTP/1.1\r\n{}: {node}\r\n{}: {:0>TIME_BYTES$}\r\n\
@@ -82,7 +82,7 @@
     on_wire(head.len() + body) + CONNECTION_BYTES
 }
 
-/// Bytes of an answer, with the acknowledgement that follows it.
+/// Bytes of an answer and of its acknowledgement.
 pub fn answer_bytes(body: usize) -> usize {
     let head = format!(
         "HTTP/1.1 200 OK\r\n{}: {:0>SIGNATURE_BYTES$}\r\n\
@@ -93,7 +93,7 @@
     on_wire(head.len() + body) + SEGMENT_HEADER_BYTES
 }
 
-/// Bytes of a payload with the headers of its segments.
+/// Bytes of a payload including segment headers.
 pub const fn on_wire(payload: usize) -> usize {
     payload + payload.div_ceil(SEGMENT_PAYLOAD_BYTES) * SEGMENT_HEADER_BYTES
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Experiments, drills and load that show how the product behaves; not needed to run it.
+//! Experiments, drills, load generation and the demo. A running router does not need this crate.
 
 pub mod capacity;
 pub mod command;
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -1,7 +1,7 @@
-//! A virtual-time kernel: a queue of events in time order, and a simulated network.
+//! A virtual-time simulation kernel: an event queue in time order, and a simulated network.
 //!
-//! Both are generic over what an event is, own no threads and read no clock. All randomness comes
-//! from seeds, so a run is repeated exactly by its seed.
+//! Both are generic over the event type, start no threads and read no clock. All randomness comes from seeds,
+//! so that a run is determined by its seed.
 
 use std::{
     cmp::{Ordering, Reverse},
@@ -13,10 +13,9 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The seed of one independent source of randomness within a run, named after its purpose.
+/// Derives the seed of an independent random source, named after its purpose.
 ///
-/// Sources with separate seeds do not disturb each other: drawing once more from one leaves the
-/// others as they were.
+/// A source with its own seed is not affected by draws from the others.
 pub fn derived_seed(seed: u64, purpose: &str) -> u64 {
     xxh3_64_with_seed(purpose.as_bytes(), seed)
 }
@@ -47,7 +46,7 @@
     }
 }
 
-/// Events that lie ahead, in time order. Events of the same time come out in the order they went in.
+/// An event queue in virtual time. Events of the same time are delivered in insertion order.
 pub struct EventQueue<E> {
     now: Timestamp,
     next_order: u64,
@@ -66,19 +65,19 @@
         Self { now: Timestamp::ZERO, next_order: 0, pending: BinaryHeap::new() }
     }
 
-    /// The time of the event taken last.
+    /// The current virtual time: that of the event taken last.
     pub const fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Adds an event at `at`, or at the present time where `at` has passed.
+    /// Schedules an event at `at`, or now if `at` has passed.
     pub fn schedule_at(&mut self, at: Timestamp, event: E) {
         let order = self.next_order;
         self.next_order += 1;
         self.pending.push(Reverse(Scheduled { at: at.max(self.now), order, event }));
     }
 
-    /// Adds an event `delay` after the present time.
+    /// Schedules an event `delay` from now.
     pub fn schedule_after(&mut self, delay: Duration, event: E) {
         self.schedule_at(self.now + delay, event);
     }
@@ -88,14 +87,14 @@
         self.pending.peek().map(|Reverse(scheduled)| scheduled.at)
     }
 
-    /// Takes the next event and moves the present time to it.
+    /// Takes the next event and advances the time to it.
     pub fn pop(&mut self) -> Option<(Timestamp, E)> {
         let Reverse(scheduled) = self.pending.pop()?;
         self.now = scheduled.at;
         Some((scheduled.at, scheduled.event))
     }
 
-    /// Takes the next event where it is not later than `until`.
+    /// Takes the next event if it is not later than `until`.
     pub fn pop_until(&mut self, until: Timestamp) -> Option<(Timestamp, E)> {
         if self.next_at()? > until {
             return None;
@@ -104,11 +103,11 @@
     }
 }
 
-/// A simulated process's place in the network.
+/// A process in the simulated network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Endpoint(pub usize);
 
-/// A zone, counted over all regions.
+/// A zone, numbered over all regions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Zone(pub usize);
 
@@ -116,25 +115,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Region(pub usize);
 
-/// One end of a cut: one process, or all of a zone or region.
+/// One side of a partition: a process, a zone or a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
-    /// One process.
     Endpoint(Endpoint),
-    /// All processes of a zone.
     Zone(Zone),
-    /// All processes of a region.
     Region(Region),
 }
 
-/// One-way delay and loss of a message over one kind of distance.
+/// One-way delay and loss of a message between two locations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkQuality {
-    /// The shortest delay.
+    /// Minimum delay.
     pub delay: Duration,
-    /// Added to it at most, evenly distributed; messages may overtake each other.
+    /// Maximum extra delay, uniformly distributed; messages may overtake each other.
     pub jitter: Duration,
-    /// The share of messages that are lost, from 0.0 to 1.0.
+    /// Probability of loss, from 0.0 to 1.0.
     pub loss: f64,
 }
 
@@ -145,7 +141,6 @@
     pub within_zone: LinkQuality,
     /// Between zones of one region.
     pub between_zones: LinkQuality,
-    /// Between regions.
     pub between_regions: LinkQuality,
 }
 
@@ -154,7 +149,7 @@
     region: Region,
 }
 
-/// The simulated network: decides whether and after what delay a message arrives.
+/// The simulated network. It decides whether and when a message arrives.
 pub struct Links {
     settings: LinkSettings,
     locations: Vec<Location>,
@@ -175,34 +170,34 @@
         Endpoint(self.locations.len() - 1)
     }
 
-    /// Cuts all messages from `from` to `to`; the other way stays open.
+    /// Drops all messages from `from` to `to`; the reverse direction is not affected.
     pub fn cut(&mut self, from: Scope, to: Scope) {
         self.cuts.insert((from, to));
     }
 
-    /// Cuts both ways.
+    /// Drops all messages in both directions.
     pub fn cut_between(&mut self, one: Scope, other: Scope) {
         self.cut(one, other);
         self.cut(other, one);
     }
 
-    /// Ends a cut both ways.
+    /// Ends a partition in both directions.
     pub fn heal_between(&mut self, one: Scope, other: Scope) {
         self.cuts.remove(&(one, other));
         self.cuts.remove(&(other, one));
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn heal_all(&mut self) {
         self.cuts.clear();
     }
 
-    /// The shortest one-way delay between two processes, cuts and losses aside.
+    /// The minimum one-way delay between two processes, regardless of partitions.
     pub fn distance(&self, from: Endpoint, to: Endpoint) -> Duration {
         self.quality(from, to).delay
     }
 
-    /// Whether a cut stands between two processes, in this direction.
+    /// Whether messages in this direction are dropped by a partition.
     pub fn is_cut(&self, from: Endpoint, to: Endpoint) -> bool {
         if self.cuts.is_empty() {
             return false;
@@ -211,7 +206,7 @@
         self.scopes(from).iter().any(|from| targets.iter().any(|to| self.cuts.contains(&(*from, *to))))
     }
 
-    /// The delay of one message that is sent now; none where it is lost.
+    /// The delay of one message that is sent now; none if it is lost.
     pub fn transmit(&mut self, from: Endpoint, to: Endpoint) -> Option<Duration> {
         if self.is_cut(from, to) {
             return None;
