--- a/crates/bench/src/demo/caller.rs
+++ b/crates/bench/src/demo/caller.rs
@@ -1,4 +1,4 @@
-//! A caller as an ordinary client is: HTTP, server-sent events, and another node where one refuses.
+//! A client as callers use it: HTTP, server-sent events, and a retry at another node after a refusal.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,44 +20,41 @@
 use serde::de::DeserializeOwned;
 use tokio::time::Instant;
 
-/// A caller sends a request this often at most.
+/// Maximum number of sends per request.
 const MAX_SENDS: u32 = 12;
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A caller gives up after this time.
+/// Time after which a caller abandons a send.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A whole answer of a model.
+/// A complete answer of a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatAnswer {
-    /// The text.
     pub text: String,
-    /// Why it ended.
     pub reason: String,
-    /// Token counts.
     pub usage: Usage,
-    /// From the caller's decision to ask until the first text; none for answers that come whole.
+    /// From the first send until the first text; none for answers that are not streamed.
     pub first_token: Option<Duration>,
 }
 
-/// How one sending ended.
+/// The outcome of one send.
 #[derive(Debug)]
 enum SendOutcome<T> {
     Answered(T),
-    /// Nothing of the answer came, and sending again is safe.
+    /// No part of the answer arrived, and a retry is safe.
     Retry(Duration),
-    /// It ended without a whole answer.
+    /// It ended without a complete answer.
     Failed(String),
 }
 
-/// How a request ended for its caller.
+/// The end of a request at its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ending<T> {
-    /// The whole answer, or what went wrong.
+    /// The complete answer, or the cause of failure.
     pub result: Result<T, String>,
-    /// Sendings beyond the first.
+    /// Sends after the first.
     pub resent: u32,
-    /// Whether the last word was that the request has not run.
+    /// Whether the request was last refused as not run.
     pub not_run: bool,
 }
 
@@ -69,7 +66,7 @@
 }
 
 impl Caller {
-    /// A caller that knows these nodes.
+    /// A caller of `nodes`.
     pub fn new(nodes: Vec<SocketAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -77,7 +74,7 @@
         Self { client: Client::builder(TokioExecutor::new()).build(connector), nodes }
     }
 
-    /// Asks a model, at the node `turn` first.
+    /// Sends a chat request, to the node `turn` first.
     pub async fn chat(&self, turn: usize, key: &str, request: &ChatRequest) -> Ending<ChatAnswer> {
         let started = Instant::now();
         let body = serde_json::to_vec(request).map(Bytes::from).unwrap_or_default();
@@ -105,7 +102,7 @@
         }
     }
 
-    /// Runs an operation of the booking service, at the node `turn` first.
+    /// Sends a request to the booking service, through the node `turn` first.
     pub async fn book(
         &self,
         turn: usize,
@@ -130,7 +127,7 @@
         match self.open(post).await {
             Ok(response) => match response.into_body().collect().await {
                 Ok(read) => parsed(&read.to_bytes()),
-                // The key makes it safe to ask again.
+                // The idempotency key makes a retry safe.
                 Err(_) => SendOutcome::Retry(MIN_RETRY_DELAY),
             },
             Err(outcome) => outcome,
@@ -141,8 +138,8 @@
         self.nodes[(turn + resent as usize) % self.nodes.len()]
     }
 
-    /// Sends a request and reads the head of its answer; a refusal that says "not run", or a connection that did not come
-    /// about, leads to another sending.
+    /// Sends a request and reads the head of its response. A refusal as not run and a failed connection lead
+    /// to a retry.
     async fn open<T>(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendOutcome<T>> {
         let response = self.client.request(request).await.map_err(|_| SendOutcome::Retry(MIN_RETRY_DELAY))?;
         if response.status() == StatusCode::OK {
@@ -165,19 +162,19 @@
         serde_json::from_slice(&body.to_bytes()).ok()
     }
 
-    /// Requests that run at an engine, by its own account; 0 where it does not answer.
+    /// Running requests that an engine reports; 0 if it does not answer.
     pub async fn running_at(&self, engine: SocketAddr) -> u32 {
         let status = self.get::<EngineStatus>(engine, "/status").await;
         status.map_or(0, |status| status.load.running)
     }
 
-    /// What a booking runner has run.
+    /// The ledger of a booking runner.
     pub async fn ledger_of(&self, runner: SocketAddr) -> Option<Vec<LedgerEntry>> {
         self.get(runner, "/control/ledger").await
     }
 }
 
-/// Ends a request, or pauses before it is sent again.
+/// Returns the end of a request, or waits before the next send.
 async fn finish_or_wait<T>(
     outcome: Result<SendOutcome<T>, tokio::time::error::Elapsed>,
     resent: &mut u32,
@@ -272,7 +269,7 @@
     SendOutcome::Failed("the stream ended without [DONE]".to_owned())
 }
 
-/// Takes in one line; tells whether it was the end of the stream.
+/// Handles one line of a stream and returns whether it was the end of the stream.
 fn take_event(line: &[u8], answer: &mut ChatAnswer, started: Instant) -> Result<bool, String> {
     let line = String::from_utf8_lossy(line);
     let Some(event) = line.trim_end().strip_prefix("data:").map(str::trim_start) else { return Ok(false) };
--- a/crates/bench/src/demo/cluster.rs
+++ b/crates/bench/src/demo/cluster.rs
@@ -1,4 +1,4 @@
-//! The demo's processes: platform, engines, booking runners and nodes, each with its own sockets.
+//! The demo's cluster: platform, engines, booking runners and nodes, each with its own sockets.
 
 mod settings;
 
@@ -34,29 +34,23 @@
 use super::caller::Caller;
 use crate::free_address::free_address;
 
-/// How long the nodes may take to become ready.
+/// Time for the nodes to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A process of the cluster could not be started.
+/// An error while starting the cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// A stand-in.
     #[error(transparent)]
     Standin(#[from] server::StartError),
-    /// A node.
     #[error(transparent)]
     Node(#[from] StartError),
-    /// A node's settings are wrong.
     #[error("the demo's settings of a node are wrong: {0}")]
     Settings(String),
-    /// No free port was found.
     #[error("no free port: {0}")]
     Port(#[from] io::Error),
-    /// The configuration cannot be written as JSON.
     #[error("the demo's configuration is wrong: {0}")]
     Configuration(#[from] serde_json::Error),
-    /// A node did not become ready in time.
     #[error("{0} did not become ready")]
     NotReady(NodeId),
 }
@@ -71,12 +65,12 @@
     running: Option<RunningStandin>,
 }
 
-/// All processes of the demo.
+/// All components of the demo.
 pub struct Cluster {
     engines: Mutex<Vec<EngineProcess>>,
     nodes: Mutex<Vec<NodeProcess>>,
     bookings: Vec<SocketAddr>,
-    /// Ended with the cluster.
+    /// Stopped with the cluster.
     standins: Mutex<Vec<RunningStandin>>,
 }
 
@@ -116,7 +110,7 @@
         Ok(cluster)
     }
 
-    /// Waits until all nodes serve, claims included.
+    /// Waits until all nodes serve and grant claims.
     async fn wait_until_serving(&self) -> Result<(), ClusterError> {
         for number in 0..ZONES.len() {
             self.wait_until_ready(number).await?;
@@ -125,7 +119,8 @@
         Ok(())
     }
 
-    /// Where all nodes are new, none of them grants keys that were made before its start, or shortly after it.
+    /// A new replica refuses keys that were created before its start. Waits until that limit is in the past
+    /// on all nodes.
     async fn wait_until_claims_granted(&self) {
         let open = || {
             let nodes = lock(&self.nodes);
@@ -152,22 +147,22 @@
         Ok(())
     }
 
-    /// Where callers connect, one address a node.
+    /// Addresses for callers, one per node.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         lock(&self.nodes).iter().map(|node| node.settings.listen.callers).collect()
     }
 
-    /// Where operators connect, one address a node.
+    /// Addresses for operators, one per node.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         lock(&self.nodes).iter().map(|node| node.settings.listen.admin).collect()
     }
 
-    /// Where engines listen.
+    /// Addresses of the engines.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         lock(&self.engines).iter().map(|engine| engine.settings.listen).collect()
     }
 
-    /// Addresses and keys, for a person.
+    /// The banner with addresses and keys.
     pub fn banner(&self) -> String {
         let mut text = format!(
             "Three nodes, {ENGINES} model runners in {} zones, {BOOKING_RUNNERS} booking runners, and the platform.\n",
@@ -183,7 +178,7 @@
         text
     }
 
-    /// The engine with the most requests in its batch, by its own account.
+    /// The engine that reports the most running requests.
     pub async fn busiest_engine(&self, caller: &Caller) -> usize {
         let mut busiest = (0, 0);
         for (number, address) in self.engine_addresses().into_iter().enumerate() {
@@ -195,7 +190,7 @@
         busiest.0
     }
 
-    /// Ends an engine as a crash does; tells its name.
+    /// Stops an engine without notice and returns its name.
     pub async fn crash_engine(&self, number: usize) -> EngineId {
         let (engine, running) = {
             let mut engines = lock(&self.engines);
@@ -208,7 +203,7 @@
         engine
     }
 
-    /// Starts a crashed engine again, in a new life and with an empty cache.
+    /// Restarts a crashed engine as a new incarnation with an empty cache.
     pub async fn restart_engine(&self, number: usize) -> Result<(), ClusterError> {
         let settings = lock(&self.engines)[number].settings.clone();
         let running = start_standin(StandinSettings::Engine(settings)).await?;
@@ -216,7 +211,7 @@
         Ok(())
     }
 
-    /// Stops a node as planned; returns when its last stream has ended.
+    /// Performs a planned stop of a node; returns when its last stream has ended.
     pub async fn stop_node(&self, number: usize) -> NodeId {
         let (node, running) = {
             let mut nodes = lock(&self.nodes);
@@ -228,7 +223,7 @@
         node
     }
 
-    /// Starts a stopped node again at the same addresses.
+    /// Restarts a stopped node at the same addresses.
     pub async fn start_node(&self, number: usize) -> Result<(), ClusterError> {
         let settings = lock(&self.nodes)[number].settings.clone();
         let running = Node::start(settings)?;
@@ -236,7 +231,7 @@
         self.wait_until_ready(number).await
     }
 
-    /// What the booking runners have run; nothing where one does not answer.
+    /// The ledgers of the booking runners; none if one does not answer.
     pub async fn ledgers(&self) -> Option<Vec<Vec<LedgerEntry>>> {
         let caller = Caller::new(Vec::new());
         let mut ledgers = Vec::new();
@@ -246,7 +241,7 @@
         Some(ledgers)
     }
 
-    /// Ends everything.
+    /// Stops all components.
     pub async fn stop(&self) {
         for number in 0..ZONES.len() {
             let running = lock(&self.nodes)[number].running.take();
@@ -302,7 +297,7 @@
     Ok(nodes)
 }
 
-/// What the machine list tells of: all engines, booking instances and nodes.
+/// The entries of the machine list: all engines, booking instances and nodes.
 fn machines(engines: &[EngineProcess], bookings: &[RunningStandin], nodes: &[NodeAddresses]) -> Vec<Machine> {
     let engines = engines.iter().enumerate().map(|(number, engine)| engine_machine(number, &engine.settings));
     let bookings =
--- a/crates/bench/src/demo/cluster/settings.rs
+++ b/crates/bench/src/demo/cluster/settings.rs
@@ -1,4 +1,4 @@
-//! Names, keys, addresses and settings of the demo's processes.
+//! Names, keys, addresses and settings of the demo's components.
 
 use std::{collections::BTreeMap, io, net::SocketAddr};
 
@@ -19,27 +19,27 @@
 use super::ClusterError;
 use crate::free_address::free_address;
 
-/// The operator that may do everything in the demo.
+/// The operator with all permissions.
 pub const OPERATOR: &str = "operator";
-/// The operator's key, good for this demo only.
+/// The operator's key, used in the demo only.
 pub const OPERATOR_KEY: &str = "demo-operator-key";
-/// The one model.
+/// The served model.
 pub const MODEL: &str = "prairie-8b";
-/// The weights that are loaded.
+/// The loaded weights version.
 pub const WEIGHTS: WeightsVersion = WeightsVersion(1);
-/// Kestrel's tenants.
+/// Tenants.
 pub const TENANTS: [&str; 8] =
     ["regina", "saskatoon", "brandon", "estevan", "weyburn", "yorkton", "moose-jaw", "swift-current"];
-/// Kestrel's zones.
+/// Zones.
 pub(super) const ZONES: [&str; 3] = ["regina", "saskatoon", "brandon"];
 const REGION: &str = "prairie";
 const POOL: &str = "contracts";
 const BOOKING: &str = "booking";
-/// Model runners.
+/// Number of engines.
 pub(super) const ENGINES: usize = 12;
-/// Booking instances.
+/// Number of booking instances.
 pub(super) const BOOKING_RUNNERS: usize = 3;
-/// What the nodes sign their messages with.
+/// Key that signs messages between nodes.
 const CLUSTER_KEY: &str = "demo-cluster-key-0123456789";
 
 /// The key of a tenant's callers.
@@ -51,7 +51,7 @@
     hex::encode(Sha256::digest(text.as_bytes()))
 }
 
-/// The zone of the process of a kind with this number.
+/// The zone of the component with this number.
 fn zone(number: usize) -> ZoneId {
     ZoneId::from(ZONES[number % ZONES.len()])
 }
@@ -65,7 +65,7 @@
     ClaimMember { node: node_name(number), zone: zone(number), region: RegionId::from(REGION) }
 }
 
-/// The configuration store, with the one document that all nodes follow.
+/// The configuration store with the document that all nodes follow.
 pub(super) fn configuration_store() -> Result<StandinSettings, ClusterError> {
     let tenant = |name: &str| {
         let key_hashes = vec![sha256_hex(&caller_key(name))];
@@ -96,7 +96,7 @@
     }))
 }
 
-/// Settings of one engine, which has the one model loaded.
+/// Settings of an engine that has the model loaded.
 pub(super) fn engine_settings(number: usize, weight_store: SocketAddr) -> EngineSettings {
     let loaded = LoadedModel { model: ModelId::from(MODEL), weights: WEIGHTS, adapters: Vec::new() };
     let engine = EngineId::from(format!("runner-{number:02}"));
@@ -111,19 +111,19 @@
     ServiceInstanceId::from(format!("booking-{number}"))
 }
 
-/// The list entry of an engine.
+/// The machine list entry.
 pub(super) fn engine_machine(number: usize, settings: &EngineSettings) -> Machine {
     let role = MachineRole::Engine { engine: settings.engine.clone(), pool: settings.pool.clone() };
     machine(role, settings.listen, number)
 }
 
-/// The list entry of a booking instance.
+/// The machine list entry.
 pub(super) fn booking_machine(number: usize, address: SocketAddr) -> Machine {
     let role = MachineRole::Service { instance: booking_name(number), service: ServiceId::from(BOOKING) };
     machine(role, address, number)
 }
 
-/// The list entry of a node.
+/// The machine list entry.
 pub(super) fn node_machine(number: usize, addresses: &NodeAddresses) -> Machine {
     machine(MachineRole::Node { node: node_name(number) }, addresses.peers, number)
 }
@@ -133,7 +133,7 @@
     Machine { role, address, zone, region, state: MachineState::Live }
 }
 
-/// Addresses that a node keeps over a restart.
+/// Addresses that a node keeps across restarts.
 pub(super) struct NodeAddresses {
     callers: SocketAddr,
     peers: SocketAddr,
@@ -141,13 +141,13 @@
 }
 
 impl NodeAddresses {
-    /// Ports that are free, and stay so.
+    /// Picks free addresses.
     pub(super) fn reserve() -> Result<Self, io::Error> {
         Ok(Self { callers: free_address()?, peers: free_address()?, admin: free_address()? })
     }
 }
 
-/// Where the platform's services listen.
+/// Addresses of the platform's services.
 pub(super) struct PlatformAddresses {
     pub(super) configuration_store: SocketAddr,
     pub(super) machine_list: SocketAddr,
--- a/crates/bench/src/demo/faults.rs
+++ b/crates/bench/src/demo/faults.rs
@@ -1,19 +1,19 @@
-//! What goes wrong during the demo: an engine crashes and comes back, a node restarts.
+//! Faults of the demo: an engine crashes and restarts, then a node restarts.
 
 use std::{sync::Arc, time::Duration};
 
 use super::{caller::Caller, cluster::Cluster, record::Records};
 
-/// When the engine crashes, as a share of the traffic's length.
+/// Time of the engine crash, as a share of the demo's length.
 const CRASH_AT: f64 = 0.35;
-/// When the node begins to stop, as a share of the traffic's length.
+/// Time of the node's planned stop, as a share of the demo's length.
 const RESTART_AT: f64 = 0.6;
-/// How long the engine is away.
+/// Time until the crashed engine restarts.
 const ENGINE_DOWNTIME: Duration = Duration::from_millis(1_500);
 /// The node that restarts.
 const RESTARTED_NODE: usize = 1;
 
-/// Brings the faults about; returns when all is up again.
+/// Injects the faults; returns when everything is up again.
 pub async fn run(cluster: Arc<Cluster>, records: Arc<Records>, length: Duration) {
     tokio::time::sleep(length.mul_f64(CRASH_AT)).await;
     let busiest = cluster.busiest_engine(&Caller::new(Vec::new())).await;
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -1,6 +1,8 @@
-//! The demo: the platform, Kestrel's places and three nodes in one process over real loopback TCP, with faults under mixed traffic.
+//! The demo: the platform, engines, booking runners and three nodes in one process over loopback TCP, with
+//! faults under mixed traffic.
 //!
-//! Every answer is compared with what its request should have got, and the booking service's ledgers are read at the end.
+//! Every answer is compared with the expected one, and the ledgers of the booking service are checked at the
+//! end.
 
 pub mod caller;
 mod cluster;
@@ -23,7 +25,7 @@
 use record::Records;
 pub use report::Summary;
 
-/// How the command is used.
+/// Usage text.
 const USAGE: &str = "\
 paddlemount demo: three nodes, twelve model runners and the platform in one process
 
@@ -35,21 +37,17 @@
 The last line is one JSON object. The exit code is 0 only where every request got its whole, right answer, once.
 ";
 
-/// Requests a second while the demo is held.
+/// Request rate while the demo is held.
 const HOLD_REQUESTS_PER_SECOND: f64 = 4.0;
 
-/// What a demo does.
+/// Settings of a demo.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DemoSettings {
-    /// Length of the traffic.
     pub length: Duration,
-    /// Model requests a second.
     pub requests_per_second: f64,
-    /// Booking requests a second.
     pub bookings_per_second: f64,
-    /// Seed of the traffic.
     pub seed: u64,
-    /// Whether to stay up afterwards.
+    /// Whether the cluster stays up afterwards.
     pub hold: bool,
 }
 
@@ -65,21 +63,18 @@
     }
 }
 
-/// Why the demo could not run.
+/// An error of the demo.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// The arguments can't be read.
     #[error("{0}; see paddlemount demo --help")]
     Arguments(#[from] lexopt::Error),
-    /// A process of the cluster could not be started.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
-    /// The runtime or the terminal failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Runs `paddlemount demo` with the arguments that follow the word `demo`.
+/// Runs `paddlemount demo` with the arguments after `demo`.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let outcome = read_arguments(arguments).and_then(|settings| match settings {
         Some(settings) => run_demo(&settings),
@@ -133,7 +128,7 @@
     })
 }
 
-/// Sends the traffic and brings about the faults.
+/// Sends the traffic and injects the faults.
 pub async fn run(cluster: &Arc<Cluster>, settings: &DemoSettings) -> Summary {
     let records = Arc::new(Records::new(settings.length));
     let faults = tokio::spawn(faults::run(Arc::clone(cluster), Arc::clone(&records), settings.length));
--- a/crates/bench/src/demo/record.rs
+++ b/crates/bench/src/demo/record.rs
@@ -1,4 +1,4 @@
-//! What the callers experienced.
+//! Records of the requests of a demo.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -10,70 +10,63 @@
 
 use super::caller::{ChatAnswer, Ending};
 
-/// The end of a question to a model.
+/// The end of a model request.
 #[derive(Clone, Debug)]
 pub struct ChatEnd {
-    /// When the caller sent it, from the start of the traffic.
+    /// Time since the start of the traffic.
     pub sent: Duration,
-    /// Whether the answer was streamed.
     pub streamed: bool,
-    /// Whether the answer is the one that the request should have got.
+    /// Whether the answer is the expected one.
     pub correct: bool,
-    /// How it ended.
     pub ending: Ending<ChatAnswer>,
 }
 
 /// The end of a booking.
 #[derive(Clone, Debug)]
 pub struct BookingEnd {
-    /// When the caller sent it, from the start of the traffic.
+    /// Time since the start of the traffic.
     pub sent: Duration,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub key: String,
-    /// Whether the answer is the one that the request should have got.
+    /// Whether the answer is the expected one.
     pub correct: bool,
-    /// How it ended.
     pub ending: Ending<BookingAnswer>,
 }
 
-/// Something that happened.
+/// An event of the demo.
 #[derive(Clone, Debug)]
 pub struct Note {
-    /// When, from the start of the traffic.
+    /// Time since the start of the traffic.
     pub at: Duration,
-    /// What, for people.
+    /// A description for people.
     pub what: String,
 }
 
-/// Everything that is known at the end.
+/// All records of a demo.
 #[derive(Debug, Default)]
 pub struct Content {
-    /// Questions.
     pub chats: Vec<ChatEnd>,
-    /// Bookings.
     pub bookings: Vec<BookingEnd>,
-    /// What happened, and when.
     pub notes: Vec<Note>,
-    /// Whether all faults could be brought about and mended.
+    /// Whether a fault could not be injected or repaired.
     pub fault_failed: bool,
 }
 
-/// What the callers experienced, while it happens.
+/// Collects the records of a demo.
 pub struct Records {
     started_at: Instant,
-    /// The length of the traffic.
     pub length: Duration,
     retains: bool,
     content: Mutex<Content>,
 }
 
 impl Records {
-    /// Nothing so far.
+    /// Empty records.
     pub fn new(length: Duration) -> Self {
         Self { started_at: Instant::now(), length, retains: true, content: Mutex::default() }
     }
 
-    /// Keeps nothing, for traffic without end.
+    /// Discards the ends of requests, for traffic without end.
     pub fn discarding() -> Self {
         Self { retains: false, ..Self::new(Duration::ZERO) }
     }
@@ -83,32 +76,32 @@
         self.started_at.elapsed()
     }
 
-    /// What is known.
+    /// The records so far.
     pub fn content(&self) -> MutexGuard<'_, Content> {
         self.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A question has ended.
+    /// Records the end of a model request.
     pub fn chat(&self, end: ChatEnd) {
         if self.retains {
             self.content().chats.push(end);
         }
     }
 
-    /// A booking has ended.
+    /// Records the end of a booking.
     pub fn booking(&self, end: BookingEnd) {
         if self.retains {
             self.content().bookings.push(end);
         }
     }
 
-    /// Something happened.
+    /// Records an event.
     pub fn note(&self, what: &str) {
         let note = Note { at: self.since_start(), what: what.to_owned() };
         self.content().notes.push(note);
     }
 
-    /// A fault could not be brought about or mended: the demo has not shown what it should.
+    /// Records that a fault could not be injected or repaired, which fails the demo.
     pub fn fault_failed(&self, what: &str) {
         self.note(what);
         self.content().fault_failed = true;
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! The demo's result: a table for people and a line of JSON.
+//! The result of a demo, as a table and as JSON.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,51 +12,47 @@
 
 use super::record::{BookingEnd, ChatEnd, Content, Records};
 
-/// Rows of the table over time.
+/// Time rows of the table.
 const TABLE_ROWS: u32 = 7;
-/// Causes that are shown of requests that failed.
+/// Maximum number of failure causes in the table.
 const MAX_CAUSES: usize = 5;
 
-/// Milliseconds to the first token, from the caller's decision to ask.
+/// Percentiles of the time to first token, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct FirstToken {
-    /// Median.
     pub p50: f64,
-    /// 95 in 100 are faster.
     pub p95: f64,
-    /// 99 in 100 are faster.
     pub p99: f64,
 }
 
-/// The demo's result.
+/// The result of a demo.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// Requests that were sent, bookings included.
+    /// Including bookings.
     pub requests: usize,
-    /// Requests that got a whole answer.
+    /// Requests with a complete answer.
     pub complete: usize,
-    /// Requests that got none.
+    /// Requests without a complete answer.
     pub incomplete: usize,
-    /// Answers that differ from what their requests should have got, bookings that the ledgers contradict included.
+    /// Unexpected answers, including bookings that contradict the ledgers.
     pub wrong: usize,
     /// Bookings that ran more than once.
     pub ran_twice: usize,
-    /// Tokens of prompts that were served from engines' caches, of all tokens of prompts.
+    /// Share of prompt tokens served from caches.
     pub prefix_hit_rate: f64,
     /// Streamed answers only.
     pub ttft_ms: FirstToken,
-    /// Bookings among the requests.
     pub bookings: usize,
-    /// Times that callers sent a request again, to another node, after "not run" or a connection that did not come about.
+    /// Sends after the first, over all requests.
     pub resent: u32,
-    /// Whether the engine's crash and the node's restart took place.
+    /// Whether all faults were injected and repaired.
     pub faults_took_place: bool,
     #[serde(skip)]
     table: String,
 }
 
 impl Summary {
-    /// Judges what the callers experienced by the ledgers; without ledgers, bookings count as wrong.
+    /// Evaluates the records against the ledgers; without ledgers, all bookings count as wrong.
     pub fn new(records: &Records, ledgers: Option<&[Vec<LedgerEntry>]>) -> Self {
         let content = records.content();
         let complete_chats = content.chats.iter().filter(|end| end.ending.result.is_ok()).count();
@@ -84,7 +80,7 @@
         summary
     }
 
-    /// Whether nothing was incomplete, wrong or run twice, and the faults took place.
+    /// Whether no request was incomplete, wrong or run twice, and the faults took place.
     pub const fn passed(&self) -> bool {
         self.incomplete == 0
             && self.wrong == 0
@@ -93,7 +89,7 @@
             && self.faults_took_place
     }
 
-    /// For people.
+    /// The table.
     pub fn table(&self) -> String {
         self.table.clone()
     }
@@ -104,7 +100,8 @@
     }
 }
 
-/// Bookings whose answer is not theirs, that were answered and did not run, or that ran although the caller was told otherwise.
+/// Counts bookings with an unexpected answer, answered bookings that did not run, and bookings that ran
+/// though refused as not run.
 fn count_wrong_bookings(bookings: &[BookingEnd], ledgers: Option<&[Vec<LedgerEntry>]>) -> usize {
     let Some(ledgers) = ledgers else { return bookings.len() };
     let entries = ledgers.iter().flatten().filter_map(|entry| entry.key.as_ref());
@@ -133,7 +130,7 @@
     for end in chats {
         let waited = end.ending.result.as_ref().ok().and_then(|answer| answer.first_token);
         if let Some(waited) = waited {
-            // The histogram grows with its values, so recording cannot fail.
+            // The histogram resizes itself, so that recording cannot fail.
             let _ = histogram.record(waited.as_micros() as u64);
         }
     }
@@ -201,13 +198,13 @@
     )
 }
 
-/// Why some requests got no whole answer.
+/// A cause of failure with its frequency.
 struct FailureCause {
     cause: String,
     count: usize,
 }
 
-/// Why requests got no whole answer, the most frequent cause first.
+/// Causes of failure, most frequent first.
 fn causes(content: &Content) -> Vec<FailureCause> {
     let chats = content.chats.iter().filter_map(|end| end.ending.result.as_ref().err());
     let bookings = content.bookings.iter().filter_map(|end| end.ending.result.as_ref().err());
--- a/crates/bench/src/demo/traffic.rs
+++ b/crates/bench/src/demo/traffic.rs
@@ -1,4 +1,4 @@
-//! Mixed traffic: questions about contracts that share long openings, and bookings.
+//! Mixed traffic: model requests with long shared prefixes, and bookings.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,7 +25,7 @@
 const RULES: usize = 3;
 const TEMPLATES: usize = 8;
 const MAX_TOKENS: u32 = 120;
-/// One request in this many comes whole instead of streamed.
+/// One in this many model requests is not streamed.
 const UNARY_EVERY: usize = 4;
 const OPERATIONS: [&str; 3] = ["slot", "hold", "charge"];
 const WORDS: [&str; 24] = [
@@ -108,7 +108,7 @@
         Self { random: StdRng::seed_from_u64(seed), run: rand::random() }
     }
 
-    /// A number below `count`; lower ones come more often.
+    /// A random index below `count`, skewed towards low ones.
     fn skewed(&mut self, count: usize) -> usize {
         let uniform: f64 = self.random.random();
         ((uniform * uniform * count as f64) as usize).min(count - 1)
@@ -142,7 +142,7 @@
     }
 }
 
-/// Text that reads the same whenever it is asked for.
+/// Deterministic text of a given length.
 fn text(seed: u64, bytes: usize) -> String {
     let mut random = StdRng::seed_from_u64(seed);
     let mut text = String::with_capacity(bytes + 16);
@@ -165,7 +165,7 @@
     records.chat(ChatEnd { sent, streamed: question.request.stream, correct, ending });
 }
 
-/// What the question should get.
+/// The expected answer.
 fn expected(question: &Question) -> AnswerPlan {
     let (model, tenant) = (&question.request.model, TenantId::from(question.tenant));
     let scope = CacheScope::new(&tenant, model, WEIGHTS, None);
--- a/crates/bench/src/experiment/cluster.rs
+++ b/crates/bench/src/experiment/cluster.rs
@@ -23,31 +23,29 @@
     simulation::{Endpoint, EventQueue, LinkQuality, LinkSettings, Links, Region, Zone, derived_seed},
 };
 
-/// A request that has been sent and has not ended.
+/// An open request.
 pub(super) struct OpenRequest {
     pub(super) id: RequestId,
     pub(super) workload: WorkloadRequest,
     pub(super) group: usize,
     pub(super) node: usize,
-    /// Tries so far.
     pub(super) attempts: u32,
-    /// The present try, its engine, and its identity.
+    /// The current attempt with its engine and identity.
     pub(super) current: Option<(AttemptKey, usize, AttemptId)>,
     pub(super) excluded: Vec<EngineId>,
-    /// Whether an engine began to run it.
+    /// Whether an engine has started to run it.
     pub(super) has_run: bool,
     pub(super) first_token_sent: bool,
-    /// The priority to send it with.
     pub(super) priority: Priority,
-    /// When the present try was sent.
+    /// When the current attempt was sent.
     pub(super) dispatched_at: Timestamp,
-    /// Prompt tokens that the engine did not find in its cache.
+    /// Prompt tokens that the engine did not find cached.
     pub(super) missing_tokens: u32,
-    /// Prompt tokens that the present try adds by import.
+    /// Prompt tokens that the current attempt imports.
     pub(super) imported_tokens: u32,
 }
 
-/// All that exists in one run.
+/// The state of one run.
 pub(super) struct Cluster<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) settings: &'a RunSettings,
@@ -57,7 +55,7 @@
     pub(super) engines: Vec<SimulatedEngine>,
     pub(super) engine_positions: BTreeMap<EngineId, usize>,
     pub(super) nodes: Vec<SimulatedNode>,
-    /// One for each node, or one for all where it knows the truth.
+    /// One per node, or a single one for all nodes under the oracle.
     pub(super) policies: Vec<Box<dyn Policy>>,
     pub(super) requests: BTreeMap<u64, OpenRequest>,
     pub(super) metrics: Metrics,
@@ -67,7 +65,7 @@
     random: StdRng,
 }
 
-/// The simulated time after the last request within which answers are waited for.
+/// Virtual time after the last request in which open requests may still end.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl<'a> Cluster<'a> {
@@ -119,7 +117,7 @@
         cluster
     }
 
-    /// A node's policy, without any knowledge.
+    /// Builds the policy of a node, with no knowledge of the engines.
     pub(super) fn build_policy(&self, node: usize) -> Box<dyn Policy> {
         let node_state = &self.nodes[node];
         let purpose = format!("policy of node {node} in life {}", node_state.incarnation);
@@ -152,7 +150,7 @@
         }
     }
 
-    /// Runs to the end and gives the result.
+    /// Runs to the end and returns the result.
     pub(super) fn run(mut self) -> PolicyResult {
         let until = self.ends_at + DRAIN_TIMEOUT;
         while let Some((now, event)) = self.queue.pop_until(until) {
@@ -225,7 +223,7 @@
         milliseconds(self.scenario.places.caller_ms)
     }
 
-    /// Another node, for a caller whose node is gone.
+    /// Picks a random node for a caller whose node restarted.
     pub(super) fn draw_node(&mut self) -> usize {
         self.random.random_range(0..self.nodes.len())
     }
@@ -251,12 +249,12 @@
     }
 }
 
-/// A point in time given in seconds since the start.
+/// Converts seconds since the start to a point in time.
 pub(super) fn at_seconds(seconds: f64) -> Timestamp {
     Timestamp::ZERO + Duration::from_secs_f64(seconds)
 }
 
-/// A duration given in milliseconds.
+/// Converts milliseconds to a duration.
 pub(super) fn milliseconds(milliseconds: f64) -> Duration {
     Duration::from_secs_f64(milliseconds / 1_000.0)
 }
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -1,4 +1,4 @@
-//! The simulated engines: the stand-in's model, its place, and the answers it owes.
+//! Simulated engines: the engine model of the stand-ins, its location and its open attempts.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -27,34 +27,34 @@
 /// The pool of all engines.
 pub(super) const POOL: &str = "pool";
 
-/// A try that runs or waits at an engine.
+/// An attempt that runs or waits at an engine.
 pub(super) struct Serving {
     pub(super) key: AttemptKey,
-    /// Messages of one answer never overtake each other.
+    /// Arrival time of the last message; messages of one answer never overtake each other.
     pub(super) last_arrival: Timestamp,
 }
 
-/// A request on its way to an engine.
+/// An attempt in flight to an engine.
 #[derive(Clone, Copy)]
 pub(super) struct InFlight {
     pub(super) key: AttemptKey,
     pub(super) missing_tokens: u32,
 }
 
-/// One engine.
+/// One simulated engine.
 pub(super) struct SimulatedEngine {
     pub(super) id: EngineId,
     pub(super) endpoint: Endpoint,
     pub(super) model: EngineModel,
-    /// The earliest step that is scheduled already.
+    /// The earliest scheduled step.
     pub(super) step_at: Option<Timestamp>,
-    /// Only looked up, never iterated over.
+    /// Never iterated over, so that its order does not affect the run.
     pub(super) serving: HashMap<AttemptId, Serving>,
     pub(super) in_flight: Vec<InFlight>,
 }
 
 impl SimulatedEngine {
-    /// The engine at `position`. Under an oracle, it reports at once and without loss.
+    /// The engine at `position`. With `exact`, its reports have no delay and no loss.
     pub(super) fn new(
         scenario: &Scenario,
         position: usize,
@@ -106,7 +106,7 @@
 }
 
 impl Cluster<'_> {
-    /// A try has reached its engine.
+    /// Handles an attempt that arrives at its engine.
     pub(super) fn arrive_at_engine(
         &mut self,
         key: AttemptKey,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// An engine does what is due.
+    /// Handles a scheduled step of an engine.
     pub(super) fn step_engine(&mut self, engine: usize, now: Timestamp) {
         let state = &mut self.engines[engine];
         if state.step_at.is_some_and(|scheduled| scheduled <= now) {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Sends a message to the node of a try; tells when it arrives.
+    /// Sends a message to the node of an attempt and returns its arrival time.
     fn answer(
         &mut self,
         key: AttemptKey,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// An engine stops without notice.
+    /// Crashes an engine.
     pub(super) fn crash_engine(&mut self, engine: usize, now: Timestamp) {
         let state = &mut self.engines[engine];
         state.step_at = None;
@@ -259,7 +259,7 @@
         self.engines[engine].serving.clear();
     }
 
-    /// A crashed engine begins a new life.
+    /// Restarts a crashed engine as a new incarnation.
     pub(super) fn restart_engine(&mut self, engine: usize, _now: Timestamp) {
         let state = &mut self.engines[engine];
         let incarnation = state.model.incarnation().next();
@@ -267,7 +267,7 @@
         state.model.restart(incarnation, seed);
     }
 
-    /// Changes the share of cache events that are lost.
+    /// Sets the loss of cache events.
     pub(super) fn set_event_loss(&mut self, share: f64) {
         for state in &mut self.engines {
             let feed = state.model.settings().behaviour.feed;
@@ -278,7 +278,7 @@
     }
 }
 
-/// Tokens of the longest opening that one of the engines holds.
+/// Tokens of the longest prefix that any engine holds.
 fn max_held_tokens(engines: &[SimulatedEngine], scope: CacheScope, blocks: &[BlockHash]) -> u32 {
     let up = engines.iter().filter(|state| state.model.is_up());
     let longest = up.map(|state| state.model.cache().matched(scope, blocks)).max();
--- a/crates/bench/src/experiment/metrics.rs
+++ b/crates/bench/src/experiment/metrics.rs
@@ -1,4 +1,4 @@
-//! What a run measures, and the result that it ends in.
+//! Metrics of a run, and its result.
 
 use paddlemount_protocol::time::Timestamp;
 use serde::Serialize;
@@ -9,16 +9,13 @@
 /// Percentiles of a duration in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// The median.
     pub p50: f64,
-    /// 95 in 100 are not above it.
     pub p95: f64,
-    /// 99 in 100 are not above it.
     pub p99: f64,
 }
 
 impl Percentiles {
-    /// Exact percentiles of durations in microseconds; zero where there are none.
+    /// Exact percentiles of durations in microseconds; zero if there are none.
     pub fn of(durations_us: &mut [u64]) -> Self {
         durations_us.sort_unstable();
         let at = |share: f64| {
@@ -29,102 +26,94 @@
     }
 }
 
-/// One policy's result under one seed.
+/// The result of one policy with one seed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicyResult {
     /// The scenario's name or path.
     pub scenario: String,
-    /// The policy.
     pub policy: PolicyName,
-    /// The seed.
     pub seed: u64,
-    /// Mechanisms that were switched off.
+    /// Disabled mechanisms.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub without: Vec<String>,
-    /// Requests that arrived while measuring.
+    /// Requests that arrived in the measured time.
     pub requests: u64,
-    /// Those whose whole answer arrived.
+    /// Requests with a complete answer.
     pub complete: u64,
-    /// Those refused without having run.
+    /// Requests that were refused without having run.
     pub not_run: u64,
-    /// Those that began and could not be ended.
+    /// Requests that started and did not complete.
     pub failed: u64,
-    /// Tries after the first.
+    /// Attempts after the first.
     pub retries: u64,
-    /// Prompt tokens found cached, imported ones included, in proportion to all prompt tokens.
+    /// Share of prompt tokens found cached, including imported ones.
     pub prefix_hit_rate: f64,
-    /// From the caller's sending to the first token at the caller.
+    /// Time to first token, as the caller sees it.
     pub ttft_ms: Percentiles,
-    /// Tokens prefilled though some serving engine of that version held them.
+    /// Tokens prefilled although some serving engine of that version held them.
     pub wasted_recompute_tokens: u64,
     /// Prompt tokens that were not found cached.
     pub prefilled_tokens: u64,
-    /// Prompt tokens whose state was imported from the kept-cache store.
+    /// Prompt tokens imported from the cache store.
     pub imported_tokens: u64,
-    /// Tokens of the answers that ended while measuring, in a second.
+    /// Answer tokens per second, by answers that ended in the measured time.
     pub tokens_per_second: f64,
-    /// The time that engines spent on prefill, in proportion to all time.
+    /// Share of engine time spent on prefill.
     pub prefill_utilisation: f64,
-    /// The most requests that one engine began, in proportion to the mean over engines.
+    /// Requests started by the busiest engine, relative to the mean over engines.
     pub imbalance: f64,
-    /// Time until the steady state after the first fault, where the scenario has one.
+    /// Recovery after the first fault, if the scenario has one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub recovery: Option<Recovery>,
-    /// Results by group of tenants.
     pub tenants: Vec<TenantResult>,
-    /// Results by second, from the start of the run.
+    /// Results by second since the start of the run.
     pub per_second: Vec<SecondResult>,
 }
 
-/// One group of tenants' result.
+/// The result of one tenant group.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TenantResult {
-    /// The group.
     pub name: String,
-    /// Requests that arrived while measuring.
+    /// Requests that arrived in the measured time.
     pub requests: u64,
-    /// Those whose whole answer arrived.
+    /// Requests with a complete answer.
     pub complete: u64,
-    /// Those refused without having run.
+    /// Requests that were refused without having run.
     pub not_run: u64,
-    /// Time to first token.
     pub ttft_ms: Percentiles,
 }
 
-/// What happened to requests that were sent within one second.
+/// The result of the requests that were sent within one second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct SecondResult {
-    /// Seconds since the start of the run, warm-up included.
+    /// Since the start of the run, including warm-up.
     pub second: u64,
     /// Requests sent.
     pub requests: u64,
-    /// Prefix hit rate.
     pub hit_rate: f64,
-    /// 99th percentile of the time to first token.
     pub ttft_p99_ms: f64,
 }
 
-/// What became of one request.
+/// The end of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnding {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Complete,
     /// Refused without having run.
     NotRun,
-    /// Began and could not be ended.
+    /// Started and did not complete.
     Failed,
 }
 
-/// One engine's beginning of work on a request.
+/// The start of a request at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefillSample {
-    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Of them, tokens found cached, imported ones included.
+    /// Tokens found cached, including imported ones.
     pub cached_tokens: u32,
-    /// Of them, tokens that the request asked to import.
+    /// Tokens that the request asked to import.
     pub imported_tokens: u32,
-    /// Tokens of the prompt's opening that serving engines of the version held, each block somewhere.
+    /// Tokens of the longest prefix that a serving engine of the version held.
     pub held_tokens: u32,
 }
 
@@ -134,7 +123,7 @@
         self.prompt_tokens.saturating_sub(self.cached_tokens)
     }
 
-    /// Tokens that were prefilled though some engine held them.
+    /// Tokens that were prefilled although some engine held them.
     pub const fn wasted(&self) -> u32 {
         self.held_tokens.saturating_sub(self.cached_tokens)
     }
@@ -157,7 +146,7 @@
     ttft_us: Vec<u64>,
 }
 
-/// Collects a run's measurements.
+/// Collects the measurements of a run.
 pub struct Metrics {
     measured_from: Timestamp,
     measured_until: Timestamp,
@@ -201,7 +190,7 @@
         self.seconds.get_mut((sent_at.0 / MICROSECONDS_PER_SECOND) as usize)
     }
 
-    /// A request was sent.
+    /// Counts a request that was sent.
     pub fn sent(&mut self, sent_at: Timestamp, group: usize) {
         if let Some(second) = self.second(sent_at) {
             second.requests += 1;
@@ -211,14 +200,14 @@
         }
     }
 
-    /// A request is tried once more.
+    /// Counts a retry.
     pub fn retried(&mut self, sent_at: Timestamp) {
         if self.is_measured(sent_at) {
             self.retries += 1;
         }
     }
 
-    /// An engine began to work on a request.
+    /// Counts the start of a request at an engine.
     pub fn started(&mut self, sent_at: Timestamp, engine: usize, sample: PrefillSample) {
         if let Some(second) = self.second(sent_at) {
             second.prompt_tokens += u64::from(sample.prompt_tokens);
@@ -235,7 +224,7 @@
         self.wasted_tokens += u64::from(sample.wasted());
     }
 
-    /// The first token reached the caller.
+    /// Records the time to the first token at the caller.
     pub fn first_token(&mut self, sent_at: Timestamp, at: Timestamp, group: usize) {
         let duration = at.0.saturating_sub(sent_at.0);
         if let Some(second) = self.second(sent_at) {
@@ -246,14 +235,14 @@
         }
     }
 
-    /// An engine ended an answer for which it generated `tokens`.
+    /// Counts the tokens of a finished answer.
     pub fn generated(&mut self, at: Timestamp, tokens: u32) {
         if self.is_measured(at) {
             self.generated_tokens += u64::from(tokens);
         }
     }
 
-    /// A request has ended.
+    /// Counts the end of a request.
     pub fn ended(&mut self, sent_at: Timestamp, group: usize, ending: RequestEnding) {
         if !self.is_measured(sent_at) {
             return;
@@ -266,7 +255,7 @@
         }
     }
 
-    /// The result; `group_names` in the order of the groups.
+    /// Computes the result. `group_names` are in the order of the groups.
     pub fn finish(
         mut self,
         label: RunLabel,
@@ -312,16 +301,14 @@
     }
 }
 
-/// Names a run in its result.
+/// Identifies a run in its result.
 #[derive(Clone, Debug)]
 pub struct RunLabel {
     /// The scenario's name or path.
     pub scenario: String,
-    /// The policy.
     pub policy: PolicyName,
-    /// The seed.
     pub seed: u64,
-    /// Mechanisms that were switched off.
+    /// Disabled mechanisms.
     pub without: Vec<String>,
 }
 
@@ -350,7 +337,7 @@
     if whole > 0.0 { part / whole } else { 0.0 }
 }
 
-/// Five digits after the point: more would only make results hard to read.
+/// Rounds to five decimal places, for readable results.
 fn rounded(value: f64) -> f64 {
     (value * 100_000.0).round() / 100_000.0
 }
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments in virtual time: the node's own decision logic before simulated engines.
+//! Experiments in virtual time: the router's decision logic in front of simulated engines.
 
 use std::{
     fmt,
@@ -23,21 +23,20 @@
 pub mod summary;
 pub mod workload;
 
-/// One run: a scenario under one policy and seed.
+/// Settings of one run: a scenario with one policy and one seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunSettings {
     /// The scenario's name or path, for the result.
     pub scenario: String,
-    /// The policy.
     pub policy: PolicyName,
-    /// The seed. The same scenario, policy and seed give the same result.
+    /// The same scenario, policy and seed give the same result.
     pub seed: u64,
-    /// Mechanisms of the product's router that are switched off.
+    /// Disabled mechanisms of the router.
     pub without: Vec<Mechanism>,
 }
 
 impl RunSettings {
-    /// The mechanisms that are left on.
+    /// The mechanisms that remain enabled.
     pub(crate) fn mechanisms(&self) -> Mechanisms {
         let mut mechanisms = Mechanisms::default();
         for mechanism in &self.without {
@@ -47,24 +46,24 @@
     }
 }
 
-/// A mechanism of the product's router that an experiment can switch off.
+/// A mechanism of the router that an experiment can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Copies of hot prefixes.
+    /// Replication of hot prefixes.
     HeatCopies,
-    /// The node's own requests added to a load report.
+    /// The node's own in-flight requests, added to a load report.
     OwnInFlight,
-    /// Agreed places of prefixes that no engine is known to hold.
+    /// Preferred engines of prefixes that no engine is known to hold.
     Anchors,
     /// Event feeds and snapshots.
     Feeds,
-    /// Cached-token counts of answers and the node's own dispatches.
+    /// Cache state inferred from answers and from the node's own dispatches.
     Answers,
-    /// The expectation that unused prefixes are evicted.
+    /// Expected eviction of unused prefixes.
     ExpectedEviction,
-    /// The draw among engines of nearly equal cost.
+    /// Random choice among engines of nearly equal cost.
     NearEquals,
-    /// Import of kept cache.
+    /// Import from the cache store.
     Import,
 }
 
@@ -115,7 +114,7 @@
     }
 }
 
-/// No mechanism has the name.
+/// The error for an unknown mechanism name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "there is no mechanism {0:?}; use one of heat-copies, own-in-flight, anchors, feeds, answers, \
@@ -137,7 +136,7 @@
     Cluster::new(scenario, settings).run()
 }
 
-/// Runs several experiments on at most `threads` threads; the results come in the order of the runs.
+/// Runs several experiments on at most `threads` threads. The results are in the order of `runs`.
 pub fn run_all(scenario: &Scenario, runs: &[RunSettings], threads: usize) -> Vec<PolicyResult> {
     let next = AtomicUsize::new(0);
     let work = || {
--- a/crates/bench/src/experiment/nodes.rs
+++ b/crates/bench/src/experiment/nodes.rs
@@ -1,4 +1,4 @@
-//! The simulated router nodes: they choose, dispatch, take answers and try again.
+//! Simulated router nodes: they choose engines, dispatch requests, handle answers and retry.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -22,29 +22,29 @@
 };
 use crate::simulation::Endpoint;
 
-/// How far a node has read one engine's feed.
+/// A node's position in one engine's feed.
 #[derive(Clone, Copy, Default)]
 pub(super) struct FeedPosition {
     pub(super) incarnation: Incarnation,
     pub(super) after: EventSequence,
-    /// When the next snapshot may be asked for.
+    /// Earliest time of the next snapshot request.
     pub(super) next_snapshot_at: Timestamp,
 }
 
-/// From a node's start until it takes requests: it asks all engines for their status first.
+/// Time from a node's start until it accepts requests; it polls all engines meanwhile.
 const START_UP_TIME: Duration = Duration::from_millis(20);
 
-/// One router node, apart from its policy.
+/// One router node without its policy.
 pub(super) struct SimulatedNode {
     pub(super) zone: ZoneId,
     pub(super) endpoint: Endpoint,
-    /// Counts restarts.
+    /// Starts at 1.
     pub(super) incarnation: u32,
-    /// When it has asked all engines for their status and takes requests.
+    /// When it accepts requests.
     pub(super) ready_at: Timestamp,
     /// Feeds that this node reads, by engine.
     pub(super) feeds: BTreeMap<usize, FeedPosition>,
-    /// Admission and retry budget, where they are in use.
+    /// Admission and retry budget, if enforced.
     pub(super) protection: Option<OverloadProtection>,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Names that every request of the one pool carries.
+/// Identities that all requests of the single pool share.
 pub(super) struct RouteNames {
     pub(super) pool: PoolId,
     pub(super) model: ModelId,
@@ -73,7 +73,7 @@
         Self { pool: PoolId::from(POOL), model: ModelId::from(MODEL) }
     }
 
-    /// What a request needs, as the router wants it.
+    /// The routing request of an open request.
     pub(super) fn route<'a>(
         &'a self,
         open: &'a OpenRequest,
@@ -99,18 +99,18 @@
 }
 
 impl Cluster<'_> {
-    /// The policy that acts for a node.
+    /// The index of the policy of a node.
     pub(super) fn policy_of(&self, node: usize) -> usize {
         if self.settings.policy.has_exact_state() { 0 } else { node }
     }
 
-    /// Lets a node learn something.
+    /// Passes an event to the policy of a node.
     pub(super) fn observe(&mut self, node: usize, event: RouterEvent<'_>, now: Timestamp) {
         let policy = self.policy_of(node);
         self.policies[policy].observe(event, now);
     }
 
-    /// A request has reached its node.
+    /// Handles a request that arrives at its node.
     pub(super) fn arrive_at_node(&mut self, request: u64, now: Timestamp) {
         let Some(open) = self.requests.get(&request) else { return };
         let ready_at = self.nodes[open.node].ready_at;
@@ -120,7 +120,7 @@
         self.admit(request, now);
     }
 
-    /// Chooses an engine for a request and sends it there.
+    /// Chooses an engine for a request and sends an attempt to it.
     pub(super) fn dispatch(&mut self, request: u64, now: Timestamp) {
         if self.settings.policy.has_exact_state() {
             self.update_oracle(now);
@@ -162,7 +162,7 @@
         self.engines[engine].in_flight.push(InFlight { key, missing_tokens });
     }
 
-    /// A message of an engine has reached the node that sent the try.
+    /// Handles a message of an engine; ignored unless it belongs to the current attempt.
     pub(super) fn handle_answer(&mut self, key: AttemptKey, engine: usize, answer: Answer, now: Timestamp) {
         let Some(open) = self.requests.get(&key.request) else { return };
         let Some((current, _, attempt)) = &open.current else { return };
@@ -220,7 +220,7 @@
         self.metrics.first_token(open.workload.sent_at, at, open.group);
     }
 
-    /// Sends a request to another engine, where it has tries left.
+    /// Retries a request at another engine while attempts and the retry budget allow.
     pub(super) fn retry_elsewhere(&mut self, request: u64, engine: usize, now: Timestamp) {
         let id = self.engines[engine].id.clone();
         let Some(open) = self.requests.get_mut(&request) else { return };
@@ -241,14 +241,14 @@
         self.end_request(request, ending, now);
     }
 
-    /// A request has ended, however.
+    /// Ends a request.
     pub(super) fn end_request(&mut self, request: u64, ending: RequestEnding, now: Timestamp) {
         let Some(open) = self.requests.remove(&request) else { return };
         self.metrics.ended(open.workload.sent_at, open.group, ending);
         self.apply_admission(open.node, AdmissionEvent::Cancelled { ticket: open.id }, now);
     }
 
-    /// A node loses everything; callers with requests there send them again to another node.
+    /// Restarts a node without state. Callers send its open requests to another node.
     pub(super) fn restart_node(&mut self, node: usize, now: Timestamp) {
         self.nodes[node].incarnation += 1;
         self.nodes[node].ready_at = now + START_UP_TIME;
@@ -275,7 +275,7 @@
         self.requests.iter().filter(|(_, open)| open.node == node).map(|(request, _)| *request).collect()
     }
 
-    /// Takes back a try whose node is gone.
+    /// Cancels the current attempt of a request whose node restarted.
     fn abandon_attempt(&mut self, request: u64, now: Timestamp) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         let Some((_, engine, attempt)) = open.current.take() else { return };
--- a/crates/bench/src/experiment/observation.rs
+++ b/crates/bench/src/experiment/observation.rs
@@ -1,4 +1,4 @@
-//! What nodes learn about engines beside answers: status, event feeds and snapshots.
+//! What nodes observe of engines besides answers: statuses, event feeds and snapshots.
 
 use std::time::Duration;
 
@@ -15,14 +15,14 @@
     nodes::FeedPosition,
 };
 
-/// Events of one read at most.
+/// Maximum number of events in one read.
 const MAX_FEED_EVENTS: usize = 4_096;
 
-/// Blocks of one snapshot page.
+/// Blocks per page of a snapshot.
 const SNAPSHOT_PAGE_BLOCKS: usize = 4_096;
 
 impl Cluster<'_> {
-    /// Starts the periodic requests of all nodes, spread over their intervals.
+    /// Schedules the periodic polls of all nodes, spread over their intervals.
     pub(super) fn schedule_observation(&mut self) {
         let status_interval = milliseconds(self.scenario.reports.status_interval_ms);
         let feed_interval = milliseconds(self.scenario.reports.feed_interval_ms);
@@ -48,7 +48,7 @@
         turn < self.scenario.reports.feed_readers
     }
 
-    /// A node asks all engines for their status at once.
+    /// Requests the status of all engines at once.
     pub(super) fn request_all_statuses(&mut self, node: usize) {
         for engine in 0..self.engines.len() {
             self.queue
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A node's request for a status has reached the engine.
+    /// Handles a status request at an engine.
     pub(super) fn request_status(&mut self, node: usize, engine: usize, recurring: bool, now: Timestamp) {
         if recurring {
             let interval = milliseconds(self.scenario.reports.status_interval_ms);
@@ -76,20 +76,20 @@
         self.links.transmit(self.engines[engine].endpoint, self.nodes[node].endpoint)
     }
 
-    /// A status has reached a node.
+    /// Handles a status at a node.
     pub(super) fn handle_status(&mut self, node: usize, status: &EngineStatus, now: Timestamp) {
         self.observe(node, RouterEvent::Status(status), now);
         let answers = RouterEvent::Draining { engine: &status.engine, draining: false };
         self.observe(node, answers, now);
     }
 
-    /// A node sends nothing to an engine that doesn't answer, until it answers again.
+    /// Stops a node from sending to an engine until the engine answers a status request.
     pub(super) fn mark_unresponsive(&mut self, node: usize, engine: usize, now: Timestamp) {
         let id = self.engines[engine].id.clone();
         self.observe(node, RouterEvent::Draining { engine: &id, draining: true }, now);
     }
 
-    /// A node's read of a feed has reached the engine.
+    /// Handles a read of an engine's feed.
     pub(super) fn read_feed(&mut self, node: usize, engine: usize, now: Timestamp) {
         let interval = milliseconds(self.scenario.reports.feed_interval_ms);
         self.queue.schedule_after(interval, Event::ReadFeed { node, engine });
@@ -108,7 +108,7 @@
         self.queue.schedule_after(delay, Event::FeedArrives { node, engine, batch: Box::new(batch) });
     }
 
-    /// Part of a feed has reached a node.
+    /// Handles a batch of a feed at a node.
     pub(super) fn handle_feed(
         &mut self,
         node: usize,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The pages are taken at one moment and arrive in order.
+    /// Sends all pages of one snapshot in order.
     fn send_snapshot(&mut self, node: usize, engine: usize) {
         let Some(delay) = self.delay_to_node(node, engine) else { return };
         let mut after = None;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// A page of a snapshot has reached a node.
+    /// Handles a page of a snapshot at a node.
     pub(super) fn handle_snapshot(
         &mut self,
         node: usize,
@@ -166,7 +166,7 @@
         self.observe(node, RouterEvent::Snapshot { engine: &id, snapshot: page }, now);
     }
 
-    /// Tells the oracle the present state of all caches and queues.
+    /// Updates the oracle with the current state of all caches and queues.
     pub(super) fn update_oracle(&mut self, now: Timestamp) {
         for engine in 0..self.engines.len() {
             let id = self.engines[engine].id.clone();
--- a/crates/bench/src/experiment/overload.rs
+++ b/crates/bench/src/experiment/overload.rs
@@ -1,4 +1,4 @@
-//! Admission and retry budget of the simulated nodes, by the same `core` code as the node's.
+//! Admission and retry budget of the simulated nodes, with the state machines of `core`.
 
 use std::time::Duration;
 
@@ -20,11 +20,10 @@
 };
 use crate::policy::PolicyName;
 
-/// What protects one node and the engines behind it.
+/// The overload protection of one node.
 pub(super) struct OverloadProtection {
     admission: Admission,
     retries: RetryBudget,
-    /// The tick that is scheduled.
     tick_at: Option<Timestamp>,
 }
 
@@ -37,7 +36,8 @@
 }
 
 impl Cluster<'_> {
-    /// What protects a node that starts at `now`, where the scenario enforces limits and the policy is the product's.
+    /// Builds the overload protection of a node, if the scenario enforces limits and the policy is the
+    /// product's.
     pub(super) fn build_protection(&self, now: Timestamp) -> Option<OverloadProtection> {
         let enforced = self.scenario.limits.enforced && self.settings.policy == PolicyName::Prefix;
         let slots = self.scenario.runners.speed.batch_slots * self.scenario.runners.count as u32;
@@ -58,7 +58,7 @@
         settings
     }
 
-    /// Asks a node's admission for a place for a request that has arrived; without admission, the request is sent at once.
+    /// Submits a request to its node's admission; without admission, dispatches it at once.
     pub(super) fn admit(&mut self, request: u64, now: Timestamp) {
         let Some(open) = self.requests.get(&request) else { return };
         let node = open.node;
@@ -82,7 +82,7 @@
         self.apply_admission(node, AdmissionEvent::Submit(submit), now);
     }
 
-    /// Lets a node's admission learn something and carries out its actions.
+    /// Applies an event to a node's admission and performs the resulting actions.
     pub(super) fn apply_admission(&mut self, node: usize, event: AdmissionEvent, now: Timestamp) {
         let Some(protection) = &mut self.nodes[node].protection else { return };
         let actions = protection.admission.apply(event, now);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The time that a node's admission asked for has come.
+    /// Handles a timer of a node's admission.
     pub(super) fn tick_admission(&mut self, node: usize, now: Timestamp) {
         if let Some(protection) = &mut self.nodes[node].protection {
             protection.tick_at = None;
@@ -122,7 +122,7 @@
         self.apply_admission(node, AdmissionEvent::Tick, now);
     }
 
-    /// Tells a node's admission how long a request queued at its engine, once its first token has arrived.
+    /// Reports to a node's admission how long a request queued at its engine.
     pub(super) fn record_queueing(&mut self, request: u64, now: Timestamp) {
         let Some(open) = self.requests.get(&request) else { return };
         let speed = &self.scenario.runners.speed;
@@ -135,7 +135,7 @@
         self.apply_admission(node, AdmissionEvent::FirstToken { ticket, queueing }, now);
     }
 
-    /// Whether a node's budget allows one more try of a request.
+    /// Whether a node's retry budget allows another attempt.
     pub(super) fn may_retry(&mut self, node: usize, attempts: u32) -> bool {
         let Some(protection) = &mut self.nodes[node].protection else { return true };
         protection.retries.retry(attempts) == RetryDecision::Granted
--- a/crates/bench/src/experiment/recovery.rs
+++ b/crates/bench/src/experiment/recovery.rs
@@ -1,31 +1,31 @@
-//! How long a run needs to come back to its steady state after an event.
+//! Recovery time of a run after an event.
 
 use serde::Serialize;
 
 use super::{metrics::SecondResult, summary::median};
 
-/// Seconds that are looked at together: single seconds have too few requests for a tail.
+/// Seconds per window; a single second has too few requests for a tail.
 const WINDOW: usize = 5;
 
-/// How far from the steady state counts as back.
+/// Accepted deviation from the steady state.
 const TOLERANCE: f64 = 0.1;
 
-/// Seconds from an event until both measures are back within a tenth of their steady state.
+/// Seconds from an event until hit rate and latency are back at their steady state.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Recovery {
-    /// Seconds from the start of the run to the event.
+    /// Since the start of the run.
     pub event_s: f64,
-    /// Until the prefix hit rate is back; none where it is not back before the end.
+    /// Until the prefix hit rate has recovered; none if it has not before the end.
     pub hit_rate_s: Option<f64>,
-    /// Until the 99th percentile of the time to first token is back.
+    /// Until the 99th percentile of the time to first token has recovered.
     pub ttft_p99_s: Option<f64>,
 }
 
 impl Recovery {
     /// Compares windows of five seconds after the event with the measured time before it.
     ///
-    /// The steady hit rate is the median of the seconds between `measured_from_s` and the event, the steady
-    /// 99th percentile likewise. A measure is back with the first window after which every later one is good too.
+    /// The steady values are the medians of the seconds between `measured_from_s` and the event. A metric has
+    /// recovered with the first window from which all later windows are within the tolerance.
     pub fn after(seconds: &[SecondResult], measured_from_s: f64, event_s: f64) -> Self {
         let before = |second: &&SecondResult| {
             (second.second as f64) >= measured_from_s && (second.second as f64) < event_s
--- a/crates/bench/src/experiment/summary.rs
+++ b/crates/bench/src/experiment/summary.rs
@@ -1,50 +1,43 @@
-//! Medians over seeds, and a table of them.
+//! Medians over seeds, as a table.
 
 use serde::Serialize;
 
 use super::metrics::PolicyResult;
 use crate::policy::PolicyName;
 
-/// The medians of one policy's results over several seeds.
+/// Medians of one policy's results over several seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// The policy.
     pub policy: PolicyName,
-    /// Results that went in.
+    /// Number of results.
     pub seeds: usize,
-    /// Requests that arrived while measuring.
+    /// Requests that arrived in the measured time.
     pub requests: f64,
-    /// The share of them whose whole answer arrived.
+    /// Share of requests with a complete answer.
     pub complete: f64,
-    /// The share of them refused without having run.
+    /// Share of requests that were refused without having run.
     pub not_run: f64,
-    /// Prefix hit rate.
     pub hit_rate: f64,
-    /// Percentiles of the time to first token.
     pub ttft_p50_ms: f64,
-    /// See [`Self::ttft_p50_ms`].
     pub ttft_p95_ms: f64,
-    /// See [`Self::ttft_p50_ms`].
     pub ttft_p99_ms: f64,
-    /// Tokens prefilled though some serving engine held them.
+    /// Tokens prefilled although some serving engine held them.
     pub wasted_tokens: f64,
-    /// Tokens prefilled.
     pub prefilled_tokens: f64,
-    /// Tokens generated in a second.
     pub tokens_per_second: f64,
-    /// Share of the engines' time spent on prefill.
+    /// Share of engine time spent on prefill.
     pub prefill_utilisation: f64,
-    /// Requests of the busiest engine in proportion to the mean.
+    /// Requests of the busiest engine, relative to the mean.
     pub imbalance: f64,
-    /// Tries after the first, for each request.
+    /// Attempts after the first, per request.
     pub retries: f64,
-    /// Seconds until hit rate and 99th percentile are back after the first fault; infinite where they are not
-    /// before the end, absent where the scenario has no fault.
+    /// Seconds until hit rate and 99th percentile have recovered from the first fault: infinite if they have
+    /// not before the end, none if the scenario has no fault.
     pub recovery_s: Option<(f64, f64)>,
 }
 
 impl Summary {
-    /// The medians of results of one policy; none where there are no results.
+    /// The medians of one policy's results; none if there are no results.
     pub fn of(results: &[&PolicyResult]) -> Option<Self> {
         let policy = results.first()?.policy;
         let median = |value: fn(&PolicyResult) -> f64| median(results.iter().map(|result| value(result)));
@@ -71,7 +64,7 @@
         })
     }
 
-    /// Medians of each policy, in the order in which policies first appear.
+    /// Medians per policy, in the order in which the policies first appear.
     pub fn by_policy(results: &[PolicyResult]) -> Vec<Self> {
         let mut policies: Vec<PolicyName> = Vec::new();
         for result in results {
@@ -87,7 +80,7 @@
         policies.iter().filter_map(of_policy).collect()
     }
 
-    /// A table of the medians of each policy, in Markdown.
+    /// A Markdown table of the medians per policy.
     pub fn table(results: &[PolicyResult]) -> String {
         let columns: Vec<&Column> = COLUMNS.iter().chain(&EXTRA_COLUMNS).collect();
         let titles: Vec<&str> = columns.iter().map(|column| column.title).collect();
@@ -102,9 +95,8 @@
 
 /// A column of a table of summaries.
 pub struct Column {
-    /// What stands above it.
     pub title: &'static str,
-    /// What stands in a summary's row.
+    /// Formats the cell of a row.
     pub cell: fn(&Summary) -> String,
 }
 
@@ -114,7 +106,7 @@
     }
 }
 
-/// Columns of every table of summaries.
+/// Columns of all summary tables.
 pub const COLUMNS: [Column; 12] = [
     Column::new("policy", |summary| summary.policy.to_string()),
     Column::new("seeds", |summary| summary.seeds.to_string()),
@@ -130,7 +122,7 @@
     Column::new("tokens/s", |summary| format!("{:.0}", summary.tokens_per_second)),
 ];
 
-/// What the table in Markdown shows beside these.
+/// Additional columns of the Markdown table.
 const EXTRA_COLUMNS: [Column; 4] = [
     Column::new("prefill use", |summary| format!("{:.3}", summary.prefill_utilisation)),
     Column::new("imbalance", |summary| format!("{:.2}", summary.imbalance)),
@@ -140,7 +132,7 @@
     }),
 ];
 
-/// The median; of an even number of values, the mean of the middle two. Zero where there are none.
+/// The median, or the mean of the middle two values if their number is even. Zero if there are none.
 pub fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -1,4 +1,4 @@
-//! Requests drawn from a scenario: who sends them, which prefix they open with, and when they arrive.
+//! Random requests of a scenario: tenants, prefixes and arrival times.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,40 +15,36 @@
     simulation::derived_seed,
 };
 
-/// The one model that all runners serve.
+/// The model that all engines serve.
 pub const MODEL: &str = "model";
 
-/// The weights version that all runners serve.
+/// The weights version that all engines serve.
 pub const WEIGHTS: WeightsVersion = WeightsVersion(1);
 
-/// The rate at the start of a ramp, in proportion to the full rate.
+/// The rate at the start of the ramp-up, relative to the full rate.
 const MIN_RATE: f64 = 0.1;
 
 /// One request of the workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadRequest {
-    /// When the caller sends it.
     pub sent_at: Timestamp,
-    /// The tenant, by its position in [`Workload::tenants`].
+    /// Index into [`Workload::tenants`].
     pub tenant: usize,
     /// Hashes of the prompt's blocks.
     pub blocks: Arc<[BlockHash]>,
-    /// How many of them other requests may share.
+    /// How many of the blocks other requests may share.
     pub shared_blocks: usize,
-    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
     pub answer_tokens: u32,
 }
 
 /// One tenant of the workload.
 #[derive(Clone, Debug)]
 pub struct WorkloadTenant {
-    /// Its name.
     pub tenant: TenantId,
-    /// The boundary of its cached state.
+    /// Scope of its cached state.
     pub scope: CacheScope,
-    /// Its group in the scenario.
+    /// Index of its group in the scenario.
     pub group: usize,
     root: Siblings,
 }
@@ -56,20 +52,19 @@
 #[derive(Clone, Debug, Default)]
 struct Siblings {
     members: Vec<TreeNode>,
-    /// Members by popularity, the most popular first.
+    /// Member indices by descending popularity.
     ranks: Vec<usize>,
 }
 
 #[derive(Clone, Debug)]
 struct TreeNode {
-    /// Hashes from the prompt's start to the end of this node's own blocks.
+    /// Hashes from the start of the prompt to the end of this node's own blocks.
     chain: Vec<BlockHash>,
     children: Siblings,
 }
 
-/// Draws requests one after the other.
+/// Generates requests in order of time.
 pub struct Workload {
-    /// All tenants.
     pub tenants: Vec<WorkloadTenant>,
     levels: Vec<PrefixLevel>,
     zipf_skew: f64,
@@ -88,7 +83,7 @@
 }
 
 impl Workload {
-    /// The workload of a scenario under a seed. Policies compared under one seed get the same requests.
+    /// The workload of a scenario with a seed. All policies get the same requests under one seed.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut tree_random = StdRng::seed_from_u64(derived_seed(seed, "prefix tree"));
         let (tenants, traffic) = build_tenants(scenario, &mut tree_random);
@@ -112,14 +107,14 @@
         }
     }
 
-    /// Draws the popularity of all prefixes anew.
+    /// Redraws the popularity of all prefixes.
     pub fn shift(&mut self) {
         for tenant in &mut self.tenants {
             tenant.root.shuffle(&mut self.shift_random);
         }
     }
 
-    /// The next request, later than the one before.
+    /// Generates the next request, later than the previous one.
     pub fn next_request(&mut self) -> WorkloadRequest {
         let gap = self.gaps.sample(&mut self.random) / self.rate_now();
         self.clock = self.clock + Duration::from_secs_f64(gap);
@@ -134,7 +129,7 @@
         WorkloadRequest { sent_at: self.clock, tenant, blocks, shared_blocks, prompt_tokens, answer_tokens }
     }
 
-    /// The present rate in proportion to the full one.
+    /// The current rate relative to the full rate.
     fn rate_now(&self) -> f64 {
         let passed = self.clock.saturating_since(Timestamp::ZERO).as_secs_f64();
         if passed < self.ramp_up_s { (passed / self.ramp_up_s).max(MIN_RATE) } else { 1.0 }
--- a/crates/bench/src/hollow/report.rs
+++ b/crates/bench/src/hollow/report.rs
@@ -12,7 +12,7 @@
     },
 };
 
-/// Tenants and models of the measured document.
+/// Tenants and models in the configuration document.
 const TENANTS: usize = 430;
 const MODELS: usize = 14;
 
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One request over TCP, to a node or direct to an engine.
+//! A client for requests over TCP to a node or directly to an engine.
 
 use std::{
     net::SocketAddr,
@@ -24,54 +24,53 @@
 
 use super::{LoadError, Workload, prompts::Prompt};
 
-/// The beginning of each event of a node's stream, and its last event.
+/// Prefix of each server-sent event, and the payload of the last one.
 const EVENT_PREFIX: &[u8] = b"data: ";
 const LAST_EVENT: &[u8] = b"[DONE]";
 
-/// Stands in an answer's text for a line that cannot be read, so that it compares as wrong.
+/// Replaces an unreadable line in an answer's text, so that the answer compares as wrong.
 const UNREADABLE_MARKER: char = char::REPLACEMENT_CHARACTER;
 
-/// Where a request goes.
+/// The target of a request.
 #[derive(Clone, Debug)]
 pub(super) enum Target {
     Node(SocketAddr),
     Engine(EngineTarget),
 }
 
-/// An engine and what a request must state of it.
+/// An engine and the precondition for requests to it.
 #[derive(Clone, Debug)]
 pub(super) struct EngineTarget {
     address: SocketAddr,
     precondition: Precondition,
 }
 
-/// How a request ended.
+/// The end of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// The whole answer arrived, and is the expected one.
+    /// The complete, expected answer arrived.
     Complete,
-    /// A whole answer arrived, but not the expected one.
+    /// A complete answer arrived, but not the expected one.
     Wrong,
-    /// The stream ended without the mark of its end.
+    /// The stream ended without its end marker.
     Incomplete,
-    /// It was refused.
     Refused(RefusalCode),
-    /// The stream ended with an error in place of the rest of the answer.
+    /// An error ended the stream.
     Broken(RefusalCode),
-    /// No answer: the connection, or a status without a readable refusal.
+    /// No answer: the connection failed, or an error status had no readable refusal.
     Failed(String),
 }
 
-/// What was measured of one request.
+/// Measurements of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Sample {
     pub(super) through_node: bool,
-    /// When it was planned, from the start of the run.
+    /// Planned time since the start of the run.
     pub(super) planned: Duration,
-    /// How much later than planned it was sent.
+    /// Delay of the sending after the planned time.
     pub(super) late: Duration,
     pub(super) ending: Ending,
-    /// Time from the planned moment to the first token and to the end.
+    /// Times since the planned time.
     pub(super) first_token: Option<Duration>,
     pub(super) total: Duration,
     pub(super) prompt_tokens: u32,
@@ -83,7 +82,7 @@
     workload: Workload,
 }
 
-/// What has been read of an answer.
+/// The part of an answer that was read.
 #[derive(Debug, Default)]
 pub(super) struct Answer {
     text: String,
@@ -102,7 +101,7 @@
         Self { client, workload: workload.clone() }
     }
 
-    /// Asks an engine who it is.
+    /// Reads the status of an engine.
     pub(super) async fn engine(&self, address: SocketAddr) -> Result<EngineTarget, LoadError> {
         let failed = |reason: String| LoadError::Engine { address, reason };
         let request = Request::get(format!("http://{address}/status")).body(Full::default());
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Sends a request to a node and gives the body of its stream once the answer has begun.
+    /// Sends a request to a node and returns the body of its stream once the response has started.
     pub(super) async fn open_stream(&self, node: SocketAddr, prompt: &Prompt) -> Result<Incoming, Ending> {
         let body = ChatRequest {
             model: self.workload.model.clone(),
@@ -230,7 +229,7 @@
         if self.text == prompt.expected.text() { Ending::Complete } else { Ending::Wrong }
     }
 
-    /// Takes in one line of a node's stream; a line that cannot be read makes the answer wrong.
+    /// Parses one line of a node's stream; an unreadable line makes the answer wrong.
     fn read_event(&mut self, line: &[u8]) {
         let Some(event) = line.strip_prefix(EVENT_PREFIX) else { return };
         if event == LAST_EVENT {
@@ -277,7 +276,7 @@
     }
 }
 
-/// Reads a body to its end and hands on each line that is not empty.
+/// Reads a body to its end and passes on each line that is not empty.
 async fn read_lines(body: &mut Incoming, mut read: impl FnMut(&[u8])) -> Result<(), Ending> {
     let mut rest: Vec<u8> = Vec::new();
     while let Some(frame) = body.frame().await {
@@ -307,7 +306,7 @@
     Ok(Full::new(Bytes::from(bytes)))
 }
 
-/// An error with its causes, which the client's own message leaves out.
+/// Formats an error with its causes, which the client's message omits.
 fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/bench/src/load/command.rs
+++ b/crates/bench/src/load/command.rs
@@ -1,4 +1,4 @@
-//! The command `paddlemount load`: arguments, and what it prints.
+//! The command `paddlemount load`: arguments and output.
 
 use std::{ffi::OsString, net::SocketAddr, process::ExitCode, time::Duration};
 
@@ -12,7 +12,7 @@
     run,
 };
 
-/// How the command is used.
+/// Usage text.
 pub const USAGE: &str = "\
 paddlemount load: open-loop load over TCP; every answer is compared with what it must be
 
@@ -28,19 +28,15 @@
 Exit codes: 0 every answer was whole and right; 1 some were not; 2 the arguments or the run failed.
 ";
 
-/// Why the command did not run.
+/// An error of the command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The arguments cannot be read.
     #[error("{0}; see paddlemount load --help")]
     Arguments(#[from] lexopt::Error),
-    /// An option is missing.
     #[error("{0} is missing; see paddlemount load --help")]
     Missing(&'static str),
-    /// The run could not be made.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The report cannot be written as JSON.
     #[error("cannot write the report: {0}")]
     Report(#[from] serde_json::Error),
 }
@@ -102,7 +98,7 @@
     Ok(())
 }
 
-/// Reads the arguments; nothing where help is asked for.
+/// Reads the arguments; none if help is requested.
 fn read(mut parser: Parser) -> Result<Option<Options>, CommandError> {
     let mut options = Options { settings: defaults(), hold: None, json: false };
     while let Some(argument) = parser.next()? {
--- a/crates/bench/src/load/hold.rs
+++ b/crates/bench/src/load/hold.rs
@@ -1,7 +1,7 @@
-//! Many open streams at once, and the memory that each costs a node.
+//! Holds many streams open at once, and measures the memory that each takes at a node.
 //!
-//! The engines behind the node must be slow enough for the streams to stay open: as many batch slots
-//! as streams, and a decode step of some seconds.
+//! The engines must be slow enough for the streams to stay open: as many batch slots as streams, and a decode
+//! step of some seconds.
 
 use std::{
     net::SocketAddr,
@@ -22,56 +22,47 @@
     runtime,
 };
 
-/// Streams that are opened before the memory is first read, so that what a node allocates once does
-/// not count.
+/// Streams that are opened before the memory is first read, so that one-time allocations do not count.
 const WARM_UP_STREAMS: usize = 50;
 
-/// Streams that are being opened at the same time.
+/// Maximum number of streams that are being opened concurrently.
 const MAX_CONCURRENT_OPENS: usize = 64;
 
 /// Time for a node to settle before its memory is read.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Settings of holding streams open.
+/// Settings of [`hold`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct HoldSettings {
-    /// The callers' address of the node.
     pub node: SocketAddr,
-    /// What is sent.
     pub workload: Workload,
-    /// Streams to hold open at once.
     pub streams: usize,
-    /// How long to hold them.
     pub hold: Duration,
-    /// The node's process, whose memory is read.
+    /// Process id of the node, whose memory is read.
     pub node_process: Option<u32>,
-    /// Threads of the load generator.
     pub threads: usize,
 }
 
-/// What holding streams open gave.
+/// The result of [`hold`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HoldReport {
     /// Streams that were open at once, each with at least one byte received.
     pub streams: usize,
-    /// Seconds that it took to open them.
     pub opening_seconds: f64,
-    /// Memory of the node before and with the open streams, where its process was given.
+    /// Memory of the node, if its process was given.
     pub memory: Option<HoldMemory>,
 }
 
-/// Memory of a node, in bytes.
+/// Resident memory of a node, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HoldMemory {
-    /// Before; some streams have been open and were closed.
+    /// Before the streams were opened, after a warm-up.
     pub before: u64,
-    /// With all streams open.
     pub open: u64,
-    /// The difference for each stream.
     pub bytes_per_stream: f64,
 }
 
-/// Opens the streams, holds them and reports.
+/// Opens the streams, holds them and measures the node's memory.
 pub fn hold(settings: &HoldSettings) -> Result<HoldReport, LoadError> {
     let runtime = runtime(settings.threads)?;
     let clients = Arc::new(Clients::new(&settings.workload));
@@ -144,7 +135,7 @@
     let streams = bodies.len();
     let mut failed = 0;
     for mut body in bodies {
-        // What has arrived meanwhile is read until nothing more is at hand.
+        // Reads what has arrived until nothing more is buffered.
         loop {
             match tokio::time::timeout(Duration::ZERO, body.frame()).await {
                 Err(_) => break,
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -40,37 +40,30 @@
     report::{LoadReport, ReportBuilder},
 };
 
-/// How long a run waits for answers after the last request was sent, beyond the deadline.
+/// Time to wait for the last answers, beyond the deadline.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Who sends what to which model.
+/// The requests of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workload {
-    /// The tenant whose key is used; its name determines the expected answers.
+    /// The tenant of `key`; its name determines the expected answers.
     pub tenant: TenantId,
-    /// The caller key of the tenant.
     #[serde(skip)]
     pub key: String,
-    /// The model.
     pub model: ModelId,
-    /// The weights that the pool serves.
     pub weights: WeightsVersion,
-    /// Distinct openings that prompts share.
+    /// Number of distinct prefixes that prompts share.
     pub openings: u32,
-    /// Bytes of each opening.
     pub opening_bytes: usize,
-    /// Bytes of each prompt that are its own.
+    /// Bytes of each prompt that are unique.
     pub own_bytes: usize,
-    /// Tokens to generate at most.
     pub max_tokens: u32,
-    /// Deadline of each request, in milliseconds.
     pub deadline_ms: u64,
-    /// Seed of the prompts.
     pub seed: u64,
 }
 
 impl Workload {
-    /// A workload of moderate prompts for one tenant.
+    /// A workload for one tenant with default sizes.
     pub fn new(tenant: TenantId, key: String, model: ModelId, weights: WeightsVersion) -> Self {
         Self {
             tenant,
@@ -90,62 +83,42 @@
 /// Settings of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadSettings {
-    /// Callers' addresses of the nodes; requests go to them in turn.
+    /// Addresses for callers; used in turn.
     pub nodes: Vec<SocketAddr>,
-    /// An engine that gets as many requests directly, for comparison.
+    /// An engine that gets the same number of requests directly, for comparison.
     pub engine: Option<SocketAddr>,
-    /// What is sent.
     pub workload: Workload,
-    /// Requests a second through the nodes; the engine gets as many directly.
+    /// Request rate through the nodes, and again directly to the engine.
     pub requests_per_second: f64,
-    /// How long requests are sent.
     pub duration: Duration,
-    /// Requests of the first so long are not counted.
+    /// Requests planned in this initial time are not counted.
     pub warm_up: Duration,
-    /// Processes of the nodes whose processor time is measured.
+    /// Process ids of the nodes, for their processor time.
     pub node_processes: Vec<u32>,
-    /// Threads of the load generator.
     pub threads: usize,
 }
 
-/// Why a run could not be made.
+/// An error that prevents a run.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The settings make no run.
     #[error("{0}")]
     Settings(&'static str),
-    /// Threads could not be started.
     #[error("cannot start the load generator: {0}")]
     Start(#[source] std::io::Error),
-    /// The engine's status could not be read.
     #[error("cannot read the status of the engine at {address}: {reason}")]
-    Engine {
-        /// The engine.
-        address: SocketAddr,
-        /// The cause.
-        reason: String,
-    },
-    /// A process could not be measured.
+    Engine { address: SocketAddr, reason: String },
     #[error("cannot read memory or processor time of process {process}: {source}")]
-    Process {
-        /// The process.
-        process: u32,
-        /// The cause.
-        source: std::io::Error,
-    },
-    /// A stream that was to be held open ended or failed.
+    Process { process: u32, source: std::io::Error },
     #[error("{failed} of {streams} streams did not stay open; the first: {reason}")]
     Hold {
-        /// Streams asked for.
         streams: usize,
-        /// Those that did not stay open.
         failed: usize,
-        /// What happened to the first of them.
+        /// The cause for the first of them.
         reason: String,
     },
 }
 
-/// Makes a run and reports it.
+/// Makes a run and returns its report.
 pub fn run(settings: &LoadSettings) -> Result<LoadReport, LoadError> {
     check(settings)?;
     let runtime = runtime(settings.threads)?;
@@ -197,14 +170,14 @@
     samples: mpsc::UnboundedSender<Sample>,
 }
 
-/// Sends every request at its planned time. The calling thread paces, since its sleep is finer than
-/// the runtime's timer.
+/// Sends every request at its planned time. The calling thread paces, since its sleep is finer than the
+/// runtime's timer.
 fn send_all(settings: &LoadSettings, sender: &Sender, targets: &[Vec<Target>], started: Instant) {
     let total = (settings.duration.as_secs_f64() * settings.requests_per_second) as u64;
     let interval = 1.0 / settings.requests_per_second;
     for number in 0..total {
         for (kind, choices) in targets.iter().enumerate() {
-            // Requests to the engine fall between those to the nodes.
+            // Requests to the engine alternate with those to the nodes.
             let offset = kind as f64 / targets.len() as f64;
             let planned = started + Duration::from_secs_f64((number as f64 + offset) * interval);
             std::thread::sleep(planned.saturating_duration_since(Instant::now()));
@@ -220,7 +193,7 @@
         self.handle.spawn(async move {
             let prompt = prompts.prompt(number);
             let sample = clients.request(target, prompt, planned, planned - started).await;
-            // The receiver is gone only when the run has been given up.
+            // The receiver is gone only if the run has timed out.
             let _ = samples.send(sample);
         });
     }
--- a/crates/bench/src/load/process.rs
+++ b/crates/bench/src/load/process.rs
@@ -1,13 +1,13 @@
-//! Memory and processor time of a process, as the system reports them.
+//! Memory and processor time of a process, from `/proc`.
 
 use std::{fs, io, time::Duration};
 
 use super::LoadError;
 
-/// Clock ticks in a second in which Linux reports processor time to programs.
+/// Linux reports processor time in these clock ticks.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Fields of `/proc/PID/stat` after the command's closing parenthesis, up to user time.
+/// Fields of `/proc/PID/stat` after the command's closing parenthesis, up to the user time.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
         self.error(io::Error::from(io::ErrorKind::InvalidData))
     }
 
-    /// Bytes of memory that the process holds in the machine's memory.
+    /// Resident memory of the process.
     pub(super) fn resident_bytes(self) -> Result<u64, LoadError> {
         let status = self.read("status")?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -34,10 +34,10 @@
         kilobytes.map(|kilobytes| kilobytes * 1024).ok_or_else(|| self.unreadable())
     }
 
-    /// Processor time that the process has used, in user and system mode.
+    /// Processor time of the process in user and system mode.
     fn processor_time(self) -> Result<Duration, LoadError> {
         let stat = self.read("stat")?;
-        // The command's name may itself contain spaces and parentheses.
+        // The command name may contain spaces and parentheses.
         let after_command = stat.rsplit_once(')').map(|(_, fields)| fields).unwrap_or_default();
         let fields = after_command.split_whitespace().skip(FIELDS_BEFORE_USER_TIME);
         let ticks: Vec<u64> = fields.take(2).filter_map(|field| field.parse().ok()).collect();
@@ -48,7 +48,7 @@
     }
 }
 
-/// Processor time that the processes have used together.
+/// Total processor time of the processes.
 pub(super) fn processor_time(processes: &[ProcessId]) -> Result<Duration, LoadError> {
     processes.iter().map(|process| process.processor_time()).sum()
 }
--- a/crates/bench/src/load/prompts.rs
+++ b/crates/bench/src/load/prompts.rs
@@ -1,4 +1,4 @@
-//! Prompts with long shared openings.
+//! Prompts with long shared prefixes.
 
 use paddlemount_protocol::{
     caller::{ChatMessage, prompt_text},
@@ -14,14 +14,14 @@
     "damage", "notice", "site", "road", "terms",
 ];
 
-/// Makes a run's prompts; the same number always gives the same prompt.
+/// Generates the prompts of a run; a number always gives the same prompt.
 pub(super) struct Prompts {
     workload: Workload,
     scope: CacheScope,
     openings: Vec<String>,
 }
 
-/// One request's conversation with what must be answered.
+/// A conversation with its expected answer.
 pub(super) struct Prompt {
     pub(super) number: u64,
     pub(super) messages: Vec<ChatMessage>,
--- a/crates/bench/src/load/report.rs
+++ b/crates/bench/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run of load gives.
+//! Report of a load run.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
@@ -11,94 +11,85 @@
     client::{Ending, Sample},
 };
 
-/// The longest time that is told apart, in microseconds.
+/// Upper bound of recorded times, in microseconds.
 const MAX_MICROSECONDS: u64 = 600_000_000;
 
-/// Decimal digits to which times are kept.
+/// Precision of recorded times.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Messages of failures that a report names.
+/// Maximum number of failure messages in a report.
 const MAX_REPORTED_FAILURES: usize = 5;
 
-/// The result of a run.
+/// The result of a load run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// What was sent.
     pub workload: Workload,
-    /// Requests a second that were planned, through the nodes; as many again direct to the engine.
+    /// Planned rate through the nodes, and again directly to the engine.
     pub requests_per_second: f64,
-    /// Seconds for which requests were sent, warm-up included.
+    /// Seconds in which requests were sent, including warm-up.
     pub seconds: f64,
-    /// Seconds of warm-up, whose requests are not counted.
+    /// Requests of the warm-up are not counted.
     pub warm_up_seconds: f64,
-    /// Requests through the nodes.
     pub node: TargetReport,
-    /// Requests direct to the engine, where there were any.
+    /// Requests directly to the engine, if one was given.
     pub engine: Option<TargetReport>,
-    /// What the nodes add, as the difference of equal percentiles.
+    /// Latency that the nodes add, as the difference of equal percentiles.
     pub added: Option<AddedLatency>,
-    /// Processor time of the nodes, where their processes were given.
+    /// Processor time of the nodes, if their processes were given.
     pub processor: Option<ProcessorReport>,
-    /// How much later than planned requests were sent; large values mean that the load generator
-    /// itself was too slow and the run says little.
+    /// Delay of sending after the planned time. Large values mean that the load generator was too slow for
+    /// valid results.
     pub lateness_ms: Percentiles,
 }
 
-/// Requests to one kind of target.
+/// Results of one kind of target.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TargetReport {
-    /// Requests sent.
     pub requests: u64,
-    /// Whole, expected answers.
+    /// Complete, expected answers.
     pub complete: u64,
-    /// Whole answers that were not the expected ones.
+    /// Complete answers that were not the expected ones.
     pub wrong: u64,
-    /// Streams that ended without the mark of their end.
+    /// Streams that ended without their end marker.
     pub incomplete: u64,
     /// Refusals by code.
     pub refused: BTreeMap<String, u64>,
-    /// Streams that ended with an error in place of the rest, by the error's code.
+    /// Streams that an error ended, by its code.
     pub broken: BTreeMap<String, u64>,
     /// Requests without a readable answer.
     pub failed: u64,
-    /// Messages of the first failures.
+    /// Distinct messages of the first failures.
     pub failures: Vec<String>,
     /// Time to first token of complete answers.
     pub ttft_ms: Percentiles,
     /// Time to the end of complete answers.
     pub total_ms: Percentiles,
-    /// Part of all prompt tokens that came from a cache.
+    /// Share of prompt tokens that came from a cache.
     pub prefix_hit_rate: f64,
 }
 
-/// Percentiles of a time, in milliseconds.
+/// Percentiles of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// The median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
     pub p95: f64,
-    /// 99 in 100 are at most this.
     pub p99: f64,
-    /// The longest.
     pub max: f64,
 }
 
-/// Time that nodes add to a direct call.
+/// Latency that nodes add to a direct call.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct AddedLatency {
-    /// To the first token.
     pub ttft_ms: Percentiles,
-    /// To the end.
     pub total_ms: Percentiles,
 }
 
-/// Processor time that nodes spent.
+/// Processor time of the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ProcessorReport {
-    /// Seconds of processor time, over all nodes, warm-up included.
+    /// Total over all nodes, including warm-up.
     pub seconds: f64,
-    /// Requests for each second of processor time, warm-up included.
+    /// Requests per second of processor time, including warm-up.
     pub requests_per_core_second: f64,
 }
 
@@ -204,7 +195,7 @@
     }
 }
 
-/// The code's stable text.
+/// The code's name in JSON.
 fn name_of(code: RefusalCode) -> String {
     let value = serde_json::to_value(code).ok();
     value.and_then(|value| value.as_str().map(str::to_owned)).unwrap_or_default()
@@ -258,7 +249,7 @@
 }
 
 impl LoadReport {
-    /// Whether every request, through nodes and direct, got the whole answer that it must get.
+    /// Whether every request, through nodes and direct, got its complete, expected answer.
     pub fn all_complete(&self) -> bool {
         let is_complete = |target: &TargetReport| target.complete == target.requests;
         is_complete(&self.node) && self.engine.as_ref().is_none_or(is_complete)
--- a/crates/bench/src/policy/baseline.rs
+++ b/crates/bench/src/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Simple policies, for comparison.
+//! Baseline policies for comparison.
 
 use paddlemount_core::routing::{RouteRequest, RouterEvent};
 use paddlemount_protocol::time::Timestamp;
@@ -14,14 +14,14 @@
     Choice { precondition: engine_state.map(|engine_state| engine_state.precondition(request)), import: None }
 }
 
-/// Engines in turn, each node beginning elsewhere.
+/// Round-robin over the engines; each node starts at another one.
 pub struct RoundRobin {
     engines: EngineTable,
     turn: usize,
 }
 
 impl RoundRobin {
-    /// Begins at a place drawn from `seed`.
+    /// Starts at a position derived from `seed`.
     pub fn new(seed: u64) -> Self {
         Self { engines: EngineTable::default(), turn: (seed % 1_009) as usize }
     }
@@ -40,14 +40,14 @@
     }
 }
 
-/// The engine with the fewest requests; a draw among equals.
+/// The engine with the fewest requests; random among equals.
 pub struct LeastLoaded {
     engines: EngineTable,
     random: StdRng,
 }
 
 impl LeastLoaded {
-    /// Draws by `seed`.
+    /// Breaks ties with randomness from `seed`.
     pub fn new(seed: u64) -> Self {
         Self { engines: EngineTable::default(), random: StdRng::seed_from_u64(seed) }
     }
@@ -73,14 +73,14 @@
     }
 }
 
-/// Rendezvous hashing on the prompt's opening alone; all nodes agree.
+/// Rendezvous hashing on the first blocks of the prompt; all nodes choose alike.
 pub struct Sticky {
     engines: EngineTable,
     blocks: usize,
 }
 
 impl Sticky {
-    /// Places by the first `blocks` blocks.
+    /// Hashes the first `blocks` blocks.
     pub fn new(blocks: usize) -> Self {
         Self { engines: EngineTable::default(), blocks }
     }
--- a/crates/bench/src/policy/engine_table.rs
+++ b/crates/bench/src/policy/engine_table.rs
@@ -1,4 +1,4 @@
-//! What the simple policies know of engines: the last status of each, and the node's own requests.
+//! What the baseline policies know of engines: the last status of each, and the node's own requests.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
     time::Timestamp,
 };
 
-/// An engine as a simple policy sees it.
+/// An engine as a baseline policy sees it.
 pub struct EngineState {
     status: EngineStatus,
     draining: bool,
@@ -22,14 +22,14 @@
         &self.status.engine
     }
 
-    /// Requests in it by its last report, and those that this node sent since.
+    /// Requests at the engine by its last report, plus those that this node sent since.
     pub fn requests(&self) -> u32 {
         let report = &self.status.load;
         let since = self.sent_at.values().filter(|sent| **sent > report.measured_at).count();
         report.running + report.waiting + since as u32
     }
 
-    /// What a request sent there must demand.
+    /// The precondition for a request to this engine.
     pub fn precondition(&self, request: &RouteRequest<'_>) -> Precondition {
         Precondition {
             engine: self.status.engine.clone(),
@@ -65,7 +65,7 @@
 }
 
 impl EngineTable {
-    /// Takes in what the node learned; cache contents are passed over.
+    /// Applies an event; cache contents are ignored.
     pub fn observe(&mut self, event: &RouterEvent<'_>, now: Timestamp) {
         match event {
             RouterEvent::Status(status) => self.update_status(status),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Engines that can serve a request, in the order of their names.
+    /// Engines that can serve a request, ordered by name.
     pub fn serving<'a>(&'a self, request: &'a RouteRequest<'_>) -> impl Iterator<Item = &'a EngineState> {
         self.engines.values().filter(|engine_state| engine_state.serves(request))
     }
--- a/crates/bench/src/policy/mod.rs
+++ b/crates/bench/src/policy/mod.rs
@@ -19,24 +19,24 @@
 mod engine_table;
 mod prefix;
 
-/// Where a policy sends a request.
+/// The decision of a policy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Choice {
-    /// The engine with its precondition; none where no engine can serve the request.
+    /// The engine's precondition; none if no engine can serve the request.
     pub precondition: Option<Precondition>,
-    /// Kept cache for it to import.
+    /// Cached state for the engine to import.
     pub import: Option<KvTransfer>,
 }
 
-/// One node's way of choosing an engine.
+/// A routing policy of one node.
 pub trait Policy: Send {
-    /// Takes in what the node learned.
+    /// Applies an event that the node observed.
     fn observe(&mut self, event: RouterEvent<'_>, now: Timestamp);
 
     /// Chooses an engine.
     fn choose(&mut self, request: &RouteRequest<'_>, now: Timestamp) -> Choice;
 
-    /// Engines whose feed has a gap that only a snapshot closes.
+    /// Engines whose feed has a gap that requires a snapshot.
     fn engines_to_resynchronise(&self) -> Vec<EngineId> {
         Vec::new()
     }
@@ -46,20 +46,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// Engines in turn.
+    /// Round-robin.
     RoundRobin,
-    /// The engine with the fewest requests, by the last report and what the node sent since.
+    /// The engine with the fewest requests, by its last report and the node's requests since.
     LeastLoaded,
-    /// Rendezvous hashing on the prompt's opening alone.
+    /// Rendezvous hashing on the first blocks of the prompt.
     Sticky,
     /// The product's router.
     Prefix,
-    /// The product's cost function with true and instant knowledge of all caches and queues.
+    /// The product's cost function with exact and instant knowledge of all caches and queues.
     Oracle,
 }
 
 impl PolicyName {
-    /// All policies, the simplest first.
+    /// All policies, simplest first.
     pub const ALL: [Self; 5] =
         [Self::RoundRobin, Self::LeastLoaded, Self::Sticky, Self::Prefix, Self::Oracle];
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether all nodes act as one that knows the truth at once.
+    /// Whether all nodes share one policy with exact state.
     pub const fn has_exact_state(self) -> bool {
         matches!(self, Self::Oracle)
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// No policy has the name.
+/// The error for an unknown policy name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("there is no policy {0:?}; use one of round-robin, least-loaded, sticky, prefix, oracle")]
 pub struct UnknownPolicy(pub String);
@@ -100,26 +100,23 @@
     }
 }
 
-/// What a node's policy is built from.
+/// Settings of a node's policy.
 #[derive(Clone, Debug)]
 pub struct PolicySettings {
-    /// The policy.
     pub name: PolicyName,
-    /// The node's zone.
     pub zone: ZoneId,
-    /// Seed of the node's random choices.
     pub seed: u64,
-    /// Milliseconds one way to another zone.
+    /// One-way delay to another zone.
     pub other_zone_ms: f64,
-    /// Blocks of the opening that `sticky` places by.
+    /// Blocks that the policy `sticky` hashes.
     pub sticky_blocks: usize,
-    /// Mechanisms of the product's router.
+    /// Enabled mechanisms of the product's router.
     pub mechanisms: Mechanisms,
-    /// Nodes that share the engines.
+    /// Number of nodes that share the engines.
     pub nodes: u32,
 }
 
-/// Builds one node's policy, without any knowledge.
+/// Builds the policy of one node, with no knowledge of the engines.
 pub fn build(settings: &PolicySettings) -> Box<dyn Policy> {
     match settings.name {
         PolicyName::RoundRobin => Box::new(RoundRobin::new(settings.seed)),
--- a/crates/bench/src/policy/prefix.rs
+++ b/crates/bench/src/policy/prefix.rs
@@ -5,13 +5,13 @@
 
 use super::{Choice, Policy};
 
-/// Runs the same [`Router`] as a node does.
+/// Runs the [`Router`] of the product.
 pub struct PrefixPolicy {
     router: Router,
 }
 
 impl PrefixPolicy {
-    /// A router of one of `nodes` nodes.
+    /// The router of one of `nodes` nodes.
     pub fn new(settings: RouterSettings, nodes: u32) -> Self {
         let mut router = Router::new(settings);
         router.apply(RouterEvent::Nodes { count: nodes }, Timestamp::ZERO);
--- a/crates/bench/src/report/mod.rs
+++ b/crates/bench/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports with plots: policies side by side, and over time.
+//! HTML reports with plots that compare policies.
 
 use self::plot::{Bars, Lines};
 use crate::experiment::{
@@ -8,29 +8,22 @@
 
 mod plot;
 
-/// Why a report could not be drawn.
+/// An error while drawing a report.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// There are no results.
     #[error("there are no results to draw")]
     Empty,
-    /// A plot failed.
     #[error("plot {plot:?}: {message}")]
-    Plot {
-        /// Which plot.
-        plot: String,
-        /// Why.
-        message: String,
-    },
+    Plot { plot: String, message: String },
 }
 
 const STYLE: &str = "body{font:14px sans-serif;margin:2em;max-width:80em}\
     table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:2px 8px;text-align:right}\
     td:first-child{text-align:left}svg{margin:4px}";
 
-/// An HTML page with a table and plots of results, without references to other files.
+/// Renders a self-contained HTML page with a table and plots of the results.
 ///
-/// Where a policy has results under several seeds, bars show medians and lines the first seed.
+/// For several seeds of a policy, bars show the medians and lines the first seed.
 pub fn html(results: &[PolicyResult]) -> Result<String, ReportError> {
     let first = results.first().ok_or(ReportError::Empty)?;
     let summaries = Summary::by_policy(results);
--- a/crates/bench/src/report/plot.rs
+++ b/crates/bench/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG text.
+//! SVG plots.
 
 use std::fmt::Display;
 
@@ -11,13 +11,13 @@
 const FONT: (&str, u32) = ("sans-serif", 15);
 const LABEL_SPACE: u32 = 70;
 
-/// One bar for each policy.
+/// A bar chart with one bar per policy.
 pub(super) struct Bars {
     pub(super) title: String,
     pub(super) bars: Vec<(String, f64)>,
 }
 
-/// One line over time for each policy.
+/// A line chart over time with one line per policy.
 pub(super) struct Lines {
     pub(super) title: String,
     pub(super) lines: Vec<(String, Vec<(f64, f64)>)>,
@@ -27,7 +27,7 @@
     move |error| ReportError::Plot { plot: title.to_owned(), message: error.to_string() }
 }
 
-/// The top of an axis that starts at zero, above all values.
+/// The upper end of an axis that starts at zero.
 fn top(values: impl Iterator<Item = f64>) -> f64 {
     let highest = values.fold(0.0, f64::max);
     if highest > 0.0 { highest * 1.1 } else { 1.0 }
--- a/crates/bench/src/scenario/bundled.rs
+++ b/crates/bench/src/scenario/bundled.rs
@@ -1,4 +1,4 @@
-//! Scenarios that come with the program.
+//! Scenarios that are compiled into the program.
 
 macro_rules! bundled {
     ($($name:literal),* $(,)?) => {
--- a/crates/bench/src/scenario/check.rs
+++ b/crates/bench/src/scenario/check.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Checks every value of a scenario whose range its type doesn't already give.
+/// Checks all values whose range their type does not give.
 pub(super) fn check(place: &str, scenario: &Scenario) -> Result<(), ScenarioError> {
     let checker = Checker { place };
     check_sizes(&checker, scenario)?;
--- a/crates/bench/src/scenario/fault.rs
+++ b/crates/bench/src/scenario/fault.rs
@@ -1,39 +1,38 @@
-//! The part of a scenario that describes what goes wrong.
+//! Faults of a scenario.
 
 use serde::Deserialize;
 
-/// Something that goes wrong at a given time.
+/// A fault at a given time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Seconds after the start, warm-up included.
+    /// Seconds since the start, including warm-up.
     pub at_s: f64,
-    /// What happens.
     pub event: FaultEvent,
 }
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultEvent {
-    /// Engines stop without notice and come back empty, as a new incarnation.
+    /// Engines crash and restart with an empty cache, as a new incarnation.
     EngineCrash {
-        /// Engines by position, from 0.
+        /// Indices of the engines, from 0.
         engines: Vec<usize>,
-        /// Seconds until they are back.
+        /// Seconds until they restart.
         down_s: f64,
     },
-    /// Nodes restart and have forgotten everything; their requests are continued by others' retries.
+    /// Nodes restart without state; callers retry their requests at other nodes.
     NodeRestart {
-        /// Nodes by position, from 0; all where empty.
+        /// Indices of the nodes, from 0; all if empty.
         #[serde(default)]
         nodes: Vec<usize>,
     },
-    /// The popularity of all prefixes is drawn anew.
+    /// The popularity of all prefixes is redrawn.
     PrefixShift {},
-    /// Events are lost at another rate from now on.
+    /// The loss of cache events changes.
     EventLoss {
-        /// The share that is lost.
+        /// Share of lost events.
         share: f64,
     },
 }
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! Scenario files: what an experiment simulates, in TOML.
+//! Scenario files in TOML, which describe what an experiment simulates.
 //!
-//! Every key has a unit in its name. Unknown keys, missing keys and values out of range are refused
-//! with an error that names the key and what it may hold.
+//! Keys carry their unit in the name. Unknown keys, missing keys and values out of range are refused with an
+//! error that names the key and its valid values.
 
 use std::path::{Path, PathBuf};
 
@@ -19,48 +19,45 @@
 mod fault;
 mod workload;
 
-/// One simulated situation.
+/// One simulated scenario.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// For people.
     pub description: String,
-    /// How long the run is.
+    /// Duration of a run.
     pub run: Run,
     /// Regions, zones and their distances.
     pub places: Topology,
-    /// The model engines.
     pub runners: Runners,
     /// The router nodes.
     pub nodes: Nodes,
-    /// How late and how incomplete the nodes' knowledge is.
+    /// Delay and loss of what nodes observe of engines.
     pub reports: Reports,
-    /// Tenants, in groups of equal ones.
+    /// Groups of equal tenants.
     pub tenants: Vec<TenantGroup>,
-    /// The prompts' shared openings.
+    /// Shared prefixes of the prompts.
     pub prefixes: Prefixes,
-    /// How many requests arrive.
+    /// Arrival rate.
     pub arrivals: Arrivals,
-    /// How long the answers are.
+    /// Length of the answers.
     pub answers: Answers,
     /// Settings of the compared policies.
     #[serde(default)]
     pub policies: Policies,
-    /// The limits that nodes enforce.
+    /// Limits that nodes enforce.
     #[serde(default)]
     pub limits: Limits,
-    /// What goes wrong.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// How long the run is.
+/// Duration of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Seconds before measurement begins, for caches to fill.
+    /// Seconds before the measurement, for caches to fill.
     pub warm_up_s: f64,
-    /// Seconds of measurement; requests that arrive within them count.
+    /// Seconds of measurement; only requests that arrive within them count.
     pub measured_s: f64,
 }
 
@@ -68,7 +65,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
-    /// Regions.
     pub regions: usize,
     /// Zones of each region.
     pub zones_per_region: usize,
@@ -80,17 +76,17 @@
     pub between_zones_ms: f64,
     /// One-way delay between regions.
     pub between_regions_ms: f64,
-    /// Added to each delay at most, as a share of it.
+    /// Maximum extra delay, as a share of the delay.
     pub jitter: f64,
 }
 
-/// The model engines; all alike.
+/// The engines, which are all alike.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Runners {
-    /// Engines, spread evenly over the zones.
+    /// Spread evenly over the zones.
     pub count: usize,
-    /// How fast each works and how much it holds; also keys of the stand-in's settings.
+    /// Speed and capacity of each engine, with the keys of the stand-in's settings.
     pub speed: EngineSpeedSettings,
 }
 
@@ -98,31 +94,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
-    /// Nodes, spread evenly over the zones.
+    /// Spread evenly over the zones.
     pub count: usize,
-    /// Tries of one request at most, the first included.
+    /// Maximum number of attempts of a request.
     pub attempts: u32,
-    /// Seconds after which an engine drops a request that still waits.
+    /// Seconds after which an engine drops a waiting request.
     pub deadline_s: f64,
 }
 
-/// How late and how incomplete the nodes' knowledge is.
+/// Delay and loss of what nodes observe of engines.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reports {
-    /// Milliseconds by which an engine's load report lags behind its load.
+    /// Delay of an engine's load report.
     pub load_lag_ms: f64,
-    /// Milliseconds between two status requests of a node to an engine.
+    /// Interval of a node's status requests to an engine.
     pub status_interval_ms: f64,
-    /// Nodes that read the event feed of one engine.
+    /// Number of nodes that read the feed of one engine.
     pub feed_readers: usize,
-    /// Milliseconds between two reads of an engine's event feed.
+    /// Interval between two reads of an engine's feed.
     pub feed_interval_ms: f64,
-    /// Milliseconds from a change of a cache until its event can be read.
+    /// Delay from a cache change until its event can be read.
     pub event_delay_ms: f64,
-    /// The share of cache events that are lost.
+    /// Share of cache events that are lost.
     pub event_loss: f64,
-    /// Milliseconds between two snapshots of one engine by one node, after gaps in its feed.
+    /// Minimum interval between two snapshots of one engine by one node.
     pub snapshot_interval_ms: f64,
 }
 
@@ -130,9 +126,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policies {
-    /// Blocks of the prompt's opening that the policy `sticky` places by.
+    /// Number of leading prompt blocks that the policy `sticky` hashes.
     pub sticky_blocks: usize,
-    /// The pool's weight between tail time to first token (0.0) and reuse (1.0).
+    /// The pool's weight between tail latency (0.0) and cache reuse (1.0).
     pub reuse_weight: f64,
 }
 
@@ -142,53 +138,39 @@
     }
 }
 
-/// The limits that nodes enforce.
+/// Limits that nodes enforce.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Whether nodes apply admission: fair shares, bounded queues, shedding and the retry budget.
+    /// Whether nodes enforce admission (fair shares, bounded queues, load shedding) and the retry budget.
     pub enforced: bool,
-    /// Queueing at the engines above which a node sends less; the node's default where absent.
+    /// Queueing delay at the engines above which a node sends less; none for the node's default.
     pub target_queueing_ms: Option<f64>,
-    /// Part of a node's requests in flight that is kept for tenants below their share; the node's default where absent.
+    /// Share of a node's concurrency that is reserved for tenants below their share; none for the node's
+    /// default.
     pub reserved_part: Option<f64>,
 }
 
-/// Why a scenario can't be used.
+/// An error while loading a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// No bundled scenario has the name.
     #[error("there is no bundled scenario {name:?}; use one of {}, or a path that ends in .toml", names())]
-    UnknownName {
-        /// The name.
-        name: String,
-    },
-    /// The file can't be read.
+    UnknownName { name: String },
     #[error("cannot read the scenario {}: {source}", path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// The text isn't a scenario.
+    Unreadable { path: PathBuf, source: std::io::Error },
     #[error("scenario {place}: {message}")]
     Malformed {
-        /// The scenario's name or path.
         place: String,
         /// Line, key and what is expected there.
         message: String,
     },
-    /// A value is out of range.
     #[error("scenario {place}: {key} = {value} is not usable; give {expected}")]
     OutOfRange {
-        /// The scenario's name or path.
         place: String,
         /// The key with its tables.
         key: String,
-        /// The value found.
         value: String,
-        /// What the key may hold.
+        /// The valid values.
         expected: &'static str,
     },
 }
--- a/crates/bench/src/scenario/workload.rs
+++ b/crates/bench/src/scenario/workload.rs
@@ -1,4 +1,4 @@
-//! The part of a scenario that describes the requests.
+//! Workload of a scenario.
 
 use serde::Deserialize;
 
@@ -6,14 +6,13 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantGroup {
-    /// The tenants' name; numbered where there are several.
+    /// Name prefix of the tenants; numbered if there are several.
     pub name: String,
-    /// Tenants in the group.
     #[serde(default = "one")]
     pub count: usize,
-    /// Each tenant's part of the requests, relative to the others'.
+    /// Share of the requests of each tenant, relative to other tenants.
     pub traffic: f64,
-    /// Each tenant's fair share of the pool where limits are enforced, relative to the others'.
+    /// Weight of each tenant's fair share if limits are enforced.
     #[serde(default = "one_share")]
     pub weight: u32,
 }
@@ -26,18 +25,18 @@
     1
 }
 
-/// The prompts' shared openings: one tree for each tenant.
+/// Shared prefixes of the prompts: one tree per tenant.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prefixes {
-    /// The tree's levels from the root down.
+    /// Levels of the tree from the root.
     pub levels: Vec<PrefixLevel>,
-    /// Skew of the popularity of siblings: the one of rank r is chosen in proportion to r^-skew.
+    /// Skew of the popularity of siblings: rank r is chosen in proportion to r^-skew.
     pub zipf_skew: f64,
-    /// Seconds after which all ranks are drawn anew; never by default.
+    /// Interval at which all ranks are redrawn; never by default.
     #[serde(default)]
     pub shift_period_s: Option<f64>,
-    /// Blocks that follow the shared part and are a request's own, the least and the most.
+    /// Number of blocks unique to a request after the shared prefix: minimum and maximum.
     pub own_blocks: [u32; 2],
 }
 
@@ -45,33 +44,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PrefixLevel {
-    /// Children of each node of the level above.
+    /// Children per node of the parent level.
     pub fan_out: usize,
-    /// Blocks of each, the least and the most.
+    /// Blocks per node: minimum and maximum.
     pub blocks: [u32; 2],
-    /// The share of requests that reach this level and go no deeper.
+    /// Share of requests whose shared prefix ends at this level.
     #[serde(default)]
     pub ends_here: f64,
 }
 
-/// How many requests arrive, at independent random times.
+/// A Poisson arrival process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arrivals {
-    /// Requests in a second, on average.
+    /// Mean rate.
     pub requests_per_second: f64,
-    /// Seconds from the start within which the rate rises evenly from nothing, so that caches fill
-    /// before the full load comes.
+    /// Seconds in which the rate rises linearly from the start, so that caches fill before full load.
     #[serde(default)]
     pub ramp_up_s: f64,
 }
 
-/// How long the answers are: exponentially distributed, cut at the most.
+/// Answer lengths: exponentially distributed, truncated at the maximum.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answers {
-    /// Tokens on average, before the cut.
+    /// Mean before truncation.
     pub mean_tokens: f64,
-    /// Tokens at most.
+    /// Maximum.
     pub most_tokens: u32,
 }
