--- a/crates/bench/examples/decision.rs
+++ b/crates/bench/examples/decision.rs
@@ -1,4 +1,4 @@
-//! Prints the time of a routing decision and the memory of the belief, one JSON object a line.
+//! Prints the time of a routing decision and the memory of the cache index, one JSON object per line.
 
 use paddlemount_bench::decision::{DecisionBenchSettings, run};
 
--- a/crates/bench/src/capacity/command.rs
+++ b/crates/bench/src/capacity/command.rs
@@ -30,7 +30,7 @@
     let slopes = measure(effort);
     if let Some(directory) = directory {
         let failed = |error: std::io::Error| CommandError::Output {
-            place: directory.display().to_string(),
+            destination: directory.display().to_string(),
             source: error,
         };
         std::fs::create_dir_all(&directory).map_err(failed)?;
@@ -38,7 +38,7 @@
     }
     let text = if is_json { json(&slopes) } else { table(&slopes) };
     let written = std::io::stdout().write_all(text.as_bytes());
-    written.map_err(|source| CommandError::Output { place: "standard output".to_owned(), source })
+    written.map_err(|source| CommandError::Output { destination: "standard output".to_owned(), source })
 }
 
 fn json(slopes: &[Slope]) -> String {
--- a/crates/bench/src/capacity/fit.rs
+++ b/crates/bench/src/capacity/fit.rs
@@ -19,15 +19,15 @@
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_value = points.iter().map(|(_, value)| value).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(size, _)| (size - mean_size).powi(2)).sum();
-        let together: f64 =
+        let square_sum: f64 = points.iter().map(|(size, _)| (size - mean_size).powi(2)).sum();
+        let cross_sum: f64 =
             points.iter().map(|(size, value)| (size - mean_size) * (value - mean_value)).sum();
-        let slope = together / spread;
+        let slope = cross_sum / square_sum;
         let intercept = mean_value - slope * mean_size;
         let line = Self { intercept, slope, slope_error: 0.0, r_squared: 1.0 };
         let residual: f64 = points.iter().map(|(size, value)| (value - line.at(*size)).powi(2)).sum();
         let total: f64 = points.iter().map(|(_, value)| (value - mean_value).powi(2)).sum();
-        let slope_error = (residual / (count - 2.0) / spread).sqrt();
+        let slope_error = (residual / (count - 2.0) / square_sum).sqrt();
         let r_squared = if total > 0.0 { 1.0 - residual / total } else { 1.0 };
         Self { slope_error, r_squared, ..line }
     }
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -149,20 +149,21 @@
 
 /// A node that follows the configuration: document size, and time to apply a change.
 fn configuration(effort: Effort) -> Vec<Slope> {
-    let (mut bytes, mut watched, mut replayed) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut bytes, mut read_times, mut replayed) = (Vec::new(), Vec::new(), Vec::new());
     for tenants in [50, 100, 200, 430, 860] {
         let size = tenants as f64;
         let mut before = document(tenants, MODELS);
         for number in 0..paddlemount_protocol::configuration::MAX_RECORDED_CHANGES {
-            before = after(&before, number);
+            before = apply_change(&before, number);
         }
-        let next = after(&before, 1_000);
+        let next = apply_change(&before, 1_000);
         let encoded = serde_json::to_vec(&next).unwrap_or_default();
         bytes.push((size, encoded.len() as f64));
-        let parse = time(effort, || serde_json::from_slice::<RevisedConfiguration>(&encoded).map(|_| ()));
-        watched.push((size, parse.as_secs_f64() * 1e3));
+        let parse =
+            median_time(effort, || serde_json::from_slice::<RevisedConfiguration>(&encoded).map(|_| ()));
+        read_times.push((size, parse.as_secs_f64() * 1e3));
         let record = next.configuration.changes.last().cloned();
-        let step = time(effort, || {
+        let step = median_time(effort, || {
             let mut configuration = before.configuration.clone();
             let replayed =
                 record.iter().map(|record| replay(&mut configuration, record)).all(|done| done.is_ok());
@@ -174,12 +175,12 @@
     let tenants = "tenants";
     vec![
         Slope::new(role, "bytes of the document", tenants, bytes, target::TENANTS, Some(BUDGET_MEMORY_BYTES)),
-        Slope::new(role, "ms to read a whole document", tenants, watched, target::TENANTS, None),
+        Slope::new(role, "ms to read a whole document", tenants, read_times, target::TENANTS, None),
         Slope::new("member", "ms to take in one change", tenants, replayed, target::TENANTS, None),
     ]
 }
 
-fn after(before: &RevisedConfiguration, number: usize) -> RevisedConfiguration {
+fn apply_change(before: &RevisedConfiguration, number: usize) -> RevisedConfiguration {
     let request = change_request(number);
     let configuration = evaluate(before, &request, Timestamp(1)).expect("the measured changes are valid");
     RevisedConfiguration { revision: before.revision.next(), configuration }
@@ -192,7 +193,7 @@
         let mut router = router(runners);
         let blocks: Vec<BlockHash> = (0..64).map(|block| BlockHash(0x1234_5678 + block)).collect();
         let mut number = 0;
-        let each = time(effort, || {
+        let each = median_time(effort, || {
             number += 1;
             decide(&mut router, &blocks, number)
         });
@@ -260,9 +261,9 @@
 fn feed_owner(effort: Effort) -> Vec<Slope> {
     let (mut processor, mut bytes) = (Vec::new(), Vec::new());
     for events in [250, 500, 1_000, 2_000, 4_000] {
-        let batch = feed(events);
+        let batch = feed_batch(events);
         let encoded = serde_json::to_vec(&batch).unwrap_or_default();
-        let each = time(effort, || {
+        let each = median_time(effort, || {
             let mut router = router(1);
             let read: Result<CacheEventBatch, _> = serde_json::from_slice(&encoded);
             if let Ok(batch) = &read {
@@ -289,7 +290,7 @@
 }
 
 /// Events of one block each, every fourth an eviction.
-fn feed(events: usize) -> CacheEventBatch {
+fn feed_batch(events: usize) -> CacheEventBatch {
     let change = |number: u128| {
         let blocks = vec![BlockHash(number * 0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)];
         if number % 4 == 3 { CacheChange::Removed { blocks } } else { CacheChange::Stored { blocks } }
@@ -312,7 +313,7 @@
         let messages: Vec<ClaimMessage> = (0..claims).map(claim).collect();
         message = messages.iter().map(encoded_bytes).max().unwrap_or(0);
         let mut usage = 0;
-        let all = time(Effort { repetitions: effort.repetitions.min(10), ..effort }, || {
+        let all = median_time(Effort { repetitions: effort.repetitions.min(10), ..effort }, || {
             let now = Timestamp::from_millis(1_000_000);
             let mut replica =
                 ClaimReplica::with_floor(ClaimSettings::default(), PlacementEpoch(1), Timestamp(0));
@@ -324,7 +325,7 @@
         processor.push((claims as f64, all.as_secs_f64() * 1e3));
         memory.push((claims as f64, usage as f64));
     }
-    log::debug!("a claim has {message} bytes");
+    log::debug!("largest claim message: {message} bytes");
     let (role, over) = ("claim replica", "claims remembered");
     // Assumes that a tenth of 34 requests/s carries a claim, with 5 replicas each and 10 minutes of
     // retention.
@@ -356,7 +357,7 @@
 }
 
 /// The median run time of `work`.
-fn time<T>(effort: Effort, mut work: impl FnMut() -> T) -> Duration {
+fn median_time<T>(effort: Effort, mut work: impl FnMut() -> T) -> Duration {
     let mut times: Vec<Duration> = (0..effort.repetitions)
         .map(|_| {
             let began = Instant::now();
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -57,8 +57,8 @@
     },
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    #[error("cannot write {place}: {source}")]
-    Output { place: String, source: io::Error },
+    #[error("cannot write {destination}: {source}")]
+    Output { destination: String, source: io::Error },
     #[error(transparent)]
     UnknownDrill(#[from] UnknownDrill),
     /// The number of runs with violations.
@@ -102,8 +102,8 @@
         None => return Err(CommandError::UnknownSubcommand(String::new())),
     };
     match subcommand.as_str() {
-        "run" => run(read_options(&mut parser)?),
-        "report" => write_report(read_options(&mut parser)?),
+        "run" => run(parse_options(&mut parser)?),
+        "report" => write_report(parse_options(&mut parser)?),
         "scenarios" => list_scenarios(),
         "drill" => crate::drill::command::run(&mut parser),
         "hollow" => crate::hollow::command::run(&mut parser),
@@ -112,7 +112,7 @@
     }
 }
 
-fn read_options(parser: &mut Parser) -> Result<Options, CommandError> {
+fn parse_options(parser: &mut Parser) -> Result<Options, CommandError> {
     let mut options = Options {
         scenario: None,
         policies: PolicyName::ALL.to_vec(),
@@ -125,10 +125,10 @@
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Long("scenario") => options.scenario = Some(parser.value()?.string()?),
-            Arg::Long("policy") => options.policies = read_list(parser)?,
-            Arg::Long("without") => options.without = read_list(parser)?,
+            Arg::Long("policy") => options.policies = parse_list(parser)?,
+            Arg::Long("without") => options.without = parse_list(parser)?,
             Arg::Long("seed") => options.seeds = vec![parser.value()?.parse()?],
-            Arg::Long("seeds") => options.seeds = read_seeds(&parser.value()?.string()?)?,
+            Arg::Long("seeds") => options.seeds = parse_seeds(&parser.value()?.string()?)?,
             Arg::Long("threads") => options.threads = parser.value()?.parse()?,
             Arg::Long("json") => options.format = Format::Json,
             Arg::Long("table") => options.format = Format::Table,
@@ -139,7 +139,7 @@
     Ok(options)
 }
 
-fn read_list<T>(parser: &mut Parser) -> Result<Vec<T>, CommandError>
+fn parse_list<T>(parser: &mut Parser) -> Result<Vec<T>, CommandError>
 where
     T: std::str::FromStr,
     T::Err: Into<Box<dyn std::error::Error + Send + Sync + 'static>>,
@@ -150,13 +150,13 @@
     Ok(parsed.collect::<Result<_, _>>()?)
 }
 
-pub(crate) fn read_seeds(text: &str) -> Result<Vec<u64>, CommandError> {
-    let wrong = |source| CommandError::Seeds { text: text.to_owned(), source };
-    let (first, end) = text.split_once("..").ok_or_else(|| wrong(None))?;
-    let first: u64 = first.parse().map_err(|error| wrong(Some(error)))?;
-    let end: u64 = end.parse().map_err(|error| wrong(Some(error)))?;
+pub(crate) fn parse_seeds(text: &str) -> Result<Vec<u64>, CommandError> {
+    let invalid = |source| CommandError::Seeds { text: text.to_owned(), source };
+    let (first, end) = text.split_once("..").ok_or_else(|| invalid(None))?;
+    let first: u64 = first.parse().map_err(|error| invalid(Some(error)))?;
+    let end: u64 = end.parse().map_err(|error| invalid(Some(error)))?;
     if first >= end {
-        return Err(wrong(None));
+        return Err(invalid(None));
     }
     Ok((first..end).collect())
 }
@@ -193,7 +193,7 @@
     let results = run_options(&options)?;
     let page = report::html(&results)?;
     std::fs::write(&path, page)
-        .map_err(|source| CommandError::Output { place: path.display().to_string(), source })
+        .map_err(|source| CommandError::Output { destination: path.display().to_string(), source })
 }
 
 fn list_scenarios() -> Result<(), CommandError> {
@@ -206,5 +206,5 @@
 
 pub(crate) fn print(text: &str) -> Result<(), CommandError> {
     let result = io::stdout().write_all(text.as_bytes());
-    result.map_err(|source| CommandError::Output { place: "standard output".to_owned(), source })
+    result.map_err(|source| CommandError::Output { destination: "standard output".to_owned(), source })
 }
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -94,13 +94,14 @@
         let before = resident_bytes();
         let mut bench = Bench::new(*runners, settings);
         bench.fill();
-        let grown = resident_bytes().zip(before).map(|(after, before)| after.saturating_sub(before));
-        bench.measure(settings.decisions, grown.filter(|_| index == 0))
+        let resident_growth =
+            resident_bytes().zip(before).map(|(after, before)| after.saturating_sub(before));
+        bench.measure(settings.decisions, resident_growth.filter(|_| index == 0))
     };
     settings.runners.iter().enumerate().map(measure).collect()
 }
 
-struct Names {
+struct Identities {
     tenant: TenantId,
     pool: PoolId,
     model: ModelId,
@@ -109,7 +110,7 @@
 
 struct Bench {
     router: Router,
-    names: Names,
+    identities: Identities,
     runners: usize,
     random: SmallRng,
     now: Timestamp,
@@ -124,7 +125,7 @@
             ..RouterSettings::new(ZoneId::from("zone-0"), settings.seed)
         });
         router.apply(RouterEvent::Nodes { count: 350 }, Timestamp::ZERO);
-        let names = Names {
+        let identities = Identities {
             tenant: TenantId::from("tenant"),
             pool: PoolId::from("pool"),
             model: ModelId::from("model"),
@@ -132,7 +133,8 @@
         };
         let random = SmallRng::seed_from_u64(settings.seed);
         let now = Timestamp(1_000_000);
-        let mut bench = Self { router, names, runners, random, now, requests: 0, reported: Timestamp::ZERO };
+        let mut bench =
+            Self { router, identities, runners, random, now, requests: 0, reported: Timestamp::ZERO };
         bench.report();
         bench
     }
@@ -157,10 +159,10 @@
         EngineStatus {
             engine: EngineId::from(format!("engine-{number:04}")),
             incarnation: Incarnation(1),
-            pool: self.names.pool.clone(),
+            pool: self.identities.pool.clone(),
             zone: ZoneId::from(format!("zone-{}", number % 13)),
             loaded: Some(LoadedModel {
-                model: self.names.model.clone(),
+                model: self.identities.model.clone(),
                 weights: WEIGHTS,
                 adapters: Vec::new(),
             }),
@@ -181,14 +183,14 @@
 
     /// Block hashes of a random prompt: preamble, rules, contract and unique text, with skewed popularity.
     fn prompt(&mut self) -> Vec<BlockHash> {
-        let tenant = self.skewed(TENANTS as u64);
-        let rule = tenant * RULES_PER_TENANT + self.skewed(RULES_PER_TENANT);
-        let contract = rule * CONTRACTS_PER_RULE + self.skewed(CONTRACTS_PER_RULE);
+        let tenant = self.skewed_index(TENANTS as u64);
+        let rule = tenant * RULES_PER_TENANT + self.skewed_index(RULES_PER_TENANT);
+        let contract = rule * CONTRACTS_PER_RULE + self.skewed_index(CONTRACTS_PER_RULE);
         let own = self.random.random::<u64>();
         let mut blocks: Vec<BlockHash> = Vec::new();
-        let parts =
+        let segments =
             [(tenant, PREAMBLE_BLOCKS), (rule, RULE_BLOCKS), (contract, CONTRACT_BLOCKS), (own, OWN_BLOCKS)];
-        for (text, length) in parts {
+        for (text, length) in segments {
             for _ in 0..length {
                 let block = text.to_le_bytes();
                 let hash = blocks.last().map_or_else(
@@ -201,7 +203,7 @@
         blocks
     }
 
-    fn skewed(&mut self, count: u64) -> u64 {
+    fn skewed_index(&mut self, count: u64) -> u64 {
         let uniform: f64 = self.random.random();
         ((uniform * uniform * count as f64) as u64).min(count - 1)
     }
@@ -212,7 +214,7 @@
         loop {
             for _ in 0..100 {
                 let blocks = self.prompt();
-                self.decide_and_learn(&blocks);
+                self.decide_and_apply(&blocks);
             }
             let records = self.router.cache_index_size().records;
             if records < before {
@@ -222,14 +224,14 @@
         }
     }
 
-    fn decide_and_learn(&mut self, blocks: &[BlockHash]) -> (f64, f64, usize) {
+    fn decide_and_apply(&mut self, blocks: &[BlockHash]) -> (f64, f64, usize) {
         self.now.0 += REQUEST_MICROS;
         self.requests += 1;
         if self.now.0 - self.reported.0 > REPORT_MICROS {
             self.report();
         }
-        let Self { router, names, now, requests, .. } = self;
-        let request = route(names, blocks);
+        let Self { router, identities, now, requests, .. } = self;
+        let request = route(identities, blocks);
         let began = Instant::now();
         let decision = black_box(router.choose(black_box(&request), *now));
         let choose = began.elapsed().as_secs_f64() * 1e6;
@@ -237,20 +239,20 @@
         let cached = decision.candidates.first().map_or(0, |best: &Candidate| best.expected_cached_tokens);
         let attempt = AttemptId::from(requests.to_string());
         let began = Instant::now();
-        learn(router, &request, &attempt, &chosen.engine, cached, *now);
+        apply_request_events(router, &request, &attempt, &chosen.engine, cached, *now);
         (choose, began.elapsed().as_secs_f64() * 1e6, decision.candidates.len())
     }
 
-    fn measure(mut self, decisions: usize, grown: Option<usize>) -> DecisionBenchResult {
+    fn measure(mut self, decisions: usize, resident_growth: Option<usize>) -> DecisionBenchResult {
         let filled = self.router.cache_index_size();
         let mut choose = Vec::with_capacity(decisions);
-        let mut learn = Vec::with_capacity(decisions);
+        let mut apply_times = Vec::with_capacity(decisions);
         let (mut candidates, mut blocks) = (0, 0);
         for _ in 0..decisions {
             let prompt = self.prompt();
-            let (choose_us, learn_us, weighed) = self.decide_and_learn(&prompt);
+            let (choose_us, learn_us, weighed) = self.decide_and_apply(&prompt);
             choose.push(choose_us);
-            learn.push(learn_us);
+            apply_times.push(learn_us);
             candidates += weighed;
             blocks += prompt.len();
         }
@@ -261,21 +263,21 @@
             mean_candidates: candidates as f64 / decisions as f64,
             mean_blocks: blocks as f64 / decisions as f64,
             choose_us: percentiles(choose),
-            learn_us: percentiles(learn),
+            learn_us: percentiles(apply_times),
             belief_records: size.records,
             belief_bytes: size.approximate_bytes,
             bytes_per_record: size.approximate_bytes as f64 / size.records as f64,
-            resident_bytes_per_record: grown.map(|bytes| bytes as f64 / filled.records as f64),
+            resident_bytes_per_record: resident_growth.map(|bytes| bytes as f64 / filled.records as f64),
         }
     }
 }
 
-fn route<'a>(names: &'a Names, blocks: &'a [BlockHash]) -> RouteRequest<'a> {
+fn route<'a>(identities: &'a Identities, blocks: &'a [BlockHash]) -> RouteRequest<'a> {
     RouteRequest {
-        request: &names.request,
-        tenant: &names.tenant,
-        pool: &names.pool,
-        model: &names.model,
+        request: &identities.request,
+        tenant: &identities.tenant,
+        pool: &identities.pool,
+        model: &identities.model,
         weights: WEIGHTS,
         adapter: None,
         scope: CacheScope(0),
@@ -288,7 +290,7 @@
     }
 }
 
-fn learn(
+fn apply_request_events(
     router: &mut Router,
     request: &RouteRequest<'_>,
     attempt: &AttemptId,
--- a/crates/bench/src/demo/cluster.rs
+++ b/crates/bench/src/demo/cluster.rs
@@ -198,7 +198,7 @@
         };
         let ended = tokio::task::spawn_blocking(move || running.map(RunningStandin::kill)).await;
         if let Err(error) = ended {
-            log::error!("{engine} did not end: {error}");
+            log::error!("cannot stop {engine}: {error}");
         }
         engine
     }
@@ -253,7 +253,7 @@
         standins.extend(lock(&self.engines).iter_mut().filter_map(|engine| engine.running.take()));
         let ended = tokio::task::spawn_blocking(move || standins.into_iter().for_each(RunningStandin::kill));
         if let Err(error) = ended.await {
-            log::error!("a stand-in did not end: {error}");
+            log::error!("cannot stop a stand-in: {error}");
         }
     }
 }
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -76,7 +76,7 @@
 
 /// Runs `paddlemount demo` with the arguments after `demo`.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let outcome = read_arguments(arguments).and_then(|settings| match settings {
+    let outcome = parse_arguments(arguments).and_then(|settings| match settings {
         Some(settings) => run_demo(&settings),
         None => print(USAGE).map(|()| true),
     });
@@ -90,7 +90,7 @@
     }
 }
 
-fn read_arguments(arguments: impl IntoIterator<Item = OsString>) -> Result<Option<DemoSettings>, DemoError> {
+fn parse_arguments(arguments: impl IntoIterator<Item = OsString>) -> Result<Option<DemoSettings>, DemoError> {
     use lexopt::ValueExt;
     let mut parser = lexopt::Parser::from_args(arguments);
     let mut settings = DemoSettings::default();
@@ -134,7 +134,7 @@
     let faults = tokio::spawn(faults::run(Arc::clone(cluster), Arc::clone(&records), settings.length));
     traffic::run(cluster, settings, &records).await;
     if let Err(error) = faults.await {
-        log::error!("the faults did not run: {error}");
+        log::error!("the fault task failed: {error}");
         records.note("the faults did not run");
     }
     let ledgers = cluster.ledgers().await;
--- a/crates/bench/src/demo/record.rs
+++ b/crates/bench/src/demo/record.rs
@@ -12,7 +12,7 @@
 
 /// The end of a model request.
 #[derive(Clone, Debug)]
-pub struct ChatEnd {
+pub struct ChatRecord {
     /// Time since the start of the traffic.
     pub sent: Duration,
     pub streamed: bool,
@@ -23,7 +23,7 @@
 
 /// The end of a booking.
 #[derive(Clone, Debug)]
-pub struct BookingEnd {
+pub struct BookingRecord {
     /// Time since the start of the traffic.
     pub sent: Duration,
     /// The idempotency key.
@@ -39,14 +39,14 @@
     /// Time since the start of the traffic.
     pub at: Duration,
     /// A description for people.
-    pub what: String,
+    pub description: String,
 }
 
 /// All records of a demo.
 #[derive(Debug, Default)]
 pub struct Content {
-    pub chats: Vec<ChatEnd>,
-    pub bookings: Vec<BookingEnd>,
+    pub chats: Vec<ChatRecord>,
+    pub bookings: Vec<BookingRecord>,
     pub notes: Vec<Note>,
     /// Whether a fault could not be injected or repaired.
     pub fault_failed: bool,
@@ -82,28 +82,28 @@
     }
 
     /// Records the end of a model request.
-    pub fn chat(&self, end: ChatEnd) {
+    pub fn chat(&self, end: ChatRecord) {
         if self.retains {
             self.content().chats.push(end);
         }
     }
 
     /// Records the end of a booking.
-    pub fn booking(&self, end: BookingEnd) {
+    pub fn booking(&self, end: BookingRecord) {
         if self.retains {
             self.content().bookings.push(end);
         }
     }
 
     /// Records an event.
-    pub fn note(&self, what: &str) {
-        let note = Note { at: self.since_start(), what: what.to_owned() };
+    pub fn note(&self, description: &str) {
+        let note = Note { at: self.since_start(), description: description.to_owned() };
         self.content().notes.push(note);
     }
 
     /// Records that a fault could not be injected or repaired, which fails the demo.
-    pub fn fault_failed(&self, what: &str) {
-        self.note(what);
+    pub fn fault_failed(&self, description: &str) {
+        self.note(description);
         self.content().fault_failed = true;
     }
 }
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -10,7 +10,7 @@
 use paddlemount_standins::booking::model::{LedgerEntry, duplicate_runs};
 use serde::Serialize;
 
-use super::record::{BookingEnd, ChatEnd, Content, Records};
+use super::record::{BookingRecord, ChatRecord, Content, Records};
 
 /// Time rows of the table.
 const TABLE_ROWS: u32 = 7;
@@ -102,11 +102,11 @@
 
 /// Counts bookings with an unexpected answer, answered bookings that did not run, and bookings that ran
 /// though refused as not run.
-fn count_wrong_bookings(bookings: &[BookingEnd], ledgers: Option<&[Vec<LedgerEntry>]>) -> usize {
+fn count_wrong_bookings(bookings: &[BookingRecord], ledgers: Option<&[Vec<LedgerEntry>]>) -> usize {
     let Some(ledgers) = ledgers else { return bookings.len() };
     let entries = ledgers.iter().flatten().filter_map(|entry| entry.key.as_ref());
     let ran: BTreeSet<&str> = entries.map(|key| key.as_str()).collect();
-    let is_wrong = |end: &&BookingEnd| {
+    let is_wrong = |end: &&BookingRecord| {
         let has_run = ran.contains(end.key.as_str());
         match &end.ending.result {
             Ok(_) => !end.correct || !has_run,
@@ -116,7 +116,7 @@
     bookings.iter().filter(is_wrong).count()
 }
 
-fn hit_rate<'a>(chats: impl Iterator<Item = &'a ChatEnd>) -> f64 {
+fn hit_rate<'a>(chats: impl Iterator<Item = &'a ChatRecord>) -> f64 {
     let usages = chats.filter_map(|end| end.ending.result.as_ref().ok()).map(|answer| answer.usage);
     let (prompt, cached) = usages.fold((0_u64, 0_u64), |(prompt, cached), usage| {
         let cached_tokens = usage.prompt_tokens_details.cached_tokens;
@@ -125,7 +125,7 @@
     (cached as f64 / prompt.max(1) as f64 * 1e4).round() / 1e4
 }
 
-fn first_token<'a>(chats: impl Iterator<Item = &'a ChatEnd>) -> FirstToken {
+fn first_token<'a>(chats: impl Iterator<Item = &'a ChatRecord>) -> FirstToken {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else { return FirstToken::default() };
     for end in chats {
         let waited = end.ending.result.as_ref().ok().and_then(|answer| answer.first_token);
@@ -140,8 +140,8 @@
 
 fn table(content: &Content, length: Duration, summary: &Summary) -> String {
     let mut text = String::new();
-    let mut line = |words: String| {
-        let _ = writeln!(text, "{words}");
+    let mut line = |row: String| {
+        let _ = writeln!(text, "{row}");
     };
     line(format!(
         "{:>9} {:>9} {:>9} {:>10} {:>10} {:>9} {:>9} {:>9}",
@@ -153,7 +153,7 @@
         line(time_row(content, from, until));
         let is_last = number + 1 == TABLE_ROWS;
         for note in content.notes.iter().filter(|note| note.at >= from && (note.at < until || is_last)) {
-            line(format!("{:>8.1}s   {}", note.at.as_secs_f64(), note.what));
+            line(format!("{:>8.1}s   {}", note.at.as_secs_f64(), note.description));
         }
     }
     line(String::new());
@@ -178,8 +178,8 @@
 
 fn time_row(content: &Content, from: Duration, until: Duration) -> String {
     let within = |sent: Duration| sent >= from && sent < until;
-    let chats: Vec<&ChatEnd> = content.chats.iter().filter(|end| within(end.sent)).collect();
-    let bookings: Vec<&BookingEnd> = content.bookings.iter().filter(|end| within(end.sent)).collect();
+    let chats: Vec<&ChatRecord> = content.chats.iter().filter(|end| within(end.sent)).collect();
+    let bookings: Vec<&BookingRecord> = content.bookings.iter().filter(|end| within(end.sent)).collect();
     let complete = chats.iter().filter(|end| end.ending.result.is_ok()).count()
         + bookings.iter().filter(|end| end.ending.result.is_ok()).count();
     let resent: u32 = chats.iter().map(|end| end.ending.resent).sum::<u32>()
--- a/crates/bench/src/demo/traffic.rs
+++ b/crates/bench/src/demo/traffic.rs
@@ -16,7 +16,7 @@
     DemoSettings,
     caller::Caller,
     cluster::{Cluster, MODEL, TENANTS, WEIGHTS, caller_key},
-    record::{BookingEnd, ChatEnd, Records},
+    record::{BookingRecord, ChatRecord, Records},
 };
 
 const PREAMBLE_BYTES: usize = 3_000;
@@ -80,7 +80,7 @@
     }
     while let Some(ended) = requests.join_next().await {
         if let Err(error) = ended {
-            log::error!("a caller ended: {error}");
+            log::error!("a caller task failed: {error}");
             records.note("a caller ended with an error");
         }
     }
@@ -109,14 +109,14 @@
     }
 
     /// A random index below `count`, skewed towards low ones.
-    fn skewed(&mut self, count: usize) -> usize {
+    fn skewed_index(&mut self, count: usize) -> usize {
         let uniform: f64 = self.random.random();
         ((uniform * uniform * count as f64) as usize).min(count - 1)
     }
 
     fn question(&mut self, number: usize) -> Question {
-        let tenant = TENANTS[self.skewed(TENANTS.len())];
-        let (rules, template) = (self.skewed(RULES), self.skewed(TEMPLATES));
+        let tenant = TENANTS[self.skewed_index(TENANTS.len())];
+        let (rules, template) = (self.skewed_index(RULES), self.skewed_index(TEMPLATES));
         let opening = [
             text(1, PREAMBLE_BYTES),
             text(100 + rules as u64, RULES_BYTES),
@@ -133,7 +133,7 @@
     }
 
     fn booking(&mut self, number: usize) -> Booking {
-        let tenant = TENANTS[self.skewed(TENANTS.len())];
+        let tenant = TENANTS[self.skewed_index(TENANTS.len())];
         let operation = OPERATIONS[self.random.random_range(0..OPERATIONS.len())];
         let key = uuid::Uuid::now_v7().to_string();
         let body =
@@ -162,7 +162,7 @@
         let reason = if plan.reason == FinishReason::Stop { "stop" } else { "length" };
         answer.text == plan.text() && answer.reason == reason && answer.usage.completion_tokens == plan.tokens
     });
-    records.chat(ChatEnd { sent, streamed: question.request.stream, correct, ending });
+    records.chat(ChatRecord { sent, streamed: question.request.stream, correct, ending });
 }
 
 /// The expected answer.
@@ -179,5 +179,5 @@
     let ending = caller.book(number, &caller_key(tenant), operation, &key, &body).await;
     let correct =
         ending.result.as_ref().is_ok_and(|answer| answer.operation == operation && answer.request == body);
-    records.booking(BookingEnd { sent, key, correct, ending });
+    records.booking(BookingRecord { sent, key, correct, ending });
 }
--- a/crates/bench/src/drill.rs
+++ b/crates/bench/src/drill.rs
@@ -41,14 +41,16 @@
 pub struct Failure {
     pub drill: String,
     pub seed: u64,
-    /// The promise.
+    /// The violated invariant.
     #[serde(rename = "promise")]
     pub invariant: Invariant,
     /// What was observed.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     pub trace: Vec<String>,
     /// The command that reproduces the run.
-    pub repeat: String,
+    #[serde(rename = "repeat")]
+    pub reproduce_command: String,
 }
 
 /// Totals of a series of runs, printed as the last line.
@@ -76,9 +78,9 @@
 
 fn failure(settings: &RunSettings, history: &History, violation: &Violation) -> Failure {
     let (drill, seed) = (settings.drill.name.clone(), settings.seed);
-    let repeat = format!("paddlemount bench drill {drill} --seeds {seed}..{}", seed + 1);
-    let (invariant, what) = (violation.invariant, violation.what.clone());
-    Failure { drill, seed, invariant, what, trace: history.explain(violation), repeat }
+    let reproduce_command = format!("paddlemount bench drill {drill} --seeds {seed}..{}", seed + 1);
+    let (invariant, description) = (violation.invariant, violation.description.clone());
+    Failure { drill, seed, invariant, description, trace: history.explain(violation), reproduce_command }
 }
 
 /// Runs each drill with each seed on up to `threads` threads. Failures are ordered by drill and seed.
--- a/crates/bench/src/drill/bookings.rs
+++ b/crates/bench/src/drill/bookings.rs
@@ -36,9 +36,9 @@
         let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
         let own = self.nodes[at.node].name.clone();
         let without_claims = self.has_breakage(Breakage::NoClaims);
-        let Some(memory) = self.memory(at) else { return };
-        let document = memory.peers.configuration().cloned();
-        let may_serve = serves_unconfirmed || memory.peers.may_serve(now);
+        let Some(state) = self.state(at) else { return };
+        let document = state.peers.configuration().cloned();
+        let may_serve = serves_unconfirmed || state.peers.may_serve(now);
         let Some(document) = document.filter(|_| may_serve && !stopping) else {
             let refusal = Refusal::unknown(RefusalCode::Unavailable, "the node cannot serve now");
             return self.end_booking(key, attempt, ClaimOutcome::Refused(refusal), now);
@@ -57,11 +57,11 @@
         };
         let (coordinator, actions) = ClaimCoordinator::begin(request, &ClaimSettings::default(), now);
         let active = ActiveClaim { coordinator, key: key.to_owned(), attempt, dispatches: 0 };
-        memory.claims.insert(owner.clone(), active);
-        self.claim_actions(at, &owner, actions, now);
+        state.claims.insert(owner.clone(), active);
+        self.perform_claim_actions(at, &owner, actions, now);
     }
 
-    fn claim_actions(
+    fn perform_claim_actions(
         &mut self,
         at: NodeIncarnation,
         owner: &AttemptId,
@@ -76,7 +76,7 @@
                 }
                 ClaimAction::Dispatch => self.dispatch_booking(at, owner, now),
                 ClaimAction::End(ending) => {
-                    let active = self.memory(at).and_then(|memory| memory.claims.get(owner));
+                    let active = self.state(at).and_then(|state| state.claims.get(owner));
                     let Some((key, attempt)) = active.map(|active| (active.key.clone(), active.attempt))
                     else {
                         continue;
@@ -87,10 +87,16 @@
         }
     }
 
-    fn claim_event(&mut self, at: NodeIncarnation, owner: &AttemptId, event: ClaimEvent, now: Timestamp) {
-        let Some(active) = self.memory(at).and_then(|memory| memory.claims.get_mut(owner)) else { return };
+    fn handle_claim_event(
+        &mut self,
+        at: NodeIncarnation,
+        owner: &AttemptId,
+        event: ClaimEvent,
+        now: Timestamp,
+    ) {
+        let Some(active) = self.state(at).and_then(|state| state.claims.get_mut(owner)) else { return };
         let actions = active.coordinator.handle(event, now);
-        self.claim_actions(at, owner, actions, now);
+        self.perform_claim_actions(at, owner, actions, now);
     }
 
     fn send_claim(&mut self, at: NodeIncarnation, owner: &AttemptId, to: &NodeId, message: ClaimMessage) {
@@ -106,7 +112,7 @@
     }
 
     /// Handles a claim message at a replica.
-    pub fn claim_message(
+    pub fn handle_claim(
         &mut self,
         to: NodeIncarnation,
         from: NodeIncarnation,
@@ -114,8 +120,8 @@
         message: &ClaimMessage,
         now: Timestamp,
     ) {
-        let Some(memory) = self.memory(to) else { return };
-        let reply = memory.replica.handle(message, now);
+        let Some(state) = self.state(to) else { return };
+        let reply = state.replica.handle(message, now);
         let is_claim = matches!(message, ClaimMessage::Claim { .. });
         if is_claim {
             let key = owner.as_str().split('.').nth(2).unwrap_or_default().to_owned();
@@ -127,7 +133,7 @@
     }
 
     /// Handles the reply of a replica.
-    pub fn claim_reply(
+    pub fn handle_claim_reply(
         &mut self,
         at: NodeIncarnation,
         replica: usize,
@@ -139,17 +145,17 @@
         let replica = self.nodes[replica].name.clone();
         let event =
             if is_claim { ClaimEvent::Replied { replica, reply } } else { ClaimEvent::Noted { replica } };
-        self.claim_event(at, owner, event, now);
+        self.handle_claim_event(at, owner, event, now);
     }
 
     /// Handles a timer of a claimed request.
-    pub fn claim_timer(&mut self, at: NodeIncarnation, owner: &AttemptId, now: Timestamp) {
-        self.claim_event(at, owner, ClaimEvent::Tick, now);
+    pub fn handle_claim_timer(&mut self, at: NodeIncarnation, owner: &AttemptId, now: Timestamp) {
+        self.handle_claim_event(at, owner, ClaimEvent::Tick, now);
     }
 
     fn dispatch_booking(&mut self, at: NodeIncarnation, owner: &AttemptId, now: Timestamp) {
         let instances = self.bookings.len();
-        let Some(active) = self.memory(at).and_then(|memory| memory.claims.get_mut(owner)) else { return };
+        let Some(active) = self.state(at).and_then(|state| state.claims.get_mut(owner)) else { return };
         active.dispatches += 1;
         let number = active.dispatches;
         let key = active.key.clone();
@@ -164,15 +170,15 @@
     }
 
     fn not_run(&mut self, at: NodeIncarnation, owner: &AttemptId, code: RefusalCode, now: Timestamp) {
-        let Some(active) = self.memory(at).and_then(|memory| memory.claims.get(owner)) else { return };
+        let Some(active) = self.state(at).and_then(|state| state.claims.get(owner)) else { return };
         let others_left = active.dispatches < MAX_DISPATCHES;
         let message = "the service did not take it".to_owned();
         let result = RunResult::NotRun { code, message, others_left };
-        self.claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
+        self.handle_claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
     }
 
     /// Runs a booking at a booking instance. The instance does not deduplicate.
-    pub fn booking(
+    pub fn run_booking(
         &mut self,
         instance: usize,
         from: NodeIncarnation,
@@ -181,7 +187,7 @@
         now: Timestamp,
     ) {
         let key = owner.as_str().split('.').nth(2).unwrap_or_default().to_owned();
-        let busy = self.loses_replies && self.random.random_bool(BUSY_SHARE);
+        let busy = self.lose_replies && self.random.random_bool(BUSY_SHARE);
         let answer = if busy {
             Err("busy".to_owned())
         } else {
@@ -197,7 +203,7 @@
             let result = self.bookings[instance].model.run(request, now);
             result.map(|response| response.body.to_string()).map_err(|refusal| refusal.message)
         };
-        if self.loses_replies && self.random.random_bool(REPLY_LOSS) {
+        if self.lose_replies && self.random.random_bool(REPLY_LOSS) {
             return;
         }
         let (back_end, node) = (self.bookings[instance].endpoint, self.nodes[from.node].endpoint);
@@ -205,7 +211,7 @@
     }
 
     /// Handles the reply of a booking instance.
-    pub fn booking_reply(
+    pub fn handle_booking_reply(
         &mut self,
         at: NodeIncarnation,
         owner: &AttemptId,
@@ -214,16 +220,27 @@
     ) {
         match answer {
             Ok(answer) => {
-                self.claim_event(at, owner, ClaimEvent::DispatchEnded(RunResult::Completed { answer }), now);
+                self.handle_claim_event(
+                    at,
+                    owner,
+                    ClaimEvent::DispatchEnded(RunResult::Completed { answer }),
+                    now,
+                );
             }
             Err(_) => self.not_run(at, owner, RefusalCode::Overloaded, now),
         }
     }
 
     /// Ends a dispatch that timed out; ignored if a later dispatch has started.
-    pub fn booking_timeout(&mut self, at: NodeIncarnation, owner: &AttemptId, number: u32, now: Timestamp) {
+    pub fn handle_booking_timeout(
+        &mut self,
+        at: NodeIncarnation,
+        owner: &AttemptId,
+        number: u32,
+        now: Timestamp,
+    ) {
         let unclear_is_not_run = self.has_breakage(Breakage::UnclearIsNotRun);
-        let Some(active) = self.memory(at).and_then(|memory| memory.claims.get(owner)) else { return };
+        let Some(active) = self.state(at).and_then(|state| state.claims.get(owner)) else { return };
         if active.dispatches != number {
             return;
         }
@@ -233,7 +250,7 @@
         } else {
             RunResult::Unknown { message }
         };
-        self.claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
+        self.handle_claim_event(at, owner, ClaimEvent::DispatchEnded(result), now);
     }
 
     fn end_booking(&mut self, key: &str, attempt: usize, ending: ClaimOutcome, now: Timestamp) {
--- a/crates/bench/src/drill/callers.rs
+++ b/crates/bench/src/drill/callers.rs
@@ -133,7 +133,13 @@
     }
 
     /// Handles the end or the timeout of a booking attempt and schedules a retry with the same key.
-    pub fn booking_ended(&mut self, key: &str, attempt: usize, ending: Option<ClaimOutcome>, now: Timestamp) {
+    pub fn handle_booking_end(
+        &mut self,
+        key: &str,
+        attempt: usize,
+        ending: Option<ClaimOutcome>,
+        now: Timestamp,
+    ) {
         let booking = self.history.bookings.entry(key.to_owned()).or_default();
         if attempt >= booking.endings.len() {
             return;
--- a/crates/bench/src/drill/cluster.rs
+++ b/crates/bench/src/drill/cluster.rs
@@ -16,7 +16,7 @@
     event::{Event, NodeIncarnation},
     history::{History, Invariant},
     invariants,
-    node::{NodeMemory, PRIMARY_NODES, PRIMARY_ZONES, SimNode},
+    node::{NodeState, PRIMARY_NODES, PRIMARY_ZONES, SimNode},
     settings::{Breakage, FaultWindow, RunSettings},
     store::SimStore,
 };
@@ -49,12 +49,12 @@
     /// The configuration store.
     pub store: SimStore,
     /// Engines that the machine list shows as draining.
-    pub leaving: Vec<usize>,
+    pub draining: Vec<usize>,
     /// Random source of callers and faults.
     pub random: StdRng,
     pub history: History,
     /// Whether replies of the store and of back ends are lost.
-    pub loses_replies: bool,
+    pub lose_replies: bool,
     /// Whether streams stall.
     pub late_answers: bool,
 }
@@ -97,9 +97,9 @@
             engines,
             bookings,
             store,
-            leaving: Vec::new(),
+            draining: Vec::new(),
             history: History::default(),
-            loses_replies: false,
+            lose_replies: false,
             late_answers: false,
         }
     }
@@ -136,16 +136,16 @@
     }
 
     /// The state of a node incarnation, if it still runs.
-    pub fn memory(&mut self, at: NodeIncarnation) -> Option<&mut NodeMemory> {
+    pub fn state(&mut self, at: NodeIncarnation) -> Option<&mut NodeState> {
         let node = &mut self.nodes[at.node];
-        if node.incarnation == at.incarnation { node.memory.as_mut() } else { None }
+        if node.incarnation == at.incarnation { node.state.as_mut() } else { None }
     }
 
     /// Starts a node without state.
     pub fn start(&mut self, number: usize, now: Timestamp) {
         let seeds = self.nodes.iter().map(|node| node.address).collect();
         let node = &mut self.nodes[number];
-        if node.memory.is_some() {
+        if node.state.is_some() {
             return;
         }
         node.incarnation += 1;
@@ -153,7 +153,7 @@
         node.started_at = now;
         node.revision = Revision(0);
         node.paused_until = Timestamp::ZERO;
-        node.memory = Some(NodeMemory::new(node, seeds, &self.settings, now));
+        node.state = Some(NodeState::new(node, seeds, &self.settings, now));
         let at = node.incarnation_of(number);
         self.history.record(now, format!("node-{number}"), "starts");
         self.queue.schedule_at(now, Event::Wake(at));
@@ -167,32 +167,37 @@
         let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
-            let Some(memory) = node.memory.as_ref().filter(|_| node.paused_until <= now) else { continue };
-            let held = memory.peers.configuration().map_or(Revision(0), |document| document.revision);
-            let serves = held > Revision(0) && (serves_unconfirmed || memory.peers.may_serve(now));
+            let Some(state) = node.state.as_ref().filter(|_| node.paused_until <= now) else { continue };
+            let held = state.peers.configuration().map_or(Revision(0), |document| document.revision);
+            let serves = held > Revision(0) && (serves_unconfirmed || state.peers.may_serve(now));
             let before = std::mem::replace(&mut node.revision, held);
             let name = format!("node-{number}");
             if held < before {
-                let what = format!("{name} went from revision {before} to {held}");
-                self.history.record_violation(Invariant::ConfigurationStays, now, what, &[&name]);
+                let description = format!("{name} went from revision {before} to {held}");
+                self.history.record_violation(Invariant::ConfigurationStays, now, description, &[&name]);
             }
             if serves && held < due {
-                let what = format!("{name} serves under revision {held}; {due} was accepted 9 s ago");
-                self.history.record_violation(Invariant::ConfigurationStays, now, what, &[&name, "store"]);
+                let description = format!("{name} serves under revision {held}; {due} was accepted 9 s ago");
+                self.history.record_violation(
+                    Invariant::ConfigurationStays,
+                    now,
+                    description,
+                    &[&name, "store"],
+                );
             }
         }
     }
 
     /// The configuration in force at a node.
     pub fn configuration(&mut self, at: NodeIncarnation) -> Option<std::sync::Arc<RevisedConfiguration>> {
-        self.memory(at)?.peers.configuration().cloned()
+        self.state(at)?.peers.configuration().cloned()
     }
 
     /// Nodes that accept requests: running, not paused or stopping, and in the engines' region.
     pub fn available_nodes(&self, now: Timestamp) -> BTreeSet<usize> {
         let open = |number: &usize| {
             let node = &self.nodes[*number];
-            node.memory.is_some() && node.paused_until <= now && !node.stopping
+            node.state.is_some() && node.paused_until <= now && !node.stopping
         };
         (0..PRIMARY_NODES).filter(open).collect()
     }
--- a/crates/bench/src/drill/command.rs
+++ b/crates/bench/src/drill/command.rs
@@ -3,7 +3,7 @@
 use lexopt::{Arg, Parser, ValueExt};
 
 use super::{Breakage, Drill, Failure, run_all};
-use crate::command::{CommandError, DEFAULT_SEED, print, read_seeds};
+use crate::command::{CommandError, DEFAULT_SEED, parse_seeds, print};
 
 const DEFAULT_DRILL_THREADS: usize = 12;
 
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// Where the arguments can't be read, or a promise was broken.
+/// If the arguments are invalid, or an invariant was violated.
 pub fn run(parser: &mut Parser) -> Result<(), CommandError> {
     let mut names = Vec::new();
     let mut seeds = DEFAULT_SEED..DEFAULT_SEED + 1;
@@ -20,7 +20,7 @@
         match argument {
             Arg::Value(name) => names.push(name.string()?),
             Arg::Long("seeds") => {
-                let list = read_seeds(&parser.value()?.string()?)?;
+                let list = parse_seeds(&parser.value()?.string()?)?;
                 seeds = list[0]..list[list.len() - 1] + 1;
             }
             Arg::Long("threads") => threads = parser.value()?.parse()?,
@@ -54,9 +54,9 @@
             continue;
         }
         let trace = failure.trace.join("\n  ");
-        let Failure { drill, seed, invariant, what, repeat, .. } = failure;
+        let Failure { drill, seed, invariant, description, reproduce_command, .. } = failure;
         print(&format!(
-            "{drill}, seed {seed}: {invariant:?} broken: {what}\n  {trace}\nrepeat: {repeat}\n\n"
+            "{drill}, seed {seed}: {invariant:?} broken: {description}\n  {trace}\nrepeat: {reproduce_command}\n\n"
         ))?;
     }
     Ok(())
--- a/crates/bench/src/drill/delivery.rs
+++ b/crates/bench/src/drill/delivery.rs
@@ -9,7 +9,7 @@
     pub(super) fn handle_event(&mut self, event: Event, now: Timestamp) {
         if let Some(at) = event.target() {
             let node = &self.nodes[at.node];
-            if node.incarnation != at.incarnation || node.memory.is_none() {
+            if node.incarnation != at.incarnation || node.state.is_none() {
                 return;
             }
             if node.paused_until > now {
@@ -23,46 +23,50 @@
 
     fn deliver(&mut self, event: Event, now: Timestamp) {
         match event {
-            Event::Wake(at) => self.wake(at, now),
+            Event::Wake(at) => self.handle_wakeup(at, now),
             Event::PeriodicTick(at) => self.periodic_tick(at, now),
             Event::PeerRequest { to, from, call, request } => {
-                self.peer_request(to, from, call, &request, now)
+                self.handle_peer_request(to, from, call, &request, now)
             }
-            Event::PeerAnswer { to, call, answer } => self.peer_answer(to, call, &answer, now),
-            Event::PeerTimeout { to, call } => self.peer_timeout(to, call, now),
-            Event::StoreCall { from, call } => self.store_call(from, call, now),
-            Event::StoreAnswer { to, answer } => self.store_answer(to, answer, now),
-            Event::WatchExpires { from, call, after } => self.watch_expires(from, call, after),
+            Event::PeerAnswer { to, call, answer } => self.handle_peer_answer(to, call, &answer, now),
+            Event::PeerTimeout { to, call } => self.handle_peer_timeout(to, call, now),
+            Event::StoreCall { from, call } => self.handle_store_call(from, call, now),
+            Event::StoreAnswer { to, answer } => self.handle_store_answer(to, answer, now),
+            Event::WatchExpires { from, call, after } => self.expire_watch(from, call, after),
             Event::EngineStep(engine) => self.step_engine(engine, now),
             Event::StatusRequested { engine, from, requested_at } => {
-                self.status_requested(engine, from, requested_at, now)
+                self.handle_status_request(engine, from, requested_at, now)
             }
-            Event::Status { to, status, requested_at } => self.status(to, &status, requested_at, now),
-            Event::Machines { to, leaving } => self.machines(to, &leaving, now),
+            Event::Status { to, status, requested_at } => self.handle_status(to, &status, requested_at, now),
+            Event::Machines { to, draining } => self.handle_machine_list(to, &draining, now),
             Event::Submit { engine, dispatch } => self.submit(engine, *dispatch, now),
             Event::Resume { engine, from, request, attempt, incarnation, next } => {
                 self.resume(engine, from, &request, &attempt, incarnation, next, now);
             }
             Event::Cancel { engine, attempt } => self.cancel(engine, &attempt, now),
             Event::Request { to, request, event } => self.handle_request_event(to, &request, *event, now),
-            Event::RequestTimer { to, request } => self.request_timer(to, &request, now),
-            Event::Order { engine, from, order } => self.order(engine, from, &order, now),
+            Event::RequestTimer { to, request } => self.handle_request_timer(to, &request, now),
+            Event::Order { engine, from, order } => self.handle_order(engine, from, &order, now),
             Event::OrderDone { to, engine, order, result } => {
-                self.order_done(to, engine, &order, &result, now)
+                self.handle_order_result(to, engine, &order, &result, now)
             }
-            Event::Claim { to, from, owner, message } => self.claim_message(to, from, owner, &message, now),
+            Event::Claim { to, from, owner, message } => self.handle_claim(to, from, owner, &message, now),
             Event::ClaimReply { to, replica, owner, is_claim, reply } => {
-                self.claim_reply(to, replica, &owner, is_claim, reply, now);
+                self.handle_claim_reply(to, replica, &owner, is_claim, reply, now);
             }
-            Event::ClaimTimer { to, owner } => self.claim_timer(to, &owner, now),
+            Event::ClaimTimer { to, owner } => self.handle_claim_timer(to, &owner, now),
             Event::Booking { instance, from, owner, number } => {
-                self.booking(instance, from, owner, number, now)
+                self.run_booking(instance, from, owner, number, now)
+            }
+            Event::BookingReply { to, owner, answer } => self.handle_booking_reply(to, &owner, answer, now),
+            Event::BookingTimeout { to, owner, number } => {
+                self.handle_booking_timeout(to, &owner, number, now)
             }
-            Event::BookingReply { to, owner, answer } => self.booking_reply(to, &owner, answer, now),
-            Event::BookingTimeout { to, owner, number } => self.booking_timeout(to, &owner, number, now),
             Event::SendModelRequest { number, node } => self.send_model_request(number, node, now),
             Event::SendBooking { key, attempt } => self.send_booking(&key, attempt, now),
-            Event::BookingEnded { key, attempt, ending } => self.booking_ended(&key, attempt, ending, now),
+            Event::BookingEnded { key, attempt, ending } => {
+                self.handle_booking_end(&key, attempt, ending, now)
+            }
             Event::SubmitChange { node, request } => self.submit_change(node, *request, now),
             Event::RaceOperators { fault } => self.race_operators(fault, now),
             Event::EndWhenIdle(node) => self.end_when_idle(node, now),
--- a/crates/bench/src/drill/engines.rs
+++ b/crates/bench/src/drill/engines.rs
@@ -105,7 +105,7 @@
             prompt_tokens: paddlemount_protocol::prefix::prompt_tokens(prompt.len()),
             answer_tokens: tokens,
             reason: FinishReason::Length,
-            answer_prefix_tokens: dispatch.already,
+            answer_prefix_tokens: dispatch.answer_prefix_tokens,
             priority: Priority::Normal,
             deadline: now + Duration::from_secs(60),
             import: None,
@@ -113,7 +113,7 @@
         let event = match engine.model.submit(request, now) {
             Err(refusal) => RequestEvent::Refused { attempt: dispatch.attempt.clone(), refusal },
             Ok(()) => {
-                self.accepted(number, &dispatch, now);
+                self.check_accepted_attempt(number, &dispatch, now);
                 return self.advance_engine(number, now);
             }
         };
@@ -121,7 +121,7 @@
     }
 
     /// Checks the precondition of an accepted attempt against the actual state of the engine.
-    fn accepted(&mut self, number: usize, dispatch: &Dispatch, now: Timestamp) {
+    fn check_accepted_attempt(&mut self, number: usize, dispatch: &Dispatch, now: Timestamp) {
         let engine = &mut self.engines[number];
         let stream =
             Stream { to: dispatch.from, request: dispatch.request.clone(), last_at: now, broken: false };
@@ -132,18 +132,19 @@
         let same = expected.incarnation == engine.model.incarnation() && Some(expected.weights) == weights;
         self.history.record(now, request, format!("{name} takes try {}", attempt_number(&dispatch.attempt)));
         if !same {
-            let what = format!("{name} ran {request}, which was meant for another life or other weights");
-            self.history.record_violation(Invariant::CacheBoundary, now, what, &[request, &name]);
+            let description =
+                format!("{name} ran {request}, which was meant for another life or other weights");
+            self.history.record_violation(Invariant::CacheBoundary, now, description, &[request, &name]);
         }
         if let Some(answer) = self.history.answers.get_mut(&dispatch.request) {
             answer.ran = true;
         }
         let engine = EngineId::from(name.as_str());
         let late =
-            self.history.leaving_since.get(&engine).is_some_and(|since| now > *since + DRAINING_TIMEOUT);
+            self.history.draining_since.get(&engine).is_some_and(|since| now > *since + DRAINING_TIMEOUT);
         if late {
-            let what = format!("{name} was leaving for more than 3 s and got {request}");
-            self.history.record_violation(Invariant::LeavingGetsNothing, now, what, &[request, &name]);
+            let description = format!("{name} was leaving for more than 3 s and got {request}");
+            self.history.record_violation(Invariant::LeavingGetsNothing, now, description, &[request, &name]);
         }
     }
 
@@ -159,7 +160,7 @@
     }
 
     /// Resumes a stream from frame `next`.
-    #[expect(clippy::too_many_arguments, reason = "one event's parts")]
+    #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
     pub fn resume(
         &mut self,
         number: usize,
@@ -188,12 +189,12 @@
         let load = engine.model.load_report(now);
         for index in next..progress.next_index {
             let content = FrameContent::Token { index, text: token_text(request, attempt, index) };
-            self.frame(number, attempt, content, now);
+            self.send_frame(number, attempt, content, now);
         }
         if progress.ended {
             let reason = FinishReason::Length;
             let content = FrameContent::End { tokens: progress.next_index, reason, load };
-            self.frame(number, attempt, content, now);
+            self.send_frame(number, attempt, content, now);
         }
     }
 
@@ -212,7 +213,7 @@
     /// Sends the engine's pending output and schedules its next step.
     pub fn advance_engine(&mut self, number: usize, now: Timestamp) {
         for output in self.engines[number].model.advance(now) {
-            self.output(number, output, now);
+            self.handle_output(number, output, now);
         }
         let engine = &mut self.engines[number];
         let Some(next) = engine.model.next_event_at() else { return };
@@ -222,7 +223,7 @@
         }
     }
 
-    fn output(&mut self, number: usize, output: EngineOutput, now: Timestamp) {
+    fn handle_output(&mut self, number: usize, output: EngineOutput, now: Timestamp) {
         let incarnation = self.engines[number].model.incarnation();
         let (attempt, content) = match output.event {
             EngineEvent::Started { attempt, prompt_tokens, cached_tokens, load } => {
@@ -240,25 +241,27 @@
             EngineEvent::Failed { attempt, message } => {
                 (attempt, FrameContent::Failed { message: message.to_owned() })
             }
-            EngineEvent::LoadStarted { weights, .. } => return self.load_started(number, weights, now),
+            EngineEvent::LoadStarted { weights, .. } => {
+                return self.check_loaded_weights(number, weights, now);
+            }
         };
-        self.frame(number, &attempt, content, now);
+        self.send_frame(number, &attempt, content, now);
     }
 
     /// Checks that an engine does not load weights older than the accepted configuration requires.
-    fn load_started(&mut self, number: usize, weights: WeightsVersion, now: Timestamp) {
+    fn check_loaded_weights(&mut self, number: usize, weights: WeightsVersion, now: Timestamp) {
         let name = format!("engine-{number}");
         self.history.record(now, name.as_str(), format!("loads weights {weights}"));
         let due = invariants::required_revision(&self.history, now);
         let document = self.store.documents.iter().rev().find(|document| document.revision <= due);
         let pool = document.and_then(|document| document.configuration.pools.get(&pool_name()));
         if pool.is_some_and(|pool| weights < pool.weights) {
-            let what = format!("{name} goes back to weights {weights}");
-            self.history.record_violation(Invariant::ConfigurationStays, now, what, &[&name]);
+            let description = format!("{name} goes back to weights {weights}");
+            self.history.record_violation(Invariant::ConfigurationStays, now, description, &[&name]);
         }
     }
 
-    fn frame(&mut self, number: usize, attempt: &AttemptId, content: FrameContent, now: Timestamp) {
+    fn send_frame(&mut self, number: usize, attempt: &AttemptId, content: FrameContent, now: Timestamp) {
         let from = self.engines[number].endpoint;
         let Some((node, broken)) =
             self.engines[number].streams.get(attempt).map(|stream| (stream.to.node, stream.broken))
@@ -281,15 +284,16 @@
     }
 
     /// Handles a placement order at an engine.
-    pub fn order(&mut self, number: usize, from: NodeIncarnation, order: &Order, now: Timestamp) {
+    pub fn handle_order(&mut self, number: usize, from: NodeIncarnation, order: &Order, now: Timestamp) {
         if !self.engines[number].model.is_up() {
             return;
         }
         let result = self.engines[number].model.order(order, now);
         let name = format!("engine-{number}");
         let verdict = if result.is_ok() { "obeys" } else { "refuses" };
-        let what = format!("{verdict} {:?} under token {} of node-{}", order.command, order.token, from.node);
-        self.history.record(now, name, what);
+        let description =
+            format!("{verdict} {:?} under token {} of node-{}", order.command, order.token, from.node);
+        self.history.record(now, name, description);
         let event = Event::OrderDone { to: from, engine: number, order: order.id.clone(), result };
         let (engine, node) = (self.engines[number].endpoint, self.nodes[from.node].endpoint);
         self.send(engine, node, event);
--- a/crates/bench/src/drill/event.rs
+++ b/crates/bench/src/drill/event.rs
@@ -33,7 +33,7 @@
     pub attempt: AttemptId,
     pub precondition: Precondition,
     /// Tokens that the caller has received already.
-    pub already: u32,
+    pub answer_prefix_tokens: u32,
 }
 
 /// A call to the configuration store.
@@ -107,7 +107,7 @@
     /// The machine list arrives.
     Machines {
         to: NodeIncarnation,
-        leaving: Vec<usize>,
+        draining: Vec<usize>,
     },
     /// An attempt arrives at an engine.
     Submit {
--- a/crates/bench/src/drill/faults.rs
+++ b/crates/bench/src/drill/faults.rs
@@ -21,7 +21,7 @@
 const BREAK_DETECTION_DELAY: Duration = Duration::from_millis(10);
 const RACES: u64 = 4;
 const RACE_PERIOD: Duration = Duration::from_millis(1_500);
-const LEAVING_ENGINE: usize = 3;
+const DRAINING_ENGINE: usize = 3;
 const CRASHING_ENGINES: [usize; 2] = [0, 1];
 const CUT_ZONE: usize = 2;
 const RESTARTED_NODES: [usize; 3] = [0, 1, 2];
@@ -48,7 +48,7 @@
             }
             Fault::StoreOutage => self.store.down = true,
             Fault::StoreSlow => self.store.delay = Duration::from_secs(4),
-            Fault::LostReplies => self.loses_replies = true,
+            Fault::LostReplies => self.lose_replies = true,
             Fault::PausedHolder => self.pause_holder(number, now),
             Fault::RacingOperators => {
                 for race in 0..RACES {
@@ -57,9 +57,9 @@
                 }
             }
             Fault::LeavingEngine => {
-                self.leaving.push(LEAVING_ENGINE);
-                let engine = EngineId::from(format!("engine-{LEAVING_ENGINE}"));
-                self.history.leaving_since.insert(engine, now);
+                self.draining.push(DRAINING_ENGINE);
+                let engine = EngineId::from(format!("engine-{DRAINING_ENGINE}"));
+                self.history.draining_since.insert(engine, now);
             }
             Fault::PlannedStop => self.stop_node(now),
             Fault::Rollout => self.roll_out(now),
@@ -86,7 +86,7 @@
             }
             Fault::StoreOutage => self.store.down = false,
             Fault::StoreSlow => self.store.delay = Duration::ZERO,
-            Fault::LostReplies => self.loses_replies = false,
+            Fault::LostReplies => self.lose_replies = false,
             Fault::PlannedStop => self.restart_node(STOPPED_NODE, now),
             Fault::LateAnswers => self.late_answers = false,
             Fault::PausedHolder | Fault::RacingOperators | Fault::LeavingEngine | Fault::Rollout => {}
@@ -106,12 +106,12 @@
 
     /// Ends a node without notice and breaks the connections of its callers.
     pub fn crash_node(&mut self, number: usize, ending: AnswerEnding, now: Timestamp) {
-        let Some(memory) = self.nodes[number].memory.take() else { return };
+        let Some(state) = self.nodes[number].state.take() else { return };
         self.history.record(now, format!("node-{number}"), "ends");
-        for request in memory.requests.into_keys() {
+        for request in state.requests.into_keys() {
             self.end_answer(&request, ending.clone(), now);
         }
-        let open = memory.claims.into_values().filter(|claim| !claim.coordinator.has_ended());
+        let open = state.claims.into_values().filter(|claim| !claim.coordinator.has_ended());
         for claim in open {
             let event = Event::BookingEnded { key: claim.key, attempt: claim.attempt, ending: None };
             self.queue.schedule_after(BREAK_DETECTION_DELAY, event);
@@ -120,7 +120,7 @@
 
     /// Restarts a node and schedules a probe request to it.
     fn restart_node(&mut self, number: usize, now: Timestamp) {
-        if self.nodes[number].memory.is_some() {
+        if self.nodes[number].state.is_some() {
             return;
         }
         self.queue.schedule_at(now, Event::Start(number));
@@ -144,7 +144,7 @@
     /// Pauses the holder of the placement lease for longer than the lease's TTL.
     fn pause_holder(&mut self, number: usize, now: Timestamp) {
         let holds = |node: &usize| {
-            self.nodes[*node].memory.as_ref().is_some_and(|memory| memory.lease.token(now).is_some())
+            self.nodes[*node].state.as_ref().is_some_and(|state| state.lease.token(now).is_some())
         };
         let Some(node) = (0..PRIMARY_NODES).find(holds) else { return };
         self.nodes[node].paused_until = self.windows[number].end;
@@ -163,9 +163,9 @@
     pub fn end_when_idle(&mut self, number: usize, now: Timestamp) {
         let waits = !self.has_breakage(Breakage::StopDoesNotWait);
         let node = &self.nodes[number];
-        let Some(memory) = node.memory.as_ref().filter(|_| node.stopping) else { return };
-        let claims = memory.claims.values().any(|claim| !claim.coordinator.has_ended());
-        if waits && (claims || !memory.requests.is_empty()) {
+        let Some(state) = node.state.as_ref().filter(|_| node.stopping) else { return };
+        let claims = state.claims.values().any(|claim| !claim.coordinator.has_ended());
+        if waits && (claims || !state.requests.is_empty()) {
             self.queue.schedule_after(Duration::from_millis(20), Event::EndWhenIdle(number));
             return;
         }
--- a/crates/bench/src/drill/history.rs
+++ b/crates/bench/src/drill/history.rs
@@ -54,7 +54,7 @@
     pub invariant: Invariant,
     pub at: Timestamp,
     /// A description for people.
-    pub what: String,
+    pub description: String,
     /// Requests, keys, engines and nodes whose events explain the violation.
     pub subjects: Vec<String>,
 }
@@ -65,7 +65,7 @@
     pub at: Timestamp,
     /// The request, key, engine, node or change concerned.
     pub subject: String,
-    pub what: String,
+    pub description: String,
 }
 
 /// A model request as its caller sees it.
@@ -126,7 +126,7 @@
     pub bookings: BTreeMap<String, Booking>,
     pub changes: BTreeMap<ChangeId, RequestedChange>,
     /// When the machine list first showed an engine as draining.
-    pub leaving_since: BTreeMap<EngineId, Timestamp>,
+    pub draining_since: BTreeMap<EngineId, Timestamp>,
     /// When a revision was first reported as accepted.
     pub accepted_at: BTreeMap<Revision, Timestamp>,
     pub violations: Vec<Violation>,
@@ -135,8 +135,8 @@
 
 impl History {
     /// Adds an event to the trace.
-    pub fn record(&mut self, at: Timestamp, subject: impl Into<String>, what: impl Into<String>) {
-        self.trace.push(TraceEntry { at, subject: subject.into(), what: what.into() });
+    pub fn record(&mut self, at: Timestamp, subject: impl Into<String>, description: impl Into<String>) {
+        self.trace.push(TraceEntry { at, subject: subject.into(), description: description.into() });
     }
 
     /// Adds a violation.
@@ -144,11 +144,11 @@
         &mut self,
         invariant: Invariant,
         at: Timestamp,
-        what: impl Into<String>,
+        description: impl Into<String>,
         subjects: &[&str],
     ) {
         let subjects = subjects.iter().map(|subject| (*subject).to_owned()).collect();
-        self.violations.push(Violation { invariant, at, what: what.into(), subjects });
+        self.violations.push(Violation { invariant, at, description: description.into(), subjects });
     }
 
     /// The trace up to a violation: events of its subjects, and all faults.
@@ -158,7 +158,7 @@
             entry.at <= violation.at && (about || entry.subject == FAULT)
         };
         let line = |entry: &TraceEntry| {
-            format!("{:>9.3} s  {:<10} {}", entry.at.0 as f64 / 1e6, entry.subject, entry.what)
+            format!("{:>9.3} s  {:<10} {}", entry.at.0 as f64 / 1e6, entry.subject, entry.description)
         };
         self.trace.iter().filter(relevant).map(line).collect()
     }
--- a/crates/bench/src/drill/invariants.rs
+++ b/crates/bench/src/drill/invariants.rs
@@ -22,14 +22,15 @@
     let answers = std::mem::take(&mut history.answers);
     for (request, answer) in &answers {
         let name = request.as_str();
-        let mut violated = |invariant, what: String| history.record_violation(invariant, end, what, &[name]);
+        let mut violated =
+            |invariant, description: String| history.record_violation(invariant, end, description, &[name]);
         match &answer.ending {
             Some(AnswerEnding::Finished) => {
-                if let Some(what) = find_wrong_order(name, answer) {
-                    violated(Invariant::WholeStream, what);
+                if let Some(description) = find_wrong_order(name, answer) {
+                    violated(Invariant::WholeStream, description);
                 }
-                if let Some(what) = find_foreign_text(name, answer) {
-                    violated(Invariant::OwnAnswer, what);
+                if let Some(description) = find_foreign_text(name, answer) {
+                    violated(Invariant::OwnAnswer, description);
                 }
             }
             Some(AnswerEnding::Refused(refusal)) => {
@@ -96,16 +97,16 @@
     let bookings = std::mem::take(&mut history.bookings);
     for (key, booking) in &bookings {
         if booking.runs.len() > 1 {
-            let what = format!("ran {} times, at {:?}", booking.runs.len(), booking.runs);
-            history.record_violation(Invariant::AtMostOnce, end, what, &[key]);
+            let description = format!("ran {} times, at {:?}", booking.runs.len(), booking.runs);
+            history.record_violation(Invariant::AtMostOnce, end, description, &[key]);
         }
         let contradicted = booking
             .not_run_at
             .iter()
             .find(|reported_at| booking.runs.iter().any(|(_, ran)| ran <= *reported_at));
         if let Some(reported_at) = contradicted {
-            let what = format!("refused as not run at {} ms, after it ran", reported_at.as_millis());
-            history.record_violation(Invariant::NotRunIsTrue, end, what, &[key]);
+            let description = format!("refused as not run at {} ms, after it ran", reported_at.as_millis());
+            history.record_violation(Invariant::NotRunIsTrue, end, description, &[key]);
         }
         let foreign = booking.answers.iter().find(|answer| !answer.contains(key.as_str()));
         if let Some(answer) = foreign {
@@ -127,8 +128,8 @@
                 Some(*revision)
             }
             Some((_, ChangeOutcome::Refused { .. })) if documents.iter().any(|document| holds(&document)) => {
-                let what = "refused, yet it was made".to_owned();
-                history.record_violation(Invariant::ConfigurationStays, end, what, &[id.as_str()]);
+                let description = "refused, yet it was made".to_owned();
+                history.record_violation(Invariant::ConfigurationStays, end, description, &[id.as_str()]);
                 None
             }
             _ => None,
@@ -139,8 +140,9 @@
             .filter(|document| document.revision >= revision)
             .find(|document| !holds(document));
         if let Some(document) = lost {
-            let what = format!("accepted in revision {revision}, gone in revision {}", document.revision);
-            history.record_violation(Invariant::ConfigurationStays, end, what, &[id.as_str()]);
+            let description =
+                format!("accepted in revision {revision}, gone in revision {}", document.revision);
+            history.record_violation(Invariant::ConfigurationStays, end, description, &[id.as_str()]);
         }
     }
     history.changes = changes;
--- a/crates/bench/src/drill/models.rs
+++ b/crates/bench/src/drill/models.rs
@@ -19,7 +19,7 @@
     cluster::{SimCluster, model_name, pool_name},
     event::{Dispatch, Event, NodeIncarnation},
     history::AnswerEnding,
-    node::{ActiveRequest, NodeMemory},
+    node::{ActiveRequest, NodeState},
     settings::Breakage,
 };
 
@@ -43,20 +43,20 @@
         let Some(ModelRequestSpec { tenant, prompt, tokens }) = self.request_spec(request) else { return };
         let serves_unconfirmed = self.has_breakage(Breakage::ServesUnconfirmed);
         let stopping = self.nodes[at.node].stopping;
-        let Some(memory) = self.memory(at) else {
+        let Some(state) = self.state(at) else {
             return self.end_answer(request, AnswerEnding::NodeCrashed, now);
         };
         let refuse = |code, message: &str| AnswerEnding::Refused(Refusal::not_run(code, message));
         if stopping {
             return self.end_answer(request, refuse(RefusalCode::Draining, "the node stops"), now);
         }
-        let document = memory.peers.configuration().cloned();
+        let document = state.peers.configuration().cloned();
         let pool = document.as_ref().and_then(|document| document.configuration.pools.get(&pool_name()));
-        let Some(pool) = pool.filter(|_| serves_unconfirmed || memory.peers.may_serve(now)) else {
+        let Some(pool) = pool.filter(|_| serves_unconfirmed || state.peers.may_serve(now)) else {
             let message = "the configuration is not known or not confirmed";
             return self.end_answer(request, refuse(RefusalCode::Unavailable, message), now);
         };
-        let share = version_counts(&pool_name(), pool, memory.statuses.values());
+        let share = version_counts(&pool_name(), pool, state.statuses.values());
         let weights = choose_version(pool, share, request);
         let scope = CacheScope::new(&tenant, &model_name(), weights, None);
         let spec = RequestSpec {
@@ -74,7 +74,7 @@
             tokens,
             timer: None,
         };
-        memory.requests.insert(request.clone(), active);
+        state.requests.insert(request.clone(), active);
         self.handle_request_event(at, request, RequestEvent::Arrived, now);
     }
 
@@ -89,11 +89,11 @@
         let Some(event) = self.apply_breakage(at, request, event, now) else { return };
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
-            let Some(active) = self.memory(at).and_then(|memory| memory.requests.get_mut(request)) else {
+            let Some(active) = self.state(at).and_then(|state| state.requests.get_mut(request)) else {
                 return;
             };
             for action in active.machine.handle(event, now) {
-                events.extend(self.request_action(at, request, action, now));
+                events.extend(self.perform_request_action(at, request, action, now));
             }
         }
         self.schedule_timer(at, request, now);
@@ -109,7 +109,7 @@
     ) -> Option<RequestEvent> {
         match (self.settings.breakage, event) {
             (Breakage::FramesOfAnyAttempt, RequestEvent::Frame(frame)) => {
-                let active = self.memory(at)?.requests.get(request)?;
+                let active = self.state(at)?.requests.get(request)?;
                 let attempt = AttemptId::from(format!("{request}.{}", active.machine.attempts()));
                 Some(RequestEvent::Frame(Frame { attempt, ..frame }))
             }
@@ -126,7 +126,7 @@
         }
     }
 
-    fn request_action(
+    fn perform_request_action(
         &mut self,
         at: NodeIncarnation,
         request: &RequestId,
@@ -139,9 +139,10 @@
             }
             RequestAction::Dispatch { attempt, precondition, already } => {
                 let engine = engine_number(&precondition.engine);
-                let already = u32::try_from(already.len()).unwrap_or(u32::MAX);
+                let answer_prefix_tokens = u32::try_from(already.len()).unwrap_or(u32::MAX);
                 let (request, sent) = (request.clone(), attempt.clone());
-                let dispatch = Dispatch { from: at, request, attempt: sent, precondition, already };
+                let dispatch =
+                    Dispatch { from: at, request, attempt: sent, precondition, answer_prefix_tokens };
                 let event = Event::Submit { engine, dispatch: Box::new(dispatch) };
                 let is_sent = self.send_to_engine(at, engine, event);
                 return (!is_sent).then_some(RequestEvent::NotSent { attempt });
@@ -160,11 +161,11 @@
             RequestAction::RefreshStatus { engine } => self.request_status(at, engine_number(&engine), now),
             RequestAction::Ended { attempt, ending } => {
                 let event = RouterEvent::Ended { attempt: &attempt, ending };
-                self.memory(at)?.router.apply(event, now);
+                self.state(at)?.router.apply(event, now);
             }
             RequestAction::Started { attempt, incarnation, cached_tokens, .. } => {
                 let event = RouterEvent::Started { attempt: &attempt, incarnation, cached_tokens };
-                self.memory(at)?.router.apply(event, now);
+                self.state(at)?.router.apply(event, now);
             }
             RequestAction::Emit { text, .. } => {
                 if let Some(answer) = self.history.answers.get_mut(request) {
@@ -192,7 +193,7 @@
         ending: AnswerEnding,
         now: Timestamp,
     ) -> Option<()> {
-        self.memory(at)?.requests.remove(request);
+        self.state(at)?.requests.remove(request);
         self.end_answer(request, ending, now);
         Some(())
     }
@@ -209,7 +210,7 @@
         if let Some(continuation) = continuation {
             return self.choose_version_of(at, request, excluded, continuation.weights, now);
         }
-        let weights = self.memory(at)?.requests.get(request)?.weights;
+        let weights = self.state(at)?.requests.get(request)?.weights;
         let decided = self.choose_version_of(at, request, excluded, weights, now)?;
         if !matches!(decided, RequestEvent::NoEngineAvailable { .. }) {
             return Some(decided);
@@ -234,8 +235,8 @@
         now: Timestamp,
     ) -> Option<RequestEvent> {
         let prompt = self.request_spec(request)?.prompt;
-        let memory = self.memory(at)?;
-        let NodeMemory { router, requests, .. } = memory;
+        let state = self.state(at)?;
+        let NodeState { router, requests, .. } = state;
         let active = requests.get_mut(request)?;
         if weights != active.weights {
             active.weights = weights;
@@ -270,7 +271,7 @@
     }
 
     fn schedule_timer(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
-        let Some(active) = self.memory(at).and_then(|memory| memory.requests.get_mut(request)) else {
+        let Some(active) = self.state(at).and_then(|state| state.requests.get_mut(request)) else {
             return;
         };
         let next = active.machine.next_timer().max(now + Duration::from_micros(1));
@@ -281,8 +282,8 @@
     }
 
     /// Handles a timer, which may have been postponed meanwhile.
-    pub fn request_timer(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
-        let Some(active) = self.memory(at).and_then(|memory| memory.requests.get_mut(request)) else {
+    pub fn handle_request_timer(&mut self, at: NodeIncarnation, request: &RequestId, now: Timestamp) {
+        let Some(active) = self.state(at).and_then(|state| state.requests.get_mut(request)) else {
             return;
         };
         active.timer = None;
--- a/crates/bench/src/drill/node.rs
+++ b/crates/bench/src/drill/node.rs
@@ -63,11 +63,11 @@
 }
 
 /// State of a node, which a restart loses.
-pub struct NodeMemory {
+pub struct NodeState {
     /// Membership and configuration.
     pub peers: Peers,
     /// Unanswered calls of peers.
-    pub served: BTreeMap<CallId, (NodeIncarnation, CallId)>,
+    pub incoming: BTreeMap<CallId, (NodeIncarnation, CallId)>,
     /// Open changes of operators.
     pub changes: BTreeMap<CallId, ChangeId>,
     /// Numbers the calls and changes above.
@@ -101,7 +101,7 @@
     /// The last revision that it held in this incarnation.
     pub revision: Revision,
     /// None while it does not run.
-    pub memory: Option<NodeMemory>,
+    pub state: Option<NodeState>,
 }
 
 impl SimNode {
@@ -122,7 +122,7 @@
             paused_until: Timestamp::ZERO,
             started_at: Timestamp::ZERO,
             revision: Revision(0),
-            memory: None,
+            state: None,
         }
     }
 
@@ -136,7 +136,7 @@
     }
 }
 
-impl NodeMemory {
+impl NodeState {
     /// The state of a node that has just started.
     pub fn new(node: &SimNode, seeds: Vec<SocketAddr>, settings: &RunSettings, now: Timestamp) -> Self {
         let zone = ZoneId::from(format!("zone-{}", node.zone));
@@ -153,7 +153,7 @@
         };
         Self {
             peers: Peers::new(membership(node, zone.clone(), seeds, seed, now), now),
-            served: BTreeMap::new(),
+            incoming: BTreeMap::new(),
             changes: BTreeMap::new(),
             next_call: 0,
             wakeup: None,
--- a/crates/bench/src/drill/peers.rs
+++ b/crates/bench/src/drill/peers.rs
@@ -22,28 +22,28 @@
 impl SimCluster {
     /// Passes an event to a node's membership and configuration and performs the resulting actions.
     pub fn handle_peer_event(&mut self, at: NodeIncarnation, event: PeerEvent<'_>, now: Timestamp) {
-        let Some(memory) = self.memory(at) else { return };
-        let actions = memory.peers.handle(event, now);
+        let Some(state) = self.state(at) else { return };
+        let actions = state.peers.handle(event, now);
         for action in actions {
-            self.peer_action(at, action, now);
+            self.perform_peer_action(at, action, now);
         }
-        let Some(memory) = self.memory(at) else { return };
-        let wakeup = memory.peers.next_wakeup().max(now + Duration::from_micros(1));
-        if memory.wakeup.is_none_or(|planned| planned > wakeup || planned <= now) {
-            memory.wakeup = Some(wakeup);
+        let Some(state) = self.state(at) else { return };
+        let wakeup = state.peers.next_wakeup().max(now + Duration::from_micros(1));
+        if state.wakeup.is_none_or(|planned| planned > wakeup || planned <= now) {
+            state.wakeup = Some(wakeup);
             self.queue.schedule_at(wakeup, Event::Wake(at));
         }
     }
 
     /// Handles a timer of a node's membership and configuration.
-    pub fn wake(&mut self, at: NodeIncarnation, now: Timestamp) {
-        if let Some(memory) = self.memory(at) {
-            memory.wakeup = None;
+    pub fn handle_wakeup(&mut self, at: NodeIncarnation, now: Timestamp) {
+        if let Some(state) = self.state(at) {
+            state.wakeup = None;
         }
         self.handle_peer_event(at, PeerEvent::Tick, now);
     }
 
-    fn peer_action(&mut self, at: NodeIncarnation, action: PeerAction, now: Timestamp) {
+    fn perform_peer_action(&mut self, at: NodeIncarnation, action: PeerAction, now: Timestamp) {
         match action {
             PeerAction::Call { call, address, request, timeout } => {
                 self.queue.schedule_after(timeout, Event::PeerTimeout { to: at, call });
@@ -57,7 +57,7 @@
                 self.send(from, target, Event::PeerRequest { to, from: at, call, request });
             }
             PeerAction::Answer { call, answer } => {
-                let Some((to, call)) = self.memory(at).and_then(|memory| memory.served.remove(&call)) else {
+                let Some((to, call)) = self.state(at).and_then(|state| state.incoming.remove(&call)) else {
                     return;
                 };
                 let (from, target) = (self.nodes[at.node].endpoint, self.nodes[to.node].endpoint);
@@ -66,14 +66,14 @@
             PeerAction::Store { call, request, timeout } => {
                 self.call_store(at, StoreCall::Peers(call, request), timeout);
             }
-            PeerAction::ChangeEnded { call, outcome } => self.change_ended(at, call, outcome, now),
+            PeerAction::ChangeEnded { call, outcome } => self.handle_change_end(at, call, outcome, now),
             PeerAction::Installed(document) => {
                 let (epoch, sealed) =
                     (document.configuration.claims.epoch, document.configuration.claims.next.is_some());
-                let Some(memory) = self.memory(at) else { return };
-                memory.replica.adopt(epoch, sealed, now);
+                let Some(state) = self.state(at) else { return };
+                state.replica.adopt(epoch, sealed, now);
                 let pools = &document.configuration.pools;
-                let actions = memory.placer.handle(PlacementEvent::Pools(pools), now);
+                let actions = state.placer.handle(PlacementEvent::Pools(pools), now);
                 self.apply_placement(at, actions, now);
                 let name = format!("node-{}", at.node);
                 self.history.record(now, name, format!("holds revision {}", document.revision));
@@ -83,7 +83,7 @@
     }
 
     /// Handles a call of a peer.
-    pub fn peer_request(
+    pub fn handle_peer_request(
         &mut self,
         to: NodeIncarnation,
         from: NodeIncarnation,
@@ -91,38 +91,50 @@
         request: &PeerRequest,
         now: Timestamp,
     ) {
-        let Some(memory) = self.memory(to) else { return };
-        let served = CallId(memory.next_call);
-        memory.next_call += 1;
-        memory.served.insert(served, (from, call));
-        self.handle_peer_event(to, PeerEvent::Request { call: served, request }, now);
+        let Some(state) = self.state(to) else { return };
+        let incoming = CallId(state.next_call);
+        state.next_call += 1;
+        state.incoming.insert(incoming, (from, call));
+        self.handle_peer_event(to, PeerEvent::Request { call: incoming, request }, now);
     }
 
     /// Handles an answer of a peer.
-    pub fn peer_answer(&mut self, to: NodeIncarnation, call: CallId, answer: &PeerAnswer, now: Timestamp) {
+    pub fn handle_peer_answer(
+        &mut self,
+        to: NodeIncarnation,
+        call: CallId,
+        answer: &PeerAnswer,
+        now: Timestamp,
+    ) {
         self.handle_peer_event(to, PeerEvent::Answer { call, answer }, now);
     }
 
     /// Handles the timeout of a call to a peer.
-    pub fn peer_timeout(&mut self, to: NodeIncarnation, call: CallId, now: Timestamp) {
+    pub fn handle_peer_timeout(&mut self, to: NodeIncarnation, call: CallId, now: Timestamp) {
         self.handle_peer_event(to, PeerEvent::Failed { call }, now);
     }
 
     /// Submits a change of an operator or of a completed rollout.
     pub fn submit_change(&mut self, node: usize, request: ChangeRequest, now: Timestamp) {
         let at = self.nodes[node].incarnation_of(node);
-        let Some(memory) = self.memory(at) else { return };
-        let call = CallId(memory.next_call);
-        memory.next_call += 1;
-        memory.changes.insert(call, request.id.clone());
+        let Some(state) = self.state(at) else { return };
+        let call = CallId(state.next_call);
+        state.next_call += 1;
+        state.changes.insert(call, request.id.clone());
         let change = super::history::RequestedChange { node, at: now, ended: None };
         self.history.changes.insert(request.id.clone(), change);
         self.history.record(now, request.id.as_str(), format!("asked of node-{node}: {}", request.command));
         self.handle_peer_event(at, PeerEvent::Change { call, request: Box::new(request) }, now);
     }
 
-    fn change_ended(&mut self, at: NodeIncarnation, call: CallId, outcome: ChangeOutcome, now: Timestamp) {
-        let Some(id) = self.memory(at).and_then(|memory| memory.changes.remove(&call)) else { return };
+    fn handle_change_end(
+        &mut self,
+        at: NodeIncarnation,
+        call: CallId,
+        outcome: ChangeOutcome,
+        now: Timestamp,
+    ) {
+        let Some(id) = self.state(at).and_then(|state| state.changes.remove(&call)) else { return };
         self.history.record(now, id.as_str(), format!("{outcome:?}"));
         if let ChangeOutcome::InForce { revision, .. } | ChangeOutcome::Accepted { revision, .. } = &outcome {
             self.history.accepted_at.entry(*revision).or_insert(now);
--- a/crates/bench/src/drill/placement.rs
+++ b/crates/bench/src/drill/placement.rs
@@ -31,12 +31,12 @@
         self.queue.schedule_after(SECOND, Event::PeriodicTick(at));
         (0..self.engines.len()).for_each(|engine| self.request_status(at, engine, now));
         let (platform, node) = (self.store.endpoint, self.nodes[at.node].endpoint);
-        let leaving = self.leaving.clone();
-        self.send(platform, node, Event::Machines { to: at, leaving });
+        let draining = self.draining.clone();
+        self.send(platform, node, Event::Machines { to: at, draining });
         if at.node < PRIMARY_NODES {
-            self.lease_event(at, LeaseEvent::Tick, now);
-            let Some(memory) = self.memory(at) else { return };
-            let actions = memory.placer.handle(PlacementEvent::Tick, now);
+            self.handle_lease_event(at, LeaseEvent::Tick, now);
+            let Some(state) = self.state(at) else { return };
+            let actions = state.placer.handle(PlacementEvent::Tick, now);
             self.apply_placement(at, actions, now);
         }
     }
@@ -48,7 +48,7 @@
     }
 
     /// Handles a status request at an engine.
-    pub fn status_requested(
+    pub fn handle_status_request(
         &mut self,
         engine: usize,
         from: NodeIncarnation,
@@ -65,37 +65,37 @@
     }
 
     /// Handles the status of an engine.
-    pub fn status(
+    pub fn handle_status(
         &mut self,
         at: NodeIncarnation,
         status: &EngineStatus,
         requested_at: Timestamp,
         now: Timestamp,
     ) {
-        let Some(memory) = self.memory(at) else { return };
-        memory.router.apply(RouterEvent::Status(status), now);
-        memory.statuses.insert(status.engine.clone(), status.clone());
-        let actions = memory.placer.handle(PlacementEvent::Status { status, requested_at }, now);
+        let Some(state) = self.state(at) else { return };
+        state.router.apply(RouterEvent::Status(status), now);
+        state.statuses.insert(status.engine.clone(), status.clone());
+        let actions = state.placer.handle(PlacementEvent::Status { status, requested_at }, now);
         self.apply_placement(at, actions, now);
     }
 
     /// Handles the machine list.
-    pub fn machines(&mut self, at: NodeIncarnation, leaving: &[usize], now: Timestamp) {
-        if self.has_breakage(Breakage::LeavingIgnored) {
+    pub fn handle_machine_list(&mut self, at: NodeIncarnation, draining: &[usize], now: Timestamp) {
+        if self.has_breakage(Breakage::DrainingIgnored) {
             return;
         }
-        let Some(memory) = self.memory(at) else { return };
-        for engine in leaving {
+        let Some(state) = self.state(at) else { return };
+        for engine in draining {
             let engine = EngineId::from(format!("engine-{engine}"));
-            memory.router.apply(RouterEvent::Draining { engine: &engine, draining: true }, now);
+            state.router.apply(RouterEvent::Draining { engine: &engine, draining: true }, now);
         }
     }
 
-    fn lease_event(&mut self, at: NodeIncarnation, event: LeaseEvent, now: Timestamp) {
-        let Some(memory) = self.memory(at) else { return };
-        let request = memory.lease.handle(event, now);
-        let token = memory.lease.token(now);
-        let actions = memory.placer.handle(PlacementEvent::Lease(token), now);
+    fn handle_lease_event(&mut self, at: NodeIncarnation, event: LeaseEvent, now: Timestamp) {
+        let Some(state) = self.state(at) else { return };
+        let request = state.lease.handle(event, now);
+        let token = state.lease.token(now);
+        let actions = state.placer.handle(PlacementEvent::Lease(token), now);
         if let Some(request) = request {
             self.call_store(at, StoreCall::Lease(request), LEASE_TIMEOUT);
         }
@@ -103,13 +103,15 @@
     }
 
     /// Handles an answer of the store, or the timeout of a call.
-    pub fn store_answer(&mut self, at: NodeIncarnation, answer: StoreAnswer, now: Timestamp) {
+    pub fn handle_store_answer(&mut self, at: NodeIncarnation, answer: StoreAnswer, now: Timestamp) {
         match answer {
             StoreAnswer::Peers(call, result) => {
                 self.handle_peer_event(at, PeerEvent::Store { call, result }, now)
             }
-            StoreAnswer::Lease(Some(result)) => self.lease_event(at, LeaseEvent::Answered(result), now),
-            StoreAnswer::Lease(None) => self.lease_event(at, LeaseEvent::Failed, now),
+            StoreAnswer::Lease(Some(result)) => {
+                self.handle_lease_event(at, LeaseEvent::Answered(result), now)
+            }
+            StoreAnswer::Lease(None) => self.handle_lease_event(at, LeaseEvent::Failed, now),
         }
     }
 
@@ -123,7 +125,7 @@
                     let event = Event::Order { engine, from: at, order };
                     self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event);
                 }
-                PlacementAction::ReleaseLease => self.lease_event(at, LeaseEvent::Fenced, now),
+                PlacementAction::ReleaseLease => self.handle_lease_event(at, LeaseEvent::Fenced, now),
                 PlacementAction::CompleteRollout { pool, weights } => {
                     self.complete_rollout(at, pool, weights, now);
                 }
@@ -157,7 +159,7 @@
     }
 
     /// Handles an engine's answer to an order.
-    pub fn order_done(
+    pub fn handle_order_result(
         &mut self,
         at: NodeIncarnation,
         engine: usize,
@@ -170,8 +172,8 @@
             Ok(_) => PlacementEvent::Accepted { engine: &engine, order },
             Err(refusal) => PlacementEvent::Refused { engine: &engine, order, code: refusal.code },
         };
-        let Some(memory) = self.memory(at) else { return };
-        let actions = memory.placer.handle(event, now);
+        let Some(state) = self.state(at) else { return };
+        let actions = state.placer.handle(event, now);
         self.apply_placement(at, actions, now);
     }
 }
--- a/crates/bench/src/drill/settings.rs
+++ b/crates/bench/src/drill/settings.rs
@@ -28,7 +28,7 @@
     /// A restarted replica grants keys older than itself.
     FreshReplicaGrantsOldKeys,
     /// The draining state in the machine list is ignored.
-    LeavingIgnored,
+    DrainingIgnored,
     /// A planned stop does not wait for requests.
     StopDoesNotWait,
     /// The store skips the comparison of revisions.
--- a/crates/bench/src/drill/store.rs
+++ b/crates/bench/src/drill/store.rs
@@ -83,7 +83,7 @@
     }
 
     /// Handles a call at the store.
-    pub fn store_call(&mut self, from: NodeIncarnation, call: StoreCall, now: Timestamp) {
+    pub fn handle_store_call(&mut self, from: NodeIncarnation, call: StoreCall, now: Timestamp) {
         if self.store.down {
             let answer = match call {
                 StoreCall::Peers(number, _) => StoreAnswer::Peers(number, Err(StoreFailure::NotApplied)),
@@ -101,11 +101,17 @@
                 };
                 self.store_reply(from, StoreAnswer::Lease(Some(result)));
             }
-            StoreCall::Peers(number, request) => self.document_call(from, number, request, now),
+            StoreCall::Peers(number, request) => self.handle_document_call(from, number, request, now),
         }
     }
 
-    fn document_call(&mut self, from: NodeIncarnation, call: CallId, request: StoreRequest, now: Timestamp) {
+    fn handle_document_call(
+        &mut self,
+        from: NodeIncarnation,
+        call: CallId,
+        request: StoreRequest,
+        now: Timestamp,
+    ) {
         let reply = match request {
             StoreRequest::Read => StoreReply::Document(StoredDocument::Present(self.store.present().clone())),
             StoreRequest::Watch(watch) if self.store.present().revision > watch.after => {
@@ -121,14 +127,14 @@
             StoreRequest::Put { expected, configuration } => {
                 let compares = !self.has_breakage(Breakage::PutWithoutCompare);
                 let result = self.store.put(expected, *configuration, compares);
-                self.stored(from, result, now);
+                self.notify_watches(from, result, now);
                 StoreReply::Put(result)
             }
         };
         self.store_reply(from, StoreAnswer::Peers(call, Ok(reply)));
     }
 
-    fn stored(&mut self, from: NodeIncarnation, result: StorePutResult, now: Timestamp) {
+    fn notify_watches(&mut self, from: NodeIncarnation, result: StorePutResult, now: Timestamp) {
         let StorePutResult::Stored { revision } = result else { return };
         self.history.record(now, "store", format!("takes revision {revision} from node-{}", from.node));
         let watches = std::mem::take(&mut self.store.watches);
@@ -139,7 +145,7 @@
     }
 
     /// Ends a watch without a change.
-    pub fn watch_expires(&mut self, from: NodeIncarnation, call: CallId, after: Revision) {
+    pub fn expire_watch(&mut self, from: NodeIncarnation, call: CallId, after: Revision) {
         let before = self.store.watches.len();
         self.store.watches.retain(|(node, number, _)| (*node, *number) != (from, call));
         if self.store.watches.len() < before && !self.store.down {
@@ -149,7 +155,7 @@
     }
 
     fn store_reply(&mut self, to: NodeIncarnation, answer: StoreAnswer) {
-        if self.loses_replies && self.random.random_bool(REPLY_LOSS) {
+        if self.lose_replies && self.random.random_bool(REPLY_LOSS) {
             return;
         }
         let (store, node) = (self.store.endpoint, self.nodes[to.node].endpoint);
--- a/crates/bench/src/experiment/cluster.rs
+++ b/crates/bench/src/experiment/cluster.rs
@@ -224,7 +224,7 @@
     }
 
     /// Picks a random node for a caller whose node restarted.
-    pub(super) fn draw_node(&mut self) -> usize {
+    pub(super) fn random_node(&mut self) -> usize {
         self.random.random_range(0..self.nodes.len())
     }
 
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -178,7 +178,7 @@
         match output.event {
             EngineEvent::Started { attempt, cached_tokens, load, .. } => {
                 let incarnation = self.engines[engine].model.incarnation();
-                self.count_start(engine, &attempt, cached_tokens);
+                self.record_start(engine, &attempt, cached_tokens);
                 let started = Answer::Started { incarnation, cached_tokens, load };
                 self.answer_attempt(engine, &attempt, started, at);
             }
@@ -198,7 +198,7 @@
         }
     }
 
-    fn count_start(&mut self, engine: usize, attempt: &AttemptId, cached_tokens: u32) {
+    fn record_start(&mut self, engine: usize, attempt: &AttemptId, cached_tokens: u32) {
         let Some(key) = self.engines[engine].serving.get(attempt).map(|serving| serving.key) else { return };
         let Some(open) = self.requests.get_mut(&key.request) else { return };
         open.has_run = true;
--- a/crates/bench/src/experiment/nodes.rs
+++ b/crates/bench/src/experiment/nodes.rs
@@ -262,7 +262,7 @@
         }
         for request in self.requests_at(node) {
             self.abandon_attempt(request, now);
-            let other = self.draw_node();
+            let other = self.random_node();
             let Some(open) = self.requests.get_mut(&request) else { continue };
             open.node = other;
             let sent_at = open.workload.sent_at;
--- a/crates/bench/src/experiment/recovery.rs
+++ b/crates/bench/src/experiment/recovery.rs
@@ -34,20 +34,22 @@
         let (hit_rate, ttft) = (steady(|second| second.hit_rate), steady(|second| second.ttft_p99_ms));
         let after: Vec<&SecondResult> =
             seconds.iter().filter(|second| second.second as f64 >= event_s).collect();
-        let back = |good: &dyn Fn(&[&SecondResult]) -> bool| {
+        let recovery_time = |good: &dyn Fn(&[&SecondResult]) -> bool| {
             let last_bad = after.windows(WINDOW).rposition(|window| !good(window));
             let first_good = last_bad.map_or(0, |position| position + 1);
             (first_good + WINDOW <= after.len()).then_some(first_good as f64)
         };
-        let over = |window: &[&SecondResult], value: fn(&SecondResult) -> f64| {
+        let window_median = |window: &[&SecondResult], value: fn(&SecondResult) -> f64| {
             median(window.iter().map(|second| value(second)))
         };
         Self {
             event_s,
-            hit_rate_s: back(&|window| {
-                over(window, |second| second.hit_rate) >= hit_rate * (1.0 - TOLERANCE)
+            hit_rate_s: recovery_time(&|window| {
+                window_median(window, |second| second.hit_rate) >= hit_rate * (1.0 - TOLERANCE)
+            }),
+            ttft_p99_s: recovery_time(&|window| {
+                window_median(window, |second| second.ttft_p99_ms) <= ttft * (1.0 + TOLERANCE)
             }),
-            ttft_p99_s: back(&|window| over(window, |second| second.ttft_p99_ms) <= ttft * (1.0 + TOLERANCE)),
         }
     }
 }
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -71,7 +71,7 @@
     own_blocks: [u32; 2],
     most_tokens: u32,
     traffic: Vec<f64>,
-    gaps: Exp<f64>,
+    interarrival_times: Exp<f64>,
     ramp_up_s: f64,
     answer_lengths: Exp<f64>,
     random: StdRng,
@@ -79,7 +79,7 @@
     shift_period: Option<Duration>,
     next_shift: Option<Timestamp>,
     clock: Timestamp,
-    drawn: u64,
+    generated_requests: u64,
 }
 
 impl Workload {
@@ -95,7 +95,7 @@
             own_blocks: scenario.prefixes.own_blocks,
             most_tokens: scenario.answers.most_tokens,
             traffic,
-            gaps: exponential(1.0 / scenario.arrivals.requests_per_second),
+            interarrival_times: exponential(1.0 / scenario.arrivals.requests_per_second),
             ramp_up_s: scenario.arrivals.ramp_up_s,
             answer_lengths: exponential(scenario.answers.mean_tokens),
             random: StdRng::seed_from_u64(derived_seed(seed, "requests")),
@@ -103,7 +103,7 @@
             shift_period,
             next_shift: shift_period.map(|period| Timestamp::ZERO + period),
             clock: Timestamp::ZERO,
-            drawn: 0,
+            generated_requests: 0,
         }
     }
 
@@ -116,13 +116,13 @@
 
     /// Generates the next request, later than the previous one.
     pub fn next_request(&mut self) -> WorkloadRequest {
-        let gap = self.gaps.sample(&mut self.random) / self.rate_now();
-        self.clock = self.clock + Duration::from_secs_f64(gap);
+        let interarrival = self.interarrival_times.sample(&mut self.random) / self.rate_now();
+        self.clock = self.clock + Duration::from_secs_f64(interarrival);
         self.shift_if_due();
         let tenant = weighted_index(&self.traffic, &mut self.random);
-        let shared = self.draw_path(tenant);
+        let shared = self.sample_prefix(tenant);
         let shared_blocks = shared.len();
-        let blocks = self.with_own_blocks(shared, tenant);
+        let blocks = self.append_unique_blocks(shared, tenant);
         let prompt_tokens = blocks.len() as u32 * BLOCK_TOKENS;
         let length = self.answer_lengths.sample(&mut self.random).ceil() as u32;
         let answer_tokens = length.clamp(1, self.most_tokens);
@@ -143,7 +143,7 @@
         }
     }
 
-    fn draw_path(&mut self, tenant: usize) -> Vec<BlockHash> {
+    fn sample_prefix(&mut self, tenant: usize) -> Vec<BlockHash> {
         let mut siblings = &self.tenants[tenant].root;
         let mut chain: &[BlockHash] = &[];
         for level in &self.levels {
@@ -160,15 +160,15 @@
         chain.to_vec()
     }
 
-    fn with_own_blocks(&mut self, mut chain: Vec<BlockHash>, tenant: usize) -> Arc<[BlockHash]> {
+    fn append_unique_blocks(&mut self, mut chain: Vec<BlockHash>, tenant: usize) -> Arc<[BlockHash]> {
         let [least, most] = self.own_blocks;
         let count = self.random.random_range(least..=most);
         let scope = self.tenants[tenant].scope;
         for position in 0..count {
-            let content = [self.drawn.to_le_bytes(), u64::from(position).to_le_bytes()].concat();
+            let content = [self.generated_requests.to_le_bytes(), u64::from(position).to_le_bytes()].concat();
             chain.push(extend(chain.last().copied(), scope, &content));
         }
-        self.drawn += 1;
+        self.generated_requests += 1;
         chain.into()
     }
 }
--- a/crates/bench/src/free_address.rs
+++ b/crates/bench/src/free_address.rs
@@ -14,13 +14,13 @@
 
 /// Returns a loopback address that is free now and outside the ephemeral port range.
 pub fn free_address() -> Result<SocketAddr, io::Error> {
-    let mut last = io::Error::from(io::ErrorKind::AddrInUse);
+    let mut last_error = io::Error::from(io::ErrorKind::AddrInUse);
     for _ in 0..MAX_ATTEMPTS {
         let address = SocketAddr::from(([127, 0, 0, 1], rand::random_range(PORT_RANGE)));
         match TcpListener::bind(address) {
             Ok(_free) => return Ok(address),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
--- a/crates/bench/src/hollow/command.rs
+++ b/crates/bench/src/hollow/command.rs
@@ -39,7 +39,8 @@
     for report in measure_all(&runs, seed, effort) {
         let line = serde_json::to_string(&report).expect("a report has a JSON form");
         let written = writeln!(std::io::stdout(), "{line}");
-        written.map_err(|source| CommandError::Output { place: "standard output".to_owned(), source })?;
+        written
+            .map_err(|source| CommandError::Output { destination: "standard output".to_owned(), source })?;
     }
     Ok(())
 }
--- a/crates/bench/src/hollow/measure.rs
+++ b/crates/bench/src/hollow/measure.rs
@@ -154,10 +154,10 @@
 /// Aggregates a series of changes.
 pub fn summarize(series: Vec<FollowedChange>) -> ChangeMeasurement {
     let mut measurement = ChangeMeasurement::default();
-    let (mut spread, mut answered) = (Vec::new(), Vec::new());
+    let (mut propagation, mut answered) = (Vec::new(), Vec::new());
     for followed in series {
         match followed.everywhere_at {
-            Some(at) => spread.push(at.saturating_since(followed.began)),
+            Some(at) => propagation.push(at.saturating_since(followed.began)),
             None if followed.made => measurement.not_everywhere += 1,
             None => {}
         }
@@ -167,7 +167,7 @@
             answered.push(at.saturating_since(followed.began));
         }
     }
-    measurement.in_force_everywhere = Quantiles::of(&spread);
+    measurement.in_force_everywhere = Quantiles::of(&propagation);
     measurement.answered = Quantiles::of(&answered);
     measurement
 }
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -68,7 +68,7 @@
     /// Planned time since the start of the run.
     pub(super) planned: Duration,
     /// Delay of the sending after the planned time.
-    pub(super) late: Duration,
+    pub(super) lateness: Duration,
     pub(super) ending: Ending,
     /// Times since the planned time.
     pub(super) first_token: Option<Duration>,
@@ -77,7 +77,7 @@
     pub(super) cached_tokens: u32,
 }
 
-pub(super) struct Clients {
+pub(super) struct LoadClient {
     client: Client<HttpConnector, Full<Bytes>>,
     workload: Workload,
 }
@@ -93,7 +93,7 @@
     cached_tokens: u32,
 }
 
-impl Clients {
+impl LoadClient {
     pub(super) fn new(workload: &Workload) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -106,7 +106,7 @@
         let failed = |reason: String| LoadError::Engine { address, reason };
         let request = Request::get(format!("http://{address}/status")).body(Full::default());
         let request = request.map_err(|error| failed(error.to_string()))?;
-        let response = self.client.request(request).await.map_err(|error| failed(describe(&error)))?;
+        let response = self.client.request(request).await.map_err(|error| failed(error_chain(&error)))?;
         let body = response.into_body().collect().await.map_err(|error| failed(error.to_string()))?;
         let status: EngineStatus =
             serde_json::from_slice(&body.to_bytes()).map_err(|error| failed(error.to_string()))?;
@@ -129,7 +129,7 @@
         since_start: Duration,
     ) -> Sample {
         let mut answer = Answer::default();
-        let late = planned.elapsed();
+        let lateness = planned.elapsed();
         let limit = Duration::from_millis(self.workload.deadline_ms);
         let exchange = self.exchange(&target, &prompt, &mut answer);
         let ending = match tokio::time::timeout(limit, exchange).await {
@@ -140,7 +140,7 @@
         Sample {
             through_node: matches!(target, Target::Node(_)),
             planned: since_start,
-            late,
+            lateness,
             ending,
             first_token: answer.first_token_at.map(|at| at.saturating_duration_since(planned)),
             total: planned.elapsed(),
@@ -190,7 +190,7 @@
     }
 
     async fn send(&self, request: Request<Full<Bytes>>) -> Result<http::Response<Incoming>, Ending> {
-        self.client.request(request).await.map_err(|error| Ending::Failed(describe(&error)))
+        self.client.request(request).await.map_err(|error| Ending::Failed(error_chain(&error)))
     }
 }
 
@@ -307,7 +307,7 @@
 }
 
 /// Formats an error with its causes, which the client's message omits.
-fn describe(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/bench/src/load/command.rs
+++ b/crates/bench/src/load/command.rs
@@ -59,7 +59,7 @@
 }
 
 fn execute(arguments: impl IntoIterator<Item = OsString>) -> Result<ExitCode, CommandError> {
-    let Some(options) = read(Parser::from_args(arguments))? else {
+    let Some(options) = parse_arguments(Parser::from_args(arguments))? else {
         print!("{USAGE}");
         return Ok(ExitCode::SUCCESS);
     };
@@ -99,7 +99,7 @@
 }
 
 /// Reads the arguments; none if help is requested.
-fn read(mut parser: Parser) -> Result<Option<Options>, CommandError> {
+fn parse_arguments(mut parser: Parser) -> Result<Option<Options>, CommandError> {
     let mut options = Options { settings: defaults(), hold: None, json: false };
     while let Some(argument) = parser.next()? {
         match argument {
@@ -108,12 +108,12 @@
             Arg::Long("hold") => options.hold = Some(parser.value()?.parse()?),
             Arg::Long(name) => {
                 let name = name.to_owned();
-                read_option(&mut options.settings, &name, &mut parser)?;
+                parse_option(&mut options.settings, &name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
-    require(&options.settings)?;
+    check_required(&options.settings)?;
     Ok(Some(options))
 }
 
@@ -130,15 +130,15 @@
     }
 }
 
-fn read_option(settings: &mut LoadSettings, name: &str, parser: &mut Parser) -> Result<(), CommandError> {
+fn parse_option(settings: &mut LoadSettings, name: &str, parser: &mut Parser) -> Result<(), CommandError> {
     let workload = &mut settings.workload;
     match name {
         "node" => settings.nodes.push(parser.value()?.parse::<SocketAddr>()?),
         "engine" => settings.engine = Some(parser.value()?.parse()?),
         "pid" => settings.node_processes.push(parser.value()?.parse()?),
         "rate" => settings.requests_per_second = parser.value()?.parse()?,
-        "seconds" => settings.duration = seconds(parser)?,
-        "warm-up" => settings.warm_up = seconds(parser)?,
+        "seconds" => settings.duration = parse_seconds(parser)?,
+        "warm-up" => settings.warm_up = parse_seconds(parser)?,
         "threads" => settings.threads = parser.value()?.parse()?,
         "tenant" => workload.tenant = parser.value()?.string()?.into(),
         "key" => workload.key = parser.value()?.string()?,
@@ -155,14 +155,14 @@
     Ok(())
 }
 
-fn seconds(parser: &mut Parser) -> Result<Duration, CommandError> {
+fn parse_seconds(parser: &mut Parser) -> Result<Duration, CommandError> {
     Ok(parser.value()?.parse_with(|text| {
         let seconds = text.parse::<f64>().map_err(|error| error.to_string())?;
         Duration::try_from_secs_f64(seconds).map_err(|error| error.to_string())
     })?)
 }
 
-fn require(settings: &LoadSettings) -> Result<(), CommandError> {
+fn check_required(settings: &LoadSettings) -> Result<(), CommandError> {
     let workload = &settings.workload;
     let missing = [
         ("--node", settings.nodes.is_empty()),
--- a/crates/bench/src/load/hold.rs
+++ b/crates/bench/src/load/hold.rs
@@ -16,7 +16,7 @@
 
 use super::{
     LoadError, Workload,
-    client::{Clients, Ending},
+    client::{Ending, LoadClient},
     process::ProcessId,
     prompts::Prompts,
     runtime,
@@ -65,9 +65,9 @@
 /// Opens the streams, holds them and measures the node's memory.
 pub fn hold(settings: &HoldSettings) -> Result<HoldReport, LoadError> {
     let runtime = runtime(settings.threads)?;
-    let clients = Arc::new(Clients::new(&settings.workload));
+    let clients = Arc::new(LoadClient::new(&settings.workload));
     let prompts = Arc::new(Prompts::new(&settings.workload));
-    let opener = Opener { clients, prompts, node: settings.node };
+    let opener = StreamOpener { clients, prompts, node: settings.node };
     let process = settings.node_process.map(ProcessId);
     drop(runtime.block_on(opener.open_all(0, WARM_UP_STREAMS.min(settings.streams)))?);
     std::thread::sleep(SETTLE_TIME);
@@ -87,13 +87,13 @@
 }
 
 #[derive(Clone)]
-struct Opener {
-    clients: Arc<Clients>,
+struct StreamOpener {
+    clients: Arc<LoadClient>,
     prompts: Arc<Prompts>,
     node: SocketAddr,
 }
 
-impl Opener {
+impl StreamOpener {
     async fn open_all(&self, first: usize, count: usize) -> Result<Vec<Incoming>, LoadError> {
         let mut opening = JoinSet::new();
         let mut results = Vec::with_capacity(count);
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -8,10 +8,10 @@
 //! |---|---|
 //! | [`command`] | the command `paddlemount load` |
 //! | [`hold`] | many open streams at once, and the memory they cost a node |
-//! | [`report`] | what a run gives |
+//! | [`report`] | the report of a run |
 //! | `client` | one request over TCP |
 //! | `process` | memory and processor time of a process |
-//! | `prompts` | prompts with long shared openings |
+//! | `prompts` | prompts with long shared prefixes |
 
 mod client;
 pub mod command;
@@ -34,7 +34,7 @@
 };
 
 use self::{
-    client::{Clients, Sample, Target},
+    client::{LoadClient, Sample, Target},
     process::ProcessId,
     prompts::Prompts,
     report::{LoadReport, ReportBuilder},
@@ -122,7 +122,7 @@
 pub fn run(settings: &LoadSettings) -> Result<LoadReport, LoadError> {
     check(settings)?;
     let runtime = runtime(settings.threads)?;
-    let clients = Arc::new(Clients::new(&settings.workload));
+    let clients = Arc::new(LoadClient::new(&settings.workload));
     let engine = settings.engine.map(|address| runtime.block_on(clients.engine(address))).transpose()?;
     let prompts = Arc::new(Prompts::new(&settings.workload));
     let mut targets: Vec<Vec<Target>> = vec![settings.nodes.iter().copied().map(Target::Node).collect()];
@@ -134,7 +134,7 @@
     let before = process::processor_time(&processes)?;
     let started = Instant::now();
     send_all(settings, &sender, &targets, started);
-    let busy = started.elapsed();
+    let sending_time = started.elapsed();
     drop(sender);
     let limit = Duration::from_millis(settings.workload.deadline_ms) + DRAIN_TIMEOUT;
     let collected = runtime.block_on(async { tokio::time::timeout(limit, collector).await });
@@ -142,7 +142,7 @@
     let Ok(Ok(samples)) = collected else { return Err(LoadError::Settings("answers did not end in time")) };
     let mut builder = ReportBuilder::new(settings.warm_up);
     samples.iter().for_each(|sample| builder.add(sample));
-    Ok(builder.finish(settings, busy, after.saturating_sub(before)))
+    Ok(builder.finish(settings, sending_time, after.saturating_sub(before)))
 }
 
 fn check(settings: &LoadSettings) -> Result<(), LoadError> {
@@ -165,7 +165,7 @@
 
 struct Sender {
     handle: Handle,
-    clients: Arc<Clients>,
+    clients: Arc<LoadClient>,
     prompts: Arc<Prompts>,
     samples: mpsc::UnboundedSender<Sample>,
 }
--- a/crates/bench/src/load/report.rs
+++ b/crates/bench/src/load/report.rs
@@ -110,8 +110,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
-        .expect("the bounds are constants that a histogram accepts")
+    Histogram::new_with_max(MAX_MICROSECONDS, SIGNIFICANT_DIGITS).expect("the bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
@@ -217,12 +216,17 @@
         if sample.planned < self.warm_up {
             return;
         }
-        record(&mut self.lateness, sample.late);
+        record(&mut self.lateness, sample.lateness);
         let target = if sample.through_node { &mut self.node } else { &mut self.engine };
         target.add(sample);
     }
 
-    pub(super) fn finish(self, settings: &LoadSettings, busy: Duration, processor: Duration) -> LoadReport {
+    pub(super) fn finish(
+        self,
+        settings: &LoadSettings,
+        sending_time: Duration,
+        processor: Duration,
+    ) -> LoadReport {
         let node = self.node.finish();
         let engine = settings.engine.map(|_| self.engine.finish());
         let added = engine.as_ref().map(|engine| AddedLatency {
@@ -237,7 +241,7 @@
         LoadReport {
             workload: settings.workload.clone(),
             requests_per_second: settings.requests_per_second,
-            seconds: busy.as_secs_f64(),
+            seconds: sending_time.as_secs_f64(),
             warm_up_seconds: settings.warm_up.as_secs_f64(),
             node,
             engine,
--- a/crates/bench/src/scenario/check.rs
+++ b/crates/bench/src/scenario/check.rs
@@ -3,22 +3,22 @@
 use super::{FaultEvent, Scenario, ScenarioError};
 
 struct Checker<'a> {
-    place: &'a str,
+    origin: &'a str,
 }
 
 impl Checker<'_> {
     fn require(
         &self,
-        holds: bool,
+        valid: bool,
         key: &str,
         value: impl ToString,
         expected: &'static str,
     ) -> Result<(), ScenarioError> {
-        if holds {
+        if valid {
             return Ok(());
         }
-        let (place, key, value) = (self.place.to_owned(), key.to_owned(), value.to_string());
-        Err(ScenarioError::OutOfRange { place, key, value, expected })
+        let (origin, key, value) = (self.origin.to_owned(), key.to_owned(), value.to_string());
+        Err(ScenarioError::OutOfRange { origin, key, value, expected })
     }
 
     fn count(&self, key: &str, value: usize) -> Result<(), ScenarioError> {
@@ -44,8 +44,8 @@
 }
 
 /// Checks all values whose range their type does not give.
-pub(super) fn check(place: &str, scenario: &Scenario) -> Result<(), ScenarioError> {
-    let checker = Checker { place };
+pub(super) fn check(origin: &str, scenario: &Scenario) -> Result<(), ScenarioError> {
+    let checker = Checker { origin };
     check_sizes(&checker, scenario)?;
     check_reports(&checker, scenario)?;
     check_workload(&checker, scenario)?;
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -158,15 +158,15 @@
     UnknownName { name: String },
     #[error("cannot read the scenario {}: {source}", path.display())]
     Unreadable { path: PathBuf, source: std::io::Error },
-    #[error("scenario {place}: {message}")]
+    #[error("scenario {origin}: {message}")]
     Malformed {
-        place: String,
+        origin: String,
         /// Line, key and what is expected there.
         message: String,
     },
-    #[error("scenario {place}: {key} = {value} is not usable; give {expected}")]
+    #[error("scenario {origin}: {key} = {value} is not usable; give {expected}")]
     OutOfRange {
-        place: String,
+        origin: String,
         /// The key with its tables.
         key: String,
         value: String,
@@ -198,12 +198,12 @@
     }
 
     /// Reads a scenario from text; `place` names the text in errors.
-    pub fn parse(place: &str, text: &str) -> Result<Self, ScenarioError> {
+    pub fn parse(origin: &str, text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text).map_err(|error| ScenarioError::Malformed {
-            place: place.to_owned(),
+            origin: origin.to_owned(),
             message: error.to_string(),
         })?;
-        check::check(place, &scenario)?;
+        check::check(origin, &scenario)?;
         Ok(scenario)
     }
 
--- a/crates/bench/tests/decision.rs
+++ b/crates/bench/tests/decision.rs
@@ -1,9 +1,9 @@
-//! The measurement of decisions runs and fills what it claims to fill.
+//! The benchmark of routing decisions fills the cache index and reports plausible results.
 
 use paddlemount_bench::decision::{DecisionBenchSettings, run};
 
 #[test]
-fn the_measurement_fills_the_belief_and_weighs_a_bounded_number_of_engines() {
+fn the_benchmark_fills_the_index_and_bounds_the_candidates() {
     let settings = DecisionBenchSettings {
         runners: vec![12, 200],
         decisions: 200,
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -1,11 +1,11 @@
-//! The demo, shortened, and its judgement of what callers experienced.
+//! A short run of the demo, and how its summary counts failures.
 
 use std::{sync::Arc, time::Duration};
 
 use paddlemount_bench::demo::{
     self, Cluster, DemoSettings, Summary,
     caller::{ChatAnswer, Ending},
-    record::{BookingEnd, ChatEnd, Records},
+    record::{BookingRecord, ChatRecord, Records},
 };
 use paddlemount_protocol::{
     caller::Usage,
@@ -15,7 +15,7 @@
 use paddlemount_standins::booking::model::{BookingAnswer, LedgerEntry};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn no_answer_is_lost_wrong_or_doubled_while_an_engine_crashes_and_a_node_restarts() {
+async fn all_requests_complete_once_despite_an_engine_crash_and_a_node_restart() {
     let settings = DemoSettings {
         length: Duration::from_secs(5),
         requests_per_second: 12.0,
@@ -31,7 +31,7 @@
     assert!(summary.prefix_hit_rate > 0.0 && summary.ttft_ms.p50 > 0.0);
 }
 
-/// Ports from which the system gives any free one to whoever asks, and to each outgoing connection.
+/// The ports that the system assigns to any socket without a fixed port.
 fn ephemeral_ports() -> std::ops::RangeInclusive<u16> {
     let text =
         std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").expect("the range can be read");
@@ -39,10 +39,9 @@
     ports[0]..=ports[1]
 }
 
-/// A node's port was found free, and taken by somebody else before the node listened: "peers, 127.0.0.1:46501, Address already
-/// in use". The same may happen to whatever ends and starts again at its address.
+/// Guards against another socket taking a component's port between its choice and a start or restart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_starts_again_at_its_address_has_one_that_nobody_else_is_given() {
+async fn fixed_addresses_lie_outside_the_ephemeral_port_range() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     let addresses = cluster.caller_addresses().into_iter().chain(cluster.admin_addresses());
     let addresses: Vec<_> = addresses.chain(cluster.engine_addresses()).collect();
@@ -63,13 +62,13 @@
     }
 }
 
-fn booking(key: &str, result: Result<(), &str>, not_run: bool) -> BookingEnd {
+fn booking(key: &str, result: Result<(), &str>, not_run: bool) -> BookingRecord {
     let answer = BookingAnswer { operation: "hold".to_owned(), receipt: 1, request: serde_json::Value::Null };
     let ending = Ending { result: result.map(|()| answer).map_err(str::to_owned), resent: 0, not_run };
-    BookingEnd { sent: Duration::ZERO, key: key.to_owned(), correct: true, ending }
+    BookingRecord { sent: Duration::ZERO, key: key.to_owned(), correct: true, ending }
 }
 
-fn chat(correct: bool, result: Result<(), &str>) -> ChatEnd {
+fn chat(correct: bool, result: Result<(), &str>) -> ChatRecord {
     let answer = ChatAnswer {
         text: "text".to_owned(),
         reason: "stop".to_owned(),
@@ -77,7 +76,7 @@
         first_token: Some(Duration::from_millis(40)),
     };
     let ending = Ending { result: result.map(|()| answer).map_err(str::to_owned), resent: 1, not_run: false };
-    ChatEnd { sent: Duration::ZERO, streamed: true, correct, ending }
+    ChatRecord { sent: Duration::ZERO, streamed: true, correct, ending }
 }
 
 fn summarize(fill: impl FnOnce(&Records), ledger: &[LedgerEntry]) -> Summary {
@@ -87,7 +86,7 @@
 }
 
 #[test]
-fn whole_and_right_answers_are_flawless() {
+fn complete_and_correct_answers_pass() {
     let summary = summarize(
         |records| {
             records.chat(chat(true, Ok(())));
@@ -101,7 +100,7 @@
 }
 
 #[test]
-fn each_flaw_is_counted_and_spoils_the_result() {
+fn each_kind_of_failure_is_counted_and_fails_the_demo() {
     let incomplete = summarize(|records| records.chat(chat(true, Err("broke off"))), &[]);
     assert_eq!((incomplete.incomplete, incomplete.passed()), (1, false));
     assert!(incomplete.table().contains("1 x broke off"));
--- a/crates/bench/tests/drill.rs
+++ b/crates/bench/tests/drill.rs
@@ -1,4 +1,4 @@
-//! Drills: no promise breaks under a fixed range of seeds, and each breaks where its mechanism is off.
+//! Drills: no invariant is violated for a range of seeds, and each disabled mechanism is detected.
 
 use paddlemount_bench::drill::{Breakage, Drill, Invariant, RunSettings, run, run_all};
 
@@ -7,7 +7,7 @@
 const THREADS: usize = 4;
 
 #[test]
-fn no_promise_breaks() {
+fn no_invariant_is_violated() {
     let (failures, summary) = run_all(&Drill::all(), 0..SEEDS, Breakage::None, THREADS);
     for failure in &failures {
         println!("{failure:#?}");
@@ -15,9 +15,9 @@
     assert_eq!((summary.violations, summary.runs as u64), (0, summary.drills as u64 * SEEDS));
 }
 
-/// Seeds of this drill that broke the promise, each for a cause of its own.
+/// Seeds that once violated an invariant, each for a different cause.
 #[test]
-fn a_herd_that_restarts_in_an_outage_serves_at_once() {
+fn nodes_restarted_together_in_an_outage_serve_without_delay() {
     let drill: Drill = "herd-restart+store-outage".parse().expect("a drill");
     for seed in [1, 14, 25, 51] {
         let (failures, _) = run_all(std::slice::from_ref(&drill), seed..seed + 1, Breakage::None, 1);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_seed_gives_one_run() {
+fn runs_with_the_same_seed_are_identical() {
     let settings = |seed| RunSettings {
         drill: "engine-crash+late-answers".parse().expect("a drill"),
         seed,
@@ -37,67 +37,67 @@
     }
 }
 
-/// Some seed of the drill breaks the promise once the mechanism is off.
-fn caught(breakage: Breakage, drill: &str, invariant: Invariant) {
+/// Asserts that some seed violates the invariant while the mechanism is disabled.
+fn assert_detected(breakage: Breakage, drill: &str, invariant: Invariant) {
     let drill: Drill = drill.parse().expect("a drill");
     let (failures, _) = run_all(&[drill], 0..BROKEN_SEEDS, breakage, THREADS);
     let failure = failures.iter().find(|failure| failure.invariant == invariant);
     let failure = failure.unwrap_or_else(|| panic!("{breakage:?} is not caught; seen: {failures:#?}"));
-    println!("{breakage:?}: seed {}: {}", failure.seed, failure.what);
-    assert!(!failure.trace.is_empty() && failure.repeat.contains("paddlemount bench drill"));
+    println!("{breakage:?}: seed {}: {}", failure.seed, failure.description);
+    assert!(!failure.trace.is_empty() && failure.reproduce_command.contains("paddlemount bench drill"));
 }
 
 #[test]
-fn requests_without_preconditions_are_caught() {
-    caught(Breakage::NoPreconditions, "engine-crash+rollout", Invariant::CacheBoundary);
+fn missing_preconditions_are_detected() {
+    assert_detected(Breakage::NoPreconditions, "engine-crash+rollout", Invariant::CacheBoundary);
 }
 
 #[test]
-fn a_break_taken_as_the_end_is_caught() {
-    caught(Breakage::BreakIsEnd, "engine-crash", Invariant::WholeStream);
+fn a_broken_connection_taken_as_the_end_is_detected() {
+    assert_detected(Breakage::BreakIsEnd, "engine-crash", Invariant::WholeStream);
 }
 
 #[test]
-fn a_node_that_learns_from_the_store_alone_is_caught() {
-    caught(Breakage::NoLearningFromPeers, "node-crash+store-outage", Invariant::ServesAfterRestart);
+fn a_node_that_ignores_peers_is_detected() {
+    assert_detected(Breakage::NoLearningFromPeers, "node-crash+store-outage", Invariant::ServesAfterRestart);
 }
 
 #[test]
-fn frames_of_any_try_are_caught() {
-    caught(Breakage::FramesOfAnyAttempt, "engine-crash+late-answers", Invariant::OwnAnswer);
+fn frames_of_other_attempts_are_detected() {
+    assert_detected(Breakage::FramesOfAnyAttempt, "engine-crash+late-answers", Invariant::OwnAnswer);
 }
 
 #[test]
-fn an_unclear_ending_reported_as_not_run_is_caught() {
-    caught(Breakage::UnclearIsNotRun, "lost-replies", Invariant::NotRunIsTrue);
+fn an_unknown_outcome_reported_as_not_run_is_detected() {
+    assert_detected(Breakage::UnclearIsNotRun, "lost-replies", Invariant::NotRunIsTrue);
 }
 
 #[test]
-fn bookings_without_claims_are_caught() {
-    caught(Breakage::NoClaims, "lost-replies", Invariant::AtMostOnce);
+fn bookings_without_claims_are_detected() {
+    assert_detected(Breakage::NoClaims, "lost-replies", Invariant::AtMostOnce);
 }
 
 #[test]
-fn a_fresh_replica_that_grants_old_keys_is_caught() {
-    caught(Breakage::FreshReplicaGrantsOldKeys, "herd-restart+lost-replies", Invariant::AtMostOnce);
+fn a_new_replica_that_grants_old_keys_is_detected() {
+    assert_detected(Breakage::FreshReplicaGrantsOldKeys, "herd-restart+lost-replies", Invariant::AtMostOnce);
 }
 
 #[test]
-fn an_ignored_machine_list_is_caught() {
-    caught(Breakage::LeavingIgnored, "leaving-engine", Invariant::LeavingGetsNothing);
+fn an_ignored_machine_list_is_detected() {
+    assert_detected(Breakage::DrainingIgnored, "leaving-engine", Invariant::LeavingGetsNothing);
 }
 
 #[test]
-fn a_stop_that_does_not_wait_is_caught() {
-    caught(Breakage::StopDoesNotWait, "planned-stop", Invariant::StopCutsNothing);
+fn a_stop_that_does_not_wait_is_detected() {
+    assert_detected(Breakage::StopDoesNotWait, "planned-stop", Invariant::StopCutsNothing);
 }
 
 #[test]
-fn a_put_without_compare_is_caught() {
-    caught(Breakage::PutWithoutCompare, "racing-operators", Invariant::ConfigurationStays);
+fn a_put_without_compare_is_detected() {
+    assert_detected(Breakage::PutWithoutCompare, "racing-operators", Invariant::ConfigurationStays);
 }
 
 #[test]
-fn a_node_that_serves_unconfirmed_is_caught() {
-    caught(Breakage::ServesUnconfirmed, "zone-cut", Invariant::ConfigurationStays);
+fn a_node_that_serves_unconfirmed_is_detected() {
+    assert_detected(Breakage::ServesUnconfirmed, "zone-cut", Invariant::ConfigurationStays);
 }
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments: repeated exactly, counted rightly, and the oracle is an upper bound.
+//! Experiments: reproducible runs, correct counts, and the oracle as an upper bound.
 
 use paddlemount_bench::{
     experiment::{
@@ -11,12 +11,13 @@
     scenario::Scenario,
 };
 
-/// Tokens of the one shared prefix of [`TINY`].
+/// Tokens of the shared prefix of [`TINY`].
 const SHARED_TOKENS: u64 = 10 * 64;
-/// Tokens of a request's own.
+/// Tokens that are unique to a request.
 const OWN_TOKENS: u64 = 64;
 
-/// Two engines with room for everything, one node, one prefix, one request every second or so.
+/// Two engines whose caches hold everything, one node, one prefix, and a request every two seconds on
+/// average.
 const TINY: &str = r#"
 description = "two engines, one prefix"
 tenants = [{ name = "only", traffic = 1.0 }]
@@ -62,7 +63,7 @@
     Scenario::parse("tiny", TINY).unwrap()
 }
 
-/// A short kestrel.
+/// The scenario `kestrel`, shortened.
 fn short_kestrel() -> Scenario {
     let mut scenario = Scenario::load("kestrel").unwrap();
     scenario.run.warm_up_s = 20.0;
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn the_same_scenario_policy_and_seed_give_the_same_bytes() {
+fn runs_with_the_same_scenario_policy_and_seed_are_identical() {
     let mut scenario = Scenario::load("crash").unwrap();
     scenario.run.warm_up_s = 2.0;
     scenario.run.measured_s = 8.0;
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn results_come_in_the_order_of_the_runs_whatever_the_threads() {
+fn results_are_in_the_order_of_the_runs_for_any_number_of_threads() {
     let scenario = tiny();
     let runs: Vec<RunSettings> = (0..6)
         .map(|seed| RunSettings {
@@ -102,7 +103,7 @@
     let result = run(&tiny(), PolicyName::RoundRobin, 1);
     assert!(result.requests > 10);
     assert_eq!(result.complete, result.requests);
-    // The first request fills one engine, the second recomputes the same on the other.
+    // The first request fills one engine; the second recomputes the prefix on the other.
     assert_eq!(result.wasted_recompute_tokens, SHARED_TOKENS);
     assert_eq!(result.prefilled_tokens, 2 * SHARED_TOKENS + result.requests * OWN_TOKENS);
 }
@@ -133,7 +134,7 @@
     let oracle = run(&scenario, PolicyName::Oracle, 1);
     for policy in [PolicyName::RoundRobin, PolicyName::LeastLoaded, PolicyName::Sticky, PolicyName::Prefix] {
         let result = run(&scenario, policy, 1);
-        // The oracle also weighs waits, so a policy that only reuses may come out slightly above.
+        // The oracle also considers waiting times, so a policy that only reuses may be slightly above it.
         assert!(
             result.prefix_hit_rate <= oracle.prefix_hit_rate + 0.02,
             "{policy}: {}",
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn a_mechanism_that_is_switched_off_changes_the_result_and_is_named() {
+fn a_disabled_mechanism_changes_the_result_and_is_listed() {
     let scenario = short_kestrel();
     let settings = RunSettings {
         scenario: "test".to_owned(),
@@ -193,7 +194,8 @@
 
 #[test]
 fn recovery_is_the_time_until_all_later_windows_are_good() {
-    // Steady until the event at 20 s; the hit rate is low for 4 s, the tail high until the end.
+    // Steady until the event at 20 s. Then the hit rate is low for 4 s, and the tail latency high until the
+    // end.
     let second = |second: u64| SecondResult {
         second,
         requests: 50,
@@ -202,6 +204,6 @@
     };
     let seconds: Vec<SecondResult> = (0..40).map(second).collect();
     let recovery = Recovery::after(&seconds, 5.0, 20.0);
-    // The window from 22 s on has its median in a good second.
+    // The window from 22 s on is the first with a good median.
     assert_eq!(recovery, Recovery { event_s: 20.0, hit_rate_s: Some(2.0), ttft_p99_s: None });
 }
--- a/crates/bench/tests/feed_owners.rs
+++ b/crates/bench/tests/feed_owners.rs
@@ -1,4 +1,4 @@
-//! Ownership of engines' feeds, by the member tables of hollow nodes.
+//! Ownership of engine feeds by the member tables of hollow nodes.
 
 use std::collections::BTreeMap;
 
--- a/crates/bench/tests/hollow_cluster.rs
+++ b/crates/bench/tests/hollow_cluster.rs
@@ -1,4 +1,4 @@
-//! Clusters of hollow nodes: membership and configuration of many nodes over a network that fails.
+//! Membership and configuration of many hollow nodes over a faulty network.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_killed_node_is_found_dead_and_comes_back_alive() {
+fn a_killed_node_is_declared_dead_and_alive_after_a_restart() {
     let mut cluster = cluster(12, 0.0);
     cluster.kill(3);
     cluster.run_for(Duration::from_secs(20));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_node_that_stops_as_planned_is_left_at_once_and_never_suspected() {
+fn a_planned_stop_is_announced_and_never_suspected() {
     let mut cluster = cluster(12, 0.0);
     cluster.stop(3);
     cluster.run_for(Duration::from_secs(6));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_zone_that_is_cut_off_stops_serving_and_the_others_go_on() {
+fn a_partitioned_zone_stops_serving_and_the_others_continue() {
     let mut cluster = cluster(12, 0.0);
     for other in [0, 1] {
         cluster.links.cut_between(Scope::Zone(Zone(2)), Scope::Zone(Zone(other)));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn while_the_store_is_down_traffic_goes_on_and_changes_are_refused() {
+fn a_store_outage_refuses_changes_but_nodes_keep_serving() {
     let mut cluster = cluster(12, 0.01);
     cluster.store.is_down = true;
     cluster.change(4, change_request(1));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_store_that_comes_back_older_reverts_nothing() {
+fn a_store_restored_to_an_older_revision_reverts_nothing() {
     let mut cluster = cluster(6, 0.0);
     let old = cluster.store.document.clone();
     cluster.change(4, change_request(1));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_change_is_refused_while_a_region_is_cut_off_and_made_when_it_is_back() {
+fn a_change_is_refused_while_a_region_is_partitioned_and_applied_after() {
     let settings = ClusterSettings { nodes: 12, zones: 4, regions: 2, loss: 0.0, seed: 7 };
     let mut cluster = start_settled_cluster(settings, 20, 2);
     let (one, other) = (paddlemount_bench::simulation::Region(0), paddlemount_bench::simulation::Region(1));
--- a/crates/bench/tests/load.rs
+++ b/crates/bench/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against a node and an engine, and against servers that answer badly.
+//! The load generator against a node and an engine, and against faulty servers.
 
 use std::{
     io::{Read, Write},
@@ -32,15 +32,15 @@
 const MODEL: &str = "contract-reader";
 const WEIGHTS: WeightsVersion = WeightsVersion(3);
 
-/// A node with its platform and one engine, all in this process.
-struct Place {
+/// A node with its platform and one engine, in this process.
+struct TestCluster {
     runtime: Runtime,
     node: Option<RunningNode>,
     engine: RunningStandin,
     _platform: [RunningStandin; 2],
 }
 
-impl Place {
+impl TestCluster {
     fn start(change: impl FnOnce(&mut EngineSettings)) -> Self {
         let loaded = LoadedModel { model: MODEL.into(), weights: WEIGHTS, adapters: vec![] };
         let mut settings =
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TestCluster {
     fn drop(&mut self) {
         if let Some(node) = self.node.take() {
             self.runtime.block_on(node.kill());
@@ -138,9 +138,9 @@
 }
 
 #[test]
-fn load_through_a_node_and_direct_is_answered_whole() {
-    let place = Place::start(|_| {});
-    let report = load::run(&settings(place.address(), Some(place.engine.address()))).unwrap();
+fn load_through_a_node_and_direct_is_answered_completely() {
+    let cluster = TestCluster::start(|_| {});
+    let report = load::run(&settings(cluster.address(), Some(cluster.engine.address()))).unwrap();
     assert!(report.all_complete(), "{report}");
     let engine = report.engine.as_ref().unwrap();
     assert_eq!((report.node.requests, engine.requests), (40, 40), "after the warm-up");
@@ -150,9 +150,9 @@
 }
 
 #[test]
-fn answers_of_other_weights_are_found_wrong() {
-    let place = Place::start(|_| {});
-    let mut settings = settings(place.address(), Some(place.engine.address()));
+fn answers_of_other_weights_count_as_wrong() {
+    let cluster = TestCluster::start(|_| {});
+    let mut settings = settings(cluster.address(), Some(cluster.engine.address()));
     settings.workload.weights = WeightsVersion(2);
     let report = load::run(&settings).unwrap();
     assert_eq!(report.node.wrong, report.node.requests, "{report}");
@@ -162,8 +162,8 @@
 
 #[test]
 fn a_wrong_key_counts_as_refused() {
-    let place = Place::start(|_| {});
-    let mut settings = settings(place.address(), None);
+    let cluster = TestCluster::start(|_| {});
+    let mut settings = settings(cluster.address(), None);
     settings.workload.key = "another key".into();
     let report = load::run(&settings).unwrap();
     assert_eq!(report.node.refused.get("unauthenticated"), Some(&report.node.requests), "{report}");
@@ -171,7 +171,7 @@
 }
 
 /// Answers every request with `response` and closes.
-fn bad_server(response: &'static str) -> SocketAddr {
+fn canned_server(response: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -197,9 +197,9 @@
 #[test]
 fn a_stream_without_its_end_is_incomplete_and_a_closed_connection_failed() {
     const HEAD: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\ndata: [DON";
-    let report = load::run(&settings(bad_server(HEAD), None)).unwrap();
+    let report = load::run(&settings(canned_server(HEAD), None)).unwrap();
     assert_eq!(report.node.incomplete, report.node.requests, "{report}");
-    let report = load::run(&settings(bad_server(""), None)).unwrap();
+    let report = load::run(&settings(canned_server(""), None)).unwrap();
     assert_eq!(report.node.failed, report.node.requests, "{report}");
     assert!(!report.node.failures.is_empty());
 }
@@ -208,19 +208,19 @@
 fn a_stream_that_ends_with_an_error_is_broken_under_its_code() {
     const BROKEN: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\ndata: {\"error\":{\"code\":\"backend_failed\",\
                           \"outcome\":\"unknown\",\"message\":\"gone\"},\"request_id\":\"r\"}\n\n";
-    let report = load::run(&settings(bad_server(BROKEN), None)).unwrap();
+    let report = load::run(&settings(canned_server(BROKEN), None)).unwrap();
     assert_eq!(report.node.broken.get("backend_failed"), Some(&report.node.requests), "{report}");
 }
 
 #[test]
 fn an_end_without_the_text_is_wrong() {
     const EMPTY: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\ndata: [DONE]\n\n";
-    let report = load::run(&settings(bad_server(EMPTY), None)).unwrap();
+    let report = load::run(&settings(canned_server(EMPTY), None)).unwrap();
     assert_eq!(report.node.wrong, report.node.requests, "{report}");
 }
 
 #[test]
-fn settings_that_make_no_run_are_refused() {
+fn invalid_settings_are_refused() {
     let node: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let mut none = settings(node, None);
     none.nodes.clear();
@@ -235,9 +235,9 @@
     assert!(matches!(load::run(&gone), Err(LoadError::Engine { .. })));
 }
 
-fn hold_settings(place: &Place, streams: usize) -> HoldSettings {
+fn hold_settings(cluster: &TestCluster, streams: usize) -> HoldSettings {
     HoldSettings {
-        node: place.address(),
+        node: cluster.address(),
         workload: Workload { deadline_ms: 120_000, max_tokens: 100, ..workload() },
         streams,
         hold: Duration::from_millis(500),
@@ -248,14 +248,14 @@
 
 #[test]
 fn streams_are_held_open_and_their_memory_is_reported() {
-    let place = Place::start(|engine| {
+    let cluster = TestCluster::start(|engine| {
         engine.behaviour.speed.batch_slots = 400;
         engine.behaviour.speed.cache_blocks = 100_000;
         engine.behaviour.speed.prefill_tokens_per_second = 10_000_000.0;
         engine.behaviour.speed.prefill_chunk_tokens = 1_000_000;
         engine.behaviour.speed.decode_base_ms = 1_000.0;
     });
-    let report = hold::hold(&hold_settings(&place, 120)).unwrap();
+    let report = hold::hold(&hold_settings(&cluster, 120)).unwrap();
     assert_eq!(report.streams, 120);
     let memory = report.memory.unwrap();
     assert!(memory.before > 0 && memory.open > 0);
@@ -263,8 +263,9 @@
 
 #[test]
 fn streams_that_end_while_they_are_held_are_a_failure() {
-    let place = Place::start(|engine| engine.behaviour.speed.prefill_tokens_per_second = 10_000_000.0);
-    let mut settings = hold_settings(&place, 4);
+    let cluster =
+        TestCluster::start(|engine| engine.behaviour.speed.prefill_tokens_per_second = 10_000_000.0);
+    let mut settings = hold_settings(&cluster, 4);
     settings.workload.max_tokens = 1;
     assert!(matches!(hold::hold(&settings), Err(LoadError::Hold { failed: 4, .. })));
 }
--- a/crates/bench/tests/report.rs
+++ b/crates/bench/tests/report.rs
@@ -1,4 +1,4 @@
-//! Reports: one page, with each policy's table row, bars and lines.
+//! The HTML report: a self-contained page with a table row, bars and lines per policy.
 
 use paddlemount_bench::{
     experiment::{self, RunSettings},
--- a/crates/bench/tests/scenario.rs
+++ b/crates/bench/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: the bundled ones load, and mistakes are refused with the key and the remedy.
+//! Scenario files: the bundled ones load, and invalid ones are refused with the key and the valid values.
 
 use paddlemount_bench::scenario::{BUNDLED, Scenario};
 
--- a/crates/bench/tests/simulation.rs
+++ b/crates/bench/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The virtual-time kernel: order of events, and what the simulated network loses.
+//! The simulation kernel: order of events, and delays and losses of the network.
 
 use std::time::Duration;
 
