--- a/crates/bench/src/demo/cluster/settings.rs
+++ b/crates/bench/src/demo/cluster/settings.rs
@@ -163,7 +163,7 @@
     let text = format!(
         "node = \"{node}\"\nregion = \"{REGION}\"\nzone = \"{zone}\"\nworkers = 2\n\
          [listen]\ncallers = \"{callers}\"\npeers = \"{peers}\"\nadmin = \"{admin}\"\n\
-         [platform]\nconfiguration_store = \"{store}\"\nmachine_list = \"{list}\"\nkept_cache_store = \"{kept}\"\n\
+         [platform]\nconfiguration_store = \"{store}\"\nmachine_list = \"{list}\"\nkept_cache_store = \"{cache_store}\"\n\
          [cluster]\nkey = \"{CLUSTER_KEY}\"\n\
          [[operators]]\nname = \"{OPERATOR}\"\nkey_hash = \"{hash}\"\nrole = \"administer\"\n",
         node = node_name(number),
@@ -173,7 +173,7 @@
         admin = own.admin,
         store = platform.configuration_store,
         list = platform.machine_list,
-        kept = platform.cache_store,
+        cache_store = platform.cache_store,
         hash = sha256_hex(OPERATOR_KEY),
     );
     NodeSettings::parse(&text).map_err(|mistakes| ClusterError::Settings(format!("{mistakes:?}")))
--- a/crates/bench/src/experiment/cluster.rs
+++ b/crates/bench/src/experiment/cluster.rs
@@ -120,6 +120,7 @@
     /// Builds the policy of a node, with no knowledge of the engines.
     pub(super) fn build_policy(&self, node: usize) -> Box<dyn Policy> {
         let node_state = &self.nodes[node];
+        // The text determines the seed; another text gives other draws.
         let purpose = format!("policy of node {node} in life {}", node_state.incarnation);
         policy::build(&PolicySettings {
             name: self.settings.policy,
--- a/crates/bench/src/experiment/metrics.rs
+++ b/crates/bench/src/experiment/metrics.rs
@@ -333,8 +333,8 @@
     }
 }
 
-fn ratio(part: f64, whole: f64) -> f64 {
-    if whole > 0.0 { part / whole } else { 0.0 }
+fn ratio(part: f64, total: f64) -> f64 {
+    if total > 0.0 { part / total } else { 0.0 }
 }
 
 /// Rounds to five decimal places, for readable results.
--- a/crates/bench/src/experiment/summary.rs
+++ b/crates/bench/src/experiment/summary.rs
@@ -148,6 +148,6 @@
     recovered_after.unwrap_or(f64::INFINITY)
 }
 
-fn share(part: u64, whole: u64) -> f64 {
-    if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
+fn share(part: u64, total: u64) -> f64 {
+    if total == 0 { 0.0 } else { part as f64 / total as f64 }
 }
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -197,7 +197,7 @@
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Reads a scenario from text; `place` names the text in errors.
+    /// Reads a scenario from text; `origin` names the text in errors.
     pub fn parse(origin: &str, text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text).map_err(|error| ScenarioError::Malformed {
             origin: origin.to_owned(),
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -164,8 +164,8 @@
 #[test]
 fn restarted_nodes_serve_again_and_callers_get_their_answers() {
     let mut scenario = short_kestrel();
-    let herd = "at_s = 25.0\nevent = { node_restart = {} }";
-    scenario.faults = vec![toml::from_str(herd).unwrap()];
+    let restart = "at_s = 25.0\nevent = { node_restart = {} }";
+    scenario.faults = vec![toml::from_str(restart).unwrap()];
     let result = run(&scenario, PolicyName::Prefix, 2);
     assert!(result.retries > 0);
     assert_eq!(result.complete, result.requests);
