--- a/crates/bench/src/capacity/command.rs
+++ b/crates/bench/src/capacity/command.rs
@@ -1,4 +1,4 @@
-//! `paddlemount bench capacity`.
+//! The subcommand `paddlemount bench capacity`.
 
 use std::{io::Write, path::PathBuf};
 
@@ -30,7 +30,7 @@
     let slopes = measure(effort);
     if let Some(directory) = directory {
         let failed = |error: std::io::Error| CommandError::Output {
-            place: directory.display().to_string(),
+            destination: directory.display().to_string(),
             source: error,
         };
         std::fs::create_dir_all(&directory).map_err(failed)?;
@@ -38,7 +38,7 @@
     }
     let text = if is_json { json(&slopes) } else { table(&slopes) };
     let written = std::io::stdout().write_all(text.as_bytes());
-    written.map_err(|source| CommandError::Output { place: "standard output".to_owned(), source })
+    written.map_err(|source| CommandError::Output { destination: "standard output".to_owned(), source })
 }
 
 fn json(slopes: &[Slope]) -> String {
@@ -46,7 +46,7 @@
     lines.map(|line| line + "\n").collect()
 }
 
-/// The table of the page, in Markdown.
+/// A Markdown table.
 fn table(slopes: &[Slope]) -> String {
     let mut text = String::from(
         "| role | quantity | over | measured at | slope ± error | r² | target size | at target | share of budget |\n\
@@ -72,7 +72,7 @@
     text
 }
 
-/// Three significant digits.
+/// Formats with about three significant digits.
 fn number(value: f64) -> String {
     let magnitude = value.abs();
     if magnitude == 0.0 {
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -1,4 +1,4 @@
-//! The measurements, one function for each role.
+//! Measurements, one function per role.
 
 use std::{
     hint::black_box,
@@ -31,10 +31,10 @@
 use super::{BUDGET_BYTES_PER_SECOND, BUDGET_MEMORY_BYTES, BUDGET_PROCESSOR_PERCENT, Slope};
 use crate::hollow::{
     cluster::ClusterSettings,
-    measure::{change_request, document, measure_changes, measure_steady, settled},
+    measure::{change_request, document, measure_changes, measure_steady, start_settled_cluster},
 };
 
-/// The target's sizes.
+/// Sizes of the target installation.
 pub mod target {
     /// Members of one region: 350 nodes in 5 regions.
     pub const REGION_MEMBERS: f64 = 70.0;
@@ -42,39 +42,38 @@
     pub const REGIONS: f64 = 5.0;
     /// Tenants.
     pub const TENANTS: f64 = 430.0;
-    /// Changes of configuration a day.
-    pub const CHANGES_A_DAY: f64 = 840.0;
-    /// Runners of one pool: 1,100 runners for 14 models.
+    /// Configuration changes per day.
+    pub const CHANGES_PER_DAY: f64 = 840.0;
+    /// Engines of one pool: 1,100 for 14 models.
     pub const POOL_RUNNERS: f64 = 1_100.0 / 14.0;
-    /// Requests a second at one node: 12,000 at 350 nodes.
-    pub const REQUESTS_A_SECOND: f64 = 12_000.0 / 350.0;
-    /// Cache events a second at one node where each feed is read by one node: 760,000 at 350 nodes.
-    pub const EVENTS_A_SECOND: f64 = 760_000.0 / 350.0;
+    /// Requests per second at one node: 12,000 at 350 nodes.
+    pub const REQUESTS_PER_SECOND: f64 = 12_000.0 / 350.0;
+    /// Cache events per second at one node if each feed has one reader: 760,000 at 350 nodes.
+    pub const EVENTS_PER_SECOND: f64 = 760_000.0 / 350.0;
 }
 
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Tenants and models of hollow nodes where they are not varied.
+/// Tenants and models of hollow nodes unless varied.
 const TENANTS: usize = 430;
 const MODELS: usize = 14;
 
-/// How much is measured.
+/// Extent of the measurements.
 #[derive(Clone, Copy, Debug)]
 pub struct Effort {
     /// Virtual time of each hollow cluster.
     pub steady: Duration,
-    /// Repetitions of each timed piece of work.
     pub repetitions: u32,
 }
 
 impl Effort {
-    /// Under a minute in all.
+    /// A quick run of under a minute.
     pub const QUICK: Self = Self { steady: Duration::from_secs(60), repetitions: 20 };
-    /// For the page.
+    /// A full run.
     pub const FULL: Self = Self { steady: Duration::from_secs(600), repetitions: 100 };
 }
 
-/// All slopes.
+/// Measures all roles.
 pub fn measure(effort: Effort) -> Vec<Slope> {
     let mut slopes = member(effort);
     slopes.push(representative(effort));
@@ -86,21 +85,21 @@
     slopes
 }
 
-/// A node as a member of a region: bytes, processor time, memory over the members of the region.
+/// A member of a region: bytes, processor time and memory over the members of the region.
 fn member(effort: Effort) -> Vec<Slope> {
     let (mut bytes, mut processor, mut memory) = (Vec::new(), Vec::new(), Vec::new());
-    // Kept, as memory that one cluster gives back would be used by the next.
-    let mut kept = Vec::new();
+    // Not dropped in the loop: the next cluster would reuse the freed memory.
+    let mut clusters = Vec::new();
     for nodes in [10, 25, 50, 70, 100] {
         let before = resident_bytes();
         let settings = ClusterSettings { nodes, zones: 3, regions: 1, loss: 0.0, seed: 1 };
-        let mut cluster = settled(settings, TENANTS, MODELS);
+        let mut cluster = start_settled_cluster(settings, TENANTS, MODELS);
         let (cost, _) = measure_steady(&mut cluster, effort.steady);
         let size = nodes as f64;
         bytes.push((size, cost.peer_bytes_per_second));
         processor.push((size, cost.processor_percent));
         memory.push((size, resident_bytes().saturating_sub(before) as f64));
-        kept.push(cluster);
+        clusters.push(cluster);
     }
     let members = "members of the region";
     let size = target::REGION_MEMBERS;
@@ -111,13 +110,13 @@
     ]
 }
 
-/// The node that spends most, over the regions: a representative towards the others.
+/// A representative of its region, as the node with the most traffic, over the number of regions.
 fn representative(effort: Effort) -> Slope {
     let mut points = Vec::new();
     for regions in [2, 3, 4, 5] {
         let nodes = 70 * regions;
         let settings = ClusterSettings { nodes, zones: regions * 2, regions, loss: 0.0, seed: 1 };
-        let mut cluster = settled(settings, 20, 2);
+        let mut cluster = start_settled_cluster(settings, 20, 2);
         let (cost, _) = measure_steady(&mut cluster, effort.steady.min(Duration::from_secs(120)));
         points.push((regions as f64, cost.greatest_peer_bytes_per_second));
     }
@@ -125,45 +124,46 @@
     Slope::new("representative", "bytes/s both ways", "regions of 70 nodes", points, target::REGIONS, budget)
 }
 
-/// What changes add to the bytes of a member.
+/// Bytes of a member over the rate of configuration changes.
 fn changes(effort: Effort) -> Slope {
     let minutes = effort.steady.as_secs_f64().max(60.0) / 60.0;
     let mut points = Vec::new();
     for count in [0_usize, 5, 10, 20, 40] {
         let settings = ClusterSettings { nodes: 20, zones: 3, regions: 1, loss: 0.0, seed: 1 };
-        let mut cluster = settled(settings, TENANTS, MODELS);
+        let mut cluster = start_settled_cluster(settings, TENANTS, MODELS);
         let began = cluster.now();
         measure_changes(&mut cluster, 0, count, Duration::from_millis(200));
         cluster.run_until(began + Duration::from_secs_f64(minutes * 60.0));
         let bytes: u64 = (0..cluster.len())
-            .map(|index| cluster.spent(index))
-            .map(|spent| spent.bytes_in + spent.bytes_out + spent.store_bytes)
+            .map(|index| cluster.usage(index))
+            .map(|usage| usage.bytes_in + usage.bytes_out + usage.store_bytes)
             .sum();
         let seconds = cluster.now().saturating_since(began).as_secs_f64();
-        let a_day = count as f64 / seconds * SECONDS_A_DAY;
-        points.push((a_day, bytes as f64 / cluster.len() as f64 / seconds));
+        let per_day = count as f64 / seconds * SECONDS_PER_DAY;
+        points.push((per_day, bytes as f64 / cluster.len() as f64 / seconds));
     }
     let budget = Some(BUDGET_BYTES_PER_SECOND);
     let over = "changes a day";
-    Slope::new("member", "bytes/s with changes, 20 members", over, points, target::CHANGES_A_DAY, budget)
+    Slope::new("member", "bytes/s with changes, 20 members", over, points, target::CHANGES_PER_DAY, budget)
 }
 
-/// A node that holds the configuration: size of the document, time to take in one change.
+/// A node that follows the configuration: document size, and time to apply a change.
 fn configuration(effort: Effort) -> Vec<Slope> {
-    let (mut bytes, mut watched, mut replayed) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut bytes, mut read_times, mut replayed) = (Vec::new(), Vec::new(), Vec::new());
     for tenants in [50, 100, 200, 430, 860] {
         let size = tenants as f64;
         let mut before = document(tenants, MODELS);
         for number in 0..paddlemount_protocol::configuration::MAX_RECORDED_CHANGES {
-            before = after(&before, number);
+            before = apply_change(&before, number);
         }
-        let next = after(&before, 1_000);
+        let next = apply_change(&before, 1_000);
         let encoded = serde_json::to_vec(&next).unwrap_or_default();
         bytes.push((size, encoded.len() as f64));
-        let parse = time(effort, || serde_json::from_slice::<RevisedConfiguration>(&encoded).map(|_| ()));
-        watched.push((size, parse.as_secs_f64() * 1e3));
+        let parse =
+            median_time(effort, || serde_json::from_slice::<RevisedConfiguration>(&encoded).map(|_| ()));
+        read_times.push((size, parse.as_secs_f64() * 1e3));
         let record = next.configuration.changes.last().cloned();
-        let step = time(effort, || {
+        let step = median_time(effort, || {
             let mut configuration = before.configuration.clone();
             let replayed =
                 record.iter().map(|record| replay(&mut configuration, record)).all(|done| done.is_ok());
@@ -175,29 +175,29 @@
     let tenants = "tenants";
     vec![
         Slope::new(role, "bytes of the document", tenants, bytes, target::TENANTS, Some(BUDGET_MEMORY_BYTES)),
-        Slope::new(role, "ms to read a whole document", tenants, watched, target::TENANTS, None),
+        Slope::new(role, "ms to read a whole document", tenants, read_times, target::TENANTS, None),
         Slope::new("member", "ms to take in one change", tenants, replayed, target::TENANTS, None),
     ]
 }
 
-fn after(before: &RevisedConfiguration, number: usize) -> RevisedConfiguration {
+fn apply_change(before: &RevisedConfiguration, number: usize) -> RevisedConfiguration {
     let request = change_request(number);
     let configuration = evaluate(before, &request, Timestamp(1)).expect("the measured changes are valid");
     RevisedConfiguration { revision: before.revision.next(), configuration }
 }
 
-/// A node that routes: time of one decision over the runners of the pool.
+/// A node that routes requests: time of a decision over the engines of the pool.
 fn data_path(effort: Effort) -> Slope {
     let mut points = Vec::new();
     for runners in [10, 20, 40, 80, 160] {
         let mut router = router(runners);
         let blocks: Vec<BlockHash> = (0..64).map(|block| BlockHash(0x1234_5678 + block)).collect();
         let mut number = 0;
-        let each = time(effort, || {
+        let each = median_time(effort, || {
             number += 1;
             decide(&mut router, &blocks, number)
         });
-        points.push((runners as f64, each.as_secs_f64() * target::REQUESTS_A_SECOND * 100.0));
+        points.push((runners as f64, each.as_secs_f64() * target::REQUESTS_PER_SECOND * 100.0));
     }
     let quantity = "% of a core at 34 requests/s, prompts of 64 blocks";
     let budget = Some(BUDGET_PROCESSOR_PERCENT);
@@ -257,13 +257,13 @@
     router.choose(&route, Timestamp(1_000 + number)).chosen.is_some()
 }
 
-/// A node that reads engines' feeds: time and bytes over events.
+/// A node that reads engine feeds: processor time and bytes over events.
 fn feed_owner(effort: Effort) -> Vec<Slope> {
     let (mut processor, mut bytes) = (Vec::new(), Vec::new());
     for events in [250, 500, 1_000, 2_000, 4_000] {
-        let batch = feed(events);
+        let batch = feed_batch(events);
         let encoded = serde_json::to_vec(&batch).unwrap_or_default();
-        let each = time(effort, || {
+        let each = median_time(effort, || {
             let mut router = router(1);
             let read: Result<CacheEventBatch, _> = serde_json::from_slice(&encoded);
             if let Ok(batch) = &read {
@@ -274,7 +274,7 @@
         processor.push((events as f64, each.as_secs_f64() * 100.0));
         bytes.push((events as f64, encoded.len() as f64));
     }
-    let (role, over, size) = ("feed owner", "events/s", target::EVENTS_A_SECOND);
+    let (role, over, size) = ("feed owner", "events/s", target::EVENTS_PER_SECOND);
     let budget = Some(BUDGET_PROCESSOR_PERCENT);
     vec![
         Slope::new(role, "% of a core, one owner for each feed", over, processor, size, budget),
@@ -289,8 +289,8 @@
     ]
 }
 
-/// Events of one stored block each, every fourth followed by an eviction.
-fn feed(events: usize) -> CacheEventBatch {
+/// Events of one block each, every fourth an eviction.
+fn feed_batch(events: usize) -> CacheEventBatch {
     let change = |number: u128| {
         let blocks = vec![BlockHash(number * 0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)];
         if number % 4 == 3 { CacheChange::Removed { blocks } } else { CacheChange::Stored { blocks } }
@@ -306,14 +306,14 @@
     }
 }
 
-/// A replica of claims: time and memory over the claims that it remembers.
+/// A claim replica: time and memory over the claims that it stores.
 fn claim_replica(effort: Effort) -> Vec<Slope> {
     let (mut processor, mut memory, mut message) = (Vec::new(), Vec::new(), 0);
     for claims in [1_000, 2_000, 4_000, 8_000] {
         let messages: Vec<ClaimMessage> = (0..claims).map(claim).collect();
         message = messages.iter().map(encoded_bytes).max().unwrap_or(0);
         let mut usage = 0;
-        let all = time(Effort { repetitions: effort.repetitions.min(10), ..effort }, || {
+        let all = median_time(Effort { repetitions: effort.repetitions.min(10), ..effort }, || {
             let now = Timestamp::from_millis(1_000_000);
             let mut replica =
                 ClaimReplica::with_floor(ClaimSettings::default(), PlacementEpoch(1), Timestamp(0));
@@ -325,11 +325,11 @@
         processor.push((claims as f64, all.as_secs_f64() * 1e3));
         memory.push((claims as f64, usage as f64));
     }
-    log::debug!("a claim has {message} bytes");
+    log::debug!("largest claim message: {message} bytes");
     let (role, over) = ("claim replica", "claims remembered");
-    // No share of requests that must not be repeated is given; a tenth of 34 requests/s, with 5 replicas each
-    // and 10 minutes of memory, stands in.
-    let size = target::REQUESTS_A_SECOND / 10.0 * 5.0 * 600.0;
+    // Assumes that a tenth of 34 requests/s carries a claim, with 5 replicas each and 10 minutes of
+    // retention.
+    let size = target::REQUESTS_PER_SECOND / 10.0 * 5.0 * 600.0;
     vec![
         Slope::new(role, "ms to grant all of them", over, processor, size, None),
         Slope::new(
@@ -356,8 +356,8 @@
     }
 }
 
-/// The median time of `work`.
-fn time<T>(effort: Effort, mut work: impl FnMut() -> T) -> Duration {
+/// The median run time of `work`.
+fn median_time<T>(effort: Effort, mut work: impl FnMut() -> T) -> Duration {
     let mut times: Vec<Duration> = (0..effort.repetitions)
         .map(|_| {
             let began = Instant::now();
@@ -369,7 +369,7 @@
     times[times.len() / 2]
 }
 
-/// Memory of this process, in bytes; 0 where the machine does not tell.
+/// Resident memory of this process; 0 if the system does not report it.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -1,4 +1,4 @@
-//! The command `paddlemount bench`: arguments, and what each subcommand prints.
+//! The command `paddlemount bench`: arguments and output.
 
 use std::{
     ffi::OsString,
@@ -18,7 +18,7 @@
     scenario::{Scenario, ScenarioError},
 };
 
-/// How the command is used.
+/// Usage text.
 pub const USAGE: &str = "\
 paddlemount bench: experiments in virtual time
 
@@ -39,44 +39,31 @@
 pub(crate) const DEFAULT_SEED: u64 = 1;
 const DEFAULT_THREADS: usize = 4;
 
-/// Why the command did not run.
+/// An error of the command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The arguments can't be read.
     #[error("{0}; see paddlemount bench --help")]
     Arguments(#[from] lexopt::Error),
-    /// A subcommand is missing or unknown.
     #[error("there is no subcommand {0:?}; use run, report, scenarios, hollow or capacity")]
     UnknownSubcommand(String),
-    /// An option that the subcommand needs is missing.
+    /// A required option is missing.
     #[error("{0} is missing; see paddlemount bench --help")]
     Missing(&'static str),
-    /// A range of seeds can't be read.
     #[error("--seeds {text:?} is not a range; write it as 1..6")]
     Seeds {
-        /// What was given.
         text: String,
-        /// Why, where a bound is not a number.
+        /// The parse error of a bound, if it is not a number.
         source: Option<ParseIntError>,
     },
-    /// The scenario can't be used.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    /// The results can't be written.
-    #[error("cannot write {place}: {source}")]
-    Output {
-        /// Where to.
-        place: String,
-        /// Why.
-        source: io::Error,
-    },
-    /// No drill has this name.
+    #[error("cannot write {destination}: {source}")]
+    Output { destination: String, source: io::Error },
     #[error(transparent)]
     UnknownDrill(#[from] UnknownDrill),
-    /// Drills broke promises.
+    /// The number of runs with violations.
     #[error("{0} runs broke a promise")]
     Violations(usize),
-    /// The plots can't be drawn.
     #[error("cannot draw the report: {0}")]
     Report(#[from] report::ReportError),
 }
@@ -96,7 +83,7 @@
     output: Option<PathBuf>,
 }
 
-/// Runs `paddlemount bench` with the arguments that follow the word `bench`.
+/// Runs `paddlemount bench` with the arguments after `bench`.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     match dispatch(Parser::from_args(arguments)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -115,8 +102,8 @@
         None => return Err(CommandError::UnknownSubcommand(String::new())),
     };
     match subcommand.as_str() {
-        "run" => run(read_options(&mut parser)?),
-        "report" => write_report(read_options(&mut parser)?),
+        "run" => run(parse_options(&mut parser)?),
+        "report" => write_report(parse_options(&mut parser)?),
         "scenarios" => list_scenarios(),
         "drill" => crate::drill::command::run(&mut parser),
         "hollow" => crate::hollow::command::run(&mut parser),
@@ -125,7 +112,7 @@
     }
 }
 
-fn read_options(parser: &mut Parser) -> Result<Options, CommandError> {
+fn parse_options(parser: &mut Parser) -> Result<Options, CommandError> {
     let mut options = Options {
         scenario: None,
         policies: PolicyName::ALL.to_vec(),
@@ -138,10 +125,10 @@
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Long("scenario") => options.scenario = Some(parser.value()?.string()?),
-            Arg::Long("policy") => options.policies = read_list(parser)?,
-            Arg::Long("without") => options.without = read_list(parser)?,
+            Arg::Long("policy") => options.policies = parse_list(parser)?,
+            Arg::Long("without") => options.without = parse_list(parser)?,
             Arg::Long("seed") => options.seeds = vec![parser.value()?.parse()?],
-            Arg::Long("seeds") => options.seeds = read_seeds(&parser.value()?.string()?)?,
+            Arg::Long("seeds") => options.seeds = parse_seeds(&parser.value()?.string()?)?,
             Arg::Long("threads") => options.threads = parser.value()?.parse()?,
             Arg::Long("json") => options.format = Format::Json,
             Arg::Long("table") => options.format = Format::Table,
@@ -152,7 +139,7 @@
     Ok(options)
 }
 
-fn read_list<T>(parser: &mut Parser) -> Result<Vec<T>, CommandError>
+fn parse_list<T>(parser: &mut Parser) -> Result<Vec<T>, CommandError>
 where
     T: std::str::FromStr,
     T::Err: Into<Box<dyn std::error::Error + Send + Sync + 'static>>,
@@ -163,13 +150,13 @@
     Ok(parsed.collect::<Result<_, _>>()?)
 }
 
-pub(crate) fn read_seeds(text: &str) -> Result<Vec<u64>, CommandError> {
-    let wrong = |source| CommandError::Seeds { text: text.to_owned(), source };
-    let (first, end) = text.split_once("..").ok_or_else(|| wrong(None))?;
-    let first: u64 = first.parse().map_err(|error| wrong(Some(error)))?;
-    let end: u64 = end.parse().map_err(|error| wrong(Some(error)))?;
+pub(crate) fn parse_seeds(text: &str) -> Result<Vec<u64>, CommandError> {
+    let invalid = |source| CommandError::Seeds { text: text.to_owned(), source };
+    let (first, end) = text.split_once("..").ok_or_else(|| invalid(None))?;
+    let first: u64 = first.parse().map_err(|error| invalid(Some(error)))?;
+    let end: u64 = end.parse().map_err(|error| invalid(Some(error)))?;
     if first >= end {
-        return Err(wrong(None));
+        return Err(invalid(None));
     }
     Ok((first..end).collect())
 }
@@ -206,7 +193,7 @@
     let results = run_options(&options)?;
     let page = report::html(&results)?;
     std::fs::write(&path, page)
-        .map_err(|source| CommandError::Output { place: path.display().to_string(), source })
+        .map_err(|source| CommandError::Output { destination: path.display().to_string(), source })
 }
 
 fn list_scenarios() -> Result<(), CommandError> {
@@ -219,5 +206,5 @@
 
 pub(crate) fn print(text: &str) -> Result<(), CommandError> {
     let result = io::stdout().write_all(text.as_bytes());
-    result.map_err(|source| CommandError::Output { place: "standard output".to_owned(), source })
+    result.map_err(|source| CommandError::Output { destination: "standard output".to_owned(), source })
 }
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -1,8 +1,8 @@
-//! How long one routing decision takes on one core, and how much memory the belief takes.
+//! Benchmark of one routing decision on one core, and of the memory of the cache index.
 //!
-//! The router is filled to its bound with prompts from a tree of nested openings, so that holders,
-//! heat and eviction ages are those of a node that has run for long. Only
-//! [`Router::choose`] and, apart from it, the learning from one request are timed.
+//! The router is filled to its bound with prompts from a tree of nested prefixes, so that holders, heat and
+//! eviction ages are those of a node that has run for long. Only [`Router::choose`] and, separately, the
+//! update from one request are timed.
 
 use std::{hint::black_box, time::Instant};
 
@@ -21,16 +21,15 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use serde::Serialize;
 
-/// What to measure.
+/// Settings of the benchmark.
 #[derive(Clone, Debug)]
 pub struct DecisionBenchSettings {
-    /// Numbers of runners, one measurement each.
+    /// Pool sizes, one measurement each.
     pub runners: Vec<usize>,
-    /// Decisions that are timed in each.
+    /// Timed decisions per measurement.
     pub decisions: usize,
-    /// Records that the belief holds at most.
+    /// Maximum number of records in the cache index.
     pub belief_records: usize,
-    /// Seed of prompts and choices.
     pub seed: u64,
 }
 
@@ -45,40 +44,34 @@
     }
 }
 
-/// One measurement.
+/// The result for one pool size.
 #[derive(Clone, Debug, Serialize)]
 pub struct DecisionBenchResult {
-    /// Runners in the pool.
+    /// Engines in the pool.
     pub runners: usize,
-    /// Decisions that were timed.
     pub decisions: usize,
-    /// Mean number of engines weighed.
+    /// Mean number of candidate engines per decision.
     pub mean_candidates: f64,
-    /// Mean number of blocks in a prompt.
+    /// Mean number of blocks per prompt.
     pub mean_blocks: f64,
-    /// Time of one decision.
     pub choose_us: TimePercentiles,
-    /// Time to learn from one request: dispatch, start, first token, end.
+    /// Time to apply the events of one request: dispatch, start, first token, end.
     pub learn_us: TimePercentiles,
-    /// Pairs of prefix and engine in the belief.
+    /// Records in the cache index.
     pub belief_records: usize,
-    /// Bytes of the records by their own count.
+    /// Size of the records as the index reports it.
     pub belief_bytes: usize,
-    /// Bytes for each record by their own count.
     pub bytes_per_record: f64,
-    /// Growth of the resident memory while the router was filled, for each record; none where the
-    /// system doesn't tell. Counted in the first measurement only, since memory is reused later.
+    /// Growth of resident memory per record while the router was filled; none if the system does not report
+    /// it. Only in the first measurement, since later ones reuse memory.
     pub resident_bytes_per_record: Option<f64>,
 }
 
 /// Percentiles in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TimePercentiles {
-    /// Median.
     pub p50: f64,
-    /// 99 of 100 are faster.
     pub p99: f64,
-    /// The slowest.
     pub max: f64,
 }
 
@@ -90,24 +83,25 @@
 const CONTRACT_BLOCKS: usize = 50;
 const OWN_BLOCKS: usize = 8;
 const WEIGHTS: WeightsVersion = WeightsVersion(1);
-/// Requests reach one node at this distance: 12,000 a second over 350 nodes.
+/// Interval of requests at one node: 12,000 a second over 350 nodes.
 const REQUEST_MICROS: u64 = 29_000;
-/// Engines report their load this often.
+/// Interval of the engines' load reports.
 const REPORT_MICROS: u64 = 500_000;
 
-/// Measures each number of runners in turn.
+/// Runs one measurement per pool size.
 pub fn run(settings: &DecisionBenchSettings) -> Vec<DecisionBenchResult> {
     let measure = |(index, runners): (usize, &usize)| {
         let before = resident_bytes();
         let mut bench = Bench::new(*runners, settings);
         bench.fill();
-        let grown = resident_bytes().zip(before).map(|(after, before)| after.saturating_sub(before));
-        bench.measure(settings.decisions, grown.filter(|_| index == 0))
+        let resident_growth =
+            resident_bytes().zip(before).map(|(after, before)| after.saturating_sub(before));
+        bench.measure(settings.decisions, resident_growth.filter(|_| index == 0))
     };
     settings.runners.iter().enumerate().map(measure).collect()
 }
 
-struct Names {
+struct Identities {
     tenant: TenantId,
     pool: PoolId,
     model: ModelId,
@@ -116,7 +110,7 @@
 
 struct Bench {
     router: Router,
-    names: Names,
+    identities: Identities,
     runners: usize,
     random: SmallRng,
     now: Timestamp,
@@ -131,7 +125,7 @@
             ..RouterSettings::new(ZoneId::from("zone-0"), settings.seed)
         });
         router.apply(RouterEvent::Nodes { count: 350 }, Timestamp::ZERO);
-        let names = Names {
+        let identities = Identities {
             tenant: TenantId::from("tenant"),
             pool: PoolId::from("pool"),
             model: ModelId::from("model"),
@@ -139,12 +133,13 @@
         };
         let random = SmallRng::seed_from_u64(settings.seed);
         let now = Timestamp(1_000_000);
-        let mut bench = Self { router, names, runners, random, now, requests: 0, reported: Timestamp::ZERO };
+        let mut bench =
+            Self { router, identities, runners, random, now, requests: 0, reported: Timestamp::ZERO };
         bench.report();
         bench
     }
 
-    /// All engines report their load.
+    /// Applies a load report of every engine.
     fn report(&mut self) {
         self.reported = self.now;
         for number in 0..self.runners {
@@ -164,10 +159,10 @@
         EngineStatus {
             engine: EngineId::from(format!("engine-{number:04}")),
             incarnation: Incarnation(1),
-            pool: self.names.pool.clone(),
+            pool: self.identities.pool.clone(),
             zone: ZoneId::from(format!("zone-{}", number % 13)),
             loaded: Some(LoadedModel {
-                model: self.names.model.clone(),
+                model: self.identities.model.clone(),
                 weights: WEIGHTS,
                 adapters: Vec::new(),
             }),
@@ -186,16 +181,16 @@
         }
     }
 
-    /// Hashes of a prompt: preamble, rules, contract and text of its own; low numbers are more frequent.
+    /// Block hashes of a random prompt: preamble, rules, contract and unique text, with skewed popularity.
     fn prompt(&mut self) -> Vec<BlockHash> {
-        let tenant = self.skewed(TENANTS as u64);
-        let rule = tenant * RULES_PER_TENANT + self.skewed(RULES_PER_TENANT);
-        let contract = rule * CONTRACTS_PER_RULE + self.skewed(CONTRACTS_PER_RULE);
+        let tenant = self.skewed_index(TENANTS as u64);
+        let rule = tenant * RULES_PER_TENANT + self.skewed_index(RULES_PER_TENANT);
+        let contract = rule * CONTRACTS_PER_RULE + self.skewed_index(CONTRACTS_PER_RULE);
         let own = self.random.random::<u64>();
         let mut blocks: Vec<BlockHash> = Vec::new();
-        let parts =
+        let segments =
             [(tenant, PREAMBLE_BLOCKS), (rule, RULE_BLOCKS), (contract, CONTRACT_BLOCKS), (own, OWN_BLOCKS)];
-        for (text, length) in parts {
+        for (text, length) in segments {
             for _ in 0..length {
                 let block = text.to_le_bytes();
                 let hash = blocks.last().map_or_else(
@@ -208,18 +203,18 @@
         blocks
     }
 
-    fn skewed(&mut self, count: u64) -> u64 {
+    fn skewed_index(&mut self, count: u64) -> u64 {
         let uniform: f64 = self.random.random();
         ((uniform * uniform * count as f64) as u64).min(count - 1)
     }
 
-    /// Fills the belief until it has dropped its oldest records once.
+    /// Fills the cache index until it has evicted its oldest records once.
     fn fill(&mut self) {
         let mut before = 0;
         loop {
             for _ in 0..100 {
                 let blocks = self.prompt();
-                self.decide_and_learn(&blocks);
+                self.decide_and_apply(&blocks);
             }
             let records = self.router.cache_index_size().records;
             if records < before {
@@ -229,14 +224,14 @@
         }
     }
 
-    fn decide_and_learn(&mut self, blocks: &[BlockHash]) -> (f64, f64, usize) {
+    fn decide_and_apply(&mut self, blocks: &[BlockHash]) -> (f64, f64, usize) {
         self.now.0 += REQUEST_MICROS;
         self.requests += 1;
         if self.now.0 - self.reported.0 > REPORT_MICROS {
             self.report();
         }
-        let Self { router, names, now, requests, .. } = self;
-        let request = route(names, blocks);
+        let Self { router, identities, now, requests, .. } = self;
+        let request = route(identities, blocks);
         let began = Instant::now();
         let decision = black_box(router.choose(black_box(&request), *now));
         let choose = began.elapsed().as_secs_f64() * 1e6;
@@ -244,20 +239,20 @@
         let cached = decision.candidates.first().map_or(0, |best: &Candidate| best.expected_cached_tokens);
         let attempt = AttemptId::from(requests.to_string());
         let began = Instant::now();
-        learn(router, &request, &attempt, &chosen.engine, cached, *now);
+        apply_request_events(router, &request, &attempt, &chosen.engine, cached, *now);
         (choose, began.elapsed().as_secs_f64() * 1e6, decision.candidates.len())
     }
 
-    fn measure(mut self, decisions: usize, grown: Option<usize>) -> DecisionBenchResult {
+    fn measure(mut self, decisions: usize, resident_growth: Option<usize>) -> DecisionBenchResult {
         let filled = self.router.cache_index_size();
         let mut choose = Vec::with_capacity(decisions);
-        let mut learn = Vec::with_capacity(decisions);
+        let mut apply_times = Vec::with_capacity(decisions);
         let (mut candidates, mut blocks) = (0, 0);
         for _ in 0..decisions {
             let prompt = self.prompt();
-            let (choose_us, learn_us, weighed) = self.decide_and_learn(&prompt);
+            let (choose_us, learn_us, weighed) = self.decide_and_apply(&prompt);
             choose.push(choose_us);
-            learn.push(learn_us);
+            apply_times.push(learn_us);
             candidates += weighed;
             blocks += prompt.len();
         }
@@ -268,21 +263,21 @@
             mean_candidates: candidates as f64 / decisions as f64,
             mean_blocks: blocks as f64 / decisions as f64,
             choose_us: percentiles(choose),
-            learn_us: percentiles(learn),
+            learn_us: percentiles(apply_times),
             belief_records: size.records,
             belief_bytes: size.approximate_bytes,
             bytes_per_record: size.approximate_bytes as f64 / size.records as f64,
-            resident_bytes_per_record: grown.map(|bytes| bytes as f64 / filled.records as f64),
+            resident_bytes_per_record: resident_growth.map(|bytes| bytes as f64 / filled.records as f64),
         }
     }
 }
 
-fn route<'a>(names: &'a Names, blocks: &'a [BlockHash]) -> RouteRequest<'a> {
+fn route<'a>(identities: &'a Identities, blocks: &'a [BlockHash]) -> RouteRequest<'a> {
     RouteRequest {
-        request: &names.request,
-        tenant: &names.tenant,
-        pool: &names.pool,
-        model: &names.model,
+        request: &identities.request,
+        tenant: &identities.tenant,
+        pool: &identities.pool,
+        model: &identities.model,
         weights: WEIGHTS,
         adapter: None,
         scope: CacheScope(0),
@@ -295,7 +290,7 @@
     }
 }
 
-fn learn(
+fn apply_request_events(
     router: &mut Router,
     request: &RouteRequest<'_>,
     attempt: &AttemptId,
@@ -319,7 +314,7 @@
     TimePercentiles { p50: at(0.5), p99: at(0.99), max: at(1.0) }
 }
 
-/// Bytes of this process in memory, where the system tells.
+/// Resident memory of this process, if the system reports it.
 fn resident_bytes() -> Option<usize> {
     const PAGE_BYTES: usize = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -1,6 +1,8 @@
-//! The demo: the platform, Kestrel's places and three nodes in one process over real loopback TCP, with faults under mixed traffic.
+//! The demo: the platform, engines, booking runners and three nodes in one process over loopback TCP, with
+//! faults under mixed traffic.
 //!
-//! Every answer is compared with what its request should have got, and the booking service's ledgers are read at the end.
+//! Every answer is compared with the expected one, and the ledgers of the booking service are checked at the
+//! end.
 
 pub mod caller;
 mod cluster;
@@ -23,7 +25,7 @@
 use record::Records;
 pub use report::Summary;
 
-/// How the command is used.
+/// Usage text.
 const USAGE: &str = "\
 paddlemount demo: three nodes, twelve model runners and the platform in one process
 
@@ -35,21 +37,17 @@
 The last line is one JSON object. The exit code is 0 only where every request got its whole, right answer, once.
 ";
 
-/// Requests a second while the demo is held.
-const HELD_REQUESTS_PER_SECOND: f64 = 4.0;
+/// Request rate while the demo is held.
+const HOLD_REQUESTS_PER_SECOND: f64 = 4.0;
 
-/// What a demo does.
+/// Settings of a demo.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DemoSettings {
-    /// Length of the traffic.
     pub length: Duration,
-    /// Model requests a second.
     pub requests_per_second: f64,
-    /// Booking requests a second.
     pub bookings_per_second: f64,
-    /// Seed of the traffic.
     pub seed: u64,
-    /// Whether to stay up afterwards.
+    /// Whether the cluster stays up afterwards.
     pub hold: bool,
 }
 
@@ -65,24 +63,21 @@
     }
 }
 
-/// Why the demo could not run.
+/// An error of the demo.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// The arguments can't be read.
     #[error("{0}; see paddlemount demo --help")]
     Arguments(#[from] lexopt::Error),
-    /// A process of the cluster could not be started.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
-    /// The runtime or the terminal failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Runs `paddlemount demo` with the arguments that follow the word `demo`.
+/// Runs `paddlemount demo` with the arguments after `demo`.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let outcome = read_arguments(arguments).and_then(|settings| match settings {
-        Some(settings) => demonstrate(&settings),
+    let outcome = parse_arguments(arguments).and_then(|settings| match settings {
+        Some(settings) => run_demo(&settings),
         None => print(USAGE).map(|()| true),
     });
     match outcome {
@@ -95,7 +90,7 @@
     }
 }
 
-fn read_arguments(arguments: impl IntoIterator<Item = OsString>) -> Result<Option<DemoSettings>, DemoError> {
+fn parse_arguments(arguments: impl IntoIterator<Item = OsString>) -> Result<Option<DemoSettings>, DemoError> {
     use lexopt::ValueExt;
     let mut parser = lexopt::Parser::from_args(arguments);
     let mut settings = DemoSettings::default();
@@ -117,11 +112,11 @@
     Ok(())
 }
 
-fn demonstrate(settings: &DemoSettings) -> Result<bool, DemoError> {
+fn run_demo(settings: &DemoSettings) -> Result<bool, DemoError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()?;
     runtime.block_on(async {
         let cluster = Arc::new(Cluster::start().await?);
-        print(&cluster.introduction())?;
+        print(&cluster.banner())?;
         let summary = run(&cluster, settings).await;
         print(&summary.table())?;
         if settings.hold {
@@ -129,17 +124,17 @@
         }
         print(&format!("{}\n", summary.json()))?;
         cluster.stop().await;
-        Ok(summary.is_flawless())
+        Ok(summary.passed())
     })
 }
 
-/// Sends the traffic and brings about the faults.
+/// Sends the traffic and injects the faults.
 pub async fn run(cluster: &Arc<Cluster>, settings: &DemoSettings) -> Summary {
     let records = Arc::new(Records::new(settings.length));
     let faults = tokio::spawn(faults::run(Arc::clone(cluster), Arc::clone(&records), settings.length));
     traffic::run(cluster, settings, &records).await;
     if let Err(error) = faults.await {
-        log::error!("the faults did not run: {error}");
+        log::error!("the fault task failed: {error}");
         records.note("the faults did not run");
     }
     let ledgers = cluster.ledgers().await;
@@ -147,15 +142,15 @@
 }
 
 async fn hold(cluster: &Arc<Cluster>, settings: &DemoSettings) -> Result<(), DemoError> {
-    print(&cluster.introduction())?;
+    print(&cluster.banner())?;
     print("\nThe cluster stays up under light traffic. Interrupt it (Ctrl-C) to end.\n")?;
     let light = DemoSettings {
         length: Duration::from_secs(365 * 86_400),
-        requests_per_second: HELD_REQUESTS_PER_SECOND,
+        requests_per_second: HOLD_REQUESTS_PER_SECOND,
         bookings_per_second: 1.0,
         ..*settings
     };
-    let records = Arc::new(Records::forgetful());
+    let records = Arc::new(Records::discarding());
     tokio::select! {
         () = traffic::run(cluster, &light, &records) => {}
         interrupted = tokio::signal::ctrl_c() => interrupted?,
--- a/crates/bench/src/demo/record.rs
+++ b/crates/bench/src/demo/record.rs
@@ -1,4 +1,4 @@
-//! What the callers experienced.
+//! Records of the requests of a demo.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -10,107 +10,100 @@
 
 use super::caller::{ChatAnswer, Ending};
 
-/// The end of a question to a model.
+/// The end of a model request.
 #[derive(Clone, Debug)]
-pub struct ChatEnd {
-    /// When the caller sent it, from the start of the traffic.
+pub struct ChatRecord {
+    /// Time since the start of the traffic.
     pub sent: Duration,
-    /// Whether the answer was streamed.
     pub streamed: bool,
-    /// Whether the answer is the one that the request should have got.
-    pub right: bool,
-    /// How it ended.
+    /// Whether the answer is the expected one.
+    pub correct: bool,
     pub ending: Ending<ChatAnswer>,
 }
 
 /// The end of a booking.
 #[derive(Clone, Debug)]
-pub struct BookingEnd {
-    /// When the caller sent it, from the start of the traffic.
+pub struct BookingRecord {
+    /// Time since the start of the traffic.
     pub sent: Duration,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub key: String,
-    /// Whether the answer is the one that the request should have got.
-    pub right: bool,
-    /// How it ended.
+    /// Whether the answer is the expected one.
+    pub correct: bool,
     pub ending: Ending<BookingAnswer>,
 }
 
-/// Something that happened.
+/// An event of the demo.
 #[derive(Clone, Debug)]
 pub struct Note {
-    /// When, from the start of the traffic.
+    /// Time since the start of the traffic.
     pub at: Duration,
-    /// What, for people.
-    pub what: String,
+    /// A description for people.
+    pub description: String,
 }
 
-/// Everything that is known at the end.
+/// All records of a demo.
 #[derive(Debug, Default)]
 pub struct Content {
-    /// Questions.
-    pub chats: Vec<ChatEnd>,
-    /// Bookings.
-    pub bookings: Vec<BookingEnd>,
-    /// What happened, and when.
+    pub chats: Vec<ChatRecord>,
+    pub bookings: Vec<BookingRecord>,
     pub notes: Vec<Note>,
-    /// Whether all faults could be brought about and mended.
+    /// Whether a fault could not be injected or repaired.
     pub fault_failed: bool,
 }
 
-/// What the callers experienced, while it happens.
+/// Collects the records of a demo.
 pub struct Records {
-    begun: Instant,
-    /// The length of the traffic.
+    started_at: Instant,
     pub length: Duration,
-    keeps: bool,
+    retains: bool,
     content: Mutex<Content>,
 }
 
 impl Records {
-    /// Nothing so far.
+    /// Empty records.
     pub fn new(length: Duration) -> Self {
-        Self { begun: Instant::now(), length, keeps: true, content: Mutex::default() }
+        Self { started_at: Instant::now(), length, retains: true, content: Mutex::default() }
     }
 
-    /// Keeps nothing, for traffic without end.
-    pub fn forgetful() -> Self {
-        Self { keeps: false, ..Self::new(Duration::ZERO) }
+    /// Discards the ends of requests, for traffic without end.
+    pub fn discarding() -> Self {
+        Self { retains: false, ..Self::new(Duration::ZERO) }
     }
 
     /// Time since the start of the traffic.
     pub fn since_start(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// What is known.
+    /// The records so far.
     pub fn content(&self) -> MutexGuard<'_, Content> {
         self.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A question has ended.
-    pub fn chat(&self, end: ChatEnd) {
-        if self.keeps {
+    /// Records the end of a model request.
+    pub fn chat(&self, end: ChatRecord) {
+        if self.retains {
             self.content().chats.push(end);
         }
     }
 
-    /// A booking has ended.
-    pub fn booking(&self, end: BookingEnd) {
-        if self.keeps {
+    /// Records the end of a booking.
+    pub fn booking(&self, end: BookingRecord) {
+        if self.retains {
             self.content().bookings.push(end);
         }
     }
 
-    /// Something happened.
-    pub fn note(&self, what: &str) {
-        let note = Note { at: self.since_start(), what: what.to_owned() };
+    /// Records an event.
+    pub fn note(&self, description: &str) {
+        let note = Note { at: self.since_start(), description: description.to_owned() };
         self.content().notes.push(note);
     }
 
-    /// A fault could not be brought about or mended: the demo has not shown what it should.
-    pub fn fault_failed(&self, what: &str) {
-        self.note(what);
+    /// Records that a fault could not be injected or repaired, which fails the demo.
+    pub fn fault_failed(&self, description: &str) {
+        self.note(description);
         self.content().fault_failed = true;
     }
 }
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! The demo's result: a table for people and a line of JSON.
+//! The result of a demo, as a table and as JSON.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,67 +10,64 @@
 use paddlemount_standins::booking::model::{LedgerEntry, duplicate_runs};
 use serde::Serialize;
 
-use super::record::{BookingEnd, ChatEnd, Content, Records};
+use super::record::{BookingRecord, ChatRecord, Content, Records};
 
-/// Rows of the table over time.
-const ROWS: u32 = 7;
-/// Causes that are shown of requests that failed.
-const SHOWN_CAUSES: usize = 5;
+/// Time rows of the table.
+const TABLE_ROWS: u32 = 7;
+/// Maximum number of failure causes in the table.
+const MAX_CAUSES: usize = 5;
 
-/// Milliseconds to the first token, from the caller's decision to ask.
+/// Percentiles of the time to first token, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct FirstToken {
-    /// Median.
     pub p50: f64,
-    /// 95 in 100 are faster.
     pub p95: f64,
-    /// 99 in 100 are faster.
     pub p99: f64,
 }
 
-/// The demo's result.
+/// The result of a demo.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// Requests that were sent, bookings included.
+    /// Including bookings.
     pub requests: usize,
-    /// Requests that got a whole answer.
+    /// Requests with a complete answer.
     pub complete: usize,
-    /// Requests that got none.
+    /// Requests without a complete answer.
     pub incomplete: usize,
-    /// Answers that differ from what their requests should have got, bookings that the ledgers contradict included.
+    /// Unexpected answers, including bookings that contradict the ledgers.
     pub wrong: usize,
     /// Bookings that ran more than once.
     pub ran_twice: usize,
-    /// Tokens of prompts that were served from engines' caches, of all tokens of prompts.
+    /// Share of prompt tokens served from caches.
     pub prefix_hit_rate: f64,
     /// Streamed answers only.
     pub ttft_ms: FirstToken,
-    /// Bookings among the requests.
     pub bookings: usize,
-    /// Times that callers sent a request again, to another node, after "not run" or a connection that did not come about.
+    /// Sends after the first, over all requests.
     pub resent: u32,
-    /// Whether the engine's crash and the node's restart took place.
+    /// Whether all faults were injected and repaired.
     pub faults_took_place: bool,
     #[serde(skip)]
     table: String,
 }
 
 impl Summary {
-    /// Judges what the callers experienced by the ledgers; without ledgers, bookings count as wrong.
+    /// Evaluates the records against the ledgers; without ledgers, all bookings count as wrong.
     pub fn new(records: &Records, ledgers: Option<&[Vec<LedgerEntry>]>) -> Self {
         let content = records.content();
         let complete_chats = content.chats.iter().filter(|end| end.ending.result.is_ok()).count();
         let complete_bookings = content.bookings.iter().filter(|end| end.ending.result.is_ok()).count();
         let requests = content.chats.len() + content.bookings.len();
         let complete = complete_chats + complete_bookings;
-        let wrong_chats = content.chats.iter().filter(|end| end.ending.result.is_ok() && !end.right).count();
+        let wrong_chats =
+            content.chats.iter().filter(|end| end.ending.result.is_ok() && !end.correct).count();
         let resent = content.chats.iter().map(|end| end.ending.resent);
         let resent = resent.chain(content.bookings.iter().map(|end| end.ending.resent)).sum();
         let mut summary = Self {
             requests,
             complete,
             incomplete: requests - complete,
-            wrong: wrong_chats + wrong_bookings(&content.bookings, ledgers),
+            wrong: wrong_chats + count_wrong_bookings(&content.bookings, ledgers),
             ran_twice: ledgers.map_or(0, |ledgers| duplicate_runs(ledgers.iter().map(Vec::as_slice)).len()),
             prefix_hit_rate: hit_rate(content.chats.iter()),
             ttft_ms: first_token(content.chats.iter()),
@@ -83,8 +80,8 @@
         summary
     }
 
-    /// Whether nothing was incomplete, wrong or run twice, and the faults took place.
-    pub const fn is_flawless(&self) -> bool {
+    /// Whether no request was incomplete, wrong or run twice, and the faults took place.
+    pub const fn passed(&self) -> bool {
         self.incomplete == 0
             && self.wrong == 0
             && self.ran_twice == 0
@@ -92,7 +89,7 @@
             && self.faults_took_place
     }
 
-    /// For people.
+    /// The table.
     pub fn table(&self) -> String {
         self.table.clone()
     }
@@ -103,22 +100,23 @@
     }
 }
 
-/// Bookings whose answer is not theirs, that were answered and did not run, or that ran although the caller was told otherwise.
-fn wrong_bookings(bookings: &[BookingEnd], ledgers: Option<&[Vec<LedgerEntry>]>) -> usize {
+/// Counts bookings with an unexpected answer, answered bookings that did not run, and bookings that ran
+/// though refused as not run.
+fn count_wrong_bookings(bookings: &[BookingRecord], ledgers: Option<&[Vec<LedgerEntry>]>) -> usize {
     let Some(ledgers) = ledgers else { return bookings.len() };
     let entries = ledgers.iter().flatten().filter_map(|entry| entry.key.as_ref());
     let ran: BTreeSet<&str> = entries.map(|key| key.as_str()).collect();
-    let is_wrong = |end: &&BookingEnd| {
+    let is_wrong = |end: &&BookingRecord| {
         let has_run = ran.contains(end.key.as_str());
         match &end.ending.result {
-            Ok(_) => !end.right || !has_run,
+            Ok(_) => !end.correct || !has_run,
             Err(_) => end.ending.not_run && has_run,
         }
     };
     bookings.iter().filter(is_wrong).count()
 }
 
-fn hit_rate<'a>(chats: impl Iterator<Item = &'a ChatEnd>) -> f64 {
+fn hit_rate<'a>(chats: impl Iterator<Item = &'a ChatRecord>) -> f64 {
     let usages = chats.filter_map(|end| end.ending.result.as_ref().ok()).map(|answer| answer.usage);
     let (prompt, cached) = usages.fold((0_u64, 0_u64), |(prompt, cached), usage| {
         let cached_tokens = usage.prompt_tokens_details.cached_tokens;
@@ -127,12 +125,12 @@
     (cached as f64 / prompt.max(1) as f64 * 1e4).round() / 1e4
 }
 
-fn first_token<'a>(chats: impl Iterator<Item = &'a ChatEnd>) -> FirstToken {
+fn first_token<'a>(chats: impl Iterator<Item = &'a ChatRecord>) -> FirstToken {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else { return FirstToken::default() };
     for end in chats {
         let waited = end.ending.result.as_ref().ok().and_then(|answer| answer.first_token);
         if let Some(waited) = waited {
-            // The histogram grows with its values, so recording cannot fail.
+            // The histogram resizes itself, so that recording cannot fail.
             let _ = histogram.record(waited.as_micros() as u64);
         }
     }
@@ -142,20 +140,20 @@
 
 fn table(content: &Content, length: Duration, summary: &Summary) -> String {
     let mut text = String::new();
-    let mut line = |words: String| {
-        let _ = writeln!(text, "{words}");
+    let mut line = |row: String| {
+        let _ = writeln!(text, "{row}");
     };
     line(format!(
         "{:>9} {:>9} {:>9} {:>10} {:>10} {:>9} {:>9} {:>9}",
         "sent at", "requests", "complete", "sent again", "from cache", "ttft p50", "ttft p95", "ttft p99"
     ));
-    let row = length / ROWS;
-    for number in 0..ROWS {
+    let row = length / TABLE_ROWS;
+    for number in 0..TABLE_ROWS {
         let (from, until) = (row * number, row * (number + 1));
         line(time_row(content, from, until));
-        let is_last = number + 1 == ROWS;
+        let is_last = number + 1 == TABLE_ROWS;
         for note in content.notes.iter().filter(|note| note.at >= from && (note.at < until || is_last)) {
-            line(format!("{:>8.1}s   {}", note.at.as_secs_f64(), note.what));
+            line(format!("{:>8.1}s   {}", note.at.as_secs_f64(), note.description));
         }
     }
     line(String::new());
@@ -168,7 +166,7 @@
         summary.wrong,
         summary.ran_twice
     ));
-    for FailureCause { cause, count } in causes(content).into_iter().take(SHOWN_CAUSES) {
+    for FailureCause { cause, count } in causes(content).into_iter().take(MAX_CAUSES) {
         line(format!("  {count} x {cause}"));
     }
     line(format!(
@@ -180,8 +178,8 @@
 
 fn time_row(content: &Content, from: Duration, until: Duration) -> String {
     let within = |sent: Duration| sent >= from && sent < until;
-    let chats: Vec<&ChatEnd> = content.chats.iter().filter(|end| within(end.sent)).collect();
-    let bookings: Vec<&BookingEnd> = content.bookings.iter().filter(|end| within(end.sent)).collect();
+    let chats: Vec<&ChatRecord> = content.chats.iter().filter(|end| within(end.sent)).collect();
+    let bookings: Vec<&BookingRecord> = content.bookings.iter().filter(|end| within(end.sent)).collect();
     let complete = chats.iter().filter(|end| end.ending.result.is_ok()).count()
         + bookings.iter().filter(|end| end.ending.result.is_ok()).count();
     let resent: u32 = chats.iter().map(|end| end.ending.resent).sum::<u32>()
@@ -200,13 +198,13 @@
     )
 }
 
-/// Why some requests got no whole answer.
+/// A cause of failure with its frequency.
 struct FailureCause {
     cause: String,
     count: usize,
 }
 
-/// Why requests got no whole answer, the most frequent cause first.
+/// Causes of failure, most frequent first.
 fn causes(content: &Content) -> Vec<FailureCause> {
     let chats = content.chats.iter().filter_map(|end| end.ending.result.as_ref().err());
     let bookings = content.bookings.iter().filter_map(|end| end.ending.result.as_ref().err());
--- a/crates/bench/src/drill.rs
+++ b/crates/bench/src/drill.rs
@@ -1,9 +1,9 @@
-//! Drills: a simulated cluster under faults, judged against what must always hold.
+//! Drills run a simulated cluster under faults and check invariants on what happened.
 //!
-//! Nodes run `core`'s own state machines (membership, configuration, routing, requests, claims, lease,
-//! placement); engines, store and booking service are the stand-ins' models; time and network are simulated.
-//! One seed gives one run. A broken promise is printed with the events that explain it and the command
-//! that repeats it.
+//! Nodes run `core`'s state machines (membership, configuration, routing, requests, claims, lease,
+//! placement); engines, the store and the booking service are the models of the stand-ins; time and network
+//! are simulated. A run is determined by its seed. A violation is printed with the events that explain it and
+//! the command that reproduces it.
 
 mod bookings;
 mod callers;
@@ -36,38 +36,35 @@
 pub use history::{History, Invariant, Violation};
 pub use settings::{Breakage, Drill, Fault, RunSettings, UnknownDrill};
 
-/// A broken promise of one run.
+/// An invariant that a run violated, with the events that explain it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failure {
-    /// The drill.
     pub drill: String,
-    /// The seed.
     pub seed: u64,
-    /// The promise.
+    /// The violated invariant.
     #[serde(rename = "promise")]
     pub invariant: Invariant,
-    /// What was seen.
-    pub what: String,
-    /// The events that explain it.
+    /// What was observed.
+    #[serde(rename = "what")]
+    pub description: String,
     pub trace: Vec<String>,
-    /// The command that repeats the run.
-    pub repeat: String,
+    /// The command that reproduces the run.
+    #[serde(rename = "repeat")]
+    pub reproduce_command: String,
 }
 
-/// The last line of a report.
+/// Totals of a series of runs, printed as the last line.
 #[derive(Clone, Debug, Serialize)]
 pub struct DrillSummary {
-    /// Drills.
     pub drills: usize,
-    /// Runs.
     pub runs: usize,
-    /// Runs that broke a promise.
+    /// Runs with at least one violation.
     pub violations: usize,
-    /// Seconds that it took.
+    /// Wall-clock seconds.
     pub seconds: f64,
 }
 
-/// Runs one drill under one seed; at most one failure for each promise.
+/// Runs one drill with one seed and returns at most one failure per invariant.
 pub fn run(settings: &RunSettings) -> Vec<Failure> {
     let history = cluster::SimCluster::new(settings.clone()).run();
     let mut failures: Vec<Failure> = Vec::new();
@@ -81,12 +78,12 @@
 
 fn failure(settings: &RunSettings, history: &History, violation: &Violation) -> Failure {
     let (drill, seed) = (settings.drill.name.clone(), settings.seed);
-    let repeat = format!("paddlemount bench drill {drill} --seeds {seed}..{}", seed + 1);
-    let (invariant, what) = (violation.invariant, violation.what.clone());
-    Failure { drill, seed, invariant, what, trace: history.explain(violation), repeat }
+    let reproduce_command = format!("paddlemount bench drill {drill} --seeds {seed}..{}", seed + 1);
+    let (invariant, description) = (violation.invariant, violation.description.clone());
+    Failure { drill, seed, invariant, description, trace: history.explain(violation), reproduce_command }
 }
 
-/// Runs drills under all seeds on some threads; failures come in the order of drills and seeds.
+/// Runs each drill with each seed on up to `threads` threads. Failures are ordered by drill and seed.
 pub fn run_all(
     drills: &[Drill],
     seeds: Range<u64>,
--- a/crates/bench/src/drill/engines.rs
+++ b/crates/bench/src/drill/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of the simulation: the stand-ins' model with its streams.
+//! Simulated engines: the engine model of the stand-ins with its streams.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -26,32 +26,30 @@
 use crate::simulation::Endpoint;
 
 const LOAD_TIME: Duration = Duration::from_secs(2);
-/// The share of frames after which a stream stalls, where answers are late.
+/// Probability that a stream stalls after a frame while answers are late.
 const STALL_SHARE: f64 = 0.06;
-/// Time in which a leaving back end may still get new work.
+/// Time after which a draining engine must get no new work.
 const DRAINING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Where a try's frames go.
+/// Destination of the frames of one attempt.
 struct Stream {
     to: NodeIncarnation,
     request: RequestId,
-    /// The last frame's arrival; a connection keeps its order.
+    /// Arrival time of the last frame; a connection preserves their order.
     last_at: Timestamp,
     broken: bool,
 }
 
-/// One engine.
+/// One simulated engine.
 pub struct SimEngine {
-    /// Its place in the network.
     pub endpoint: Endpoint,
-    /// Its model.
     pub model: EngineModel,
     streams: BTreeMap<AttemptId, Stream>,
     due: Option<Timestamp>,
 }
 
 impl SimEngine {
-    /// An engine with the first weights.
+    /// An engine with the initial weights loaded.
     pub fn new(number: usize, endpoint: Endpoint, seed: u64) -> Self {
         let settings = EngineModelSettings {
             engine: EngineId::from(format!("engine-{number}")),
@@ -71,7 +69,7 @@
     }
 }
 
-/// The number of a try within its request.
+/// The number of an attempt within its request.
 fn attempt_number(attempt: &AttemptId) -> &str {
     attempt.as_str().rsplit('.').next().unwrap_or_default()
 }
@@ -81,7 +79,7 @@
 }
 
 impl SimCluster {
-    /// A try arrives at an engine.
+    /// Submits an attempt to an engine.
     pub fn submit(&mut self, number: usize, dispatch: Dispatch, now: Timestamp) {
         let Some(ModelRequestSpec { tenant, prompt, tokens }) = self.request_spec(&dispatch.request) else {
             return;
@@ -107,7 +105,7 @@
             prompt_tokens: paddlemount_protocol::prefix::prompt_tokens(prompt.len()),
             answer_tokens: tokens,
             reason: FinishReason::Length,
-            answer_prefix_tokens: dispatch.already,
+            answer_prefix_tokens: dispatch.answer_prefix_tokens,
             priority: Priority::Normal,
             deadline: now + Duration::from_secs(60),
             import: None,
@@ -115,15 +113,15 @@
         let event = match engine.model.submit(request, now) {
             Err(refusal) => RequestEvent::Refused { attempt: dispatch.attempt.clone(), refusal },
             Ok(()) => {
-                self.accepted(number, &dispatch, now);
+                self.check_accepted_attempt(number, &dispatch, now);
                 return self.advance_engine(number, now);
             }
         };
         self.reply_request(number, dispatch.from, &dispatch.request, event);
     }
 
-    /// The engine has taken a try: the judge compares what was meant with what the engine is.
-    fn accepted(&mut self, number: usize, dispatch: &Dispatch, now: Timestamp) {
+    /// Checks the precondition of an accepted attempt against the actual state of the engine.
+    fn check_accepted_attempt(&mut self, number: usize, dispatch: &Dispatch, now: Timestamp) {
         let engine = &mut self.engines[number];
         let stream =
             Stream { to: dispatch.from, request: dispatch.request.clone(), last_at: now, broken: false };
@@ -134,18 +132,19 @@
         let same = expected.incarnation == engine.model.incarnation() && Some(expected.weights) == weights;
         self.history.record(now, request, format!("{name} takes try {}", attempt_number(&dispatch.attempt)));
         if !same {
-            let what = format!("{name} ran {request}, which was meant for another life or other weights");
-            self.history.record_violation(Invariant::CacheBoundary, now, what, &[request, &name]);
+            let description =
+                format!("{name} ran {request}, which was meant for another life or other weights");
+            self.history.record_violation(Invariant::CacheBoundary, now, description, &[request, &name]);
         }
         if let Some(answer) = self.history.answers.get_mut(&dispatch.request) {
             answer.ran = true;
         }
         let engine = EngineId::from(name.as_str());
         let late =
-            self.history.leaving_since.get(&engine).is_some_and(|since| now > *since + DRAINING_TIMEOUT);
+            self.history.draining_since.get(&engine).is_some_and(|since| now > *since + DRAINING_TIMEOUT);
         if late {
-            let what = format!("{name} was leaving for more than 3 s and got {request}");
-            self.history.record_violation(Invariant::LeavingGetsNothing, now, what, &[request, &name]);
+            let description = format!("{name} was leaving for more than 3 s and got {request}");
+            self.history.record_violation(Invariant::LeavingGetsNothing, now, description, &[request, &name]);
         }
     }
 
@@ -160,8 +159,8 @@
         self.send(from, target, Event::Request { to, request: request.clone(), event: Box::new(event) });
     }
 
-    /// A node wants the rest of a stream.
-    #[expect(clippy::too_many_arguments, reason = "one event's parts")]
+    /// Resumes a stream from frame `next`.
+    #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
     pub fn resume(
         &mut self,
         number: usize,
@@ -190,31 +189,31 @@
         let load = engine.model.load_report(now);
         for index in next..progress.next_index {
             let content = FrameContent::Token { index, text: token_text(request, attempt, index) };
-            self.frame(number, attempt, content, now);
+            self.send_frame(number, attempt, content, now);
         }
         if progress.ended {
             let reason = FinishReason::Length;
             let content = FrameContent::End { tokens: progress.next_index, reason, load };
-            self.frame(number, attempt, content, now);
+            self.send_frame(number, attempt, content, now);
         }
     }
 
-    /// A node gives a try up.
+    /// Cancels an attempt at an engine.
     pub fn cancel(&mut self, number: usize, attempt: &AttemptId, now: Timestamp) {
         self.engines[number].model.cancel(attempt, now);
         self.advance_engine(number, now);
     }
 
-    /// An engine has something to do.
+    /// Handles a scheduled step of an engine.
     pub fn step_engine(&mut self, number: usize, now: Timestamp) {
         self.engines[number].due = None;
         self.advance_engine(number, now);
     }
 
-    /// Sends what the engine has put out, and plans when it is due next.
+    /// Sends the engine's pending output and schedules its next step.
     pub fn advance_engine(&mut self, number: usize, now: Timestamp) {
         for output in self.engines[number].model.advance(now) {
-            self.output(number, output, now);
+            self.handle_output(number, output, now);
         }
         let engine = &mut self.engines[number];
         let Some(next) = engine.model.next_event_at() else { return };
@@ -224,7 +223,7 @@
         }
     }
 
-    fn output(&mut self, number: usize, output: EngineOutput, now: Timestamp) {
+    fn handle_output(&mut self, number: usize, output: EngineOutput, now: Timestamp) {
         let incarnation = self.engines[number].model.incarnation();
         let (attempt, content) = match output.event {
             EngineEvent::Started { attempt, prompt_tokens, cached_tokens, load } => {
@@ -242,25 +241,27 @@
             EngineEvent::Failed { attempt, message } => {
                 (attempt, FrameContent::Failed { message: message.to_owned() })
             }
-            EngineEvent::LoadStarted { weights, .. } => return self.load_started(number, weights, now),
+            EngineEvent::LoadStarted { weights, .. } => {
+                return self.check_loaded_weights(number, weights, now);
+            }
         };
-        self.frame(number, &attempt, content, now);
+        self.send_frame(number, &attempt, content, now);
     }
 
-    /// A pool's version never goes back once a newer one was accepted for it.
-    fn load_started(&mut self, number: usize, weights: WeightsVersion, now: Timestamp) {
+    /// Checks that an engine does not load weights older than the accepted configuration requires.
+    fn check_loaded_weights(&mut self, number: usize, weights: WeightsVersion, now: Timestamp) {
         let name = format!("engine-{number}");
         self.history.record(now, name.as_str(), format!("loads weights {weights}"));
         let due = invariants::required_revision(&self.history, now);
         let document = self.store.documents.iter().rev().find(|document| document.revision <= due);
         let pool = document.and_then(|document| document.configuration.pools.get(&pool_name()));
         if pool.is_some_and(|pool| weights < pool.weights) {
-            let what = format!("{name} goes back to weights {weights}");
-            self.history.record_violation(Invariant::ConfigurationStays, now, what, &[&name]);
+            let description = format!("{name} goes back to weights {weights}");
+            self.history.record_violation(Invariant::ConfigurationStays, now, description, &[&name]);
         }
     }
 
-    fn frame(&mut self, number: usize, attempt: &AttemptId, content: FrameContent, now: Timestamp) {
+    fn send_frame(&mut self, number: usize, attempt: &AttemptId, content: FrameContent, now: Timestamp) {
         let from = self.engines[number].endpoint;
         let Some((node, broken)) =
             self.engines[number].streams.get(attempt).map(|stream| (stream.to.node, stream.broken))
@@ -282,23 +283,24 @@
         self.queue.schedule_at(at, event);
     }
 
-    /// An order arrives at an engine.
-    pub fn order(&mut self, number: usize, from: NodeIncarnation, order: &Order, now: Timestamp) {
+    /// Handles a placement order at an engine.
+    pub fn handle_order(&mut self, number: usize, from: NodeIncarnation, order: &Order, now: Timestamp) {
         if !self.engines[number].model.is_up() {
             return;
         }
         let result = self.engines[number].model.order(order, now);
         let name = format!("engine-{number}");
         let verdict = if result.is_ok() { "obeys" } else { "refuses" };
-        let what = format!("{verdict} {:?} under token {} of node-{}", order.command, order.token, from.node);
-        self.history.record(now, name, what);
+        let description =
+            format!("{verdict} {:?} under token {} of node-{}", order.command, order.token, from.node);
+        self.history.record(now, name, description);
         let event = Event::OrderDone { to: from, engine: number, order: order.id.clone(), result };
         let (engine, node) = (self.engines[number].endpoint, self.nodes[from.node].endpoint);
         self.send(engine, node, event);
         self.advance_engine(number, now);
     }
 
-    /// An engine crashes; the connections of its streams break.
+    /// Stops an engine's model and breaks the connections of its streams.
     pub fn drop_engine(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         engine.model.crash();
@@ -310,7 +312,7 @@
         }
     }
 
-    /// An engine comes back empty.
+    /// Restarts an engine with an empty cache.
     pub fn restart_engine(&mut self, number: usize, now: Timestamp) {
         let incarnation = self.engines[number].model.incarnation().next();
         self.engines[number].model.restart(incarnation, self.settings.seed ^ incarnation.0);
--- a/crates/bench/src/drill/invariants.rs
+++ b/crates/bench/src/drill/invariants.rs
@@ -1,4 +1,4 @@
-//! Judges a whole history against the promises, once the run has ended.
+//! Invariant checks on the history of a run.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::history::{Answer, AnswerEnding, History, Invariant};
 
-/// Adds what is seen only at the end of a run.
+/// Adds the violations that show only at the end of a run.
 pub fn check_all(history: &mut History, documents: &[RevisedConfiguration], end: Timestamp) {
     check_answers(history, end);
     check_bookings(history, end);
@@ -22,14 +22,15 @@
     let answers = std::mem::take(&mut history.answers);
     for (request, answer) in &answers {
         let name = request.as_str();
-        let mut violated = |invariant, what: String| history.record_violation(invariant, end, what, &[name]);
+        let mut violated =
+            |invariant, description: String| history.record_violation(invariant, end, description, &[name]);
         match &answer.ending {
             Some(AnswerEnding::Finished) => {
-                if let Some(what) = find_wrong_order(name, answer) {
-                    violated(Invariant::WholeStream, what);
+                if let Some(description) = find_wrong_order(name, answer) {
+                    violated(Invariant::WholeStream, description);
                 }
-                if let Some(what) = find_foreign_text(name, answer) {
-                    violated(Invariant::OwnAnswer, what);
+                if let Some(description) = find_foreign_text(name, answer) {
+                    violated(Invariant::OwnAnswer, description);
                 }
             }
             Some(AnswerEnding::Refused(refusal)) => {
@@ -59,7 +60,7 @@
     history.answers = answers;
 }
 
-/// Texts are `request/attempt/index`.
+/// Splits `request/attempt/index`.
 fn split_token_text(text: &str) -> (&str, u32, u32) {
     let mut parts = text.rsplitn(3, '/');
     let index = parts.next().and_then(|part| part.parse().ok()).unwrap_or(u32::MAX);
@@ -79,7 +80,7 @@
     out_of_place.map(|(position, text)| format!("{request}: {text} at place {position}"))
 }
 
-/// Text of another request, or of an earlier try after a later one took over.
+/// Finds text of another request, or of an earlier attempt after a later one.
 fn find_foreign_text(request: &str, answer: &Answer) -> Option<String> {
     let mut latest = 0;
     for text in &answer.received {
@@ -96,16 +97,16 @@
     let bookings = std::mem::take(&mut history.bookings);
     for (key, booking) in &bookings {
         if booking.runs.len() > 1 {
-            let what = format!("ran {} times, at {:?}", booking.runs.len(), booking.runs);
-            history.record_violation(Invariant::AtMostOnce, end, what, &[key]);
+            let description = format!("ran {} times, at {:?}", booking.runs.len(), booking.runs);
+            history.record_violation(Invariant::AtMostOnce, end, description, &[key]);
         }
         let contradicted = booking
             .not_run_at
             .iter()
             .find(|reported_at| booking.runs.iter().any(|(_, ran)| ran <= *reported_at));
         if let Some(reported_at) = contradicted {
-            let what = format!("refused as not run at {} ms, after it ran", reported_at.as_millis());
-            history.record_violation(Invariant::NotRunIsTrue, end, what, &[key]);
+            let description = format!("refused as not run at {} ms, after it ran", reported_at.as_millis());
+            history.record_violation(Invariant::NotRunIsTrue, end, description, &[key]);
         }
         let foreign = booking.answers.iter().find(|answer| !answer.contains(key.as_str()));
         if let Some(answer) = foreign {
@@ -115,7 +116,7 @@
     history.bookings = bookings;
 }
 
-/// An accepted change is in the document from its revision on; a refused one never was.
+/// Checks that an accepted change stays in the document and that a refused one never enters it.
 fn check_changes(history: &mut History, documents: &[RevisedConfiguration], end: Timestamp) {
     let changes = std::mem::take(&mut history.changes);
     for (id, change) in &changes {
@@ -127,8 +128,8 @@
                 Some(*revision)
             }
             Some((_, ChangeOutcome::Refused { .. })) if documents.iter().any(|document| holds(&document)) => {
-                let what = "refused, yet it was made".to_owned();
-                history.record_violation(Invariant::ConfigurationStays, end, what, &[id.as_str()]);
+                let description = "refused, yet it was made".to_owned();
+                history.record_violation(Invariant::ConfigurationStays, end, description, &[id.as_str()]);
                 None
             }
             _ => None,
@@ -139,17 +140,18 @@
             .filter(|document| document.revision >= revision)
             .find(|document| !holds(document));
         if let Some(document) = lost {
-            let what = format!("accepted in revision {revision}, gone in revision {}", document.revision);
-            history.record_violation(Invariant::ConfigurationStays, end, what, &[id.as_str()]);
+            let description =
+                format!("accepted in revision {revision}, gone in revision {}", document.revision);
+            history.record_violation(Invariant::ConfigurationStays, end, description, &[id.as_str()]);
         }
     }
     history.changes = changes;
 }
 
-/// Time in which an accepted configuration must be in force at every node that serves.
+/// Time within which an accepted configuration must be in force at every serving node.
 pub const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// The revision that every serving node must hold at `now`.
+/// The oldest revision that a serving node may hold at `now`.
 pub fn required_revision(history: &History, now: Timestamp) -> Revision {
     let due = |(_, accepted): &(&Revision, &Timestamp)| **accepted + PROPAGATION_TIMEOUT <= now;
     history.accepted_at.iter().filter(due).map(|(revision, _)| *revision).max().unwrap_or_default()
--- a/crates/bench/src/drill/placement.rs
+++ b/crates/bench/src/drill/placement.rs
@@ -1,4 +1,4 @@
-//! What simulated nodes do every second: statuses of engines, the machine list, the placement lease, orders.
+//! Periodic work of the simulated nodes: engine statuses, the machine list, the placement lease and orders.
 
 use std::time::Duration;
 
@@ -26,29 +26,29 @@
 const LEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl SimCluster {
-    /// What a node does every second.
+    /// The periodic work of a node.
     pub fn periodic_tick(&mut self, at: NodeIncarnation, now: Timestamp) {
         self.queue.schedule_after(SECOND, Event::PeriodicTick(at));
         (0..self.engines.len()).for_each(|engine| self.request_status(at, engine, now));
         let (platform, node) = (self.store.endpoint, self.nodes[at.node].endpoint);
-        let leaving = self.leaving.clone();
-        self.send(platform, node, Event::Machines { to: at, leaving });
+        let draining = self.draining.clone();
+        self.send(platform, node, Event::Machines { to: at, draining });
         if at.node < PRIMARY_NODES {
-            self.lease_event(at, LeaseEvent::Tick, now);
-            let Some(memory) = self.memory(at) else { return };
-            let actions = memory.placer.handle(PlacementEvent::Tick, now);
+            self.handle_lease_event(at, LeaseEvent::Tick, now);
+            let Some(state) = self.state(at) else { return };
+            let actions = state.placer.handle(PlacementEvent::Tick, now);
             self.apply_placement(at, actions, now);
         }
     }
 
-    /// Asks an engine for its status.
+    /// Requests the status of an engine.
     pub fn request_status(&mut self, at: NodeIncarnation, engine: usize, now: Timestamp) {
         let event = Event::StatusRequested { engine, from: at, requested_at: now };
         self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event);
     }
 
-    /// The question arrives.
-    pub fn status_requested(
+    /// Handles a status request at an engine.
+    pub fn handle_status_request(
         &mut self,
         engine: usize,
         from: NodeIncarnation,
@@ -64,56 +64,58 @@
         }
     }
 
-    /// An engine's status arrives.
-    pub fn status(
+    /// Handles the status of an engine.
+    pub fn handle_status(
         &mut self,
         at: NodeIncarnation,
         status: &EngineStatus,
         requested_at: Timestamp,
         now: Timestamp,
     ) {
-        let Some(memory) = self.memory(at) else { return };
-        memory.router.apply(RouterEvent::Status(status), now);
-        memory.statuses.insert(status.engine.clone(), status.clone());
-        let actions = memory.placer.handle(PlacementEvent::Status { status, requested_at }, now);
+        let Some(state) = self.state(at) else { return };
+        state.router.apply(RouterEvent::Status(status), now);
+        state.statuses.insert(status.engine.clone(), status.clone());
+        let actions = state.placer.handle(PlacementEvent::Status { status, requested_at }, now);
         self.apply_placement(at, actions, now);
     }
 
-    /// The machine list arrives.
-    pub fn machines(&mut self, at: NodeIncarnation, leaving: &[usize], now: Timestamp) {
-        if self.has_breakage(Breakage::LeavingIgnored) {
+    /// Handles the machine list.
+    pub fn handle_machine_list(&mut self, at: NodeIncarnation, draining: &[usize], now: Timestamp) {
+        if self.has_breakage(Breakage::DrainingIgnored) {
             return;
         }
-        let Some(memory) = self.memory(at) else { return };
-        for engine in leaving {
+        let Some(state) = self.state(at) else { return };
+        for engine in draining {
             let engine = EngineId::from(format!("engine-{engine}"));
-            memory.router.apply(RouterEvent::Draining { engine: &engine, draining: true }, now);
+            state.router.apply(RouterEvent::Draining { engine: &engine, draining: true }, now);
         }
     }
 
-    fn lease_event(&mut self, at: NodeIncarnation, event: LeaseEvent, now: Timestamp) {
-        let Some(memory) = self.memory(at) else { return };
-        let request = memory.lease.handle(event, now);
-        let token = memory.lease.token(now);
-        let actions = memory.placer.handle(PlacementEvent::Lease(token), now);
+    fn handle_lease_event(&mut self, at: NodeIncarnation, event: LeaseEvent, now: Timestamp) {
+        let Some(state) = self.state(at) else { return };
+        let request = state.lease.handle(event, now);
+        let token = state.lease.token(now);
+        let actions = state.placer.handle(PlacementEvent::Lease(token), now);
         if let Some(request) = request {
             self.call_store(at, StoreCall::Lease(request), LEASE_TIMEOUT);
         }
         self.apply_placement(at, actions, now);
     }
 
-    /// The store's answer, or the end of the wait for it.
-    pub fn store_answer(&mut self, at: NodeIncarnation, answer: StoreAnswer, now: Timestamp) {
+    /// Handles an answer of the store, or the timeout of a call.
+    pub fn handle_store_answer(&mut self, at: NodeIncarnation, answer: StoreAnswer, now: Timestamp) {
         match answer {
             StoreAnswer::Peers(call, result) => {
                 self.handle_peer_event(at, PeerEvent::Store { call, result }, now)
             }
-            StoreAnswer::Lease(Some(result)) => self.lease_event(at, LeaseEvent::Answered(result), now),
-            StoreAnswer::Lease(None) => self.lease_event(at, LeaseEvent::Failed, now),
+            StoreAnswer::Lease(Some(result)) => {
+                self.handle_lease_event(at, LeaseEvent::Answered(result), now)
+            }
+            StoreAnswer::Lease(None) => self.handle_lease_event(at, LeaseEvent::Failed, now),
         }
     }
 
-    /// Carries out what placement asks for.
+    /// Performs the actions of placement.
     pub fn apply_placement(&mut self, at: NodeIncarnation, actions: Vec<PlacementAction>, now: Timestamp) {
         for action in actions {
             match action {
@@ -123,7 +125,7 @@
                     let event = Event::Order { engine, from: at, order };
                     self.send(self.nodes[at.node].endpoint, self.engines[engine].endpoint, event);
                 }
-                PlacementAction::ReleaseLease => self.lease_event(at, LeaseEvent::Fenced, now),
+                PlacementAction::ReleaseLease => self.handle_lease_event(at, LeaseEvent::Fenced, now),
                 PlacementAction::CompleteRollout { pool, weights } => {
                     self.complete_rollout(at, pool, weights, now);
                 }
@@ -156,8 +158,8 @@
         self.submit_change(at.node, request, now);
     }
 
-    /// An engine's answer to an order arrives.
-    pub fn order_done(
+    /// Handles an engine's answer to an order.
+    pub fn handle_order_result(
         &mut self,
         at: NodeIncarnation,
         engine: usize,
@@ -170,8 +172,8 @@
             Ok(_) => PlacementEvent::Accepted { engine: &engine, order },
             Err(refusal) => PlacementEvent::Refused { engine: &engine, order, code: refusal.code },
         };
-        let Some(memory) = self.memory(at) else { return };
-        let actions = memory.placer.handle(event, now);
+        let Some(state) = self.state(at) else { return };
+        let actions = state.placer.handle(event, now);
         self.apply_placement(at, actions, now);
     }
 }
--- a/crates/bench/src/drill/store.rs
+++ b/crates/bench/src/drill/store.rs
@@ -1,4 +1,4 @@
-//! The configuration store in the simulation.
+//! The simulated configuration store.
 
 use std::time::Duration;
 
@@ -27,23 +27,21 @@
 const REFUSAL_DELAY: Duration = Duration::from_millis(2);
 const REPLY_LOSS: f64 = 0.4;
 
-/// The store, with every document that it ever held.
+/// The store, with every document that it has held.
 pub struct SimStore {
-    /// Its place in the network.
     pub endpoint: Endpoint,
-    /// The store itself.
     pub model: ConfigurationStoreModel,
-    /// Documents by revision.
+    /// In the order of their revisions.
     pub documents: Vec<RevisedConfiguration>,
-    /// Whether it refuses everything.
+    /// Whether it refuses all calls.
     pub down: bool,
-    /// Added to each answer.
+    /// Maximum delay added to each reply.
     pub delay: Duration,
     watches: Vec<(NodeIncarnation, CallId, Revision)>,
 }
 
 impl SimStore {
-    /// A store with the first document.
+    /// A store with the initial document.
     pub fn new(endpoint: Endpoint) -> Self {
         let configuration = super::callers::initial_document();
         let value = serde_json::to_value(&configuration).expect("a configuration has a JSON form");
@@ -56,7 +54,7 @@
         Self { endpoint, model, documents, down: false, delay: Duration::ZERO, watches: Vec::new() }
     }
 
-    /// The present document.
+    /// The current document.
     pub fn present(&self) -> &RevisedConfiguration {
         self.documents.last().expect("the store begins with a document")
     }
@@ -73,7 +71,7 @@
 }
 
 impl SimCluster {
-    /// Sends a call to the store; its wait ends after `timeout` in any case.
+    /// Sends a call to the store, which ends after `timeout` at the latest.
     pub fn call_store(&mut self, from: NodeIncarnation, call: StoreCall, timeout: Duration) {
         let unanswered = match &call {
             StoreCall::Peers(number, _) => StoreAnswer::Peers(*number, Err(StoreFailure::Unclear)),
@@ -84,8 +82,8 @@
         self.send(endpoint, store, Event::StoreCall { from, call });
     }
 
-    /// A call arrives at the store.
-    pub fn store_call(&mut self, from: NodeIncarnation, call: StoreCall, now: Timestamp) {
+    /// Handles a call at the store.
+    pub fn handle_store_call(&mut self, from: NodeIncarnation, call: StoreCall, now: Timestamp) {
         if self.store.down {
             let answer = match call {
                 StoreCall::Peers(number, _) => StoreAnswer::Peers(number, Err(StoreFailure::NotApplied)),
@@ -103,11 +101,17 @@
                 };
                 self.store_reply(from, StoreAnswer::Lease(Some(result)));
             }
-            StoreCall::Peers(number, request) => self.document_call(from, number, request, now),
+            StoreCall::Peers(number, request) => self.handle_document_call(from, number, request, now),
         }
     }
 
-    fn document_call(&mut self, from: NodeIncarnation, call: CallId, request: StoreRequest, now: Timestamp) {
+    fn handle_document_call(
+        &mut self,
+        from: NodeIncarnation,
+        call: CallId,
+        request: StoreRequest,
+        now: Timestamp,
+    ) {
         let reply = match request {
             StoreRequest::Read => StoreReply::Document(StoredDocument::Present(self.store.present().clone())),
             StoreRequest::Watch(watch) if self.store.present().revision > watch.after => {
@@ -123,14 +127,14 @@
             StoreRequest::Put { expected, configuration } => {
                 let compares = !self.has_breakage(Breakage::PutWithoutCompare);
                 let result = self.store.put(expected, *configuration, compares);
-                self.stored(from, result, now);
+                self.notify_watches(from, result, now);
                 StoreReply::Put(result)
             }
         };
         self.store_reply(from, StoreAnswer::Peers(call, Ok(reply)));
     }
 
-    fn stored(&mut self, from: NodeIncarnation, result: StorePutResult, now: Timestamp) {
+    fn notify_watches(&mut self, from: NodeIncarnation, result: StorePutResult, now: Timestamp) {
         let StorePutResult::Stored { revision } = result else { return };
         self.history.record(now, "store", format!("takes revision {revision} from node-{}", from.node));
         let watches = std::mem::take(&mut self.store.watches);
@@ -140,8 +144,8 @@
         }
     }
 
-    /// A watch ends without a change.
-    pub fn watch_expires(&mut self, from: NodeIncarnation, call: CallId, after: Revision) {
+    /// Ends a watch without a change.
+    pub fn expire_watch(&mut self, from: NodeIncarnation, call: CallId, after: Revision) {
         let before = self.store.watches.len();
         self.store.watches.retain(|(node, number, _)| (*node, *number) != (from, call));
         if self.store.watches.len() < before && !self.store.down {
@@ -151,7 +155,7 @@
     }
 
     fn store_reply(&mut self, to: NodeIncarnation, answer: StoreAnswer) {
-        if self.loses_replies && self.random.random_bool(REPLY_LOSS) {
+        if self.lose_replies && self.random.random_bool(REPLY_LOSS) {
             return;
         }
         let (store, node) = (self.store.endpoint, self.nodes[to.node].endpoint);
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -1,4 +1,4 @@
-//! The simulated engines: the stand-in's model, its place, and the answers it owes.
+//! Simulated engines: the engine model of the stand-ins, its location and its open attempts.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,7 +15,7 @@
 
 use super::{
     cluster::Cluster,
-    event::{Answer, AttemptKey, Event, Sent},
+    event::{Answer, AttemptKey, Dispatch, Event},
     metrics::PrefillSample,
     workload::{MODEL, WEIGHTS},
 };
@@ -27,41 +27,41 @@
 /// The pool of all engines.
 pub(super) const POOL: &str = "pool";
 
-/// A try that runs or waits at an engine.
+/// An attempt that runs or waits at an engine.
 pub(super) struct Serving {
     pub(super) key: AttemptKey,
-    /// Messages of one answer never overtake each other.
+    /// Arrival time of the last message; messages of one answer never overtake each other.
     pub(super) last_arrival: Timestamp,
 }
 
-/// A request on its way to an engine.
+/// An attempt in flight to an engine.
 #[derive(Clone, Copy)]
-pub(super) struct InTransit {
+pub(super) struct InFlight {
     pub(super) key: AttemptKey,
     pub(super) missing_tokens: u32,
 }
 
-/// One engine.
+/// One simulated engine.
 pub(super) struct SimulatedEngine {
     pub(super) id: EngineId,
     pub(super) endpoint: Endpoint,
     pub(super) model: EngineModel,
-    /// The earliest step that is scheduled already.
+    /// The earliest scheduled step.
     pub(super) step_at: Option<Timestamp>,
-    /// Only looked up, never iterated over.
+    /// Never iterated over, so that its order does not affect the run.
     pub(super) serving: HashMap<AttemptId, Serving>,
-    pub(super) in_transit: Vec<InTransit>,
+    pub(super) in_flight: Vec<InFlight>,
 }
 
 impl SimulatedEngine {
-    /// The engine at `position`. Under an oracle, it reports at once and without loss.
+    /// The engine at `position`. With `exact`, its reports have no delay and no loss.
     pub(super) fn new(
         scenario: &Scenario,
         position: usize,
         zone: ZoneId,
         endpoint: Endpoint,
         seed: u64,
-        truthful: bool,
+        exact: bool,
     ) -> Self {
         let id = EngineId::from(format!("engine-{position:03}"));
         let settings = EngineModelSettings {
@@ -69,7 +69,7 @@
             pool: PoolId::from(POOL),
             zone,
             loaded: Some(LoadedModel { model: ModelId::from(MODEL), weights: WEIGHTS, adapters: Vec::new() }),
-            behaviour: behaviour(scenario, truthful),
+            behaviour: behaviour(scenario, exact),
             load_duration: Some(Duration::from_secs(10)),
             token_outputs: TokenOutputs::First,
         };
@@ -80,14 +80,14 @@
             endpoint,
             step_at: None,
             serving: HashMap::new(),
-            in_transit: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 }
 
-fn behaviour(scenario: &Scenario, truthful: bool) -> EngineBehaviour {
+fn behaviour(scenario: &Scenario, exact: bool) -> EngineBehaviour {
     let reports = &scenario.reports;
-    let (lag, feed) = if truthful {
+    let (lag, feed) = if exact {
         (0, FeedSettings { delay_ms: 0, loss: 0.0, retained_events: usize::MAX })
     } else {
         let feed = FeedSettings {
@@ -106,9 +106,15 @@
 }
 
 impl Cluster<'_> {
-    /// A try has reached its engine.
-    pub(super) fn arrive_at_engine(&mut self, key: AttemptKey, engine: usize, sent: Sent, now: Timestamp) {
-        self.engines[engine].in_transit.retain(|it| it.key != key);
+    /// Handles an attempt that arrives at its engine.
+    pub(super) fn arrive_at_engine(
+        &mut self,
+        key: AttemptKey,
+        engine: usize,
+        sent: Dispatch,
+        now: Timestamp,
+    ) {
+        self.engines[engine].in_flight.retain(|it| it.key != key);
         let Some(open) = self.requests.get(&key.request) else { return };
         let Some((current, _, attempt)) = &open.current else { return };
         if *current != key {
@@ -132,7 +138,7 @@
             deadline: now + Duration::from_secs_f64(self.scenario.nodes.deadline_s),
             import: sent.import,
         };
-        self.note_import(key.request, engine, &request);
+        self.record_import(key.request, engine, &request);
         let state = &mut self.engines[engine];
         match state.model.submit(request, now) {
             Ok(()) => {
@@ -155,24 +161,24 @@
         }
     }
 
-    /// An engine does what is due.
+    /// Handles a scheduled step of an engine.
     pub(super) fn step_engine(&mut self, engine: usize, now: Timestamp) {
         let state = &mut self.engines[engine];
         if state.step_at.is_some_and(|scheduled| scheduled <= now) {
             state.step_at = None;
         }
         for output in state.model.advance(now) {
-            self.take_output(engine, output);
+            self.handle_output(engine, output);
         }
         self.reschedule(engine);
     }
 
-    fn take_output(&mut self, engine: usize, output: EngineOutput) {
+    fn handle_output(&mut self, engine: usize, output: EngineOutput) {
         let at = output.at;
         match output.event {
             EngineEvent::Started { attempt, cached_tokens, load, .. } => {
                 let incarnation = self.engines[engine].model.incarnation();
-                self.count_start(engine, &attempt, cached_tokens);
+                self.record_start(engine, &attempt, cached_tokens);
                 let started = Answer::Started { incarnation, cached_tokens, load };
                 self.answer_attempt(engine, &attempt, started, at);
             }
@@ -192,12 +198,12 @@
         }
     }
 
-    fn count_start(&mut self, engine: usize, attempt: &AttemptId, cached_tokens: u32) {
+    fn record_start(&mut self, engine: usize, attempt: &AttemptId, cached_tokens: u32) {
         let Some(key) = self.engines[engine].serving.get(attempt).map(|serving| serving.key) else { return };
         let Some(open) = self.requests.get_mut(&key.request) else { return };
         open.has_run = true;
         let scope = self.workload.tenants[open.workload.tenant].scope;
-        let held_tokens = held_anywhere(&self.engines, scope, &open.workload.blocks);
+        let held_tokens = max_held_tokens(&self.engines, scope, &open.workload.blocks);
         let imported_tokens = open.imported_tokens.min(cached_tokens);
         let sample = PrefillSample {
             prompt_tokens: open.workload.prompt_tokens,
@@ -217,7 +223,7 @@
         }
     }
 
-    /// Sends a message to the node of a try; tells when it arrives.
+    /// Sends a message to the node of an attempt and returns its arrival time.
     fn answer(
         &mut self,
         key: AttemptKey,
@@ -234,7 +240,7 @@
         arrival
     }
 
-    fn note_import(&mut self, request: u64, engine: usize, sent: &ModelRequest) {
+    fn record_import(&mut self, request: u64, engine: usize, sent: &ModelRequest) {
         let Some(transfer) = &sent.import else { return };
         let cached = self.engines[engine].model.cache().matched(sent.scope, &sent.blocks);
         let blocks = transfer.blocks.len().saturating_sub(cached) as u32;
@@ -243,7 +249,7 @@
         }
     }
 
-    /// An engine stops without notice.
+    /// Crashes an engine.
     pub(super) fn crash_engine(&mut self, engine: usize, now: Timestamp) {
         let state = &mut self.engines[engine];
         state.step_at = None;
@@ -253,15 +259,15 @@
         self.engines[engine].serving.clear();
     }
 
-    /// A crashed engine begins a new life.
-    pub(super) fn bring_engine_back(&mut self, engine: usize, _now: Timestamp) {
+    /// Restarts a crashed engine as a new incarnation.
+    pub(super) fn restart_engine(&mut self, engine: usize, _now: Timestamp) {
         let state = &mut self.engines[engine];
         let incarnation = state.model.incarnation().next();
         let seed = derived_seed(self.settings.seed ^ incarnation.0, state.id.as_str());
         state.model.restart(incarnation, seed);
     }
 
-    /// Changes the share of cache events that are lost.
+    /// Sets the loss of cache events.
     pub(super) fn set_event_loss(&mut self, share: f64) {
         for state in &mut self.engines {
             let feed = state.model.settings().behaviour.feed;
@@ -272,8 +278,8 @@
     }
 }
 
-/// Tokens of the longest opening that one of the engines holds.
-fn held_anywhere(engines: &[SimulatedEngine], scope: CacheScope, blocks: &[BlockHash]) -> u32 {
+/// Tokens of the longest prefix that any engine holds.
+fn max_held_tokens(engines: &[SimulatedEngine], scope: CacheScope, blocks: &[BlockHash]) -> u32 {
     let up = engines.iter().filter(|state| state.model.is_up());
     let longest = up.map(|state| state.model.cache().matched(scope, blocks)).max();
     longest.unwrap_or(0) as u32 * BLOCK_TOKENS
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -1,4 +1,4 @@
-//! Requests drawn from a scenario: who sends them, which prefix they open with, and when they arrive.
+//! Random requests of a scenario: tenants, prefixes and arrival times.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,40 +15,36 @@
     simulation::derived_seed,
 };
 
-/// The one model that all runners serve.
+/// The model that all engines serve.
 pub const MODEL: &str = "model";
 
-/// The weights version that all runners serve.
+/// The weights version that all engines serve.
 pub const WEIGHTS: WeightsVersion = WeightsVersion(1);
 
-/// The rate at the start of a ramp, in proportion to the full rate.
-const LEAST_RATE: f64 = 0.1;
+/// The rate at the start of the ramp-up, relative to the full rate.
+const MIN_RATE: f64 = 0.1;
 
 /// One request of the workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadRequest {
-    /// When the caller sends it.
     pub sent_at: Timestamp,
-    /// The tenant, by its position in [`Workload::tenants`].
+    /// Index into [`Workload::tenants`].
     pub tenant: usize,
     /// Hashes of the prompt's blocks.
     pub blocks: Arc<[BlockHash]>,
-    /// How many of them other requests may share.
+    /// How many of the blocks other requests may share.
     pub shared_blocks: usize,
-    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
     pub answer_tokens: u32,
 }
 
 /// One tenant of the workload.
 #[derive(Clone, Debug)]
 pub struct WorkloadTenant {
-    /// Its name.
     pub tenant: TenantId,
-    /// The boundary of its cached state.
+    /// Scope of its cached state.
     pub scope: CacheScope,
-    /// Its group in the scenario.
+    /// Index of its group in the scenario.
     pub group: usize,
     root: Siblings,
 }
@@ -56,27 +52,26 @@
 #[derive(Clone, Debug, Default)]
 struct Siblings {
     members: Vec<TreeNode>,
-    /// Members by popularity, the most popular first.
+    /// Member indices by descending popularity.
     ranks: Vec<usize>,
 }
 
 #[derive(Clone, Debug)]
 struct TreeNode {
-    /// Hashes from the prompt's start to the end of this node's own blocks.
+    /// Hashes from the start of the prompt to the end of this node's own blocks.
     chain: Vec<BlockHash>,
     children: Siblings,
 }
 
-/// Draws requests one after the other.
+/// Generates requests in order of time.
 pub struct Workload {
-    /// All tenants.
     pub tenants: Vec<WorkloadTenant>,
     levels: Vec<PrefixLevel>,
     zipf_skew: f64,
     own_blocks: [u32; 2],
     most_tokens: u32,
     traffic: Vec<f64>,
-    gaps: Exp<f64>,
+    interarrival_times: Exp<f64>,
     ramp_up_s: f64,
     answer_lengths: Exp<f64>,
     random: StdRng,
@@ -84,14 +79,14 @@
     shift_period: Option<Duration>,
     next_shift: Option<Timestamp>,
     clock: Timestamp,
-    drawn: u64,
+    generated_requests: u64,
 }
 
 impl Workload {
-    /// The workload of a scenario under a seed. Policies compared under one seed get the same requests.
+    /// The workload of a scenario with a seed. All policies get the same requests under one seed.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut tree_random = StdRng::seed_from_u64(derived_seed(seed, "prefix tree"));
-        let (tenants, traffic) = grow_tenants(scenario, &mut tree_random);
+        let (tenants, traffic) = build_tenants(scenario, &mut tree_random);
         let shift_period = scenario.prefixes.shift_period_s.map(Duration::from_secs_f64);
         Self {
             tenants,
@@ -100,7 +95,7 @@
             own_blocks: scenario.prefixes.own_blocks,
             most_tokens: scenario.answers.most_tokens,
             traffic,
-            gaps: exponential(1.0 / scenario.arrivals.requests_per_second),
+            interarrival_times: exponential(1.0 / scenario.arrivals.requests_per_second),
             ramp_up_s: scenario.arrivals.ramp_up_s,
             answer_lengths: exponential(scenario.answers.mean_tokens),
             random: StdRng::seed_from_u64(derived_seed(seed, "requests")),
@@ -108,39 +103,39 @@
             shift_period,
             next_shift: shift_period.map(|period| Timestamp::ZERO + period),
             clock: Timestamp::ZERO,
-            drawn: 0,
+            generated_requests: 0,
         }
     }
 
-    /// Draws the popularity of all prefixes anew.
+    /// Redraws the popularity of all prefixes.
     pub fn shift(&mut self) {
         for tenant in &mut self.tenants {
             tenant.root.shuffle(&mut self.shift_random);
         }
     }
 
-    /// The next request, later than the one before.
+    /// Generates the next request, later than the previous one.
     pub fn next_request(&mut self) -> WorkloadRequest {
-        let gap = self.gaps.sample(&mut self.random) / self.rate_now();
-        self.clock = self.clock + Duration::from_secs_f64(gap);
-        self.shift_where_due();
+        let interarrival = self.interarrival_times.sample(&mut self.random) / self.rate_now();
+        self.clock = self.clock + Duration::from_secs_f64(interarrival);
+        self.shift_if_due();
         let tenant = weighted_index(&self.traffic, &mut self.random);
-        let shared = self.draw_path(tenant);
+        let shared = self.sample_prefix(tenant);
         let shared_blocks = shared.len();
-        let blocks = self.with_own_blocks(shared, tenant);
+        let blocks = self.append_unique_blocks(shared, tenant);
         let prompt_tokens = blocks.len() as u32 * BLOCK_TOKENS;
         let length = self.answer_lengths.sample(&mut self.random).ceil() as u32;
         let answer_tokens = length.clamp(1, self.most_tokens);
         WorkloadRequest { sent_at: self.clock, tenant, blocks, shared_blocks, prompt_tokens, answer_tokens }
     }
 
-    /// The present rate in proportion to the full one.
+    /// The current rate relative to the full rate.
     fn rate_now(&self) -> f64 {
         let passed = self.clock.saturating_since(Timestamp::ZERO).as_secs_f64();
-        if passed < self.ramp_up_s { (passed / self.ramp_up_s).max(LEAST_RATE) } else { 1.0 }
+        if passed < self.ramp_up_s { (passed / self.ramp_up_s).max(MIN_RATE) } else { 1.0 }
     }
 
-    fn shift_where_due(&mut self) {
+    fn shift_if_due(&mut self) {
         let (Some(period), Some(at)) = (self.shift_period, self.next_shift) else { return };
         if self.clock >= at {
             self.next_shift = Some(at + period);
@@ -148,7 +143,7 @@
         }
     }
 
-    fn draw_path(&mut self, tenant: usize) -> Vec<BlockHash> {
+    fn sample_prefix(&mut self, tenant: usize) -> Vec<BlockHash> {
         let mut siblings = &self.tenants[tenant].root;
         let mut chain: &[BlockHash] = &[];
         for level in &self.levels {
@@ -165,15 +160,15 @@
         chain.to_vec()
     }
 
-    fn with_own_blocks(&mut self, mut chain: Vec<BlockHash>, tenant: usize) -> Arc<[BlockHash]> {
+    fn append_unique_blocks(&mut self, mut chain: Vec<BlockHash>, tenant: usize) -> Arc<[BlockHash]> {
         let [least, most] = self.own_blocks;
         let count = self.random.random_range(least..=most);
         let scope = self.tenants[tenant].scope;
         for position in 0..count {
-            let content = [self.drawn.to_le_bytes(), u64::from(position).to_le_bytes()].concat();
+            let content = [self.generated_requests.to_le_bytes(), u64::from(position).to_le_bytes()].concat();
             chain.push(extend(chain.last().copied(), scope, &content));
         }
-        self.drawn += 1;
+        self.generated_requests += 1;
         chain.into()
     }
 }
@@ -209,7 +204,7 @@
     }
 }
 
-fn grow_tenants(scenario: &Scenario, random: &mut StdRng) -> (Vec<WorkloadTenant>, Vec<f64>) {
+fn build_tenants(scenario: &Scenario, random: &mut StdRng) -> (Vec<WorkloadTenant>, Vec<f64>) {
     let mut tenants = Vec::new();
     let mut traffic = Vec::new();
     for (group, settings) in scenario.tenants.iter().enumerate() {
@@ -221,7 +216,7 @@
             };
             let tenant = TenantId::from(name);
             let scope = CacheScope::new(&tenant, &ModelId::from(MODEL), WEIGHTS, None);
-            let root = grow(&scenario.prefixes.levels, &[], scope, random);
+            let root = build_subtree(&scenario.prefixes.levels, &[], scope, random);
             tenants.push(WorkloadTenant { tenant, scope, group, root });
             traffic.push(settings.traffic);
         }
@@ -229,7 +224,12 @@
     (tenants, traffic)
 }
 
-fn grow(levels: &[PrefixLevel], before: &[BlockHash], scope: CacheScope, random: &mut StdRng) -> Siblings {
+fn build_subtree(
+    levels: &[PrefixLevel],
+    before: &[BlockHash],
+    scope: CacheScope,
+    random: &mut StdRng,
+) -> Siblings {
     let Some((level, deeper)) = levels.split_first() else { return Siblings::default() };
     let mut members = Vec::with_capacity(level.fan_out);
     for _ in 0..level.fan_out {
@@ -239,7 +239,7 @@
             let content = random.random::<u128>().to_le_bytes();
             chain.push(extend(chain.last().copied(), scope, &content));
         }
-        let children = grow(deeper, &chain, scope, random);
+        let children = build_subtree(deeper, &chain, scope, random);
         members.push(TreeNode { chain, children });
     }
     let mut ranks: Vec<usize> = (0..members.len()).collect();
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One request over TCP, to a node or direct to an engine.
+//! A client for requests over TCP to a node or directly to an engine.
 
 use std::{
     net::SocketAddr,
@@ -24,66 +24,65 @@
 
 use super::{LoadError, Workload, prompts::Prompt};
 
-/// The beginning of each event of a node's stream, and its last event.
-const EVENT: &[u8] = b"data: ";
+/// Prefix of each server-sent event, and the payload of the last one.
+const EVENT_PREFIX: &[u8] = b"data: ";
 const LAST_EVENT: &[u8] = b"[DONE]";
 
-/// Stands in an answer's text for a line that cannot be read, so that it compares as wrong.
-const UNREADABLE: char = char::REPLACEMENT_CHARACTER;
+/// Replaces an unreadable line in an answer's text, so that the answer compares as wrong.
+const UNREADABLE_MARKER: char = char::REPLACEMENT_CHARACTER;
 
-/// Where a request goes.
+/// The target of a request.
 #[derive(Clone, Debug)]
 pub(super) enum Target {
     Node(SocketAddr),
     Engine(EngineTarget),
 }
 
-/// An engine and what a request must state of it.
+/// An engine and the precondition for requests to it.
 #[derive(Clone, Debug)]
 pub(super) struct EngineTarget {
     address: SocketAddr,
     precondition: Precondition,
 }
 
-/// How a request ended.
+/// The end of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// The whole answer arrived, and is the expected one.
+    /// The complete, expected answer arrived.
     Complete,
-    /// A whole answer arrived, but not the expected one.
+    /// A complete answer arrived, but not the expected one.
     Wrong,
-    /// The stream ended without the mark of its end.
+    /// The stream ended without its end marker.
     Incomplete,
-    /// It was refused.
     Refused(RefusalCode),
-    /// The stream ended with an error in place of the rest of the answer.
+    /// An error ended the stream.
     Broken(RefusalCode),
-    /// No answer: the connection, or a status without a readable refusal.
+    /// No answer: the connection failed, or an error status had no readable refusal.
     Failed(String),
 }
 
-/// What was measured of one request.
+/// Measurements of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Sample {
     pub(super) through_node: bool,
-    /// When it was planned, from the start of the run.
+    /// Planned time since the start of the run.
     pub(super) planned: Duration,
-    /// How much later than planned it was sent.
-    pub(super) late: Duration,
+    /// Delay of the sending after the planned time.
+    pub(super) lateness: Duration,
     pub(super) ending: Ending,
-    /// Time from the planned moment to the first token and to the end.
+    /// Times since the planned time.
     pub(super) first_token: Option<Duration>,
     pub(super) total: Duration,
     pub(super) prompt_tokens: u32,
     pub(super) cached_tokens: u32,
 }
 
-pub(super) struct Clients {
+pub(super) struct LoadClient {
     client: Client<HttpConnector, Full<Bytes>>,
     workload: Workload,
 }
 
-/// What has been read of an answer.
+/// The part of an answer that was read.
 #[derive(Debug, Default)]
 pub(super) struct Answer {
     text: String,
@@ -94,7 +93,7 @@
     cached_tokens: u32,
 }
 
-impl Clients {
+impl LoadClient {
     pub(super) fn new(workload: &Workload) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -102,12 +101,12 @@
         Self { client, workload: workload.clone() }
     }
 
-    /// Asks an engine who it is.
+    /// Reads the status of an engine.
     pub(super) async fn engine(&self, address: SocketAddr) -> Result<EngineTarget, LoadError> {
         let failed = |reason: String| LoadError::Engine { address, reason };
         let request = Request::get(format!("http://{address}/status")).body(Full::default());
         let request = request.map_err(|error| failed(error.to_string()))?;
-        let response = self.client.request(request).await.map_err(|error| failed(describe(&error)))?;
+        let response = self.client.request(request).await.map_err(|error| failed(error_chain(&error)))?;
         let body = response.into_body().collect().await.map_err(|error| failed(error.to_string()))?;
         let status: EngineStatus =
             serde_json::from_slice(&body.to_bytes()).map_err(|error| failed(error.to_string()))?;
@@ -130,7 +129,7 @@
         since_start: Duration,
     ) -> Sample {
         let mut answer = Answer::default();
-        let late = planned.elapsed();
+        let lateness = planned.elapsed();
         let limit = Duration::from_millis(self.workload.deadline_ms);
         let exchange = self.exchange(&target, &prompt, &mut answer);
         let ending = match tokio::time::timeout(limit, exchange).await {
@@ -141,7 +140,7 @@
         Sample {
             through_node: matches!(target, Target::Node(_)),
             planned: since_start,
-            late,
+            lateness,
             ending,
             first_token: answer.first_token_at.map(|at| at.saturating_duration_since(planned)),
             total: planned.elapsed(),
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Sends a request to a node and gives the body of its stream once the answer has begun.
+    /// Sends a request to a node and returns the body of its stream once the response has started.
     pub(super) async fn open_stream(&self, node: SocketAddr, prompt: &Prompt) -> Result<Incoming, Ending> {
         let body = ChatRequest {
             model: self.workload.model.clone(),
@@ -191,7 +190,7 @@
     }
 
     async fn send(&self, request: Request<Full<Bytes>>) -> Result<http::Response<Incoming>, Ending> {
-        self.client.request(request).await.map_err(|error| Ending::Failed(describe(&error)))
+        self.client.request(request).await.map_err(|error| Ending::Failed(error_chain(&error)))
     }
 }
 
@@ -230,9 +229,9 @@
         if self.text == prompt.expected.text() { Ending::Complete } else { Ending::Wrong }
     }
 
-    /// Takes in one line of a node's stream; a line that cannot be read makes the answer wrong.
+    /// Parses one line of a node's stream; an unreadable line makes the answer wrong.
     fn read_event(&mut self, line: &[u8]) {
-        let Some(event) = line.strip_prefix(EVENT) else { return };
+        let Some(event) = line.strip_prefix(EVENT_PREFIX) else { return };
         if event == LAST_EVENT {
             self.ended = true;
             return;
@@ -240,7 +239,7 @@
         let Ok(chunk) = serde_json::from_slice::<ChatChunk>(event) else {
             match serde_json::from_slice::<ErrorBody>(event) {
                 Ok(body) => self.broken = Some(body.error.code),
-                Err(_) => self.text.push(UNREADABLE),
+                Err(_) => self.text.push(UNREADABLE_MARKER),
             }
             return;
         };
@@ -255,7 +254,7 @@
 
     fn read_frame(&mut self, line: &[u8]) {
         let Ok(frame) = serde_json::from_slice::<Frame>(line) else {
-            self.text.push(UNREADABLE);
+            self.text.push(UNREADABLE_MARKER);
             return;
         };
         match frame.content {
@@ -277,7 +276,7 @@
     }
 }
 
-/// Reads a body to its end and hands on each line that is not empty.
+/// Reads a body to its end and passes on each line that is not empty.
 async fn read_lines(body: &mut Incoming, mut read: impl FnMut(&[u8])) -> Result<(), Ending> {
     let mut rest: Vec<u8> = Vec::new();
     while let Some(frame) = body.frame().await {
@@ -307,8 +306,8 @@
     Ok(Full::new(Bytes::from(bytes)))
 }
 
-/// An error with its causes, which the client's own message leaves out.
-fn describe(error: &dyn std::error::Error) -> String {
+/// Formats an error with its causes, which the client's message omits.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/bench/src/load/command.rs
+++ b/crates/bench/src/load/command.rs
@@ -1,4 +1,4 @@
-//! The command `paddlemount load`: arguments, and what it prints.
+//! The command `paddlemount load`: arguments and output.
 
 use std::{ffi::OsString, net::SocketAddr, process::ExitCode, time::Duration};
 
@@ -12,7 +12,7 @@
     run,
 };
 
-/// How the command is used.
+/// Usage text.
 pub const USAGE: &str = "\
 paddlemount load: open-loop load over TCP; every answer is compared with what it must be
 
@@ -28,19 +28,15 @@
 Exit codes: 0 every answer was whole and right; 1 some were not; 2 the arguments or the run failed.
 ";
 
-/// Why the command did not run.
+/// An error of the command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The arguments cannot be read.
     #[error("{0}; see paddlemount load --help")]
     Arguments(#[from] lexopt::Error),
-    /// An option is missing.
     #[error("{0} is missing; see paddlemount load --help")]
     Missing(&'static str),
-    /// The run could not be made.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The report cannot be written as JSON.
     #[error("cannot write the report: {0}")]
     Report(#[from] serde_json::Error),
 }
@@ -63,7 +59,7 @@
 }
 
 fn execute(arguments: impl IntoIterator<Item = OsString>) -> Result<ExitCode, CommandError> {
-    let Some(options) = read(Parser::from_args(arguments))? else {
+    let Some(options) = parse_arguments(Parser::from_args(arguments))? else {
         print!("{USAGE}");
         return Ok(ExitCode::SUCCESS);
     };
@@ -102,8 +98,8 @@
     Ok(())
 }
 
-/// Reads the arguments; nothing where help is asked for.
-fn read(mut parser: Parser) -> Result<Option<Options>, CommandError> {
+/// Reads the arguments; none if help is requested.
+fn parse_arguments(mut parser: Parser) -> Result<Option<Options>, CommandError> {
     let mut options = Options { settings: defaults(), hold: None, json: false };
     while let Some(argument) = parser.next()? {
         match argument {
@@ -112,12 +108,12 @@
             Arg::Long("hold") => options.hold = Some(parser.value()?.parse()?),
             Arg::Long(name) => {
                 let name = name.to_owned();
-                read_option(&mut options.settings, &name, &mut parser)?;
+                parse_option(&mut options.settings, &name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
-    require(&options.settings)?;
+    check_required(&options.settings)?;
     Ok(Some(options))
 }
 
@@ -134,15 +130,15 @@
     }
 }
 
-fn read_option(settings: &mut LoadSettings, name: &str, parser: &mut Parser) -> Result<(), CommandError> {
+fn parse_option(settings: &mut LoadSettings, name: &str, parser: &mut Parser) -> Result<(), CommandError> {
     let workload = &mut settings.workload;
     match name {
         "node" => settings.nodes.push(parser.value()?.parse::<SocketAddr>()?),
         "engine" => settings.engine = Some(parser.value()?.parse()?),
         "pid" => settings.node_processes.push(parser.value()?.parse()?),
         "rate" => settings.requests_per_second = parser.value()?.parse()?,
-        "seconds" => settings.duration = seconds(parser)?,
-        "warm-up" => settings.warm_up = seconds(parser)?,
+        "seconds" => settings.duration = parse_seconds(parser)?,
+        "warm-up" => settings.warm_up = parse_seconds(parser)?,
         "threads" => settings.threads = parser.value()?.parse()?,
         "tenant" => workload.tenant = parser.value()?.string()?.into(),
         "key" => workload.key = parser.value()?.string()?,
@@ -159,14 +155,14 @@
     Ok(())
 }
 
-fn seconds(parser: &mut Parser) -> Result<Duration, CommandError> {
+fn parse_seconds(parser: &mut Parser) -> Result<Duration, CommandError> {
     Ok(parser.value()?.parse_with(|text| {
         let seconds = text.parse::<f64>().map_err(|error| error.to_string())?;
         Duration::try_from_secs_f64(seconds).map_err(|error| error.to_string())
     })?)
 }
 
-fn require(settings: &LoadSettings) -> Result<(), CommandError> {
+fn check_required(settings: &LoadSettings) -> Result<(), CommandError> {
     let workload = &settings.workload;
     let missing = [
         ("--node", settings.nodes.is_empty()),
--- a/crates/bench/src/load/hold.rs
+++ b/crates/bench/src/load/hold.rs
@@ -1,7 +1,7 @@
-//! Many open streams at once, and the memory that each costs a node.
+//! Holds many streams open at once, and measures the memory that each takes at a node.
 //!
-//! The engines behind the node must be slow enough for the streams to stay open: as many batch slots
-//! as streams, and a decode step of some seconds.
+//! The engines must be slow enough for the streams to stay open: as many batch slots as streams, and a decode
+//! step of some seconds.
 
 use std::{
     net::SocketAddr,
@@ -16,75 +16,66 @@
 
 use super::{
     LoadError, Workload,
-    client::{Clients, Ending},
+    client::{Ending, LoadClient},
     process::ProcessId,
     prompts::Prompts,
     runtime,
 };
 
-/// Streams that are opened before the memory is first read, so that what a node allocates once does
-/// not count.
+/// Streams that are opened before the memory is first read, so that one-time allocations do not count.
 const WARM_UP_STREAMS: usize = 50;
 
-/// Streams that are being opened at the same time.
-const OPENING_AT_ONCE: usize = 64;
+/// Maximum number of streams that are being opened concurrently.
+const MAX_CONCURRENT_OPENS: usize = 64;
 
 /// Time for a node to settle before its memory is read.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Settings of holding streams open.
+/// Settings of [`hold`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct HoldSettings {
-    /// The callers' address of the node.
     pub node: SocketAddr,
-    /// What is sent.
     pub workload: Workload,
-    /// Streams to hold open at once.
     pub streams: usize,
-    /// How long to hold them.
     pub hold: Duration,
-    /// The node's process, whose memory is read.
+    /// Process id of the node, whose memory is read.
     pub node_process: Option<u32>,
-    /// Threads of the load generator.
     pub threads: usize,
 }
 
-/// What holding streams open gave.
+/// The result of [`hold`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HoldReport {
     /// Streams that were open at once, each with at least one byte received.
     pub streams: usize,
-    /// Seconds that it took to open them.
     pub opening_seconds: f64,
-    /// Memory of the node before and with the open streams, where its process was given.
+    /// Memory of the node, if its process was given.
     pub memory: Option<HoldMemory>,
 }
 
-/// Memory of a node, in bytes.
+/// Resident memory of a node, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HoldMemory {
-    /// Before; some streams have been open and were closed.
+    /// Before the streams were opened, after a warm-up.
     pub before: u64,
-    /// With all streams open.
     pub open: u64,
-    /// The difference for each stream.
     pub bytes_per_stream: f64,
 }
 
-/// Opens the streams, holds them and reports.
+/// Opens the streams, holds them and measures the node's memory.
 pub fn hold(settings: &HoldSettings) -> Result<HoldReport, LoadError> {
     let runtime = runtime(settings.threads)?;
-    let clients = Arc::new(Clients::new(&settings.workload));
+    let clients = Arc::new(LoadClient::new(&settings.workload));
     let prompts = Arc::new(Prompts::new(&settings.workload));
-    let opener = Opener { clients, prompts, node: settings.node };
+    let opener = StreamOpener { clients, prompts, node: settings.node };
     let process = settings.node_process.map(ProcessId);
     drop(runtime.block_on(opener.open_all(0, WARM_UP_STREAMS.min(settings.streams)))?);
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let before = process.map(ProcessId::resident_bytes).transpose()?;
     let started = Instant::now();
     let open = runtime.block_on(opener.open_all(WARM_UP_STREAMS, settings.streams))?;
     let opening_seconds = started.elapsed().as_secs_f64();
-    std::thread::sleep(settings.hold.max(SETTLE));
+    std::thread::sleep(settings.hold.max(SETTLE_TIME));
     let with_streams = process.map(ProcessId::resident_bytes).transpose()?;
     runtime.block_on(check_open(open))?;
     let memory = before.zip(with_streams).map(|(before, open)| HoldMemory {
@@ -96,18 +87,18 @@
 }
 
 #[derive(Clone)]
-struct Opener {
-    clients: Arc<Clients>,
+struct StreamOpener {
+    clients: Arc<LoadClient>,
     prompts: Arc<Prompts>,
     node: SocketAddr,
 }
 
-impl Opener {
+impl StreamOpener {
     async fn open_all(&self, first: usize, count: usize) -> Result<Vec<Incoming>, LoadError> {
         let mut opening = JoinSet::new();
         let mut results = Vec::with_capacity(count);
         for number in first..first + count {
-            if opening.len() >= OPENING_AT_ONCE {
+            if opening.len() >= MAX_CONCURRENT_OPENS {
                 results.extend(opening.join_next().await);
             }
             let opener = self.clone();
@@ -144,7 +135,7 @@
     let streams = bodies.len();
     let mut failed = 0;
     for mut body in bodies {
-        // What has arrived meanwhile is read until nothing more is at hand.
+        // Reads what has arrived until nothing more is buffered.
         loop {
             match tokio::time::timeout(Duration::ZERO, body.frame()).await {
                 Err(_) => break,
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -8,10 +8,10 @@
 //! |---|---|
 //! | [`command`] | the command `paddlemount load` |
 //! | [`hold`] | many open streams at once, and the memory they cost a node |
-//! | [`report`] | what a run gives |
+//! | [`report`] | the report of a run |
 //! | `client` | one request over TCP |
 //! | `process` | memory and processor time of a process |
-//! | `prompts` | prompts with long shared openings |
+//! | `prompts` | prompts with long shared prefixes |
 
 mod client;
 pub mod command;
@@ -34,43 +34,36 @@
 };
 
 use self::{
-    client::{Clients, Sample, Target},
+    client::{LoadClient, Sample, Target},
     process::ProcessId,
     prompts::Prompts,
     report::{LoadReport, ReportBuilder},
 };
 
-/// How long a run waits for answers after the last request was sent, beyond the deadline.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
+/// Time to wait for the last answers, beyond the deadline.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Who sends what to which model.
+/// The requests of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workload {
-    /// The tenant whose key is used; its name determines the expected answers.
+    /// The tenant of `key`; its name determines the expected answers.
     pub tenant: TenantId,
-    /// The caller key of the tenant.
     #[serde(skip)]
     pub key: String,
-    /// The model.
     pub model: ModelId,
-    /// The weights that the pool serves.
     pub weights: WeightsVersion,
-    /// Distinct openings that prompts share.
+    /// Number of distinct prefixes that prompts share.
     pub openings: u32,
-    /// Bytes of each opening.
     pub opening_bytes: usize,
-    /// Bytes of each prompt that are its own.
+    /// Bytes of each prompt that are unique.
     pub own_bytes: usize,
-    /// Tokens to generate at most.
     pub max_tokens: u32,
-    /// Deadline of each request, in milliseconds.
     pub deadline_ms: u64,
-    /// Seed of the prompts.
     pub seed: u64,
 }
 
 impl Workload {
-    /// A workload of moderate prompts for one tenant.
+    /// A workload for one tenant with default sizes.
     pub fn new(tenant: TenantId, key: String, model: ModelId, weights: WeightsVersion) -> Self {
         Self {
             tenant,
@@ -90,66 +83,46 @@
 /// Settings of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadSettings {
-    /// Callers' addresses of the nodes; requests go to them in turn.
+    /// Addresses for callers; used in turn.
     pub nodes: Vec<SocketAddr>,
-    /// An engine that gets as many requests directly, for comparison.
+    /// An engine that gets the same number of requests directly, for comparison.
     pub engine: Option<SocketAddr>,
-    /// What is sent.
     pub workload: Workload,
-    /// Requests a second through the nodes; the engine gets as many directly.
+    /// Request rate through the nodes, and again directly to the engine.
     pub requests_per_second: f64,
-    /// How long requests are sent.
     pub duration: Duration,
-    /// Requests of the first so long are not counted.
+    /// Requests planned in this initial time are not counted.
     pub warm_up: Duration,
-    /// Processes of the nodes whose processor time is measured.
+    /// Process ids of the nodes, for their processor time.
     pub node_processes: Vec<u32>,
-    /// Threads of the load generator.
     pub threads: usize,
 }
 
-/// Why a run could not be made.
+/// An error that prevents a run.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The settings make no run.
     #[error("{0}")]
     Settings(&'static str),
-    /// Threads could not be started.
     #[error("cannot start the load generator: {0}")]
     Start(#[source] std::io::Error),
-    /// The engine's status could not be read.
     #[error("cannot read the status of the engine at {address}: {reason}")]
-    Engine {
-        /// The engine.
-        address: SocketAddr,
-        /// The cause.
-        reason: String,
-    },
-    /// A process could not be measured.
+    Engine { address: SocketAddr, reason: String },
     #[error("cannot read memory or processor time of process {process}: {source}")]
-    Process {
-        /// The process.
-        process: u32,
-        /// The cause.
-        source: std::io::Error,
-    },
-    /// A stream that was to be held open ended or failed.
+    Process { process: u32, source: std::io::Error },
     #[error("{failed} of {streams} streams did not stay open; the first: {reason}")]
     Hold {
-        /// Streams asked for.
         streams: usize,
-        /// Those that did not stay open.
         failed: usize,
-        /// What happened to the first of them.
+        /// The cause for the first of them.
         reason: String,
     },
 }
 
-/// Makes a run and reports it.
+/// Makes a run and returns its report.
 pub fn run(settings: &LoadSettings) -> Result<LoadReport, LoadError> {
     check(settings)?;
     let runtime = runtime(settings.threads)?;
-    let clients = Arc::new(Clients::new(&settings.workload));
+    let clients = Arc::new(LoadClient::new(&settings.workload));
     let engine = settings.engine.map(|address| runtime.block_on(clients.engine(address))).transpose()?;
     let prompts = Arc::new(Prompts::new(&settings.workload));
     let mut targets: Vec<Vec<Target>> = vec![settings.nodes.iter().copied().map(Target::Node).collect()];
@@ -161,15 +134,15 @@
     let before = process::processor_time(&processes)?;
     let started = Instant::now();
     send_all(settings, &sender, &targets, started);
-    let busy = started.elapsed();
+    let sending_time = started.elapsed();
     drop(sender);
-    let limit = Duration::from_millis(settings.workload.deadline_ms) + LAST_ANSWERS;
+    let limit = Duration::from_millis(settings.workload.deadline_ms) + DRAIN_TIMEOUT;
     let collected = runtime.block_on(async { tokio::time::timeout(limit, collector).await });
     let after = process::processor_time(&processes)?;
     let Ok(Ok(samples)) = collected else { return Err(LoadError::Settings("answers did not end in time")) };
     let mut builder = ReportBuilder::new(settings.warm_up);
     samples.iter().for_each(|sample| builder.add(sample));
-    Ok(builder.finish(settings, busy, after.saturating_sub(before)))
+    Ok(builder.finish(settings, sending_time, after.saturating_sub(before)))
 }
 
 fn check(settings: &LoadSettings) -> Result<(), LoadError> {
@@ -192,19 +165,19 @@
 
 struct Sender {
     handle: Handle,
-    clients: Arc<Clients>,
+    clients: Arc<LoadClient>,
     prompts: Arc<Prompts>,
     samples: mpsc::UnboundedSender<Sample>,
 }
 
-/// Sends every request at its planned time. The calling thread paces, since its sleep is finer than
-/// the runtime's timer.
+/// Sends every request at its planned time. The calling thread paces, since its sleep is finer than the
+/// runtime's timer.
 fn send_all(settings: &LoadSettings, sender: &Sender, targets: &[Vec<Target>], started: Instant) {
     let total = (settings.duration.as_secs_f64() * settings.requests_per_second) as u64;
     let interval = 1.0 / settings.requests_per_second;
     for number in 0..total {
         for (kind, choices) in targets.iter().enumerate() {
-            // Requests to the engine fall between those to the nodes.
+            // Requests to the engine alternate with those to the nodes.
             let offset = kind as f64 / targets.len() as f64;
             let planned = started + Duration::from_secs_f64((number as f64 + offset) * interval);
             std::thread::sleep(planned.saturating_duration_since(Instant::now()));
@@ -220,7 +193,7 @@
         self.handle.spawn(async move {
             let prompt = prompts.prompt(number);
             let sample = clients.request(target, prompt, planned, planned - started).await;
-            // The receiver is gone only when the run has been given up.
+            // The receiver is gone only if the run has timed out.
             let _ = samples.send(sample);
         });
     }
--- a/crates/bench/src/policy/prefix.rs
+++ b/crates/bench/src/policy/prefix.rs
@@ -5,13 +5,13 @@
 
 use super::{Choice, Policy};
 
-/// Runs the same [`Router`] as a node does.
+/// Runs the [`Router`] of the product.
 pub struct PrefixPolicy {
     router: Router,
 }
 
 impl PrefixPolicy {
-    /// A router of one of `nodes` nodes.
+    /// The router of one of `nodes` nodes.
     pub fn new(settings: RouterSettings, nodes: u32) -> Self {
         let mut router = Router::new(settings);
         router.apply(RouterEvent::Nodes { count: nodes }, Timestamp::ZERO);
@@ -20,7 +20,7 @@
 }
 
 impl Policy for PrefixPolicy {
-    fn learn(&mut self, event: RouterEvent<'_>, now: Timestamp) {
+    fn observe(&mut self, event: RouterEvent<'_>, now: Timestamp) {
         self.router.apply(event, now);
     }
 
