--- a/crates/forward/src/access_log.rs
+++ b/crates/forward/src/access_log.rs
@@ -82,8 +82,8 @@
     /// Counts the request and logs how it ended.
     pub(crate) fn log(&self, node: &Node, arrived: Timestamp, history: AttemptHistory) {
         // Without an outcome, the connection was closed by the caller or with the process.
-        let unconcluded = if node.grace_is_over.get() { CUT_BY_STOP } else { CALLER_LEFT };
-        let outcome = self.outcome.unwrap_or(unconcluded);
+        let without_outcome = if node.grace_elapsed.get() { CUT_BY_STOP } else { CALLER_LEFT };
+        let outcome = self.outcome.unwrap_or(without_outcome);
         let kind = self.route.as_ref().map_or("none", |route| kind_label(route.kind));
         node.metrics.count(Counter::Requests { kind, outcome });
         let since = |at: Timestamp| at.saturating_since(arrived).as_millis() as u64;
--- a/crates/forward/src/announcements.rs
+++ b/crates/forward/src/announcements.rs
@@ -40,7 +40,7 @@
 }
 
 /// Adds jitter to a retry delay of `least`, so that refused callers do not return together.
-pub(crate) fn spread(least: Duration) -> Duration {
+pub(crate) fn with_jitter(least: Duration) -> Duration {
     back_off::with_jitter(least, rand::random())
 }
 
@@ -79,7 +79,7 @@
         parsed: &AnswerHead,
         sent_at: Option<Timestamp>,
     ) {
-        self.note_unknown_headers(&process.id, &parsed.unknown);
+        self.record_unknown_headers(&process.id, &parsed.unknown);
         let is_other = match &parsed.backend {
             Some(backend) => *backend != process.id,
             None => parsed.misdirected,
@@ -153,12 +153,12 @@
     }
 
     /// The numbers of back ends in back-off, draining and limited.
-    pub(crate) fn announced_gauges(&self) -> [Gauge; 3] {
+    pub(crate) fn announcement_gauges(&self) -> [Gauge; 3] {
         let state = self.state.borrow();
-        let resting = state.backends.announcements.count_backed_off(self.now());
+        let backed_off = state.backends.announcements.count_backed_off(self.now());
         let leaving = state.backends.iter().filter(|backend| backend.state.is_leaving()).count();
         [
-            Gauge { name: "paddlemount_forward_backends_resting", value: resting as f64 },
+            Gauge { name: "paddlemount_forward_backends_resting", value: backed_off as f64 },
             Gauge { name: "paddlemount_forward_backends_leaving", value: leaving as f64 },
             Gauge {
                 name: "paddlemount_forward_backends_limited",
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -121,7 +121,7 @@
     fn begin(node: &Rc<Node>, choice: &Choice) -> Self {
         let began = node.now();
         node.state.borrow_mut().chooser.loads.record_start(&choice.backend, choice.expected_tokens, began);
-        node.health(&choice.backend, HealthEvent::Dispatched, false);
+        node.record_health(&choice.backend, HealthEvent::Dispatched, false);
         Self {
             node: Rc::clone(node),
             backend: choice.backend.clone(),
@@ -193,11 +193,11 @@
         }
         Waited::Outdated => {
             // The request was aborted early, which says nothing about the back end's health.
-            node.health(&choice.backend, HealthEvent::Inconclusive, false);
+            node.record_health(&choice.backend, HealthEvent::Inconclusive, false);
             return Err(AttemptFailure { reused, ..AttemptFailure::unclear(OUTDATED.into()) });
         }
         Waited::TimeUp => {
-            node.health(&choice.backend, HealthEvent::Failed, false);
+            node.record_health(&choice.backend, HealthEvent::Failed, false);
             return Err(AttemptFailure { reused, ..AttemptFailure::unclear("no answer in time".into()) });
         }
     };
@@ -233,7 +233,7 @@
 
 /// The request was held back by this node, which says nothing about the back end's health.
 fn not_sent(node: &Rc<Node>, choice: &Choice, why: &str) -> AttemptFailure {
-    node.health(&choice.backend, HealthEvent::Inconclusive, false);
+    node.record_health(&choice.backend, HealthEvent::Inconclusive, false);
     AttemptFailure { end: AttemptEnd::NotSent, ..AttemptFailure::unclear(why.into()) }
 }
 
@@ -252,9 +252,9 @@
     let end = if error.is_before_sending() { AttemptEnd::NotSent } else { AttemptEnd::Unclear };
     // A pooled connection that the peer closed says nothing about the back end's health.
     if error.is_refusal() {
-        node.health(&choice.backend, HealthEvent::Unreachable, false);
+        node.record_health(&choice.backend, HealthEvent::Unreachable, false);
     } else if !matches!(error, ConnectionError::NotSent) {
-        node.health(&choice.backend, HealthEvent::Failed, !reused && end == AttemptEnd::NotSent);
+        node.record_health(&choice.backend, HealthEvent::Failed, !reused && end == AttemptEnd::NotSent);
     }
     let connection_lost = matches!(error, ConnectionError::Broken(_));
     AttemptFailure { end, reused, connection_lost, ..AttemptFailure::unclear(error.to_string()) }
@@ -284,7 +284,7 @@
     }
     if status.is_server_error() {
         let event = HealthEvent::Failed;
-        node.health(backend, event, false);
+        node.record_health(backend, event, false);
         let result = node.clock.timeout_at(deadline, read_full_answer(node, upstream)).await;
         let detail = format!("status {status}");
         return match result {
@@ -306,12 +306,12 @@
             }),
         };
     }
-    node.health(backend, HealthEvent::Succeeded, false);
+    node.record_health(backend, HealthEvent::Succeeded, false);
     Ok(upstream)
 }
 
 fn record_refusal(node: &Rc<Node>, choice: &Choice, parsed: &AnswerHead) -> AttemptEnd {
-    node.health(&choice.backend, HealthEvent::Inconclusive, false);
+    node.record_health(&choice.backend, HealthEvent::Inconclusive, false);
     if parsed.misdirected {
         node.metrics.count(Counter::Misdirected);
     }
@@ -324,7 +324,7 @@
         node.observe_weights(&choice.backend, &scope.model, version);
     }
     if !parsed.misdirected {
-        node.refused(&choice.backend);
+        node.record_backend_refusal(&choice.backend);
     }
     AttemptEnd::NotRun
 }
--- a/crates/forward/src/caller_stream.rs
+++ b/crates/forward/src/caller_stream.rs
@@ -168,7 +168,7 @@
     /// [`ErrorKind::WouldBlock`] if there are none; other kinds if the connection is broken.
     pub fn try_read(&self, buffer: &mut impl BufMut) -> io::Result<usize> {
         let count = self.stream.try_read_buf(buffer)?;
-        self.note_read(count);
+        self.record_read(count);
         Ok(count)
     }
 
@@ -180,11 +180,11 @@
     /// As for [`try_read`](Self::try_read).
     pub fn read_now(&self, bytes: &mut [u8]) -> io::Result<usize> {
         let count = io::Read::read(&mut &*socket2::SockRef::from(&self.stream), bytes)?;
-        self.note_read(count);
+        self.record_read(count);
         Ok(count)
     }
 
-    fn note_read(&self, count: usize) {
+    fn record_read(&self, count: usize) {
         self.unparsed_bytes.set(self.unparsed_bytes.get() + count);
         self.last_activity.set(self.now());
     }
--- a/crates/forward/src/callers.rs
+++ b/crates/forward/src/callers.rs
@@ -174,11 +174,11 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     let served = socket.begin();
     let leaving = PlannedStop::drain_period(node.settings().bounds.grace());
-    let kept_alive_for = PlannedStop::keep_alive_seconds(leaving);
+    let keep_alive = PlannedStop::keep_alive_seconds(leaving);
     let mut answer = exchange::serve(node, request).await;
     if *stage.borrow() != StopStage::Serving {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-    } else if let Some(seconds) = kept_alive_for {
+    } else if let Some(seconds) = keep_alive {
         // Lets callers avoid connections that a planned stop is about to close.
         let value = HeaderValue::from_str(&format!("timeout={seconds}"));
         answer.headers_mut().insert(KEEP_ALIVE, value.unwrap_or(HeaderValue::from_static("timeout=1")));
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -47,7 +47,7 @@
 impl Node {
     /// Applies the changes up to `revision` from the store's answer to a call sent at `sent_at`.
     pub fn apply_changes(&self, facts: Vec<Fact>, revision: Revision, sent_at: Timestamp) {
-        self.apply_changes_from(facts, revision, sent_at, &Origin::from_watch());
+        self.apply_change_set(facts, revision, sent_at, &Origin::from_watch());
     }
 
     /// Applies the changes up to `revision` that another node relayed, with a proof that counts from
@@ -60,20 +60,14 @@
         targets: &[RecentTargetVersion],
     ) {
         let origin = Origin::from_node(EntrySource::Update, proofs(targets, proved_at));
-        self.apply_changes_from(facts, revision, proved_at, &origin);
+        self.apply_change_set(facts, revision, proved_at, &origin);
     }
 
-    fn apply_changes_from(
-        &self,
-        facts: Vec<Fact>,
-        revision: Revision,
-        proved_at: Timestamp,
-        origin: &Origin,
-    ) {
+    fn apply_change_set(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, origin: &Origin) {
         for fact in facts {
             let subject = fact.subject();
             self.apply_fact(fact, revision, origin);
-            self.note_change(subject, revision);
+            self.record_change(subject, revision);
         }
         let mut state = self.state.borrow_mut();
         state.revision = Some(revision);
@@ -84,9 +78,9 @@
     /// Applies another node's facts whose versions only increase, whatever this node has read from the store.
     pub(crate) fn apply_newer_facts(&self, facts: Vec<Fact>, revision: Revision) {
         let origin = Origin::from_node(EntrySource::Update, Vec::new());
-        let rising =
+        let increasing =
             facts.into_iter().filter(|fact| matches!(fact, Fact::Document(_) | Fact::TargetVersion { .. }));
-        rising.for_each(|fact| self.apply_fact(fact, revision, &origin));
+        increasing.for_each(|fact| self.apply_fact(fact, revision, &origin));
     }
 
     /// Applies the first pages of a listing that was sent at `sent_at`, which is enough to serve until the
@@ -135,7 +129,7 @@
                 continue;
             }
             self.remove_entry(&subject, revision, origin);
-            self.note_change(Some(subject), revision);
+            self.record_change(Some(subject), revision);
         }
         if restored && !facts.iter().any(|fact| matches!(fact, Fact::FleetSize(_))) {
             self.state.borrow_mut().fleet_size = None;
@@ -143,7 +137,7 @@
         for fact in facts {
             let subject = fact.subject().filter(|_| self.is_change(&fact));
             self.apply_fact(fact, revision, origin);
-            self.note_change(subject, revision);
+            self.record_change(subject, revision);
         }
         {
             let mut state = self.state.borrow_mut();
@@ -161,7 +155,7 @@
         self.leader_known.notify_one();
     }
 
-    fn note_change(&self, subject: Option<EntryKey>, revision: Revision) {
+    fn record_change(&self, subject: Option<EntryKey>, revision: Revision) {
         if let Some(subject) = subject.filter(|_| self.peers.is_some()) {
             self.state.borrow_mut().changes.record(subject, revision);
         }
--- a/crates/forward/src/journal.rs
+++ b/crates/forward/src/journal.rs
@@ -23,7 +23,7 @@
 /// The maximum number of queued lines.
 const QUEUE_LINES: usize = 4_096;
 /// How long the writer waits for further lines before it writes.
-const GATHER: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// The approximate number of bytes per write.
 const BATCH_BYTES: usize = 64 << 10;
 
@@ -311,10 +311,10 @@
     /// Logs an event, or counts it as dropped.
     pub fn log(&self, event: &Event<'_>) {
         let dropped = self.dropped.load(Ordering::Relaxed);
-        if dropped > 0 && self.offer(&Event::LinesDropped { count: dropped }) {
+        if dropped > 0 && self.enqueue(&Event::LinesDropped { count: dropped }) {
             self.dropped.fetch_sub(dropped, Ordering::Relaxed);
         }
-        if !self.offer(event) {
+        if !self.enqueue(event) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -324,7 +324,7 @@
         self.dropped.load(Ordering::Relaxed)
     }
 
-    fn offer(&self, event: &Event<'_>) -> bool {
+    fn enqueue(&self, event: &Event<'_>) -> bool {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = Line {
             time_ms: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
@@ -345,7 +345,7 @@
     let mut batch = Vec::new();
     while let Ok(line) = lines.recv() {
         batch.extend_from_slice(&line);
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_DELAY);
         while batch.len() < BATCH_BYTES {
             let Ok(line) = lines.try_recv() else { break };
             batch.extend_from_slice(&line);
--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -20,7 +20,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// The lease's name for the lease holder.
+/// The name under which the lease holder tracks the lease.
 const LEASE_NAME: &str = "weights-orders";
 /// How much earlier than its lease ends a holder stops acting.
 const LEASE_SAFETY_MARGIN: Duration = Duration::from_millis(150);
@@ -165,8 +165,8 @@
         now.saturating_since(since) >= delay + jitter.mul_f64(rand::random::<f64>())
     }
 
-    /// Whether another node has become leader meanwhile. Reading that is cheaper than a lease that is
-    /// requested in vain.
+    /// Whether another node has become leader meanwhile. This read is cheaper than a failed request for the
+    /// lease.
     async fn has_new_leader(&self) -> bool {
         // A failed read is counted with the calls; the store's own condition decides about the lease.
         let _ = find_leader(&self.node).await;
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -29,8 +29,8 @@
 }
 
 impl Node {
-    /// Applies the limit in an answer of `process`; `None` if it has none. `sent_at` is when the request was
-    /// sent that it answers.
+    /// Applies the limit that an answer of `process` advertises, if any. `sent_at` is when the answered request
+    /// was sent.
     pub(crate) fn observe_limit(
         &self,
         process: &BackendProcess,
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -62,7 +62,7 @@
     /// Recent answer times by route.
     pub answer_times: RefCell<AnswerTimes>,
     /// Whether the grace period of a planned stop has ended.
-    pub grace_is_over: Cell<bool>,
+    pub grace_elapsed: Cell<bool>,
     /// The number of requests in progress.
     pub running: Cell<usize>,
     /// The number of engines that are loading weights by this node's orders.
@@ -130,7 +130,7 @@
             store,
             planned_stop: Cell::new(None),
             answer_times: RefCell::default(),
-            grace_is_over: Cell::new(false),
+            grace_elapsed: Cell::new(false),
             running: Cell::new(0),
             loading: Cell::new(0),
             history_lost: Cell::new(false),
@@ -214,13 +214,13 @@
     }
 
     /// Records that a back end refused a request because it is full or loading weights.
-    pub fn refused(&self, id: &BackendId) {
+    pub fn record_backend_refusal(&self, id: &BackendId) {
         let until = self.now() + REFUSAL_PAUSE;
         self.state.borrow_mut().refused_until.insert(id.clone(), until);
     }
 
     /// Records a health event of a back end. A `certain` failure ejects it at once.
-    pub fn health(&self, id: &BackendId, event: HealthEvent<'_>, certain: bool) {
+    pub fn record_health(&self, id: &BackendId, event: HealthEvent<'_>, certain: bool) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let times = if certain { health_settings().consecutive_failures } else { 1 };
@@ -231,8 +231,8 @@
 
     /// Whether a back end is ejected because of failures.
     pub fn is_ejected(&self, id: &BackendId) -> bool {
-        let verdict = self.state.borrow().health.availability(id, 0.0, self.now());
-        matches!(verdict, Availability::Ejected { .. })
+        let availability = self.state.borrow().health.availability(id, 0.0, self.now());
+        matches!(availability, Availability::Ejected { .. })
     }
 
     /// The number of nodes as counted by the root, if a recent count is known.
@@ -353,7 +353,7 @@
             gauge("paddlemount_forward_named_age_seconds", target_age(&state, self.now())),
             gauge("paddlemount_forward_log_lines_dropped", self.journal.dropped() as f64),
         ];
-        gauges.into_iter().chain(self.announced_gauges()).collect()
+        gauges.into_iter().chain(self.announcement_gauges()).collect()
     }
 }
 
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     access_log::{HELD_BACK, REFUSED},
-    announcements::spread,
+    announcements::with_jitter,
     answers::{AnswerBody, Reason, Refusal, error_answer, full_body},
     attempts::{AttemptFailure, strip_connection_headers},
     exchange::{Exchange, MIN_ATTEMPT_TIME},
@@ -109,15 +109,16 @@
             Some(Opening { at, per_second: Some(per_second) }) => {
                 self.node.metrics.count(Counter::RefusedForLimits);
                 let schedule = state.retry_schedules.entry(self.service.clone()).or_default();
-                let retry_after = Some(spread(schedule.next(at, per_second, now)));
+                let retry_after = Some(with_jitter(schedule.next(at, per_second, now)));
                 Refusal { reason: Reason::BackendsLimited, retry_after }
             }
-            Some(Opening { at, per_second: None }) => {
-                Refusal { reason: Reason::BackendsRest, retry_after: Some(spread(at.saturating_since(now))) }
-            }
+            Some(Opening { at, per_second: None }) => Refusal {
+                reason: Reason::BackendsRest,
+                retry_after: Some(with_jitter(at.saturating_since(now))),
+            },
             None => match state.refusals.get(&self.service) {
                 Some(refusals) if otherwise == Reason::NotTaken => {
-                    let retry_after = Some(spread(refusals.retry_after(now)));
+                    let retry_after = Some(with_jitter(refusals.retry_after(now)));
                     Refusal { reason: otherwise, retry_after }
                 }
                 _ => otherwise.into(),
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -176,16 +176,16 @@
             peers.gossip.has_pending() || !peers.fleet.children.is_empty()
         });
         let has_updates = has_updates || node.state.borrow().backends.announcements.has_pending_gossip(now);
-        let lacks = node.state.borrow().revision.is_none() || node.history_lost.get();
+        let needs_snapshot = node.state.borrow().revision.is_none() || node.history_lost.get();
         let busy = was_busy || node.running.get() > 0;
         let idle = now.saturating_since(sent_at) < node.settings().bounds.idle_report_interval();
-        has_updates || lacks || busy || !idle
+        has_updates || needs_snapshot || busy || !idle
     }
 
     async fn exchange(&self, node: &Node) {
         let sent_at = node.now();
         self.sent.set(Some((sent_at, node.running.get() > 0)));
-        let Some((report, runs_up_to)) = self.report_of(node) else { return };
+        let Some((report, runs_up_to)) = self.build_report(node) else { return };
         let (sent_updates, revision) = (!report.cache_updates.is_empty(), report.revision);
         let answer: Result<Digest, String> = post(&self.calls, EXCHANGE_PATH, &report, REPORT_TIMEOUT).await;
         node.metrics.observe(Distribution::PeerCall, node.now().saturating_since(sent_at));
@@ -193,19 +193,19 @@
             Ok(digest) => digest,
             Err(problem) => return self.failed(node, problem),
         };
-        let lacks = digest.snapshot || node.state.borrow().revision.is_none();
+        let needs_snapshot = digest.snapshot || node.state.borrow().revision.is_none();
         self.take(node, digest, revision, sent_at);
         self.runs_reported.set(runs_up_to);
         if let Some(peers) = node.peers.as_ref().filter(|_| sent_updates) {
             peers.borrow_mut().gossip.acknowledge();
         }
-        if lacks || node.history_lost.get() {
+        if needs_snapshot || node.history_lost.get() {
             snapshot::fetch(node, &self.calls).await;
         }
     }
 
     /// The report to the parent, and the last run event that it contains.
-    fn report_of(&self, node: &Node) -> Option<(Report, u64)> {
+    fn build_report(&self, node: &Node) -> Option<(Report, u64)> {
         let now = node.now();
         let offered_load = node.demand_per_second();
         let newer_facts =
@@ -242,8 +242,8 @@
             let mut peers = peers.borrow_mut();
             let uplink = &mut peers.fleet.uplink;
             let now = node.now();
-            let under_way = now.saturating_since(sent_at);
-            let root_age = digest.root_age_ms.map(|age| Duration::from_millis(age) + under_way);
+            let round_trip = now.saturating_since(sent_at);
+            let root_age = digest.root_age_ms.map(|age| Duration::from_millis(age) + round_trip);
             if !uplink.update_path(digest.path.clone(), root_age, now) {
                 let problem = "it is a descendant of this node".to_owned();
                 node.journal.log(&Event::ParentFailed { parent: self.parent.node.as_str(), problem });
--- a/crates/forward/src/peers/digest_updates.rs
+++ b/crates/forward/src/peers/digest_updates.rs
@@ -41,14 +41,14 @@
         self.apply_limit_grants(&digest.limits, sent_at);
         self.apply_quarantine_digest(digest.quarantine);
         if let Some(relay) = digest.store {
-            self.take_relay(relay, revision, sent_at);
+            self.apply_relay(relay, revision, sent_at);
         }
         self.receive_newer_facts(&digest.newer_facts);
     }
 
     /// Applies relayed changes of the store. Their proof counts from when the report was sent, less the
     /// proof's age at the other node, so that a delayed answer proves nothing recent.
-    fn take_relay(&self, relay: StoreRelay, revision: Option<Revision>, sent_at: Timestamp) {
+    fn apply_relay(&self, relay: StoreRelay, revision: Option<Revision>, sent_at: Timestamp) {
         let age = Duration::from_millis(relay.age_ms);
         // A node that has lost the store itself relays nothing to act on.
         let is_old = age >= self.settings().bounds.max_relay_age();
--- a/crates/forward/src/peers/newer_facts.rs
+++ b/crates/forward/src/peers/newer_facts.rs
@@ -29,8 +29,8 @@
         let known = self.applied_versions();
         let document = self.document_fact().filter(|_| theirs.document < known.document);
         let weights = self.weights_facts().filter(|_| theirs.weights != known.weights);
-        let lacked: Vec<Fact> = document.into_iter().chain(weights).collect();
-        if lacked.is_empty() { String::new() } else { serde_json::to_string(&lacked).unwrap_or_default() }
+        let missing: Vec<Fact> = document.into_iter().chain(weights).collect();
+        if missing.is_empty() { String::new() } else { serde_json::to_string(&missing).unwrap_or_default() }
     }
 }
 
@@ -46,10 +46,10 @@
     }
 
     /// Applies a neighbour's newer facts. Those older than this node's have no effect.
-    pub(super) fn receive_newer_facts(&self, rising: &str) {
+    pub(super) fn receive_newer_facts(&self, newer_facts: &str) {
         let known = self.state.borrow().revision;
-        let (Some(revision), false) = (known, rising.is_empty()) else { return };
-        if let Some(read) = self.read_facts(rising.as_bytes()) {
+        let (Some(revision), false) = (known, newer_facts.is_empty()) else { return };
+        if let Some(read) = self.read_facts(newer_facts.as_bytes()) {
             self.apply_newer_facts(read.facts, revision);
         }
     }
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -82,8 +82,8 @@
     let leads = node.token().is_some();
     let Some(peers) = &node.peers else { return JoinAnswer::Refused };
     let mut peers = peers.borrow_mut();
-    let knows = leads || peers.fleet.uplink.parent().is_some() || node.state.borrow().revision.is_some();
-    if !knows || node.is_stopping() || peers.fleet.uplink.is_self_or_ancestor(&request.sender.node) {
+    let has_state = leads || peers.fleet.uplink.parent().is_some() || node.state.borrow().revision.is_some();
+    if !has_state || node.is_stopping() || peers.fleet.uplink.is_self_or_ancestor(&request.sender.node) {
         return JoinAnswer::Refused;
     }
     match peers.fleet.children.admit(request, now) {
@@ -143,10 +143,9 @@
         peers.gossip.enqueue(update.clone());
     }
     let child = report.sender.node;
-    let passed_over =
-        state.quotas.receive_report(child.clone(), report.reporting_nodes, report.spending, now);
-    if passed_over > 0 {
-        node.metrics.add(Counter::QuotaReportsIgnored, passed_over as u64);
+    let ignored = state.quotas.receive_report(child.clone(), report.reporting_nodes, report.spending, now);
+    if ignored > 0 {
+        node.metrics.add(Counter::QuotaReportsIgnored, ignored as u64);
     }
     let own = state.chooser.loads.own_work();
     let (cache_updates, cursor) = peers.gossip.since(report.log, report.cursor, peers.fleet.children.len());
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -158,7 +158,7 @@
     let after_ms = node.now().saturating_since(began).as_millis() as u64;
     node.journal.log(&Event::Stopped { running: node.running.get(), after_ms });
     // Requests that are cut off still log their lines.
-    node.grace_is_over.set(true);
+    node.grace_elapsed.set(true);
     stage.send_replace(StopStage::Ended);
     tokio::time::sleep(LOG_FLUSH_TIME).await;
 }
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -214,7 +214,7 @@
     match connection {
         Some(connection) => node.pool.borrow_mut().put(&backend, connection, node.now()),
         None => {
-            node.health(&backend, HealthEvent::Failed, true);
+            node.record_health(&backend, HealthEvent::Failed, true);
             node.pool.borrow_mut().close(&backend);
             broken.into_iter().for_each(|crash| node.record_crash(crash));
         }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -146,7 +146,7 @@
                     let events = self.splitter.push(&data);
                     if !events.is_empty() {
                         self.exchange.record_chunk();
-                        self.first_event();
+                        self.record_first_event();
                         return Some(Ok(events));
                     }
                 }
@@ -227,7 +227,7 @@
         self.exchange.route.target_gap.unwrap_or(STALL_TIMEOUT / STALL_GAPS) * 6 / 5
     }
 
-    fn first_event(&mut self) {
+    fn record_first_event(&mut self) {
         if self.has_event {
             return;
         }
@@ -306,8 +306,8 @@
             return false;
         };
         let failure = AttemptFailure { end: AttemptEnd::Copied, ..failure };
-        let goes_on = self.exchange.decide(&self.choice, &failure) == NextAction::Retry;
-        if !goes_on || self.exchange.held_for().is_some() {
+        let retries = self.exchange.decide(&self.choice, &failure) == NextAction::Retry;
+        if !retries || self.exchange.held_for().is_some() {
             return false;
         }
         let resume = Resume { after: self.splitter.last_id(), continues: Some(run) };
--- a/crates/forward/src/retries.rs
+++ b/crates/forward/src/retries.rs
@@ -63,7 +63,7 @@
         granted.then_some(now)
     }
 
-    /// Settles a retry that has ended, with the time of its draw if it was drawn for.
+    /// Settles the misdirected budget after a retry: `drawn_at` is the time of its draw, if there was one.
     pub fn settle_misdirected_retry(&self, drawn_at: Option<Timestamp>, end: Option<AttemptEnd>) {
         let settings = self.settings();
         let nodes = self.nodes();
--- a/crates/forward/src/settings/mod.rs
+++ b/crates/forward/src/settings/mod.rs
@@ -279,7 +279,7 @@
     }
 
     /// How long changes accumulate between two watches of the store.
-    pub fn gather(&self) -> Duration {
+    pub fn watch_interval(&self) -> Duration {
         Duration::from_millis((self.configuration_ms / 4).clamp(100, 1_000))
     }
 
--- a/crates/forward/src/store_feed.rs
+++ b/crates/forward/src/store_feed.rs
@@ -57,7 +57,7 @@
     Refused(http::StatusCode),
     /// The answer predates the latest restore of the store.
     #[error("an answer from before the store was restored")]
-    OlderCopy,
+    OlderEra,
     /// An answer of another type than the call expects.
     #[error("an answer of an unexpected type")]
     Unexpected,
@@ -79,7 +79,7 @@
     let outcome = match &result {
         Ok(_) => "answered",
         Err(StoreError::Call(_)) => "unclear",
-        Err(StoreError::InvalidAnswer(_) | StoreError::Unexpected | StoreError::OlderCopy) => "misread",
+        Err(StoreError::InvalidAnswer(_) | StoreError::Unexpected | StoreError::OlderEra) => "misread",
         Err(StoreError::Refused(_)) => "refused",
     };
     node.metrics.count(Counter::StoreCalls { purpose: call.purpose(), outcome });
@@ -307,7 +307,7 @@
         let revision = listing.revision.unwrap_or_default();
         let known = self.node.state.borrow().revision;
         if known.is_some_and(|known| known.era() > revision.era()) {
-            return Err(StoreError::OlderCopy);
+            return Err(StoreError::OlderEra);
         }
         // Another node may have relayed more meanwhile.
         if known.is_none_or(|known| known <= revision) {
@@ -327,7 +327,7 @@
         } else if self.node.has_recent_relay() || self.awaits_relay() {
             RELAY_CHECK_INTERVAL
         } else {
-            self.node.settings().bounds.gather()
+            self.node.settings().bounds.watch_interval()
         }
     }
 
--- a/crates/forward/src/unknown_headers.rs
+++ b/crates/forward/src/unknown_headers.rs
@@ -8,7 +8,7 @@
 impl Node {
     /// Counts the unknown headers of an answer of `backend`, and logs each name once. Values are not logged,
     /// because they may be a caller's.
-    pub(crate) fn note_unknown_headers(&self, backend: &BackendId, names: &[HeaderName]) {
+    pub(crate) fn record_unknown_headers(&self, backend: &BackendId, names: &[HeaderName]) {
         for name in names {
             self.metrics.count(Counter::UnknownAnswerHeaders);
             if self.unknown_headers.is_first(name.as_str()) {
