--- a/crates/cli/tests/bad_input.rs
+++ b/crates/cli/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error, and the process lives on.
+//! Invalid input gets a clear error and does not stop the process.
 
 mod support;
 
--- a/crates/cli/tests/claims.rs
+++ b/crates/cli/tests/claims.rs
@@ -1,5 +1,5 @@
-//! Calls that must not be repeated, over real TCP: callers send one key to several nodes at once and again,
-//! while a node is killed; the booking service's ledger is the judge.
+//! An idempotency key runs at most once when callers send it to several nodes concurrently while a node is
+//! killed, as checked by the booking service's ledger.
 
 mod support;
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Peer addresses must be known before the start, as nodes find each other by them.
+/// Nodes find each other by their peer addresses, which must therefore be known before the start.
 fn reserve_addresses() -> Vec<SocketAddr> {
     (0..NODES).map(|_| free_address().unwrap()).collect()
 }
@@ -77,7 +77,7 @@
         let nodes: Vec<Process> = (0..NODES).map(start).collect();
         nodes.iter().for_each(support::wait_ready);
         let cluster = Self { _store: store, _list: list, booking, nodes };
-        // Fresh replicas refuse keys that were made before or shortly after their start.
+        // New replicas refuse keys created before or shortly after their start.
         support::wait_until("keys are granted", || {
             cluster.book(0, &key(u64::MAX >> 16), "warm").status == 200
         });
@@ -96,7 +96,7 @@
     support::post(address, "/v1/services/booking/charge", &headers, &body)
 }
 
-/// A UUID of version 7 that is made now.
+/// Creates a UUIDv7 with the current time.
 fn key(number: u64) -> String {
     let milliseconds = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
     let number = number & 0xffff_ffff_ffff;
@@ -151,7 +151,7 @@
     }
 }
 
-/// Sends a key to all nodes at once, some rounds over; the bodies of all whole answers.
+/// Sends a key to all nodes concurrently in several rounds and returns the bodies of successful answers.
 fn send_to_all(nodes: &[SocketAddr], key: &str, contract: &str) -> Vec<Value> {
     let mut bodies = Vec::new();
     for _ in 0..ROUNDS {
--- a/crates/cli/tests/ctl.rs
+++ b/crates/cli/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! `paddlemount ctl` against a node in this process.
+//! `paddlemount ctl` against an in-process node.
 
 #[path = "../../node/tests/admin/support.rs"]
 #[allow(dead_code)]
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -1,4 +1,4 @@
-//! Endings of streams while engines fail, and new work for engines that leave.
+//! Streams while engines fail, and placement while engines drain.
 
 mod support;
 
@@ -15,7 +15,7 @@
     post, read_answer, send, set_faults, state_of, wait_until,
 };
 
-/// Slow enough that a test can act while an answer is under way.
+/// Slow enough to act while an answer is in progress.
 const SLOW_STEP_MS: f64 = 20.0;
 
 fn slow_cluster(engines: usize, extra: &str) -> Cluster {
@@ -30,7 +30,7 @@
     send(address, "POST", "/v1/chat/completions", &all, &serde_json::to_vec(request).unwrap())
 }
 
-/// The engine that runs a request, once it has generated something.
+/// Waits until an engine runs a request and has generated tokens, and returns its index.
 fn running_engine(cluster: &Cluster) -> usize {
     let mut found = None;
     wait_until("an engine runs the request", || {
@@ -39,13 +39,13 @@
         });
         found.is_some()
     });
-    // A few tokens later the answer is under way.
+    // Wait for a few tokens.
     std::thread::sleep(std::time::Duration::from_millis(150));
     found.unwrap()
 }
 
 fn running(engine: &Process) -> u64 {
-    // The load report lags; streams that are held do not.
+    // Unlike the load report, the number of streams does not lag.
     state_of(engine)["streams"].as_u64().unwrap()
 }
 
@@ -75,7 +75,7 @@
     let cluster = Cluster::start(1, 1, "");
     set_faults(&cluster.engines[0], &json!({ "replies": { "lose_next_replies": 1 } }));
     let messages = conversation("a lost reply");
-    // The status poll may take the one fault; the answer is right either way.
+    // The status poll may consume the fault; the answer must be correct in either case.
     let address = cluster.nodes[0].address("callers");
     check_stream(&chat(address, &body(&messages, true, 20)), &messages, 20);
     assert_eq!(accepted(&cluster.engines[0]), 1);
@@ -119,7 +119,7 @@
     assert_eq!(
         cluster.engines.iter().map(accepted).sum::<u64>(),
         0,
-        "the crash began a new life; nobody ran it again"
+        "the crash started a new incarnation and no engine ran it again"
     );
 }
 
@@ -157,7 +157,9 @@
     let stream = begin(&cluster, &[], &body(&conversation("a caller leaves"), true, 152));
     running_engine(&cluster);
     drop(stream);
-    wait_until("the engine is told", || state_of(&cluster.engines[0])["counters"]["cancelled"] == 1);
+    wait_until("the engine receives the cancellation", || {
+        state_of(&cluster.engines[0])["counters"]["cancelled"] == 1
+    });
 }
 
 #[test]
@@ -173,7 +175,7 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// Tells the engine that serves a conversation to leave, and checks that it gets nothing new.
+/// Drains the engine that serves a conversation and checks that it receives no new requests.
 fn check_leaving(announce: impl Fn(&Cluster, usize)) {
     let cluster = Cluster::start(2, 1, "");
     let address = cluster.nodes[0].address("callers");
@@ -184,7 +186,7 @@
     send_turn(0);
     let leaving = cluster.engines.iter().position(|engine| accepted(engine) == 1).unwrap();
     announce(&cluster, leaving);
-    // The bound that operators are promised.
+    // The documented bound after which a draining engine receives no new requests.
     std::thread::sleep(std::time::Duration::from_secs(3));
     (1..=10).for_each(send_turn);
     assert_eq!(accepted(&cluster.engines[leaving]), 1);
--- a/crates/cli/tests/forward/announced.rs
+++ b/crates/cli/tests/forward/announced.rs
@@ -1,13 +1,5 @@
-//! What back ends say of themselves in their answers holds at the node that got the answer, whatever the registry says.
-//!
-//! The store was away from 6.5 s to 20.15 s. An engine that left at 7.5 s said so in its answers, and could not write it into the
-//! registry. A node that had passed on such an answer at 7.913 s sent it a request at 10.032 s, 2,119 ms later where 2,000 are
-//! allowed, and another at 20.200 s: for as long as the store was away all nodes counted 18 candidates of 18, and no line told
-//! of the engine. Answers were read for everything but this.
-//!
-//! Beside it engines refused requests and asked for 3 s without any. One got the seventh from the same node 1.4 s later: of 223
-//! refusals over 35 pairs of node and engine 186 came 250 ms to 3 s after the one before, and 2 sooner. A fixed pause of 250 ms
-//! stood for the time that was asked for, and where all engines paused even that was passed over.
+//! Draining and back-off announced in answers apply at the receiving node regardless of the registry, even during an outage of
+//! the store.
 
 use std::time::{Duration, Instant};
 
@@ -20,18 +12,18 @@
 
 use crate::router::{CallerResponse, DRAIN_TIMEOUT, Router, gauge};
 
-/// The time without requests that back ends of these tests ask for.
+/// The back-off that back ends request.
 const BACK_OFF: Duration = Duration::from_secs(3);
 const BACK_OFF_TEXT: &str = "3";
-/// Until this time after its answer a request that was on its way may still reach a back end.
+/// How long requests in flight may still arrive after an announcement.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
-/// Requests that a test sends at once to reach all back ends of a service.
+/// Concurrent requests, enough to reach all back ends of a service.
 const CONCURRENT_REQUESTS: usize = 6;
 /// Longer than any test.
 const ALWAYS: Duration = Duration::from_secs(600);
-/// The pause between two requests of a test.
+/// Pause between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// How long requests are sent after the moment from which none may arrive.
+/// How long callers go on after the time from which no request may arrive.
 const OBSERVATION_TIME: Duration = Duration::from_millis(1_500);
 
 async fn cluster() -> Cluster {
@@ -45,7 +37,7 @@
     router.send(path, &id).await.expect("an answer")
 }
 
-/// Sends requests for a while, a few at once so that all back ends get some; the answers.
+/// Sends concurrent requests for a while and returns the responses.
 async fn send_for(router: &Router, path: &str, length: Duration) -> Vec<CallerResponse> {
     let until = Instant::now() + length;
     let mut answers = Vec::new();
@@ -56,8 +48,8 @@
     answers
 }
 
-/// Sends requests, a few at once so that all get some, until a runner has answered one since it says that it leaves, or wants
-/// none; when that was.
+/// Sends concurrent requests until a runner has announced draining or a back-off in an answer, and returns the time of that
+/// answer.
 async fn send_until_announced(router: &Router, path: &str, runner: &Runner) -> Instant {
     let first_announcement =
         || runner.seen().into_iter().find(|seen| seen.announced_leaving || seen.retry_after.is_some());
@@ -70,13 +62,13 @@
     first_announcement().expect("an answer with the announcement").at
 }
 
-/// When requests reached a runner after `from`.
+/// Times after `from` at which requests arrived at a runner.
 fn arrivals_after(runner: &Runner, from: Instant) -> Vec<Duration> {
     let after = runner.seen().into_iter().filter(|seen| seen.at > from);
     after.map(|seen| seen.at.saturating_duration_since(from)).collect()
 }
 
-/// Lines of one event.
+/// Log lines of one event.
 fn lines_of(router: &Router, event: &str) -> Vec<Value> {
     let parsed = router.lines().into_iter().filter_map(|line| serde_json::from_str::<Value>(&line).ok());
     parsed.filter(|line| line["event"] == event).collect()
@@ -98,7 +90,7 @@
     let late = arrivals_after(&runner, announced_at + DRAIN_TIMEOUT);
     assert!(late.is_empty(), "requests reached it so long after the timeout: {late:?}");
     assert!(all_ok(&answers), "the others serve");
-    assert_eq!(lines_of(&router, "backend_leaving").len(), 1, "one line tells of it");
+    assert_eq!(lines_of(&router, "backend_leaving").len(), 1, "it is logged once");
 }
 
 #[tokio::test]
@@ -118,7 +110,7 @@
     let runner = &cluster.bookings[0];
     runner.announce_leaving();
     let announced_at = send_until_announced(&router, "/quote/1", runner).await;
-    // Entries that were written before it left: one changed, one that comes anew after a lapse.
+    // Outdated entries: one that changes, and one that is registered again after a lapse.
     cluster.change_slots(runner, 9);
     send_for(&router, "/quote/1", DRAIN_TIMEOUT / 2).await;
     cluster.unregister(runner);
@@ -160,7 +152,12 @@
         announced_at.push(send_until_announced(&router, "/quote/1", runner).await);
     }
     let first = send(&router, "/quote/1").await;
-    assert_eq!(first.status, StatusCode::OK, "nobody else is left, and they serve: {}", first.body);
+    assert_eq!(
+        first.status,
+        StatusCode::OK,
+        "draining back ends serve if there are no others: {}",
+        first.body
+    );
     send_for(&router, "/quote/1", DRAIN_TIMEOUT).await;
     let answers = send_for(&router, "/quote/1", OBSERVATION_TIME / 2).await;
     for response in &answers {
@@ -175,7 +172,7 @@
 
 #[tokio::test]
 async fn other_nodes_are_told_of_a_back_end_that_leaves() {
-    // Both nodes have their own answers in time only where both send requests: this one sends none.
+    // The first node sends no requests, so it can learn of the announcement only from the other node.
     let cluster = cluster().await;
     let first = Router::start_at(cluster.store_address, "node-0").await;
     first.until("leading", async || gauge(&first, "paddlemount_forward_leads").await == Some(1.0)).await;
@@ -198,7 +195,7 @@
 
 #[tokio::test]
 async fn an_engine_whose_report_says_that_it_leaves_is_loaded_with_nothing_and_gets_no_work() {
-    // No request reaches it: the leader hears it in place of an order's answer.
+    // The engine gets no requests; the leader receives the announcement with the answer to an order.
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
@@ -214,7 +211,7 @@
     assert!(arrivals_after(engine, before).is_empty());
 }
 
-/// Requests that reached a runner in the rest that it asked for at `told`, less those that may have been on their way.
+/// Requests that arrived at a runner during its back-off, except those that can have been in flight.
 fn arrivals_in_back_off(runner: &Runner, announced_at: Instant) -> Vec<Duration> {
     let arrivals = arrivals_after(runner, announced_at);
     arrivals.into_iter().filter(|after| *after >= IN_FLIGHT_ALLOWANCE && *after < BACK_OFF).collect()
@@ -228,7 +225,7 @@
     runner.reject_requests(BACK_OFF_TEXT, ALWAYS);
     let announced_at = send_until_announced(&router, "/claim/1", runner).await;
     let backing_off = gauge(&router, "paddlemount_forward_backends_resting").await;
-    assert_eq!(backing_off, Some(1.0), "a metric tells");
+    assert_eq!(backing_off, Some(1.0), "a metric counts it");
     let answers = send_for(&router, "/claim/1", BACK_OFF).await;
     assert!(all_ok(&answers), "the others serve");
     assert_eq!(arrivals_in_back_off(runner, announced_at), Vec::<Duration>::new());
@@ -262,11 +259,11 @@
         let rounded = Duration::from_millis(150);
         assert!(
             retry_after + rounded >= remaining,
-            "{retry_after:?} is before the rest's end in {remaining:?}"
+            "{retry_after:?} is before the end of the back-off in {remaining:?}"
         );
         assert!(
             retry_after <= remaining * 3 / 2 + rounded,
-            "{retry_after:?} is long after the rest's end in {remaining:?}"
+            "{retry_after:?} is long after the end of the back-off in {remaining:?}"
         );
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
@@ -290,7 +287,7 @@
     let last = *announced_at.iter().max().expect("engines");
     tokio::time::sleep_until((last + IN_FLIGHT_ALLOWANCE).into()).await;
     assert!(all_ok(&send_for(&router, "/claim/1", Duration::from_millis(500)).await));
-    // It refuses as well now, without a word on when to come back: nobody else may be asked in its place.
+    // Even if the remaining engine sheds requests without a back-off, those that back off must not get retries.
     cluster.engines[0].script(&[Behaviour::Sheds; 12]);
     for _ in 0..12 {
         assert_eq!(send(&router, "/claim/1").await.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -320,7 +317,7 @@
         };
         router.until("asked again", again).await;
     }
-    assert_eq!(lines_of(&router, "rest_unreadable").len(), 3, "a line tells of each that cannot be read");
+    assert_eq!(lines_of(&router, "rest_unreadable").len(), 3, "each invalid value is logged");
 }
 
 #[tokio::test]
--- a/crates/cli/tests/forward/belief.rs
+++ b/crates/cli/tests/forward/belief.rs
@@ -1,4 +1,4 @@
-//! What a node believes of its configuration, back ends and weights, and what follows from it.
+//! A node's view of its configuration, back ends and weights, and its effects.
 
 use http::StatusCode;
 use paddlemount_platform_standin::{Cluster, Runner, cluster::KEY, store::StoreFault};
--- a/crates/cli/tests/forward/budget.rs
+++ b/crates/cli/tests/forward/budget.rs
@@ -1,4 +1,4 @@
-//! What back ends get beside the first try of each request: repeats, and requests meant for processes that are gone.
+//! Retries and misdirected requests that back ends receive beyond the first attempt of each request.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 
 use crate::router::{Router, gauge};
 
-/// Requests that a test sends one after the other.
+/// Number of sequential requests in a test.
 const REQUESTS: usize = 30;
-/// Repeats that a node alone may make beside its requests' share: half of the slack in the router's settings.
+/// Retries that a single node may make beyond its percentage: half of the configured slack.
 const RETRY_SLACK_ALONE: u64 = 28;
 
-/// Addresses that are held, and on which nobody listens.
+/// Binds sockets without listening, so that their addresses refuse connections.
 fn closed_addresses(count: usize) -> Vec<TcpSocket> {
     let closed = || {
         let socket = TcpSocket::new_v4().expect("a socket");
@@ -24,15 +24,13 @@
     (0..count).map(|_| closed()).collect()
 }
 
-/// Lines of one event.
+/// Log lines of one event.
 fn lines_of(router: &Router, event: &str) -> Vec<Value> {
     let parsed = router.lines().into_iter().filter_map(|line| serde_json::from_str::<Value>(&line).ok());
     parsed.filter(|line| line["event"] == event).collect()
 }
 
-/// When 90 of 100 engines crashed at once, requests were placed up to five times on engines that refused connections, and
-/// each placement counted as a new request: 4,102 connections were refused, and 856 requests met four of them. The budget
-/// grew by five shares a request, and 535 repeats reached the engines where 430 were allowed.
+/// A request that meets several refused connections must add to the retry budget only once.
 #[tokio::test]
 async fn a_request_earns_its_share_of_repeats_once_however_many_connections_are_refused() {
     let cluster = Cluster::start().await.expect("the cluster starts");
@@ -52,16 +50,13 @@
     assert!(ended.len() > REQUESTS, "requests were placed more than once: {}", ended.len());
     let max = RETRY_SLACK_ALONE + REQUESTS as u64 / 5;
     let left: Vec<u64> = ended.iter().filter_map(|line| line["budget_left"].as_u64()).collect();
-    // Nine tenths of the share are used, and half of these at once.
+    // The node uses nine tenths of the percentage, half of them at once.
     let earned = RETRY_SLACK_ALONE + REQUESTS as u64 * 9 / 100;
     assert_eq!(left.last(), Some(&earned), "each request earns: {left:?}");
     assert!(left.iter().all(|left| *left <= max), "{left:?} for {REQUESTS} requests, {max} were earned");
 }
 
-/// When half of the engines had ended for good and their addresses had gone to another service, their entries still stood:
-/// 747 requests reached the wrong process over 125 pairs of node and back end, up to 29 a pair. When 90 of 100 engines came
-/// back under new identities at their old addresses, one node asked one of those that were gone 88 times. Each of these is
-/// an arrival at a service that may be allowed hardly any.
+/// A stale entry whose address belongs to another process must receive at most one request per node.
 #[tokio::test]
 async fn a_back_end_whose_address_another_process_has_is_asked_once_at_most() {
     let cluster = Cluster::start().await.expect("the cluster starts");
@@ -89,8 +84,7 @@
     assert!(ran > 0, "the process that has the address gets work of its own");
 }
 
-/// One request went on from one wrong address to the next, to four of them: where half of the addresses had been taken over,
-/// the next one was wrong as often as the first.
+/// A request that meets a wrong address must be retried at most once.
 #[tokio::test]
 async fn a_request_goes_on_from_a_wrong_address_once_and_is_refused_then() {
     let cluster = Cluster::start().await.expect("the cluster starts");
@@ -121,8 +115,8 @@
     router.until("serving", served).await;
 }
 
-/// Where the budget of a service began with the first answer, a node's first request waited for a silent back end to its end.
-/// Which of two instances that request goes to is drawn: several nodes are asked.
+/// The first request of a node must be able to leave an unresponsive back end, so the budget must not start at zero. Several
+/// nodes are started because the choice of the instance is random.
 #[tokio::test]
 async fn the_first_request_of_a_node_may_leave_a_silent_back_end() {
     let cluster = Cluster::start().await.expect("the cluster starts");
--- a/crates/cli/tests/forward/delivery.rs
+++ b/crates/cli/tests/forward/delivery.rs
@@ -1,11 +1,11 @@
-//! What callers and back ends see of single requests.
+//! Delivery of single requests as observed by callers and back ends.
 
 use http::StatusCode;
 use paddlemount_platform_standin::{Behaviour, Cluster, Runner, cluster::KEY};
 
 use crate::router::Router;
 
-/// The events of a whole stream.
+/// The events of a complete stream.
 pub const COMPLETE_STREAM: &str = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n\
                             id: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\n";
 
@@ -16,7 +16,7 @@
     (cluster, router)
 }
 
-/// The next requests go to whichever back end is chosen: all of them are told to behave the same way.
+/// Scripts all back ends alike, since the choice among them is random.
 fn script_all(runners: &[Runner], behaviours: &[Behaviour]) {
     for runner in runners {
         runner.script(behaviours);
@@ -106,7 +106,7 @@
         cluster.bookings[0].script(&[behaviour]);
         cluster.bookings[1].script(&[]);
         let mut tries = 0;
-        // Either back end may be chosen first; some request meets the one that misbehaves.
+        // The choice is random, so repeat until some request meets the faulty back end.
         while cluster.bookings[0].seen().len() <= tries / 8 && tries < 40 {
             let response = router.send("/quote/1", &format!("{id}-{tries}")).await.expect("an answer");
             assert_eq!(response.status, StatusCode::OK, "{}", response.body);
@@ -118,8 +118,7 @@
 #[tokio::test]
 async fn a_resumable_stream_goes_on_behind_the_last_whole_event() {
     let (cluster, router) = cluster_and_router().await;
-    // Each of the requests may meet the engine that breaks off. A node that does not know yet that it is alone allows
-    // itself two retries beside the share of its requests, one that knows it 28.
+    // Each request may need a retry. Before a node knows that it is alone, its retry budget is 2 instead of 28.
     router
         .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
         .await;
--- a/crates/cli/tests/forward/ending.rs
+++ b/crates/cli/tests/forward/ending.rs
@@ -1,4 +1,4 @@
-//! Planned stops, losses of all nodes, and connections that end by themselves.
+//! Graceful shutdown, loss of all nodes, and connections that time out.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 use crate::{raw_caller::RawCaller, router::Router};
 
-/// A key that the operator takes away.
+/// A key that the operator removes.
 const REMOVED_KEY: &str = "key-that-goes";
 
 #[tokio::test]
@@ -55,7 +55,7 @@
         for router in &routers {
             router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         }
-        // The store has it, and perhaps no node has heard of it yet.
+        // The store has accepted it, and possibly no node has observed it yet.
         let keys: &[&str] = if version % 2 == 0 { &[KEY] } else { &[KEY, REMOVED_KEY] };
         cluster.configure(version, keys);
         for router in &routers {
@@ -84,15 +84,13 @@
     router.until("closed", closed).await;
 }
 
-/// Whether a process runs; one that has ended and that nobody has asked for does not.
+/// Returns whether a process runs; a zombie does not.
 fn runs(process: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{process}/stat"));
     status.is_ok_and(|status| !status.rsplit(')').next().is_some_and(|rest| rest.trim().starts_with('Z')))
 }
 
-/// Nodes of a test that was killed lived on, and called the address of its store 13 times a second. When the address went to a
-/// back end of another test, that one got 84 calls that no caller had sent, among them {"ttlMs":3000}, the body by which a node
-/// asks the store for a lease.
+/// Nodes that outlive a killed test would send requests to addresses that other tests use by then.
 #[test]
 fn a_node_ends_with_the_test_that_started_it_also_where_nobody_stops_it() {
     let test = std::thread::spawn(|| {
--- a/crates/cli/tests/forward/fleet.rs
+++ b/crates/cli/tests/forward/fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes that tell each other what they know, as processes over loopback TCP.
+//! Gossip between nodes, as processes over loopback TCP.
 
 use http::StatusCode;
 use paddlemount_platform_standin::{
@@ -9,7 +9,7 @@
 
 use crate::router::{Router, gauge};
 
-/// Three nodes, each with its own way to the store, that know of each other.
+/// Starts three nodes that know of each other, each with its own link to the store.
 pub async fn fleet() -> (Cluster, Vec<Proxy>, Vec<Router>) {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
@@ -25,21 +25,21 @@
     (cluster, links, routers)
 }
 
-/// All calls to the store, whatever they were for and however they ended.
+/// Number of calls to the store, for any purpose and with any outcome.
 async fn store_calls(router: &Router) -> f64 {
     let text = router.fetch_metrics().await;
     let lines = text.lines().filter(|line| line.starts_with("paddlemount_forward_store_calls_total"));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-/// The number of the node that leads.
+/// Index of the leader.
 async fn leader(routers: &[Router]) -> usize {
     for (number, router) in routers.iter().enumerate() {
         if gauge(router, "paddlemount_forward_leads").await == Some(1.0) {
             return number;
         }
     }
-    panic!("nobody leads");
+    panic!("there is no leader");
 }
 
 #[tokio::test]
@@ -165,11 +165,11 @@
     let more = async || gauge(follower, reports).await.unwrap_or_default() >= reported + 15.0;
     follower.until("reporting", more).await;
     let called = store_calls(follower).await - before;
-    // The watch that was under way when the others were first heard may still end.
+    // A watch that started before the first gossip may still complete.
     assert!(called <= 1.0, "{called} calls to the store in 15 reports");
 }
 
-/// Calls of one purpose to the store, however they ended.
+/// Number of calls to the store for one purpose, with any outcome.
 async fn calls_for(router: &Router, purpose: &str) -> f64 {
     let text = router.fetch_metrics().await;
     let label = format!("purpose=\"{purpose}\"");
@@ -190,9 +190,7 @@
 
 #[tokio::test]
 async fn a_document_of_thousands_of_tenants_is_passed_on_and_fetched_by_one() {
-    // Answers of the store over 128 KB used to be passed on by nobody: each of a thousand nodes then fetched the document
-    // at the same moment, no call ended within its patience, and from the fifth second on every request was refused
-    // (`configuration_too_old`, 25,466 tries) by a fleet that never came back.
+    // Large answers of the store must be relayed too, or all nodes fetch the document at once and overload the store.
     let (cluster, _links, routers) = fleet().await;
     let leader = leader(&routers).await;
     let follower = &routers[(leader + 1) % routers.len()];
@@ -200,14 +198,13 @@
     cluster.configure_with_tenants(2, &["another-key"], 4_000);
     until_served_by(follower, "another-key").await;
     let called = store_calls(follower).await - before;
-    // The watch that was under way when the others were first heard may still end.
+    // A watch that started before the first gossip may still complete.
     assert!(called <= 1.0, "{called} calls to the store for one document");
 }
 
 #[tokio::test]
 async fn where_the_store_forgets_its_history_the_root_alone_lists_it() {
-    // A listing of the root used to clear what it passed on, so that all nodes listed the whole store at once: fifty pages
-    // for each of a thousand nodes.
+    // A listing by the root must not clear what it relays, or all nodes list the complete store at once.
     let (cluster, _links, routers) = fleet().await;
     let leader = leader(&routers).await;
     let mut listed = Vec::new();
@@ -227,7 +224,7 @@
 
 #[tokio::test]
 async fn where_the_root_is_cut_off_from_a_store_that_forgets_the_others_go_on_by_themselves() {
-    // They used to take the snapshot of the root, which is older than what they know, again and again.
+    // The nodes must not keep fetching the root's snapshot, which is older than what they know.
     let (cluster, links, routers) = fleet().await;
     let cut_off = leader(&routers).await;
     links[cut_off].set(LinkFault::Silent);
@@ -249,7 +246,7 @@
     cluster.store.set_page_size(2);
     let started = Router::start_at(cluster.store_address, "node-9").await;
     let taken = async || gauge(&started, "paddlemount_forward_snapshots_taken_total").await == Some(1.0);
-    started.until("told the rest", taken).await;
+    started.until("given the other pages", taken).await;
     until_served_by(&started, KEY).await;
     assert_eq!(calls_for(&started, "list").await, 2.0, "the store has more pages than that");
     let counted = async || gauge(&started, "paddlemount_forward_nodes").await == Some(4.0);
--- a/crates/cli/tests/forward/limit_judge.rs
+++ b/crates/cli/tests/forward/limit_judge.rs
@@ -1,4 +1,4 @@
-//! Whether back ends get more requests than the limit that they have named, summed over the nodes that it was told to.
+//! Checks the requests of all informed nodes together against the limits that back ends advertise.
 
 use std::{
     collections::BTreeMap,
@@ -7,59 +7,57 @@
 
 use paddlemount_platform_standin::Runner;
 
-/// From how long after a back end first named a limit its requests are counted.
+/// How long after the first advertisement of a limit it is enforced by this check.
 pub const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// The window in which requests are counted.
+/// The window over which requests are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
-/// How long after a node has passed on an answer with a limit it is bound by it.
+/// How long after passing on an answer with a limit a node is bound by it.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
-/// How many times what a limit allows may come in a window.
+/// Factor by which a window may exceed the limit.
 const TOLERANCE_FACTOR: f64 = 1.5;
-/// Requests that may come beside.
+/// Additional requests allowed per window.
 const TOLERANCE_REQUESTS: f64 = 5.0;
 
-/// A request that reached a back end.
+/// A request that arrived at a back end.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// The node that sent it.
+    /// The node that forwarded the request.
     pub node: usize,
-    /// When it came.
+    /// When the request arrived.
     pub at: Instant,
-    /// How often the back end had started again.
+    /// Number of earlier restarts of the back end.
     pub starts: u32,
-    /// The requests a second that its answer names.
+    /// The limit advertised by the answer, in requests per second.
     pub limit: Option<f64>,
-    /// Whether the node passed that answer on.
+    /// Whether the node passed the answer on.
     pub passed_on: bool,
 }
 
-/// A window with too many requests.
+/// A window with more requests than allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Exceeded {
-    /// Its end.
     pub at: Instant,
-    /// The limit.
     pub limit: f64,
-    /// Requests in it.
+    /// Number of requests in the window.
     pub received: usize,
 }
 
-/// The requests that may come in a window.
+/// Returns the number of requests allowed in a window.
 pub fn allowed(limit: f64) -> f64 {
     TOLERANCE_FACTOR * limit * WINDOW.as_secs_f64() + TOLERANCE_REQUESTS
 }
 
-/// A limit that a back end names from a moment on; none where it names none.
+/// The limit that a back end advertises from an instant on, or `None` for no limit.
 pub type AdvertisedLimit = (Instant, Option<f64>);
 
-/// The limits that a runner has named.
+/// Returns the limits that a runner has advertised.
 pub fn advertised_by(runner: &Runner) -> Vec<AdvertisedLimit> {
     let read = |(at, text): (Instant, Option<String>)| (at, text.and_then(|text| text.parse().ok()));
     runner.limits().into_iter().map(read).collect()
 }
 
-/// Windows in which one back end got more than it may, by the arrivals there in order of time. `is_excused` tells whether a node
-/// was out of touch at any moment from one to another.
+/// Returns the windows in which one back end received too many requests; `arrivals` are in order of time. `is_excused` returns
+/// whether a node was disconnected at any time in an interval.
 pub fn exceeded(
     arrivals: &[Arrival],
     advertised: &[AdvertisedLimit],
@@ -75,14 +73,14 @@
         .collect()
 }
 
-/// Since when a limit has been named at `at`, without a break.
+/// The time since which a limit has been advertised without interruption at `at`.
 fn limited_since(advertised: &[AdvertisedLimit], at: Instant) -> Option<Instant> {
     let before: Vec<&AdvertisedLimit> = advertised.iter().take_while(|(from, _)| *from <= at).collect();
     let since = before.iter().rev().take_while(|(_, limit)| limit.is_some()).last();
     since.map(|(from, _)| *from)
 }
 
-/// The greatest limit that was named at any time from one moment to another.
+/// The highest limit advertised at any time in an interval.
 fn max_limit(advertised: &[AdvertisedLimit], from: Instant, to: Instant) -> f64 {
     let ends = advertised.iter().skip(1).map(|(at, _)| Some(*at)).chain([None]);
     let held =
@@ -103,7 +101,7 @@
         let from = end.at - WINDOW;
         let in_window: Vec<_> =
             arrivals.iter().filter(|one| one.at > from && one.at <= end.at).copied().collect();
-        // A node is bound by another limit as late as by the first one.
+        // A changed limit takes as long to propagate as the first one.
         let limit = max_limit(advertised, from - PROPAGATION_TIME, end.at);
         let is_bound = |node: usize| {
             let passed_limit_on = |one: &&Arrival| {
@@ -160,7 +158,7 @@
     #[test]
     fn one_request_over_what_is_allowed_is_found_from_the_time_of_contact_on() {
         let start = Instant::now();
-        // A limit of 1 allows 11.
+        // A limit of 1 allows 11 requests.
         let mut times: Vec<(usize, u64)> = (0..11).map(|number| (number % 2, number as u64)).collect();
         times.push((0, 2_999));
         assert_eq!(exceeded(&arrivals(start, Some(1.0), &times), &one(start), never), []);
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that back ends name in their answers, in requests a second from all nodes together.
+//! Limits that back ends advertise in their answers, in requests per second from all nodes together.
 
 use std::time::{Duration, Instant};
 
@@ -13,18 +13,18 @@
 };
 
 const NODES: usize = 3;
-/// Callers of each node, each with one request at a time.
+/// Callers per node, each with one request at a time.
 const CALLERS: usize = 2;
-/// The pause of a caller between two requests.
+/// Pause of a caller between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// How long requests go on after a limit was named: four windows, the first of which may pass without any request.
+/// How long callers go on after a limit is advertised: four windows, the first of which may have no requests.
 const OBSERVATION_TIME: Duration = Duration::from_secs(16);
-/// A request that is refused at once is answered long before this; one that waits for a slot is so at its deadline, 3.5 s.
+/// Bound for immediate refusals; a request that waits for a slot is refused at its deadline of 3.5 s.
 const MAX_REFUSAL_DELAY: Duration = Duration::from_millis(1_750);
-/// A path that model engines serve.
+/// A path served by model engines.
 const PATH: &str = "/claim/1";
 
-/// What a caller got, and how long that took.
+/// A response and its latency.
 struct TimedResponse {
     response: CallerResponse,
     after: Duration,
@@ -56,7 +56,7 @@
         nodes
     }
 
-    /// Sends requests to some nodes until a moment; what their callers got.
+    /// Sends requests to some nodes until an instant and returns the responses.
     async fn send_until(&self, nodes: &[usize], until: Instant) -> Vec<TimedResponse> {
         let callers = nodes.iter().flat_map(|node| (0..CALLERS).map(move |caller| (*node, caller)));
         let calls = callers.map(async |(node, caller)| {
@@ -77,7 +77,7 @@
         self.send_until(&[0, 1, 2], Instant::now() + length).await
     }
 
-    /// Sends requests to all nodes until something is so.
+    /// Sends requests to all nodes until a condition holds.
     async fn send_until_met(&self, what: &str, is_met: impl Fn() -> bool) {
         let sends = async || {
             self.send_for(REQUEST_INTERVAL).await;
@@ -86,7 +86,7 @@
         self.routers[0].until(what, sends).await;
     }
 
-    /// Log lines of one event, of all nodes.
+    /// Log lines of one event from all nodes.
     fn lines_of(&self, event: &str) -> Vec<Value> {
         let lines = self.routers.iter().flat_map(Router::lines);
         let parsed = lines.filter_map(|line| serde_json::from_str::<Value>(&line).ok());
@@ -94,7 +94,7 @@
     }
 }
 
-/// The node that a request went to, by its identity.
+/// The node that received a request, from the request's identifier.
 fn node_of(id: &str) -> usize {
     id.split('-').next().and_then(|node| node.parse().ok()).unwrap_or(NODES)
 }
@@ -118,14 +118,14 @@
     runner.seen().iter().filter(|seen| seen.at > from).count()
 }
 
-/// The most requests that reached a back end in one window that begins after `from`.
+/// Maximum number of requests that a back end received in one window after `from`.
 fn max_in_window(runner: &Runner, from: Instant) -> usize {
     let times: Vec<Instant> = runner.seen().iter().map(|seen| seen.at).filter(|at| *at > from).collect();
     let within = |start: &Instant| times.iter().filter(|at| *at >= start && **at < *start + WINDOW).count();
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// An engine that had named 1.1 requests a second got 15 in 4 s from nodes that had passed on its answers; 12 were allowed.
+/// The limit applies to the sum over all nodes that have passed on an answer with it.
 #[tokio::test]
 async fn a_back_end_gets_no_more_than_the_limit_that_it_names_from_all_nodes_together() {
     let nodes = Nodes::start().await;
@@ -153,7 +153,7 @@
         assert_eq!(exceeded_at(engine), 0, "{}: windows with too many requests", engine.id());
     }
     let refused: Vec<_> = answers.iter().filter(|answer| answer.response.status != StatusCode::OK).collect();
-    assert!(!refused.is_empty(), "callers ask for more than the limits allow");
+    assert!(!refused.is_empty(), "the offered load exceeds the limits");
     for answer in refused {
         assert_eq!(answer.response.status, StatusCode::SERVICE_UNAVAILABLE, "{}", answer.response.body);
         assert!(answer.response.headers.contains_key(header::RETRY_AFTER));
@@ -180,7 +180,7 @@
     let max = max_in_window(runner, limited_at);
     assert!(max as f64 <= allowed(0.5), "{max} requests in one window");
     let others = nodes.lines_of("backend_limited").into_iter().filter(|line| line["heard"] == "told").count();
-    assert!(others >= 1, "other nodes were told");
+    assert!(others >= 1, "other nodes were informed");
 }
 
 #[tokio::test]
--- a/crates/cli/tests/forward/main.rs
+++ b/crates/cli/tests/forward/main.rs
@@ -1,4 +1,4 @@
-//! Forwarded routes through a real process, against stand-ins of the platform.
+//! Forwarding nodes as processes, against stand-ins of the platform.
 
 mod announced;
 mod belief;
--- a/crates/cli/tests/forward/planned_soak.rs
+++ b/crates/cli/tests/forward/planned_soak.rs
@@ -1,11 +1,5 @@
-//! Randomized planned work over real processes: stops, signals, changes of settings and configuration, new weights and
-//! back ends that leave, in series that overlap. Nothing fails meanwhile, or nothing but the store, so each request ends with
-//! a whole answer. Callers hold on to their connections until the node closes them or says that it will.
-//!
-//! The one thing that cannot be kept out is a request that crosses the node's close of a connection that rests; the node
-//! tells each of them by `closed_unread`, and whatever has no such line is wrong.
-//!
-//! CI plays the seeds below for some seconds each. By hand, with a fresh seed and more nodes:
+//! Randomized planned operations over real processes, during which every request must receive a complete answer. The only
+//! exceptions are requests that cross the close of an idle connection, which the node logs as `closed_unread`. Run it with:
 //! `PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 cargo test -p paddlemount-cli --test forward planned_soak -- --nocapture`
 
 use std::{
@@ -23,30 +17,30 @@
 };
 
 const NODES: usize = 3;
-/// Callers for each node.
+/// Callers per node.
 const CALLERS_PER_NODE: usize = 8;
 const SERIES: u64 = 3;
-/// How long a caller waits that was refused.
+/// How long a caller waits after a refusal.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 const CI_SECONDS: u64 = 8;
-/// Seeds that are played each time; those that once failed stay here with their cause. 2: requests on new connections were
-/// reset as a stop closed its listener. 143: a stream was begun after callers were no longer taken, and cut.
+/// Seeds to run. Regressions: 2, a shutdown closed its listener and reset requests on new connections; 143, a stream started
+/// after the end of admission and was cut.
 const SEEDS: [u64; 3] = [1, 2, 143];
 const PATHS: [&str; 4] = ["/hold/1", "/quote/1", "/chat/1", "/claim/1"];
 
-/// A request without a whole answer.
+/// A request without a complete answer.
 struct Unanswered {
     id: String,
     path: &'static str,
     node: usize,
-    /// Whether an answer had come on the connection before.
+    /// Whether the connection carried an earlier answer.
     reused: bool,
     at: Duration,
     ending: Ending,
 }
 
 impl Unanswered {
-    /// Whether it may have crossed the node's close of a connection that rested.
+    /// Returns whether the request may have crossed the close of an idle connection.
     fn may_have_crossed_close(&self) -> bool {
         self.reused && self.ending == Ending::Cut(String::new())
     }
@@ -65,14 +59,14 @@
 struct PlannedSoak {
     cluster: Cluster,
     routers: Vec<Mutex<Option<Arc<Router>>>>,
-    /// Held by the series that stops a node.
+    /// Held by the sequence that stops a node.
     node_locks: Vec<tokio::sync::Mutex<()>>,
     document: tokio::sync::Mutex<u64>,
     weights: Mutex<u64>,
     began: Instant,
     until: Instant,
     events: Mutex<Vec<String>>,
-    /// Lines of processes that have ended.
+    /// Log lines of processes that have exited.
     saved_lines: Mutex<Vec<String>>,
 }
 
@@ -110,7 +104,7 @@
         locked(&self.events).push(format!("{:7.3} s  {what}", self.began.elapsed().as_secs_f64()));
     }
 
-    /// One caller: uses a connection for as long as it may, then opens one to any node.
+    /// Runs a caller that uses a connection until it is closed and then connects to a random node.
     async fn call(&self, number: usize, seed: u64) -> (BTreeMap<u16, usize>, Vec<Unanswered>) {
         let mut random = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
         let (mut statuses, mut unanswered) = (BTreeMap::new(), Vec::new());
@@ -121,7 +115,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            // A node that takes no callers any more refuses the connection: nothing was accepted.
+            // A node that no longer accepts callers refuses the connection.
             let Some(mut caller) = RawCaller::try_connect(router.callers).await else { continue };
             let mut reused = false;
             while Instant::now() < self.until && caller.is_open() {
@@ -145,7 +139,7 @@
                     }
                 }
                 reused = true;
-                // Many come back at once, some after a rest.
+                // Some requests follow only after an idle time.
                 if random.random_range(0..3) == 0 {
                     tokio::time::sleep(Duration::from_millis(random.random_range(1..400))).await;
                 }
@@ -154,7 +148,7 @@
         (statuses, unanswered)
     }
 
-    /// One series of planned work.
+    /// Runs one sequence of planned operations.
     async fn run_planned_work(&self, seed: u64, series: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(series));
         while Instant::now() < self.until {
@@ -172,7 +166,7 @@
         }
     }
 
-    /// Outages of the store, one after the other.
+    /// Runs outages of the store one after the other.
     async fn outages(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(SERIES));
         let faults = [StoreFault::Silent, StoreFault::Refuses, StoreFault::LosesAnswers];
@@ -186,7 +180,7 @@
         }
     }
 
-    /// A planned stop, at times told twice or beside other signals.
+    /// Shuts a node down gracefully, sometimes with repeated or other signals, and restarts it.
     async fn stop(&self, random: &mut StdRng, node: usize) {
         let Ok(_guard) = self.node_locks[node].try_lock() else { return };
         let Some(router) = self.router(node) else { return };
@@ -220,7 +214,7 @@
         }
     }
 
-    /// The settings file changes, at times into something that cannot be used, with or without a signal.
+    /// Changes the settings file, sometimes to invalid content, with or without a signal.
     fn change_settings(&self, random: &mut StdRng, node: usize) {
         let Some(router) = self.router(node) else { return };
         self.log(&format!("the settings of node {node} change"));
@@ -237,7 +231,7 @@
         router.write_settings(&text);
     }
 
-    /// Versions of the document in quick succession, each with another bound for connections that rest.
+    /// Publishes versions of the document in quick succession, each with another idle timeout.
     async fn change_document(&self, random: &mut StdRng) {
         self.log("the document changes");
         for _ in 0..random.random_range(1..4) {
@@ -259,7 +253,7 @@
         self.cluster.set_target_version(version);
     }
 
-    /// A back end leaves as planned, and is there again.
+    /// Drains a back end and registers it again.
     async fn drain(&self, random: &mut StdRng) {
         let engine = &self.cluster.engines[random.random_range(0..self.cluster.engines.len())];
         self.log(&format!("{} is leaving", engine.id()));
@@ -268,7 +262,7 @@
         self.cluster.register(engine, "ready");
     }
 
-    /// Some streams take long.
+    /// Makes some streams slow.
     fn slow_down(&self, random: &mut StdRng) {
         for engine in &self.cluster.engines {
             let behaviour = [Behaviour::Slow, Behaviour::Long][random.random_range(0..2)];
@@ -276,7 +270,7 @@
         }
     }
 
-    /// Requests that crossed a close, as the nodes tell.
+    /// Number of requests that crossed a close according to the nodes' logs.
     fn closed_unread(&self) -> usize {
         let running = (0..self.routers.len()).filter_map(|number| self.router(number));
         let lines = running.flat_map(|router| router.lines()).chain(locked(&self.saved_lines).clone());
@@ -304,7 +298,7 @@
         futures_util::future::join_all(series),
         outages
     );
-    // The last lines are on their way.
+    // Wait for the last log lines.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let mut statuses: BTreeMap<u16, usize> = BTreeMap::new();
     let mut unanswered = Vec::new();
@@ -321,7 +315,10 @@
     let listed: Vec<String> = unanswered.iter().map(ToString::to_string).collect();
     let listed = listed.join("\n");
     assert!(unanswered.iter().all(Unanswered::may_have_crossed_close), "seed {seed}:\n{events}\n{listed}");
-    assert!(unanswered.len() <= closed_unread, "seed {seed}: more than the nodes tell:\n{events}\n{listed}");
+    assert!(
+        unanswered.len() <= closed_unread,
+        "seed {seed}: more than the nodes logged:\n{events}\n{listed}"
+    );
     let served = statuses.get(&200).copied().unwrap_or_default();
     assert!(served > 0, "nothing was served: {statuses:?}\n{events}");
 }
--- a/crates/cli/tests/forward/poison.rs
+++ b/crates/cli/tests/forward/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash each back end that begins to run them, and ordinary ones that are caught in crashes.
+//! Quarantine of requests that crash every back end, and of no others that are interrupted by crashes.
 
 use std::time::{Duration, Instant};
 
@@ -10,15 +10,15 @@
     router::{CallerResponse, Router},
 };
 
-/// The body of a request that crashes whatever runs it.
+/// The body of a request that crashes every back end that runs it.
 const POISON: &str = "crashes whatever runs it";
-/// How often its caller comes.
+/// Number of attempts of its caller.
 const ATTEMPTS: usize = 14;
-/// Crashes after which it is clear that the request is their cause.
+/// Crashes after which the request must be quarantined.
 const CRASHES_UNTIL_HELD: usize = 3;
-/// Runs beyond these that may begin until all nodes have heard of it.
+/// Further runs that may start until all nodes know of the quarantine.
 const MAX_LATE_RUNS: usize = 3;
-/// How long a place may need to be whole again.
+/// How long crashed runners may take to restart.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn arm_poison(cluster: &Cluster) {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Sends the poison at node after node, each time to a place that is whole and through a node that serves others.
+/// Sends the poison request through each node in turn, each time with all runners up and the node serving.
 async fn send_poison(
     cluster: &Cluster,
     routers: &[Router],
@@ -69,7 +69,7 @@
     router.until("serving", served).await;
 }
 
-/// One caller comes again and again, at any node, on a route of each kind.
+/// Checks the quarantine of a request that a caller repeats at all nodes.
 async fn poison_is_held_back(path: &str) {
     let (cluster, _links, routers) = fleet().await;
     arm_poison(&cluster);
@@ -81,7 +81,7 @@
     );
     let last = answers.last().and_then(Option::as_ref).expect("a held request is answered");
     assert_eq!(last.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(last.headers.contains_key(http::header::RETRY_AFTER), "the caller is told when to come back");
+    assert!(last.headers.contains_key(http::header::RETRY_AFTER), "the refusal has a retry-after");
     wait_until_running(&cluster).await;
     for router in &routers {
         wait_until_serving(router, path).await;
@@ -133,7 +133,7 @@
 async fn nodes_without_a_store_tell_each_other_what_to_hold_back() {
     let (cluster, _links, routers) = fleet().await;
     arm_poison(&cluster);
-    // The first crashes are found before the outage: a back end that starts again is known only by the store.
+    // The first crashes precede the outage, since nodes learn of restarted back ends from the store.
     let answers = send_poison(&cluster, &routers, "/chat/1", "first", CRASHES_UNTIL_HELD - 1).await;
     assert_eq!(answers.len(), CRASHES_UNTIL_HELD - 1);
     wait_until_running(&cluster).await;
@@ -175,11 +175,11 @@
     );
     for router in &routers {
         let released = router.logged("request_released");
-        assert!(!released, "a hold was given up: {:#?}", router.lines());
+        assert!(!released, "a quarantine was lifted: {:#?}", router.lines());
     }
 }
 
-/// Callers that send the same request and others over and over, for as long as `faults` take.
+/// Runs callers that repeat the same requests while `faults` runs.
 async fn ordinary_callers(routers: &[Router], faults: impl Future<Output = ()>) -> Vec<CallerResponse> {
     let done = std::cell::Cell::new(false);
     let call = async |caller: usize| {
@@ -210,7 +210,7 @@
     assert_eq!(held, 0, "of {} ordinary requests:\n{}", answers.len(), crash_lines.join("\n"));
     assert!(routers.iter().all(|router| !router.logged("request_held")));
     let crashed = routers.iter().any(|router| router.logged("run_crashed"));
-    assert!(crashed, "the faults met no run, and nothing is shown");
+    assert!(crashed, "the faults interrupted no run");
 }
 
 #[tokio::test]
@@ -251,8 +251,7 @@
     }
 }
 
-/// Back ends that leave end under what still runs there. Where three in turn did, which had said so, an ordinary request was taken
-/// for the cause, and held back for 600 s.
+/// A request interrupted by the end of draining back ends must not count as the cause of a crash.
 #[tokio::test]
 async fn a_request_under_which_back_ends_end_as_they_had_said_is_not_held_back() {
     let cluster = Cluster::start().await.expect("the cluster starts");
--- a/crates/cli/tests/forward/quota.rs
+++ b/crates/cli/tests/forward/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants over several nodes, as processes over loopback TCP.
+//! Tenant quotas enforced jointly by several nodes.
 
 use std::time::Instant;
 
@@ -7,10 +7,10 @@
 
 use crate::router::Router;
 
-/// Tokens that a request without usage counts for, as the stand-in's operator says.
+/// Tokens charged for a request without usage, as configured by the stand-in.
 const TOKENS_OF_A_REQUEST: f64 = 200.0;
 const TOKENS_PER_SECOND: u64 = 2_000;
-/// The window that the settings leave, in seconds.
+/// The default quota window in seconds.
 const WINDOW_S: f64 = 10.0;
 const REQUESTS: usize = 400;
 
@@ -55,10 +55,10 @@
             status => panic!("{status}: {}", response.body),
         }
     }
-    // Each window that has begun may hold the rate for as long, and the burst.
+    // Each window that has started admits its rate and one burst.
     let windows = 1.0 + began.elapsed().as_secs_f64() / WINDOW_S;
     let most = windows * (WINDOW_S + 1.0) * TOKENS_PER_SECOND as f64;
-    assert!(refused > 0, "more was asked for than may run");
+    assert!(refused > 0, "the offered load exceeds the quota");
     assert!(granted > 0.0 && granted * TOKENS_OF_A_REQUEST <= most, "{granted} granted");
     let matches =
         |line: &String| line.contains("\"outcome\":\"over_quota\"") && line.contains("\"per_second\":");
--- a/crates/cli/tests/forward/raw_caller.rs
+++ b/crates/cli/tests/forward/raw_caller.rs
@@ -1,4 +1,4 @@
-//! A caller that holds one connection and sees each way in which it may end.
+//! A caller with a single connection that observes exactly how each request ends.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,39 +12,37 @@
     time::timeout,
 };
 
-/// How long an answer may take to come or to end.
+/// Upper bound of the wait for more bytes of an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 
-/// How a request ended for its caller.
+/// How a request ended from the caller's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// An answer that came whole.
+    /// A complete answer.
     Complete {
-        /// Its status.
         status: u16,
-        /// Its headers.
         headers: http::HeaderMap,
-        /// Its body, without the framing.
+        /// The body without the transfer encoding.
         body: String,
-        /// Whether the node closes the connection after it.
+        /// Whether the node closes the connection after the answer.
         closes: bool,
-        /// When to come back, where the answer says so.
+        /// The value of `retry-after`, if any.
         retry_after: Option<String>,
     },
-    /// The connection ended, or nothing more came, before the answer was whole; what had come of it.
+    /// The connection ended or stalled before the answer was complete; holds the received part.
     Cut(String),
 }
 
 impl Ending {
-    /// Whether a whole answer came.
+    /// Returns whether the answer is complete.
     pub const fn is_complete(&self) -> bool {
         matches!(self, Self::Complete { .. })
     }
 }
 
-/// One connection to a node.
+/// A connection to a node.
 pub struct RawCaller {
     stream: TcpStream,
     received: Vec<u8>,
@@ -56,42 +54,42 @@
         Self::try_connect(callers).await.expect("a connection comes up")
     }
 
-    /// Opens a connection; nothing where the node takes none.
+    /// Opens a connection; `None` if the node refuses it.
     pub async fn try_connect(callers: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(callers).await.ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Self { stream, received: Vec::new() })
     }
 
-    /// Whether the node has not closed the connection, as far as its caller can know.
+    /// Returns whether the node has not closed the connection as far as the caller can observe.
     pub fn is_open(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request whose body is there whole.
+    /// Sends a request with the default body.
     pub async fn send(&mut self, path: &str, id: &str) {
         self.send_body(path, id, "the body").await;
     }
 
-    /// Sends a request with this body.
+    /// Sends a request with a body.
     pub async fn send_body(&mut self, path: &str, id: &str, body: &str) {
         self.write(&head_of(path, id, body.len())).await;
         self.write(body.as_bytes()).await;
     }
 
-    /// Sends the head of a request whose body has `length` bytes.
+    /// Sends the head of a request with a body of `length` bytes.
     pub async fn send_head(&mut self, path: &str, id: &str, length: usize) {
         self.write(&head_of(path, id, length)).await;
     }
 
-    /// Sends bytes. A connection that has ended is seen when its answer is read.
+    /// Sends bytes. A closed connection is detected when the answer is read.
     pub async fn write(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes).await;
     }
 
-    /// Waits for the answer's end, or the connection's.
+    /// Waits for the end of the answer or of the connection.
     pub async fn ending(&mut self) -> Ending {
         loop {
             if let Some(complete) = self.complete_answer() {
@@ -163,7 +161,7 @@
     text.into_bytes()
 }
 
-/// A body in chunks, and the bytes that it took; nothing before its end is here.
+/// Decodes a chunked body and returns it with its encoded length; `None` if it is incomplete.
 fn decode_chunked(mut bytes: &[u8]) -> Option<(Vec<u8>, usize)> {
     let (mut body, all) = (Vec::new(), bytes.len());
     loop {
--- a/crates/cli/tests/forward/restored.rs
+++ b/crates/cli/tests/forward/restored.rs
@@ -1,8 +1,5 @@
-//! The store comes back from a copy that is some seconds old.
-//!
-//! Revisions were taken for something that only rises. After the store had come back, a node that knew revision 25 passed over
-//! a listing of revision 21 as older, and watched from 25 on: a configuration that was acknowledged at 23 was never in force
-//! there. A leader's fencing token is the revision of its key: the next one was lower, and engines refused all orders under it.
+//! Restores of the store from an older backup, after which revisions fall. Nodes must detect the restore, apply later
+//! changes, and issue rising fencing tokens.
 
 use std::time::{Duration, Instant};
 
@@ -11,20 +8,20 @@
 
 use crate::router::{Router, gauge};
 
-/// A key that the operator takes away.
+/// A key that the operator removes.
 const REMOVED_KEY: &str = "key-that-goes";
-/// The body of a request that crashes whatever runs it.
+/// The body of a request that crashes every back end that runs it.
 const POISON: &str = "crashes whatever runs it";
-/// A key that is added late.
+/// A key that the operator adds after the restore.
 const LATE_KEY: &str = "key-that-comes";
-/// How long the store is away in a drill.
+/// Duration of an outage of the store.
 const OUTAGE: Duration = Duration::from_millis(300);
 
-/// Revisions that the copy lacks, more than the nodes' own writes make good for within a test.
+/// Revisions missing in the backup, more than the nodes' own writes can make up for in a test.
 const LOST_REVISIONS: u32 = 500;
-/// How long an accepted change may take to be in force at a node.
+/// How long an accepted change may take to apply at a node.
 const MAX_CONVERGENCE_TIME: Duration = Duration::from_secs(5);
-/// How long a node may take to hear of a change.
+/// How long a node may take to observe a change.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
 async fn cluster() -> Cluster {
@@ -46,7 +43,7 @@
     router.until("leading", async || gauge(router, "paddlemount_forward_leads").await == Some(1.0)).await;
 }
 
-/// Revisions pass that nobody needs.
+/// Advances the revision by irrelevant changes.
 fn pass_revisions(cluster: &Cluster, count: u32) {
     for slots in 0..count {
         cluster.change_slots(&cluster.bookings[0], 10 + slots % 2);
@@ -70,7 +67,7 @@
 
 #[tokio::test]
 async fn revisions_that_were_given_out_again_are_no_continuation() {
-    // By the next watch the store is past the revision that the node knows, by other changes.
+    // By the next watch, other changes have advanced the store past the revision that the node knows.
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     until_served(&router, KEY).await;
@@ -172,8 +169,7 @@
     }
 }
 
-/// A node that starts before the operator has written again knows of nothing but the copy, which still has the key. The others
-/// know better.
+/// A node that starts after the restore reads an outdated key from the backup, and must learn the removal from other nodes.
 #[tokio::test]
 async fn a_node_that_starts_before_all_is_written_again_goes_by_what_the_others_know() {
     let cluster = Cluster::start().await.expect("the cluster starts");
@@ -185,11 +181,11 @@
     let refused = async || status(&first, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
     first.until("refusing the key", refused).await;
     let written = cluster.store.restore(&backup);
-    // Once a node leads again nothing is written, and both nodes know the same revision.
+    // Once a node leads again, nothing is written and both nodes know the same revision.
     first.until("logged", async || first.logged("store_restored")).await;
     until_leading(&first).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
-    // It serves at once by what it reads; an accepted change is in force within seconds.
+    // The node serves by what it reads; an accepted change must apply within seconds.
     let second = Router::start_at(cluster.store_address, "node-1").await;
     let started = Instant::now();
     until_served(&second, KEY).await;
--- a/crates/cli/tests/forward/router.rs
+++ b/crates/cli/tests/forward/router.rs
@@ -1,4 +1,4 @@
-//! A forwarding node as a process, and callers.
+//! Starts forwarding nodes as processes and sends requests to them.
 
 use std::{
     io::{BufRead, BufReader},
@@ -24,32 +24,32 @@
 
 use crate::program::forwarding_program;
 
-/// How long anything that is waited for may take.
+/// Upper bound of any wait, after which a test fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Retries that all test nodes together may make beside their share, in a window.
+/// Retries per window that all test nodes together may make beyond their percentage of requests.
 pub const RETRY_SLACK: u64 = 56;
-/// Retries that they may make for a hundred requests.
+/// Retries that the nodes may make per hundred requests.
 pub const RETRY_PERCENT: u64 = 20;
-/// The window in which retries count.
+/// The window over which retries are counted.
 pub const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// The bound of weights of test nodes.
+/// How long test nodes may start requests on older weights.
 pub const WEIGHTS_BOUND: Duration = Duration::from_secs(8);
 
-/// How long a back end that is leaving may still get requests of test nodes.
+/// How long test nodes may still send requests to a draining back end.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A running node.
+/// A running forwarding node, killed when dropped.
 pub struct Router {
     child: Mutex<Child>,
     lines: Arc<Mutex<Vec<String>>>,
-    /// Where callers come.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the readiness probe.
     pub readiness: SocketAddr,
-    /// Where metrics are told.
+    /// Address of the metrics.
     pub metrics: SocketAddr,
-    /// Where other nodes' reports are taken.
+    /// Address for reports of other nodes.
     pub peers: SocketAddr,
     settings: tempfile::Path,
     client: Client<HttpConnector, Full<Bytes>>,
@@ -58,7 +58,7 @@
 mod tempfile {
     use std::path::PathBuf;
 
-    /// A file that goes with its owner.
+    /// A file that is removed when dropped.
     pub struct Path(pub PathBuf);
 
     impl Drop for Path {
@@ -68,28 +68,27 @@
     }
 }
 
-/// What a caller got.
+/// A response as received by a caller.
 #[derive(Debug)]
 pub struct CallerResponse {
-    /// The status.
     pub status: StatusCode,
-    /// Headers by name in lower case.
+    /// Headers by lower-case name.
     pub headers: http::HeaderMap,
-    /// The body, as far as it came.
+    /// The received part of the body.
     pub body: String,
-    /// Whether the body came whole.
+    /// Whether the body is complete.
     pub complete: bool,
 }
 
 impl Router {
-    /// Starts a node on `place` and waits until it is ready.
+    /// Starts a node and waits until it is ready.
     pub async fn start(cluster: &Cluster) -> Self {
         let router = Self::start_unready(cluster).await;
         router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
-    /// Starts a node for the first time in its place's life, in place of one that started again.
+    /// Starts a node with the setting for the first start of its cluster.
     pub async fn start_first(cluster: &Cluster) -> Self {
         let text = format!("first_start = true\n{}", settings(cluster, 5_000));
         let router = Self::start_with(&text).await;
@@ -97,23 +96,23 @@
         router
     }
 
-    /// Starts a node and waits until it listens.
+    /// Starts a node without waiting for readiness.
     pub async fn start_unready(cluster: &Cluster) -> Self {
         Self::start_at(cluster.store_address, "node-1").await
     }
 
-    /// Starts a node of this name that reaches the store at `store`.
+    /// Starts a node with a name and the address of its store.
     pub async fn start_at(store: SocketAddr, name: &str) -> Self {
         Self::start_with(&settings_at(store, name, 5_000)).await
     }
 
-    /// The same, where no request may begin on older weights so many milliseconds after newer ones were named.
+    /// Like [`Self::start_at`], with another bound for requests on older weights.
     pub async fn start_with_weights_bound(store: SocketAddr, name: &str, bound_ms: u64) -> Self {
         let bound = format!("weights_ms = {bound_ms}");
         Self::start_with(&settings_at(store, name, 5_000).replace("weights_ms = 8000", &bound)).await
     }
 
-    /// Starts a node that is killed so many seconds after it is told to stop, and waits until it is ready.
+    /// Starts a node with a termination grace period in seconds, and waits until it is ready.
     pub async fn start_with_grace(cluster: &Cluster, seconds: u64) -> Self {
         let text = settings(cluster, 5_000).replace("grace_s = 6", &format!("grace_s = {seconds}"));
         let router = Self::start_with(&text).await;
@@ -121,14 +120,14 @@
         router
     }
 
-    /// The same, where other nodes reach it only through `link`.
+    /// Like [`Self::start_at`], where other nodes reach the node only through `link`.
     pub async fn start_behind(store: SocketAddr, name: &str, link: &Proxy) -> Self {
         let router = Self::start_with(&settings_behind(store, name, link)).await;
         link.set_target(router.peers);
         router
     }
 
-    /// The same, with a lease that outlasts any test.
+    /// Like [`Self::start_behind`], with a lease that outlasts any test.
     pub async fn start_with_long_lease(store: SocketAddr, name: &str, link: &Proxy) -> Self {
         let text = settings_behind(store, name, link).replace("lease_ms = 3000", "lease_ms = 600000");
         let router = Self::start_with(&text).await;
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Waits until something is so.
+    /// Waits until a condition holds; `what` describes it on failure.
     pub async fn until(&self, what: &str, mut is_met: impl AsyncFnMut() -> bool) {
         let began = Instant::now();
         while !is_met().await {
@@ -177,18 +176,18 @@
         }
     }
 
-    /// Asks whether callers should come.
+    /// Fetches the status of the readiness probe.
     pub async fn fetch_readiness(&self) -> Option<StatusCode> {
         let request = Request::get(format!("http://{}/", self.readiness)).body(Full::default());
         let answer = self.client.request(request.expect("a request")).await.ok()?;
         Some(answer.status())
     }
 
-    /// The metrics as text.
+    /// Fetches the metrics as text.
     pub async fn fetch_metrics(&self) -> String {
         let request = Request::get(format!("http://{}/metrics", self.metrics)).body(Full::default());
-        let answer = self.client.request(request.expect("a request")).await.expect("metrics are told");
-        let body = answer.into_body().collect().await.expect("metrics are whole").to_bytes();
+        let answer = self.client.request(request.expect("a request")).await.expect("metrics are served");
+        let body = answer.into_body().collect().await.expect("metrics are complete").to_bytes();
         String::from_utf8_lossy(&body).into_owned()
     }
 
@@ -197,12 +196,12 @@
         self.send_with_key(path, id, KEY).await
     }
 
-    /// Sends a request with a key; nothing where the connection ends without a head.
+    /// Sends a request with a key; `None` if the connection ends without a response head.
     pub async fn send_with_key(&self, path: &str, id: &str, key: &str) -> Option<CallerResponse> {
         self.send_body(path, id, key, "the body").await
     }
 
-    /// Sends a request with a key and a body; nothing where the connection ends without a head.
+    /// Sends a request with a key and a body; `None` if the connection ends without a response head.
     pub async fn send_body(
         &self,
         path: &str,
@@ -235,42 +234,42 @@
         Some(CallerResponse { status: head.status, headers: head.headers, body, complete })
     }
 
-    /// Lines that the process has written.
+    /// Log lines of the process so far.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Whether an event of this name was told.
+    /// Returns whether an event of this name was logged.
     pub fn logged(&self, event: &str) -> bool {
         line_of(&self.lines, event).is_some()
     }
 
-    /// Tells the process to stop as the platform does.
+    /// Requests a graceful shutdown, as the platform does.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Stops the process in its place.
+    /// Freezes the process with SIGSTOP.
     pub fn freeze(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets it go on.
+    /// Resumes a frozen process.
     pub fn thaw(&self) {
         self.signal("-CONT");
     }
 
-    /// Tells the process that its settings have changed.
+    /// Signals the process to reload its settings.
     pub fn hang_up(&self) {
         self.signal("-HUP");
     }
 
-    /// The settings file as it is.
+    /// Reads the settings file.
     pub fn read_settings(&self) -> String {
         std::fs::read_to_string(&self.settings.0).expect("a settings file can be read")
     }
 
-    /// Writes another settings file.
+    /// Replaces the settings file.
     pub fn write_settings(&self, text: &str) {
         std::fs::write(&self.settings.0, text).expect("a settings file can be written");
     }
@@ -279,17 +278,17 @@
         self.child.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The process's identity on this machine.
+    /// The process identifier.
     pub fn process(&self) -> u32 {
         self.child().id()
     }
 
-    /// Whether the process has ended.
+    /// Returns whether the process has exited.
     pub fn is_gone(&self) -> bool {
         self.child().try_wait().expect("a child can be waited for").is_some()
     }
 
-    /// Waits until the process has ended; whether it ended well.
+    /// Waits for the process to exit and returns whether it succeeded.
     pub async fn ended(&mut self) -> bool {
         let began = Instant::now();
         loop {
@@ -319,7 +318,7 @@
     }
 }
 
-/// Settings of a node on `place`.
+/// Settings of a node on `cluster`.
 pub fn settings(cluster: &Cluster, revocation_ms: u64) -> String {
     settings_at(cluster.store_address, "node-1", revocation_ms)
 }
@@ -350,12 +349,12 @@
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// A number that whoever plays a soak by hand has set.
+/// Reads a number from an environment variable.
 pub fn from_environment(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// A present value among a node's metrics.
+/// The current value of a metric of a node.
 pub async fn gauge(router: &Router, name: &str) -> Option<f64> {
     let text = router.fetch_metrics().await;
     let line = text.lines().find(|line| line.starts_with(name))?;
--- a/crates/cli/tests/forward/soak/announced.rs
+++ b/crates/cli/tests/forward/soak/announced.rs
@@ -1,4 +1,4 @@
-//! Whether nodes heed what back ends say of themselves in their answers.
+//! Checks that nodes respect what back ends announce in their answers.
 
 use std::{
     collections::BTreeMap,
@@ -9,34 +9,34 @@
 
 use super::disturbance::Disturbance;
 
-/// What is on its way when an answer comes may still arrive.
+/// Time during which requests in flight may still arrive after an announcement.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
-/// Requests that may reach a back end in a time without any that it has asked for.
+/// Maximum number of requests that a back end may receive during its back-off.
 const MAX_IN_BACK_OFF: usize = 2;
 
-/// A request that reached one process of a back end.
+/// A request that arrived at a back end.
 #[derive(Clone, Debug)]
 pub struct Arrival<'a> {
-    /// What the back end saw.
+    /// The request as received.
     pub seen: &'a ReceivedRequest,
-    /// The node that sent it.
+    /// The node that forwarded the request.
     pub node: usize,
-    /// When its caller sent it.
+    /// When the caller sent the request.
     pub sent_at: Instant,
-    /// Whether the caller got the back end's whole answer.
+    /// Whether the caller received the complete answer.
     pub passed_on: bool,
 }
 
-/// A statement of a back end that a node has not heeded.
+/// An announcement of a back end that a node has ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IgnoredAnnouncement {
-    /// A request came from a node long after it had passed on an answer that says that the back end leaves.
+    /// A node sent a request too long after passing on an answer that announces draining.
     Leaving { node: usize, id: String, after: Duration },
-    /// More requests than may be on their way came from a node in a time without any.
+    /// A node sent more requests during a back-off than can have been in flight.
     BackOff { node: usize, requested: Duration, announcement: String, ids: Vec<String> },
 }
 
-/// What nodes have not heeded of the statements of one back end, whose arrivals come in the order of time.
+/// Returns the announcements of one back end that nodes ignored; `arrivals` are in order of time.
 pub fn ignored_announcements(
     arrivals: &[Arrival],
     disturbances: &[Disturbance],
--- a/crates/cli/tests/forward/soak/callers.rs
+++ b/crates/cli/tests/forward/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak, and what they sent and got.
+//! Callers of a soak test and the record of their requests.
 
 use std::time::{Duration, Instant};
 
@@ -11,18 +11,18 @@
     router::CallerResponse,
 };
 
-/// How long the caller of the request that crashes what runs it waits between two tries.
+/// Pause between two requests that crash their back end.
 const POISON_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long a caller waits that was refused, or whose node is away: requests that are refused at once earn retries too, and with
-/// more of them no play comes near the retry budget.
+/// How long a caller waits after a refusal or while its node is down. Refused requests add to the retry budget too, and a
+/// shorter delay would keep every scenario far below it.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 const PATHS: [&str; 4] = ["/hold/1", "/quote/1", "/chat/1", "/claim/1"];
-/// Paths whose requests may be sent on to a second back end.
+/// Paths whose requests may be retried on a second back end.
 const REPEATABLE_PATHS: [&str; 4] = ["/claim/1", "/claim/1", "/claim/1", "/quote/1"];
 
-/// What callers of a play choose from: every other play of namings asks for what may be repeated, or no play would come near the
+/// Paths that callers choose from. Odd seeds of the target version scenario use retryable paths only, which exhausts the
 /// retry budget.
 fn paths_of(scenario: Scenario, seed: u64) -> [&'static str; 4] {
     match (scenario, seed % 2) {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A service of the place.
+/// A service of the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
     /// Model engines.
@@ -45,7 +45,7 @@
     if path == "/chat/1" || path == "/claim/1" { Service::Engines } else { Service::Bookings }
 }
 
-/// What one caller sent and got.
+/// A request of a caller and its outcome.
 #[derive(Debug)]
 pub struct Sent {
     pub id: String,
@@ -57,7 +57,7 @@
     pub response: Option<CallerResponse>,
 }
 
-/// A request as a caller's retry budget counts it.
+/// A request as counted for the retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferedRequest {
     pub service: Service,
@@ -65,12 +65,12 @@
 }
 
 impl Soak {
-    /// Callers ask from now on for something on this path.
+    /// Records that a caller offers a request on this path.
     pub(super) fn record_offered(&self, path: &str, at: Instant) {
         locked(&self.offered).push(OfferedRequest { service: service_of(path), at });
     }
 
-    /// A caller that goes to any node with each request.
+    /// Runs a caller that sends each request to a random node.
     pub(super) async fn call(
         &self,
         scenario: Scenario,
@@ -96,7 +96,7 @@
         sent
     }
 
-    /// The caller of the request that crashes whatever runs it: it comes back all the time, at any node.
+    /// Runs the caller whose request crashes every back end, and which retries at random nodes.
     pub(super) async fn call_poison(&self, seed: u64, until: Instant) -> Vec<Sent> {
         let mut random = StdRng::seed_from_u64(seed ^ u64::from(u32::MAX) << 32);
         let mut sent = Vec::new();
@@ -125,7 +125,7 @@
         Some(Sent { id, path, key, body, node, at, response })
     }
 
-    /// A caller that uses one connection until its process is gone, or it was told to close, and then opens one to any node.
+    /// Runs a caller that uses a connection until the node closes it and then connects to a random node.
     pub(super) async fn call_on_one_connection(&self, caller: usize, seed: u64, until: Instant) -> Vec<Sent> {
         let mut random = StdRng::seed_from_u64(seed ^ (caller as u64 + 1) << 40);
         let mut sent = Vec::new();
@@ -177,8 +177,8 @@
     }
 }
 
-/// The body of a request like no other: where engines crash in series under requests that are all the same, these can't be
-/// told from one that crashes what runs it, and are rightly held back.
+/// A unique request body. Identical requests that are caught in serial crashes look like the cause of the crashes and would
+/// be quarantined.
 pub fn unique_body(id: &str) -> String {
     format!("{ORDINARY} of {id}")
 }
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -1,4 +1,4 @@
-//! What must hold of all that callers got and back ends saw.
+//! Invariants over what callers and back ends observed.
 
 use std::{
     collections::BTreeMap,
@@ -23,19 +23,19 @@
     router::{CallerResponse, DRAIN_TIMEOUT, RETRY_PERCENT, RETRY_SLACK, RETRY_WINDOW, WEIGHTS_BOUND},
 };
 
-/// The bound after which a removed key runs nothing, with the time that a request needs to its node.
+/// Bound after which a removed key must not run anything, including the latency from caller to node.
 const REVOCATION_BOUND: Duration = Duration::from_millis(5_200);
-/// Crashes that show that a request is their cause.
+/// Crashes after which a request must be quarantined.
 const CRASHES_UNTIL_HELD: usize = 3;
-/// How long after them all nodes that nothing disturbs know of it.
+/// How long the quarantine takes to reach all undisturbed nodes.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// Runs that may still begin after that.
+/// Maximum number of runs after that.
 const MAX_LATE_RUNS: usize = 3;
-/// What a busy machine may need to pass a request on.
+/// Allowance for forwarding a request on a busy machine.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
 
 impl Soak {
-    /// What is wrong with what callers got and back ends saw.
+    /// Returns descriptions of all violated invariants.
     pub(super) fn violations(&self, sent: &[Sent]) -> Vec<String> {
         let seen = self.seen();
         let mut by_id: BTreeMap<&str, Vec<&ReceivedRequest>> = BTreeMap::new();
@@ -72,7 +72,7 @@
         violations
     }
 
-    /// Statements of back ends that nodes have not heeded.
+    /// Returns announcements of back ends that nodes ignored.
     fn ignored_announcements(&self, sent: &[Sent]) -> Vec<IgnoredAnnouncement> {
         let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
         let disturbances = locked(&self.disturbances);
@@ -93,7 +93,7 @@
         seen_by.iter().flat_map(of_runner).collect()
     }
 
-    /// Windows in which back ends got more than the limits that they had named.
+    /// Returns windows in which back ends received more requests than their advertised limits allow.
     fn over_limits(&self, sent: &[Sent]) -> Vec<String> {
         let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
         let disturbances = locked(&self.disturbances);
@@ -134,7 +134,7 @@
         over.collect()
     }
 
-    /// What came nearest to the bounds of weights and retries.
+    /// Describes the closest approach to the bounds for older weights and retries.
     pub(super) fn tightest_margins(&self, sent: &[Sent]) -> String {
         let older = self.started_on_older_weights(sent, Duration::ZERO);
         let longest = older.iter().map(|late| late.known_for).max().unwrap_or_default();
@@ -144,7 +144,7 @@
         format!("weights {longest:?} after newer ones at most; {}", windows.join("; "))
     }
 
-    /// Requests of undisturbed nodes that began on older weights more than `bound` after newer ones could be known.
+    /// Returns requests of undisturbed nodes that started on older weights more than `bound` after newer ones could be known.
     fn started_on_older_weights(&self, sent: &[Sent], bound: Duration) -> Vec<LateStart> {
         let nodes: BTreeMap<&str, usize> = sent.iter().map(|one| (one.id.as_str(), one.node)).collect();
         let ran = self.cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.ran);
@@ -166,7 +166,7 @@
         )
     }
 
-    /// The window of each service in which repeats came nearest to what is allowed.
+    /// Returns, for each service, the window in which retries came closest to the budget.
     fn fullest_windows(&self) -> Vec<(Service, Window)> {
         let budget = Budget { percent: RETRY_PERCENT, slack: RETRY_SLACK, window: RETRY_WINDOW };
         let services =
@@ -186,13 +186,13 @@
     fn describe_window(&self, service: Service, window: &Window) -> String {
         let Window { from, to, retries, requests, allowed } = window;
         format!(
-            "{service:?} from {:.3} to {:.3} s: {retries} repeats for {requests} requests, {allowed} allowed",
+            "{service:?} from {:.3} to {:.3} s: {retries} retries for {requests} requests, {allowed} allowed",
             self.second(*from),
             self.second(*to)
         )
     }
 
-    /// Seconds since the beginning, below zero before it.
+    /// Seconds since the start of the scenario, negative before it.
     fn second(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.began).as_secs_f64()
             - self.began.saturating_duration_since(at).as_secs_f64()
@@ -202,13 +202,13 @@
         self.cluster.engines.iter().chain(&self.cluster.bookings).flat_map(Runner::seen).collect()
     }
 
-    /// The identities of tries that crashed a back end.
+    /// Identifiers of requests that crashed a back end.
     pub(super) fn poison_runs(&self) -> Vec<String> {
         let ran = |seen: &ReceivedRequest| seen.ran && seen.body == POISON.as_bytes();
         self.seen().into_iter().filter(ran).map(|seen| seen.id).collect()
     }
 
-    /// Tries that crashed a back end though it was clear before that they would, sent by nodes that nothing disturbed.
+    /// Requests that crashed a back end, sent by undisturbed nodes after the quarantine must have reached them.
     fn late_poison<'a>(&self, sent: &'a [Sent]) -> Vec<&'a str> {
         let runs = self.poison_runs();
         let mut crashing: Vec<&Sent> = sent.iter().filter(|one| runs.contains(&one.id)).collect();
@@ -228,7 +228,7 @@
 }
 
 impl CallerResponse {
-    /// Whether it is the whole answer of the back end that a request was meant for.
+    /// Returns whether this is the complete answer of the back end that a request was addressed to.
     fn is_answer_of(&self, seen: &ReceivedRequest) -> bool {
         let signature = self.headers.get(Cluster::SIGNATURE).and_then(|value| value.to_str().ok());
         let signed =
@@ -241,10 +241,10 @@
     let bodies = [ORDINARY.to_owned(), POISON.to_owned(), unique_body(&seen.id)];
     let known_body = bodies.iter().any(|body| seen.body == body.as_bytes());
     if seen.had_authorization || seen.tenant != "alpha" || !known_body {
-        return Some(format!("changed on its way: {seen:?}"));
+        return Some(format!("changed in flight: {seen:?}"));
     }
     let other_weights = !seen.scope.is_empty() && !seen.scope.contains(&format!("/{}/", seen.version));
-    (seen.ran && other_weights).then(|| format!("cached parts of other weights: {seen:?}"))
+    (seen.ran && other_weights).then(|| format!("cached segments of other weights: {seen:?}"))
 }
 
 fn caller_violation(sent: &Sent, runs: usize) -> Option<&'static str> {
--- a/crates/cli/tests/forward/soak/disturbance.rs
+++ b/crates/cli/tests/forward/soak/disturbance.rs
@@ -1,51 +1,47 @@
-//! Times in which nodes did not see the rest of the place as it was.
+//! Periods in which nodes had an outdated view of the cluster.
 
 use std::time::{Duration, Instant};
 
-/// How long after a disturbance what it concerned is out of touch.
+/// How long the effects of a disturbance last after its end.
 pub const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// What was disturbed.
+/// The disturbed component.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// The store.
     Store,
     /// A link between processes.
     Link,
-    /// The process of one node: it stood still, ended or started.
+    /// The process of a node, which was frozen, stopped or started.
     Node(usize),
 }
 
-/// A time in which something was disturbed.
+/// A period of disturbance.
 #[derive(Clone, Copy, Debug)]
 pub struct Disturbance {
-    /// What.
     pub cause: Cause,
-    /// From when.
     pub from: Instant,
-    /// Until when.
     pub to: Instant,
 }
 
 impl Disturbance {
-    /// Whether it disturbs any node at `at`, or did so shortly before: a node that others do not reach may be the one that
-    /// concludes for them.
+    /// Returns whether the disturbance affects any node at `at`. An unreachable node may be the one that decides for others.
     pub fn affects_any(&self, at: Instant) -> bool {
         self.from < at && at < self.to + SETTLE_TIME
     }
 
-    /// Whether it disturbs this node's process at `at`, or did so shortly before.
+    /// Returns whether the disturbance affects this node's process at `at`.
     pub fn affects_node(&self, node: usize, at: Instant) -> bool {
         self.cause == Cause::Node(node) && self.affects_any(at)
     }
 
-    /// Whether, between two moments, it ended, started or stopped this node's process, or touched any link.
+    /// Returns whether the disturbance overlaps an interval and concerns this node's process or any link.
     pub fn disconnects_node(&self, node: usize, from: Instant, to: Instant) -> bool {
         let disconnects = matches!(self.cause, Cause::Link) || self.cause == Cause::Node(node);
         disconnects && self.from < to && self.to > from
     }
 
-    /// Since when, looked at from `at`, it has left store and links alone; nothing where it is later or never disturbed them.
+    /// The time since which store and links are undisturbed at `at`; `None` if this disturbance does not concern them by then.
     pub fn place_undisturbed_since(&self, at: Instant) -> Option<Instant> {
         let disturbs_place = matches!(self.cause, Cause::Store | Cause::Link);
         (disturbs_place && self.from < at).then(|| at.min(self.to + SETTLE_TIME))
--- a/crates/cli/tests/forward/soak/faults.rs
+++ b/crates/cli/tests/forward/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, in series that overlap.
+//! Faults of processes, links, back ends and the store.
 
 use std::{
     sync::Arc,
@@ -17,7 +17,7 @@
 use crate::router::Router;
 
 impl Soak {
-    /// One series of faults, one after the other.
+    /// Runs one sequence of faults.
     pub(super) async fn faults(&self, seed: u64, series: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(series));
         while Instant::now() < self.until {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The operator takes a key away.
+    /// Removes a key from the configuration at `at`.
     pub(super) async fn remove_key(&self, at: Instant) {
         tokio::time::sleep_until(at.into()).await;
         let mut version = self.document.lock().await;
@@ -86,11 +86,11 @@
         link.set(fault);
         tokio::time::sleep(length).await;
         link.set(LinkFault::None);
-        // A node that others do not reach may be the one that concludes for them.
+        // An unreachable node may be the one that decides for others.
         self.disturbed(Cause::Link, from);
     }
 
-    /// Open connections that fall silent for good; new ones work.
+    /// Stalls open connections permanently; new ones work.
     pub(super) fn stall_connections(&self, random: &mut StdRng) {
         let all = [&self.store_links, &self.runner_links, &self.peer_links];
         let kind = random.random_range(0..all.len());
@@ -154,7 +154,7 @@
         self.disturbed(Cause::Node(node), from);
     }
 
-    /// A planned stop: callers keep using the process, by the connections that they have, until it is gone.
+    /// Shuts a node down gracefully; callers keep using their connections until the process exits.
     pub(super) async fn stop(&self, node: usize) {
         let Ok(_guard) = self.node_locks[node].try_lock() else { return };
         let Some(router) = self.router(node) else { return };
@@ -176,7 +176,7 @@
         *locked(&self.routers[node]) = router;
     }
 
-    /// The operator names the next version of the weights.
+    /// Sets the next target version of the weights.
     pub(super) fn advance_target_version(&self) {
         let mut targets = locked(&self.targets);
         let version = targets.last().map_or(2, |target| target.version + 1);
@@ -186,7 +186,7 @@
         self.log(format!("version {version} is named"));
     }
 
-    /// Several versions of the document in quick succession.
+    /// Publishes several versions of the document in quick succession.
     async fn change_document(&self) {
         self.log("the document changes".into());
         for _ in 0..3 {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Signals in quick succession that tell of settings which have not changed, at times beside a stop.
+    /// Sends reload signals in quick succession without a change of settings.
     async fn hang_up(&self, random: &mut StdRng, node: usize) {
         let Some(router) = self.router(node) else { return };
         self.log(format!("node {node} is told of its settings"));
@@ -213,14 +213,14 @@
         }
     }
 
-    /// Engines that end at the same moment.
+    /// Crashes several engines at the same time.
     fn crash_engines(&self, random: &mut StdRng) {
         let count = random.random_range(1..=self.cluster.engines.len());
         self.log(format!("{count} engines end together"));
         self.cluster.engines.iter().take(count).for_each(Runner::crash);
     }
 
-    /// Runners that end one after the other.
+    /// Crashes runners one after the other.
     pub(super) async fn release(&self, random: &mut StdRng, length: Duration) {
         self.log(format!("runners are replaced one by one over {length:?}"));
         for _ in 0..3 {
@@ -231,7 +231,7 @@
 }
 
 impl Router {
-    /// The process ends at once.
+    /// Kills the process.
     pub(super) fn kill(&self) {
         self.signal("-KILL");
     }
--- a/crates/cli/tests/forward/soak/leaving.rs
+++ b/crates/cli/tests/forward/soak/leaving.rs
@@ -1,5 +1,5 @@
-//! Back ends that say in their answers that they leave, or ask for rest, beside outages of the store, its returns from older copies,
-//! and starts, stand-stills and stops of nodes, in series that overlap. Links work all the time.
+//! Back ends that announce draining, back-off or limits, combined with store outages, restores of older backups and
+//! restarts and freezes of nodes. Links have no faults.
 
 use std::time::{Duration, Instant};
 
@@ -9,16 +9,16 @@
 
 use super::{Soak, disturbance::Cause};
 
-/// Times without requests that back ends ask for: seconds, fractions, and values that mean nothing.
+/// Back-off times that back ends request, including invalid values.
 const BACK_OFFS: [&str; 7] = ["1", "2", "3", "0.7", "1.25", "-2", "soon"];
 
-/// Limits that back ends name: requests a second, and values that mean nothing.
+/// Limits that back ends advertise in requests per second, including invalid values.
 const LIMITS: [&str; 6] = ["0", "0.3", "1.1", "5", "40", "few"];
 
-/// How long the store is away before it comes back from a copy, and what was lost is missing there.
+/// Duration of the outage before a restore, and delay until lost writes are repeated.
 const RESTORE_DELAY: Duration = Duration::from_millis(200);
 
-/// The faults of these plays.
+/// The faults of this scenario.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Leave,
@@ -37,7 +37,7 @@
     AdvanceTarget,
 }
 
-/// The faults that are drawn, each as often as it stands here.
+/// The faults to draw from, weighted by repetition.
 const FAULTS: [Fault; 22] = [
     Fault::Leave,
     Fault::Leave,
@@ -64,7 +64,7 @@
 ];
 
 impl Soak {
-    /// One series, one fault after the other.
+    /// Runs one sequence of faults.
     pub(super) async fn announcement_faults(&self, seed: u64, series: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(series) ^ 1 << 49);
         while Instant::now() < self.until {
@@ -102,9 +102,9 @@
         self.disturbed(Cause::Store, from);
     }
 
-    /// The store is away for a moment, and comes back from a copy that is some seconds old.
+    /// Restores the store from a backup of age `age` after a short outage.
     async fn restore_store(&self, age: Duration) {
-        // Two at once would make one of the copies older than the other's era.
+        // Concurrent restores would restore a backup from before the other restore.
         let Ok(_guard) = self.restore_lock.try_lock() else { return };
         let backup = self.cluster.store.backup();
         tokio::time::sleep(age).await;
@@ -119,8 +119,7 @@
         self.disturbed(Cause::Store, from);
     }
 
-    /// One or two back ends leave: they say so in their answers, some in their entries as well, serve on for seconds, and start
-    /// again.
+    /// Drains one or two back ends: they announce it in their answers, some also in their entries, and restart seconds later.
     async fn leave(&self, random: &mut StdRng) {
         let leaving: Vec<&Runner> = (0..random.random_range(1..3)).map(|_| self.any_runner(random)).collect();
         let updates_entry = random.random_range(0..2) == 0;
@@ -144,7 +143,7 @@
         join_all(ends).await;
     }
 
-    /// Back ends of one service name limits for some seconds, another one each second.
+    /// Makes back ends of one service advertise limits for some seconds, with a new one each second.
     async fn limit(&self, random: &mut StdRng, count: usize) {
         let runners =
             if random.random_range(0..2) == 0 { &self.cluster.engines } else { &self.cluster.bookings };
@@ -160,7 +159,7 @@
         limited.iter().for_each(|runner| runner.withdraw_limit());
     }
 
-    /// Back ends of one service turn requests away for a while, and ask for rest.
+    /// Makes back ends of one service reject requests for a while with a requested back-off.
     fn reject_requests(&self, random: &mut StdRng, count: usize) {
         let runners =
             if random.random_range(0..2) == 0 { &self.cluster.engines } else { &self.cluster.bookings };
--- a/crates/cli/tests/forward/soak/mod.rs
+++ b/crates/cli/tests/forward/soak/mod.rs
@@ -1,11 +1,5 @@
-//! Randomized faults from outside over real processes; the promises are checked from what callers and back ends see.
-//!
-//! Faults come in several series at once, so that signals, restarts, cuts, crashes and changes overlap. Callers keep their
-//! connections to a process until it is gone. There are three plays: faults of all kinds, where one caller sends a request
-//! that crashes whatever runs it; namings of weights beside crashes, starts and stand-stills, while store and links work; and back
-//! ends that leave or ask for rest beside outages of the store and starts of nodes.
-//!
-//! CI plays the seeds below for some seconds each. Longer, with a fresh seed, more nodes:
+//! Randomized faults over real processes, checked by what callers and back ends observe. Several sequences of faults run
+//! concurrently in each scenario. A longer run with another seed and more nodes:
 //! `PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 cargo test -p paddlemount-cli --test forward soak -- --nocapture`
 
 mod announced;
@@ -35,48 +29,45 @@
 use crate::router::{Router, from_environment};
 
 const NODES: usize = 3;
-/// Callers that go to any node with each request.
+/// Callers that send each request to a random node.
 const CALLERS: usize = 6;
-/// Callers that hold on to one connection.
+/// Callers with persistent connections.
 const PERSISTENT_CALLERS: usize = 48;
-/// Series of faults that go on at once.
+/// Concurrent sequences of faults.
 const SERIES: u64 = 3;
-/// A key that the operator takes away at some moment.
+/// A key that the operator removes during the test.
 const REMOVED_KEY: &str = "key-that-goes";
 /// The body of ordinary requests.
 const ORDINARY: &str = "the body";
-/// The body of the request that crashes whatever runs it.
+/// The body of the request that crashes every back end that runs it.
 const POISON: &str = "crashes whatever runs it";
-/// Seconds of a play of all faults in CI.
+/// Duration of the other scenarios in CI, in seconds.
 const CI_SECONDS: u64 = 12;
-/// Seconds of a play of namings in CI: the bound of weights passes, with a rest in which it would be broken.
+/// Duration of the target version scenario in CI, in seconds; longer than the bound for older weights.
 const TARGET_VERSION_CI_SECONDS: u64 = 16;
-/// How long an engine needs to load weights, about as long as those of the platform: all of them one after the other take
-/// longer than a look does.
+/// How long an engine takes to load weights; loads of all engines in sequence exceed the polling interval of a leader.
 const LOAD_TIME: Duration = Duration::from_millis(600);
-/// How often engines tell of their weights.
+/// Interval at which engines publish their loaded version.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long engines may take to get the last version once nothing disturbs them: a leader's lease, and some looks.
+/// How long a rollout may take after the last fault: a leader's lease and some polling intervals.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Seeds of all faults that are played each time; those that once failed stay here with their cause. 1: victims of a request
-/// that crashed what ran it were held back with it. 108: a run that was sent on to a second engine of a lost rack counted as a
-/// crash.
+/// Seeds of the scenario with all faults. Regressions: 1, requests interrupted by a poison request were quarantined with it;
+/// 108, a retry on a second engine of a lost rack counted as a crash.
 const SEEDS: [u64; 4] = [1, 2, 3, 108];
-/// Seeds of namings that are played each time.
+/// Seeds of the target version scenario.
 const TARGET_VERSION_SEEDS: [u64; 2] = [1, 2];
 
-/// Seeds of back ends that leave and rest that are played each time. 144: an older entry, which a copy of the store told, ended a
-/// rest that a back end had asked for.
+/// Seeds of the announcement scenario. Regression: 144, an older entry from a restored store ended a requested back-off.
 const ANNOUNCEMENT_SEEDS: [u64; 3] = [1, 2, 144];
 
-/// What a soak plays.
+/// The scenarios of the soak test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scenario {
     /// Faults of all kinds.
     AllFaults,
-    /// Namings of weights beside crashes, starts and stand-stills.
+    /// New target versions combined with crashes, restarts and freezes.
     TargetVersions,
-    /// Back ends that leave or ask for rest, beside outages of the store and starts of nodes.
+    /// Back ends that announce draining or back-off, combined with store outages and node restarts.
     Announcements,
 }
 
@@ -88,11 +79,11 @@
         }
     }
 
-    /// One in so many requests must be served, or a play shows nothing.
+    /// One request in this many must be served for a run to be meaningful.
     const fn min_served_divisor(self) -> usize {
         match self {
             Self::AllFaults => 5,
-            // In some plays all engines are away, and bookings refuse everything, most of the time.
+            // With some seeds all engines are down and bookings refuse everything most of the time.
             Self::TargetVersions | Self::Announcements => 50,
         }
     }
@@ -101,20 +92,20 @@
 struct Soak {
     cluster: Cluster,
     routers: Vec<Mutex<Option<Arc<Router>>>>,
-    /// Held by the series whose fault concerns a node's process.
+    /// Held by the sequence whose fault concerns the process of a node.
     node_locks: Vec<tokio::sync::Mutex<()>>,
     store_links: Vec<Proxy>,
     runner_links: Vec<Proxy>,
-    /// The ways on which other nodes reach each node.
+    /// Links through which other nodes reach each node.
     peer_links: Vec<Proxy>,
-    /// The version of the operator's document and the keys in it.
+    /// The version of the operator's document.
     document: tokio::sync::Mutex<u64>,
-    /// Held by the series that makes the store come back from a copy.
+    /// Held by the sequence that restores the store from a backup.
     restore_lock: tokio::sync::Mutex<()>,
     targets: Mutex<Vec<TargetVersion>>,
     removed_at: Mutex<Option<Instant>>,
     disturbances: Mutex<Vec<Disturbance>>,
-    /// All requests of callers, those that wait for a node to serve included.
+    /// All requests of callers, including those that wait for a node to become ready.
     offered: Mutex<Vec<OfferedRequest>>,
     events: Mutex<Vec<String>>,
     began: Instant,
@@ -185,8 +176,7 @@
         locked(&self.events).push(line);
     }
 
-    /// What the nodes that still run have said of back ends that ended under requests, and of what back ends have announced, in
-    /// order of time.
+    /// Log lines of running nodes about crashed back ends and announcements, in order of time.
     fn crash_lines(&self) -> Vec<String> {
         let routers = (0..self.nodes()).filter_map(|number| self.router(number));
         let about = |line: &String| {
@@ -205,7 +195,7 @@
         lines
     }
 
-    /// Waits until a node serves.
+    /// Waits until a node serves requests.
     async fn wait_until_serving(&self, number: usize) {
         let router = self.router(number).expect("a node runs");
         let served = async || {
@@ -216,7 +206,7 @@
         router.until("serving", served).await;
     }
 
-    /// Engines tell of their weights, until all is over and each has the version that was named last; whether they got it.
+    /// Publishes engine versions until the end of the rollout; returns whether all engines loaded the last target.
     async fn heartbeats(&self) -> bool {
         loop {
             self.cluster.publish_weights();
@@ -232,7 +222,7 @@
         }
     }
 
-    /// Everything that callers send while faults go on.
+    /// Runs all callers and returns their requests.
     async fn calls(&self, scenario: Scenario, seed: u64) -> Vec<Sent> {
         let until = self.until;
         let callers = (0..CALLERS).map(|caller| self.call(scenario, caller, seed, until));
@@ -254,7 +244,7 @@
         sent.into_iter().flatten().collect()
     }
 
-    /// The faults of one play.
+    /// Runs all fault sequences of a scenario.
     async fn inject_faults(&self, scenario: Scenario, seed: u64) {
         let series = (0..SERIES).map(async |series| match scenario {
             Scenario::AllFaults => self.faults(seed, series).await,
@@ -282,7 +272,7 @@
     for number in 0..nodes {
         soak.wait_until_serving(number).await;
     }
-    // What is still on its way may arrive.
+    // Wait for requests in flight.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let mut violations = soak.violations(&sent);
     if !rolled_out {
--- a/crates/cli/tests/forward/soak/retries.rs
+++ b/crates/cli/tests/forward/soak/retries.rs
@@ -1,62 +1,58 @@
-//! Whether the retries of all nodes together keep to the budget of their service.
+//! Checks the retries of all nodes together against the retry budget of a service.
 
 use std::{
     collections::BTreeSet,
     time::{Duration, Instant},
 };
 
-/// What all nodes together may repeat.
+/// The retry budget of all nodes together.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Repeats for a hundred requests.
+    /// Retries per hundred requests.
     pub percent: u64,
-    /// Repeats beside, in a window.
+    /// Additional retries per window.
     pub slack: u64,
-    /// The window.
     pub window: Duration,
 }
 
-/// A request that reached a back end, run or refused.
+/// A request that arrived at a back end, whether run or refused.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// The identity that its caller gave it.
+    /// The caller's request identifier.
     pub id: &'a str,
-    /// When it arrived.
+    /// When the request arrived.
     pub at: Instant,
 }
 
-/// What was repeated in a window.
+/// The retries in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Its beginning.
     pub from: Instant,
-    /// Its end.
     pub to: Instant,
-    /// Arrivals beyond the first of each request.
+    /// Arrivals beyond the first one of each request.
     pub retries: u64,
     /// Requests that callers sent.
     pub requests: u64,
-    /// Repeats that were allowed.
+    /// Maximum number of retries by the budget.
     pub allowed: u64,
 }
 
 impl Window {
-    /// Whether more was repeated than allowed.
+    /// Returns whether the retries exceed the budget.
     pub const fn is_over(&self) -> bool {
         self.retries > self.allowed
     }
 }
 
-/// The window of one service in which repeats came nearest to what is allowed, or passed it by most; nothing where nothing was
-/// repeated.
+/// Returns the window of one service with the smallest margin to the budget; `None` without retries.
 ///
-/// `asked` tells when callers sent requests for the service. They count in whichever has most: the window itself, the one
-/// before it, or the one half a window before it.
+/// `offered` holds the times at which callers sent requests. The budget of a window counts the requests of that window, of
+/// the one before it, or of the one half a window earlier, whichever has the most.
 pub fn fullest_window(offered: &[Instant], arrivals: &[Arrival], budget: &Budget) -> Option<Window> {
     let offered = sorted(offered.to_vec());
     let retries = retries(arrivals);
     let ends = retries.iter().copied();
-    // A window that begins with a repeat has it in it.
+    // A window that starts with a retry includes it.
     let begins = retries.iter().map(|at| *at + budget.window - Duration::from_nanos(1));
     let windows = ends.chain(begins).map(|to| window_ending(to, &offered, &retries, budget));
     windows.max_by_key(|window| window.retries as i64 - window.allowed as i64)
@@ -67,7 +63,7 @@
     instants
 }
 
-/// When requests arrived that had arrived before, in order.
+/// Returns the times of all retries in order.
 fn retries(arrivals: &[Arrival]) -> Vec<Instant> {
     let mut arrivals = arrivals.to_vec();
     arrivals.sort_by_key(|arrival| arrival.at);
@@ -75,7 +71,7 @@
     arrivals.into_iter().filter(|arrival| !known.insert(arrival.id)).map(|arrival| arrival.at).collect()
 }
 
-/// The window that ends with what happens at `to`.
+/// Evaluates the window that ends at `to`.
 fn window_ending(to: Instant, offered: &[Instant], retries: &[Instant], budget: &Budget) -> Window {
     let from = to - budget.window;
     let earlier = |by: Duration| count(offered, from - by, to - by);
@@ -85,7 +81,7 @@
     Window { from, to, retries: count(retries, from, to), requests, allowed }
 }
 
-/// How many of these sorted moments lie after `from`, up to and with `to`.
+/// Counts the sorted instants after `from` up to and including `to`.
 fn count(instants: &[Instant], from: Instant, to: Instant) -> u64 {
     let until = |end: Instant| instants.partition_point(|instant| *instant <= end);
     (until(to) - until(from)) as u64
@@ -105,7 +101,7 @@
         fullest_window(offered, arrivals, &BUDGET).filter(Window::is_over)
     }
 
-    /// One request a tenth of a second; those for which `arrivals` is more than one are sent on so often.
+    /// One request every 100 ms, each with the number of arrivals that `arrivals` returns.
     fn play(start: Instant, requests: u64, arrivals: impl Fn(u64) -> u64) -> Option<Window> {
         let ids: Vec<String> = (0..requests).map(|number| number.to_string()).collect();
         let offered: Vec<Instant> = (0..requests).map(|number| instant(start, number)).collect();
@@ -122,7 +118,7 @@
 
     #[test]
     fn retries_up_to_the_share_and_the_slack_are_allowed() {
-        // 23 beside the 100 requests of a window; the 24th is one too many.
+        // 23 retries are allowed for the 100 requests of a window.
         let start = Instant::now() + Duration::from_secs(60);
         let burst = |first: u64| move |number| 1 + u64::from((first..200).contains(&number));
         assert_eq!(play(start, 300, burst(177)), None);
@@ -159,7 +155,7 @@
             ids.iter().flat_map(|id| [Arrival { id, at: start }, Arrival { id, at }]).collect()
         };
         assert_eq!(over_budget(&offered, &arrivals_at(instant(start, 100))), None);
-        // By then nobody has asked for anything for too long.
+        // The last offered requests are too old by then.
         assert!(over_budget(&offered, &arrivals_at(instant(start, 120))).is_some());
     }
 }
--- a/crates/cli/tests/forward/soak/targets.rs
+++ b/crates/cli/tests/forward/soak/targets.rs
@@ -1,5 +1,5 @@
-//! Namings of weights beside crashes of engines, starts and stand-stills of nodes, in series that overlap. Store and links
-//! work all the time, but for open connections that fall silent in every other play.
+//! New target versions combined with engine crashes, and restarts and freezes of nodes. Store and links have no faults
+//! except for stalled connections with some seeds.
 
 use std::time::{Duration, Instant};
 
@@ -10,14 +10,14 @@
 use super::{Soak, disturbance::Cause};
 use crate::router::WEIGHTS_BOUND;
 
-/// The longest time after a play's end in which engines that crashed are still away.
+/// Maximum time after the end of a scenario for which crashed engines stay down.
 const MAX_OUTAGE_AFTER_END: Duration = Duration::from_secs(2);
-/// Requests that a runner refuses in a time of overload, at most.
+/// Maximum number of requests that a runner refuses in an overload.
 const MAX_REFUSED: usize = 300;
-/// Streams of an engine that take long before crashes in series, so that each crash breaks many.
+/// Slow streams per engine before serial crashes, so that each crash breaks many streams.
 const LONG_STREAMS: usize = 200;
 
-/// The faults of these plays.
+/// The faults of this scenario.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Advance,
@@ -37,7 +37,7 @@
     StallConnections,
 }
 
-/// The faults that are drawn, each as often as it stands here.
+/// The faults to draw from, weighted by repetition.
 const FAULTS: [Fault; 19] = [
     Fault::NodesMissAdvance,
     Fault::SerialCrashes,
@@ -61,13 +61,13 @@
 ];
 
 impl Soak {
-    /// One series, one fault after the other.
+    /// Runs one sequence of faults.
     pub(super) async fn target_version_faults(&self, seed: u64, series: u64) {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(series) ^ 1 << 48);
-        // What falls silent puts the bound of weights off, so most plays do without.
+        // Stalled connections extend the bound for older weights, so most seeds go without them.
         let with_stalls = seed % 4 == 1;
         match (series, seed % 2) {
-            // It takes longer than the bound of weights, so it begins with the play.
+            // This fault takes longer than the bound for older weights, so it starts first.
             (0, 0) => self.advance_before_node_restart(&mut random).await,
             (0, _) => self.serial_crashes(&mut random).await,
             _ => {}
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Most or all engines end together, for seconds, and come back with the weights that they had.
+    /// Crashes most or all engines together for seconds; they restart with the weights that they had.
     fn engine_outage(&self, random: &mut StdRng) {
         let count = self.cluster.engines.len() - random.random_range(0..2_usize);
         let outage = Duration::from_millis(random.random_range(1_000..9_000));
@@ -125,13 +125,13 @@
             "{count} engines end together and are back after {outage:?}, identity: {identity:?}"
         ));
         for engine in engines.iter().take(count) {
-            // They do not come back all at the same moment.
+            // Stagger the restarts.
             let gap = Duration::from_millis(random.random_range(0..600));
             engine.crash_with(RestartPlan { after: outage + gap, identity });
         }
     }
 
-    /// Weights are named shortly before or after engines are lost.
+    /// Advances the target version shortly before or after an engine outage.
     async fn advance_beside_engine_outage(&self, random: &mut StdRng) {
         let gap = Duration::from_millis(random.random_range(0..800));
         if random.random_range(0..2) == 0 {
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Weights are named, all engines are away until about the bound with the older ones, and meanwhile all nodes start again, or
-    /// stand still.
+    /// Advances the target version, keeps all engines down until about the bound for older weights, and restarts or freezes all
+    /// nodes meanwhile.
     async fn advance_before_node_restart(&self, random: &mut StdRng) {
         self.advance_target_version();
         let outage = WEIGHTS_BOUND + Duration::from_millis(random.random_range(0..1_000));
@@ -163,7 +163,7 @@
         }
     }
 
-    /// One engine after the other ends with long streams, and is back soon: each breaks streams that want another try.
+    /// Crashes one engine after the other under long streams, which then need retries.
     async fn serial_crashes(&self, random: &mut StdRng) {
         let engines = &self.cluster.engines;
         engines.iter().for_each(|engine| engine.script(&[Behaviour::Long; LONG_STREAMS]));
@@ -177,7 +177,7 @@
         }
     }
 
-    /// All nodes end and start together, before, beside or after a naming.
+    /// Restarts all nodes together before, during or after an advance of the target version.
     async fn restart_all_nodes(&self, random: &mut StdRng) {
         let planned = random.random_range(0..4) == 0;
         let before = Duration::from_millis(random.random_range(0..1_500));
@@ -214,7 +214,7 @@
         self.disturbed(Cause::Node(node), from);
     }
 
-    /// Some nodes stand still for seconds, from before or after a naming.
+    /// Freezes some nodes for seconds around an advance of the target version.
     async fn freeze_nodes(&self, random: &mut StdRng) {
         let length = Duration::from_millis(random.random_range(1_000..6_000));
         let count = random.random_range(1..=self.nodes());
@@ -233,7 +233,7 @@
         tokio::join!(frozen, advance);
     }
 
-    /// Some runners refuse everything for a while.
+    /// Makes some runners refuse all requests for a while.
     fn overload(&self, random: &mut StdRng) {
         let runners =
             if random.random_range(0..2) == 0 { &self.cluster.engines } else { &self.cluster.bookings };
--- a/crates/cli/tests/forward/soak/weights.rs
+++ b/crates/cli/tests/forward/soak/weights.rs
@@ -1,46 +1,44 @@
-//! Whether requests begin on weights that were replaced by newer ones too long ago.
+//! Checks that no request starts on older weights too long after newer ones became the target.
 
 use std::time::{Duration, Instant};
 
 use super::disturbance::Disturbance;
 
-/// A version of weights that the operator named.
+/// A target version of the weights set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetVersion {
-    /// The version.
     pub version: u64,
-    /// When the store had it.
+    /// When the store accepted the version.
     pub at: Instant,
 }
 
-/// A request that began to run on a model engine.
+/// A request that started on a model engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedRequest {
-    /// The identity that its caller gave it.
+    /// The caller's request identifier.
     pub id: String,
-    /// The node that sent it on.
+    /// The node that forwarded the request.
     pub node: usize,
-    /// The version that it began on.
+    /// The version on which the request started.
     pub version: u64,
-    /// When it began.
+    /// When the request started.
     pub at: Instant,
 }
 
-/// A request that began too late on its version.
+/// A request that started too late on its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LateStart {
-    /// The request.
     pub started: StartedRequest,
-    /// The newer version that had been named.
+    /// The newer target version.
     pub newer: TargetVersion,
-    /// How long all nodes could have known of it by then.
+    /// For how long all nodes could have known the newer version.
     pub known_for: Duration,
 }
 
-/// Requests that began on a version more than `bound` after a newer one was named.
+/// Returns requests that started on a version more than `bound` after a newer target was set.
 ///
-/// The bound counts within a time in which store and links worked. It holds for nodes that nothing has disturbed for a
-/// while; a start is a disturbance like others, so a node that started since must find out what was named before.
+/// The bound applies to periods without faults of store and links, and to nodes that have not been disturbed for a while.
+/// A start counts as a disturbance, after which the node must learn earlier targets.
 pub fn late_starts(
     started: &[StartedRequest],
     targets: &[TargetVersion],
--- a/crates/cli/tests/forward/unanswered.rs
+++ b/crates/cli/tests/forward/unanswered.rs
@@ -1,10 +1,5 @@
-//! A node that was stopped as planned left requests without an answer that had reached it in time: they lay in sockets of
-//! connections that rested, or in the queue of the listener, when the time to take callers was over. The node closed
-//! both without a look, and the kernel reset whoever had sent something. That takes a node that gets no processor time for
-//! a while, as beside many others on one machine: when it runs again its timer and the requests are ready together.
-//!
-//! What settled it: with the node held up for 0.7 s across that moment, 24 requests on connections that rested and 24 on
-//! new ones, and no line of any of those that were cut but `closed_unread`.
+//! A graceful shutdown and the close of idle connections must answer requests that have arrived by then, in sockets or in the
+//! listen backlog, even if the process is frozen across that moment.
 
 use std::time::{Duration, Instant};
 
@@ -18,9 +13,9 @@
 
 /// Callers of each kind.
 const CALLERS: usize = 24;
-/// When a node with a grace period of 6 s takes callers no longer, after the signal to stop.
+/// Time from the stop signal to the end of admission with a grace period of 6 s.
 const CLOSE_DELAY: Duration = Duration::from_millis(2_240);
-/// How long before and after that moment the node gets no processor time.
+/// How long before and after that moment the node is frozen.
 const FREEZE_MARGIN: Duration = Duration::from_millis(350);
 
 async fn cluster_and_router() -> (Cluster, Router) {
@@ -30,7 +25,7 @@
     (cluster, router)
 }
 
-/// Engines whose next streams take 3 s, before a node that has 4 s for a planned stop.
+/// Starts engines whose next streams take 3 s, and a node with a grace period of 4 s.
 async fn long_streams_and_short_grace() -> (Cluster, Router) {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
@@ -41,8 +36,7 @@
     (cluster, router)
 }
 
-/// Stops the node, which gets no processor time around the moment at which it takes callers no longer; `act` does what
-/// callers do meanwhile.
+/// Stops the node and freezes it around the end of admission; `act` runs the callers meanwhile.
 async fn stop_and_freeze<T>(router: &Router, act: impl Future<Output = T>) -> T {
     let stopped = Instant::now();
     router.terminate();
@@ -59,7 +53,7 @@
     futures_util::future::join_all(waiting).await
 }
 
-/// All callers got a whole answer; where not, the node's own words.
+/// Asserts that all answers are complete, and prints the node's log otherwise.
 async fn assert_all_complete(endings: &[Ending], router: &Router) {
     let cut = endings.iter().filter(|ending| !ending.is_complete()).count();
     router.until("stopped", async || router.logged("stopped")).await;
@@ -100,12 +94,11 @@
     assert_all_complete(&endings(callers).await, &router).await;
 }
 
-/// A silent run was let go as soon as another back end was asked. Where that one refused, the caller's stream broke, though
-/// the run was well and went on after its pause: `attempt_ended` with `silent`, two with `not_run`, and `stream_broken`.
+/// An unresponsive run must not be abandoned before another back end has accepted its stream, since the run may go on.
 #[tokio::test]
 async fn a_silent_run_is_kept_until_another_has_taken_its_stream() {
     let (cluster, router) = cluster_and_router().await;
-    // A node that does not know that it is alone allows itself two retries only.
+    // Before a node knows that it is alone, its retry budget is 2.
     router
         .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
         .await;
@@ -124,8 +117,7 @@
     assert!(all.iter().any(|response| response.complete && response.body == COMPLETE_STREAM));
 }
 
-/// A planned stop took callers for a fixed time and ended after another. A stream that began near the end of the first and
-/// lasted longer than the rest of the second was cut: `stopped` with `running: 1` after the whole grace period.
+/// A stream that cannot complete within the remaining grace period must be refused instead of cut.
 #[tokio::test]
 async fn a_planned_stop_begins_no_stream_that_it_cannot_end() {
     let (cluster, router) = long_streams_and_short_grace().await;
@@ -141,9 +133,8 @@
     assert_eq!(runs, 0, "a refusal that says when to come back has not run");
 }
 
-/// A stream whose head had left before the signal keeps its connection without a word of the stop. Its caller sent the next
-/// request on it when callers were no longer taken; that one was begun, and cut by the end of the grace period: its route
-/// had had no answer by which its length could be known.
+/// A connection whose stream started before the signal stays open without `connection: close`. The next request on it after
+/// the end of admission must be refused.
 #[tokio::test]
 async fn a_planned_stop_begins_nothing_after_it_takes_callers_no_longer() {
     let (cluster, router) = long_streams_and_short_grace().await;
@@ -161,8 +152,7 @@
     assert_eq!(runs("after"), 0);
 }
 
-/// A refusal was sent before the request's body was read, and the connection closed with unread bytes: the reset could
-/// overtake the refusal.
+/// Closing a connection with an unread request body resets it, and the reset must not overtake the refusal.
 #[tokio::test]
 async fn a_refusal_outlives_a_body_that_is_still_on_its_way() {
     const HALF: usize = 30_000;
@@ -179,8 +169,7 @@
     }
 }
 
-/// The time for which a connection may rest was read when it opened. A configuration that allows longer rests was not kept
-/// to on connections that were open already.
+/// A longer idle timeout in the configuration must apply to connections that are already open.
 #[tokio::test]
 async fn a_longer_rest_counts_for_connections_that_are_open() {
     let cluster = Cluster::start().await.expect("the cluster starts");
@@ -195,11 +184,10 @@
     assert!(caller.call("/quote/1", "rest-2").await.is_complete(), "{:#?}", router.lines());
 }
 
-/// A connection that has rested for as long as callers may count on is closed. What has come on it by then is answered,
-/// also where the node got no processor time meanwhile.
+/// Requests that arrive before an idle connection is closed must be answered, even if the node is frozen meanwhile.
 #[tokio::test]
 async fn what_lies_in_connections_that_have_rested_for_long_is_answered() {
-    /// After a rest of 300 ms that callers may count on.
+    /// An advertised idle timeout of 300 ms and its slack.
     const CLOSE_DELAY: Duration = Duration::from_millis(5_300);
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure_idle(1, &[KEY], 300);
@@ -221,8 +209,7 @@
     assert!(endings.iter().all(Ending::is_complete), "{endings:?}\n{:#?}", router.lines());
 }
 
-/// A stream's head was passed on before its first event. What went wrong between the two could then only be told by cutting
-/// the answer.
+/// The head of a stream must not be forwarded before its first event, so that an earlier failure gets a complete answer.
 #[tokio::test]
 async fn what_breaks_before_its_first_event_is_answered_whole() {
     let (cluster, router) = cluster_and_router().await;
--- a/crates/cli/tests/forward/weights_named.rs
+++ b/crates/cli/tests/forward/weights_named.rs
@@ -1,11 +1,5 @@
-//! Requests begin on older weights only for a bounded time after newer ones were named, whatever happened to the nodes.
-//!
-//! Version 3 was named at 17.016 s; all engines were away from 17.1 s to 26.1 s and came back with the weights that they
-//! had; all seven nodes were killed at 23.0 s and started at 23.55 s. At 28.562 s a request began on version 2, 11,546 ms
-//! after version 3 was acknowledged, under a bound of 8 s. That one was the first to be judged: requests of a node's first
-//! 5 s are not, and those before it were as late. There were two causes. Each node counted the bound from when it had heard
-//! of the version: a node that stood still, was cut off or started again let requests begin on old weights for all of it once
-//! more. And a version that none of the returned engines had was not asked for.
+//! Requests start on older weights only for a bounded time after a newer target version is set, even if nodes restart, freeze
+//! or lose the store, and even if no engine has the target version.
 
 use std::time::Duration;
 
@@ -19,21 +13,20 @@
 
 use crate::router::{CallerResponse, Router, gauge};
 
-/// Longer than any test: engines never come to new weights.
+/// Longer than any test, so that engines never finish a load.
 const LOAD_TIME: Duration = Duration::from_secs(600);
-/// The bound of nodes that are kept from hearing of a version, in milliseconds.
+/// Bound of nodes that are kept from observing a version, in milliseconds.
 const PARTITION_BOUND_MS: u64 = 3_000;
-/// How long they are: past the bound, and past the age at which a node trusts no keys any more.
+/// Longer than that bound and than the maximum age of keys.
 const PARTITION_TIME: Duration = Duration::from_millis(5_500);
-/// The bound of nodes that record a naming, in milliseconds. A leader has half of it for that, also where the machine is
-/// busy.
+/// Bound of nodes that record a target version, in milliseconds. The leader has half of it for that, even on a busy machine.
 const RECORDED_BOUND_MS: u64 = 8_000;
-/// Past that bound.
+/// Longer than that bound.
 const PAST_RECORDED_BOUND: Duration = Duration::from_millis(8_500);
-/// A bound that outlasts any test, in milliseconds.
+/// Longer than any test, in milliseconds.
 const LONG_BOUND_MS: u64 = 600_000;
 
-/// A place whose engines do not come to new weights.
+/// Starts a cluster whose engines never finish a load.
 async fn cluster() -> Cluster {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
@@ -52,13 +45,13 @@
     router.until("serving", served).await;
 }
 
-/// How often engines have run anything.
+/// Number of requests that engines have run.
 fn runs(cluster: &Cluster) -> usize {
     let seen = cluster.engines.iter().flat_map(Runner::seen);
     seen.filter(|seen| seen.ran).count()
 }
 
-/// The line that tells of a version.
+/// The log line about a version.
 fn line_of(router: &Router, version: u64) -> Option<String> {
     let field = format!("\"version\":{version},");
     router.lines().into_iter().find(|line| line.contains("\"weights_named\"") && line.contains(&field))
@@ -68,14 +61,14 @@
     line_of(router, version).is_some()
 }
 
-/// Whether a node knew how long ago a version was named at most, when it told of it.
+/// Returns whether the log line about a version has an upper bound of its age.
 fn logs_age_of(router: &Router, version: u64) -> bool {
     let is_age = |rest: &str| rest.starts_with(|first: char| first.is_ascii_digit());
     let line = line_of(router, version).unwrap_or_default();
     line.split_once("\"at_most_ms\":").is_some_and(|(_, rest)| is_age(rest))
 }
 
-/// Requests are refused at once, not run, and their callers are told when to come back.
+/// Checks that requests are refused at once with `retry-after` and do not run.
 async fn refuses_older_weights(cluster: &Cluster, router: &Router) {
     router.until("informed of the version", async || knows_target(router, 2)).await;
     let known = async || {
@@ -95,7 +88,7 @@
 
 #[tokio::test]
 async fn a_node_that_starts_alone_uses_no_weights_older_than_the_ones_that_it_finds_named() {
-    // A node that finds a version named at its start cannot know for how long it has been.
+    // At its start a node cannot know how old a target version is.
     let cluster = cluster().await;
     cluster.set_target_version(2);
     let router = Router::start(&cluster).await;
@@ -129,7 +122,7 @@
 
 #[tokio::test]
 async fn a_node_that_starts_beside_others_is_told_how_lately_weights_were_named() {
-    // Without being told it would refuse requests that all others serve.
+    // Without the age from other nodes, it would refuse requests that they serve.
     let cluster = cluster().await;
     let start =
         async |name: &str| Router::start_with_weights_bound(cluster.store_address, name, LONG_BOUND_MS).await;
@@ -142,7 +135,7 @@
     until_served(&started).await;
 }
 
-/// A node leads, hears of a version, records that in the store, and is killed.
+/// Runs a node until it has recorded a target version in the store as the leader, and kills it.
 async fn kill_after_announcement(cluster: &Cluster, bound_ms: u64) {
     let router = Router::start_with_weights_bound(cluster.store_address, "node-1", bound_ms).await;
     router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
@@ -153,8 +146,7 @@
 
 #[tokio::test]
 async fn where_all_nodes_start_again_soon_after_a_naming_older_weights_serve_on() {
-    // All nodes were killed 1.0 s after a naming. Those that started again took it for old, as nobody could tell them more:
-    // a day with two such starts was worth 0.60 in place of 0.71 (means of four plays each).
+    // The recorded age must keep restarted nodes from treating a recent target version as old.
     let cluster = cluster().await;
     kill_after_announcement(&cluster, LONG_BOUND_MS).await;
     let started = Router::start_with_weights_bound(cluster.store_address, "node-1", LONG_BOUND_MS).await;
@@ -172,7 +164,7 @@
     refuses_older_weights(&cluster, &started).await;
 }
 
-/// A request waits at an engine that says nothing, and newer weights are named meanwhile.
+/// Checks that a request at an unresponsive engine is cancelled when the target version advances meanwhile.
 async fn is_cancelled(behaviour: Behaviour, path: &str) {
     let cluster = cluster().await;
     let router = Router::start_with_weights_bound(cluster.store_address, "node-1", 1_000).await;
@@ -193,7 +185,7 @@
 
 #[tokio::test]
 async fn a_request_that_waits_is_taken_back_where_newer_weights_are_named_meanwhile() {
-    // The wait was measured when the request was sent, and a version that was named later shortened it no more.
+    // A version that is set after the request was sent must shorten its wait.
     is_cancelled(Behaviour::Hangs, "/chat/1").await;
 }
 
--- a/crates/cli/tests/load.rs
+++ b/crates/cli/tests/load.rs
@@ -1,4 +1,4 @@
-//! The command `load` against processes of the built binary.
+//! `paddlemount load` against processes of the built binary.
 
 mod support;
 
--- a/crates/cli/tests/planned_work.rs
+++ b/crates/cli/tests/planned_work.rs
@@ -1,10 +1,5 @@
-//! Planned work on a node that serves the product's own interface ended requests without an answer. SIGHUP, by which a
-//! platform tells that settings have changed, had no handler: the system ended the process at once, with its streams. A
-//! second SIGTERM, as of a platform that is not sure that the first one arrived, did the same. And a stop that had nothing
-//! left to wait for closed connections with requests on them that had arrived while the node got no processor time.
-//!
-//! What settled it: streams that ended after some events of 60 with the connection, on each signal; and of 48 requests that
-//! were sent while the node was held up across its end, those that got no answer.
+//! Signals and graceful shutdown of a router node must not end requests without an answer, including requests that
+//! arrive while the process is frozen.
 
 mod support;
 
@@ -20,12 +15,12 @@
     read_answer, send, wait_until,
 };
 
-/// Slow enough that a test can act while an answer is under way.
+/// Slow enough to act while an answer is in progress.
 const SLOW_STEP_MS: f64 = 20.0;
 const TOKENS: u32 = 60;
-/// Callers on connections that they keep. Many, so that reading what they sent takes the node longer than one look.
+/// Callers on persistent connections; enough that the node cannot read all their requests in one poll.
 const CALLERS: usize = 200;
-/// Callers on new connections, fewer than the listener's queue holds.
+/// Callers on new connections, fewer than the listen backlog.
 const NEW_CALLERS: usize = 60;
 
 fn slow_cluster() -> Cluster {
@@ -36,7 +31,7 @@
     support::get(admin, "/readyz", &[]).json()["requests"].as_u64().expect("a number of requests")
 }
 
-/// Begins a stream, sends `signals` to the node while it runs, and checks that the stream comes whole.
+/// Starts a stream, sends `signals` to the node meanwhile, and checks that the stream completes.
 fn check_stream_survives(cluster: &Cluster, signals: &[&str]) {
     let node = &cluster.nodes[0];
     let messages = conversation("a signal");
@@ -79,11 +74,11 @@
 
 fn request_models(stream: &mut TcpStream) {
     let request = format!("GET /v1/models HTTP/1.1\r\nhost: node\r\nauthorization: Bearer {KEY}\r\n\r\n");
-    // Where the connection has ended already, reading the answer shows it.
+    // If the connection is closed already, reading the answer fails.
     let _ = stream.write_all(request.as_bytes());
 }
 
-/// Whether a whole answer comes on a connection.
+/// Returns whether a connection receives a complete answer.
 fn is_answered(mut stream: TcpStream) -> bool {
     let mut first = [0];
     let came = stream.peek(&mut first).is_ok_and(|count| count > 0);
@@ -132,9 +127,9 @@
     assert_eq!(cut, 0, "of {CALLERS}");
 }
 
-/// How much longer than callers are told a connection that rests stays open.
+/// How much longer than advertised an idle connection stays open.
 const IDLE_SLACK: Duration = Duration::from_secs(5);
-/// The setting of the tests below, for how long callers are told that they may count on a connection.
+/// The advertised keep-alive timeout of the tests below.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn cluster_with_short_keep_alive() -> Cluster {
@@ -172,7 +167,7 @@
     assert_eq!(answer.header("keep-alive"), Some("timeout=1"));
     std::thread::sleep(KEEP_ALIVE_TIMEOUT * 2);
     request_models(&mut stream);
-    assert_eq!(read_answer(&mut stream).status, 200, "it rests for longer than is told");
+    assert_eq!(read_answer(&mut stream).status, 200, "it stays open for longer than advertised");
     assert_eq!(stream.read(&mut [0]).expect("an end, not a reset"), 0);
 }
 
@@ -191,7 +186,7 @@
     let padding = "x".repeat(10_000);
     let remainder = format!("x-padding: {padding}\r\nauthorization: Bearer {KEY}\r\n\r\n");
     streams.iter_mut().for_each(|stream| stream.write_all(begun).expect("the connection is open"));
-    // Long enough for the node to have read what has come, and much less than the bound for a head.
+    // Long enough for the node to read the first part, and much shorter than the timeout of a head.
     std::thread::sleep(HEAD_TIMEOUT / 10);
     node.signal("-STOP");
     streams
--- a/crates/cli/tests/poison.rs
+++ b/crates/cli/tests/poison.rs
@@ -1,4 +1,4 @@
-//! A chat that crashes each engine that begins to run it, on the product's own interface.
+//! Quarantine of a chat that crashes every engine that runs it.
 
 mod support;
 
@@ -11,17 +11,17 @@
     post, set_faults, state_of, wait_until,
 };
 
-/// Slow enough that crashes meet ordinary chats in the middle.
+/// Slow enough that crashes interrupt ordinary chats.
 const SLOW_STEP_MS: f64 = 10.0;
-/// The number of tokens by which the stand-in engines know the chat that crashes them.
+/// `max_tokens` of the chat that crashes the stand-in engines.
 const POISON_TOKENS: u32 = 77;
-/// How often its caller comes.
+/// Attempts of the caller of that chat.
 const ATTEMPTS: usize = 24;
-/// The pause between two of its tries.
+/// Pause between two of these attempts.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(300);
-/// Tries after which all nodes must have heard: news rides on their probes, one each second.
+/// Attempts after which all nodes must know of the quarantine, which spreads with their probes once a second.
 const ATTEMPTS_TO_PROPAGATE: usize = 10;
-/// Engines that may still end after that.
+/// Maximum number of engine crashes after that.
 const MAX_LATE_CRASHES: u64 = 3;
 
 fn crashes(cluster: &Cluster) -> u64 {
@@ -50,7 +50,7 @@
     }
     let late = crashes(&cluster) - early;
     assert!(late <= MAX_LATE_CRASHES, "{early} engines ended early and {late} late: {last:?}");
-    assert!(early >= 3, "the chat crashed hardly an engine, and nothing is shown");
+    assert!(early >= 3, "too few crashes for the test to show anything");
     assert!(last.ends_with(&[503, 503]), "{last:?}");
     for node in &cluster.nodes {
         let address = node.address("callers");
--- a/crates/cli/tests/services.rs
+++ b/crates/cli/tests/services.rs
@@ -1,4 +1,4 @@
-//! Calls of services beside the models, through processes.
+//! Service calls through node and stand-in processes.
 
 mod support;
 
@@ -49,7 +49,7 @@
         post(self.node.address("callers"), &path, &[("authorization", &authorization)], &body)
     }
 
-    /// Runs of an operation over all instances.
+    /// Number of executions over all instances.
     fn runs(&self) -> usize {
         let ledger = |process: &Process| {
             support::get(process.address("address"), "/control/ledger", &[]).json().as_array().unwrap().len()
--- a/crates/cli/tests/support/expectations.rs
+++ b/crates/cli/tests/support/expectations.rs
@@ -1,4 +1,4 @@
-//! What requests must get, byte by byte.
+//! Expected answers, byte by byte.
 
 use paddlemount_protocol::{
     caller::{
@@ -56,7 +56,7 @@
     }
 }
 
-/// Writes the stream that a caller must get, with the identity, time and cache count of `answer`.
+/// Builds the expected stream with the identifier, time and cached tokens of `answer`.
 pub fn expected_stream(answer: &Answer, expected: &Expected) -> String {
     let events: Vec<&str> = answer.text().split("\n\n").collect();
     let first: ChatChunk = serde_json::from_str(events[0].strip_prefix("data: ").unwrap()).unwrap();
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the built binary's processes and speaks HTTP to them.
+//! Starts processes of the built binary and sends HTTP requests to them.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod expectations;
@@ -31,12 +31,12 @@
 pub const KEY: &str = "kestrel-test-key";
 pub const TENANT: &str = "kestrel";
 pub const CLUSTER_KEY: &str = "a cluster key for tests";
-/// Nothing in these tests takes this long unless it hangs.
+/// Upper bound of any wait, after which a test fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
-/// A file that is removed at the end.
+/// A temporary settings file, removed when dropped.
 pub struct SettingsFile(pub PathBuf);
 
 impl SettingsFile {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A process that is ended at the latest when this value is dropped.
+/// A child process, killed when dropped.
 pub struct Process {
     pub child: Child,
     pub ready: Value,
@@ -90,7 +90,7 @@
         self.ready[name].as_str().unwrap().parse().unwrap()
     }
 
-    /// Asks for a planned stop.
+    /// Requests a graceful shutdown.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
@@ -100,7 +100,7 @@
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    /// Waits for the end of the process and returns its exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Runs a command to its end.
+/// Runs a command to completion.
 pub fn run(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_paddlemount")).args(arguments).output().unwrap()
 }
@@ -191,7 +191,7 @@
     )
 }
 
-/// The platform, engines and nodes.
+/// Processes of the platform services, engines and nodes.
 pub struct Cluster {
     pub store: Process,
     pub list: Process,
@@ -231,7 +231,7 @@
     }
 }
 
-/// Waits until a node says that it is ready.
+/// Waits until a node reports that it is ready.
 pub fn wait_ready(node: &Process) {
     let start = Instant::now();
     while get(node.address("admin"), "/readyz", &[]).status != 200 {
@@ -240,13 +240,13 @@
     }
 }
 
-/// An answer as it came over the wire.
+/// An HTTP response as received.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether the body's end was marked as HTTP demands.
+    /// Whether the body ended as its framing requires.
     pub complete: bool,
 }
 
@@ -272,14 +272,14 @@
     exchange(address, "POST", path, headers, body)
 }
 
-/// Sets the faults of a stand-in; absent ones mean none.
+/// Replaces the faults of a stand-in.
 pub fn set_faults(standin: &Process, faults: &Value) {
     let answer =
         post(standin.address("address"), "/control/faults", &[], &serde_json::to_vec(faults).unwrap());
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// A stand-in's state.
+/// Fetches the state of a stand-in.
 pub fn state_of(standin: &Process) -> Value {
     get(standin.address("address"), "/control/state", &[]).json()
 }
@@ -311,7 +311,7 @@
     read_answer(&mut stream)
 }
 
-/// Sends a request and leaves the answer to be read.
+/// Sends a request without reading the response.
 pub fn send(
     address: SocketAddr,
     method: &str,
@@ -328,12 +328,12 @@
     }
     head.push_str("\r\n");
     stream.write_all(head.as_bytes()).unwrap();
-    // A server may refuse a large body before it has read all of it.
+    // A server may refuse a large body before reading all of it.
     let _ = stream.write_all(body);
     stream
 }
 
-/// Reads one answer.
+/// Reads one response.
 pub fn read_answer(stream: &mut TcpStream) -> Answer {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
@@ -358,7 +358,7 @@
     answer
 }
 
-/// Reads chunks up to the last; `None` where the connection ends before it.
+/// Reads a chunked body; returns `None` if the connection ends before the last chunk.
 fn read_chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
     loop {
         let mut line = String::new();
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -1,19 +1,19 @@
-//! The program as a process of a test, which ends with the test however that ends.
+//! Starts the program as a child process that ends with its test, even if the test is killed.
 
 use std::{
     process::Command,
     sync::atomic::{AtomicU64, Ordering},
 };
 
-/// A build of another commit, by its path: every second forwarding node that starts is one of it.
+/// Path of another build, which every second forwarding node then runs.
 const PRODUCTION: &str = "PADDLEMOUNT_PRODUCTION";
 
-/// The program, with nothing asked of it yet. It ends with the thread that starts it, also where the whole test is killed.
+/// Creates a command for the program, which is killed when the thread that starts it ends.
 pub fn program() -> Command {
     program_at(env!("CARGO_BIN_EXE_paddlemount"))
 }
 
-/// The program of a forwarding node: this build, or by turns one of the commit in production where a test by hand names it.
+/// Creates a command for a forwarding node, which alternates between this build and the one in [`PRODUCTION`].
 #[allow(dead_code, reason = "other tests that use this file start no forwarding nodes")]
 pub fn forwarding_program() -> Command {
     static STARTED: AtomicU64 = AtomicU64::new(0);
@@ -25,8 +25,8 @@
 }
 
 fn program_at(path: &str) -> Command {
-    // It takes the place of this helper, and gets the signal when its parent thread ends. Without that the nodes of a test that
-    // was killed live on, and call addresses that belong to others by then.
+    // `setpriv` makes the kernel kill the program when its parent thread ends. Otherwise nodes of a killed test
+    // would go on calling addresses that other tests use by then.
     let mut command = Command::new("setpriv");
     command.args(["--pdeathsig", "KILL", "--", path]);
     command
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Requests travel through processes of the built binary, and every byte of each answer is compared.
+//! End-to-end requests through processes of the built binary, with answers compared byte by byte.
 
 mod support;
 
--- a/crates/standins/tests/engine_cache.rs
+++ b/crates/standins/tests/engine_cache.rs
@@ -1,4 +1,4 @@
-//! Properties of the block cache, over random operations.
+//! Properties of the block cache under random operations.
 
 use bolero::{TypeGenerator, check};
 use paddlemount_protocol::prefix::{BlockHash, CacheScope};
--- a/crates/standins/tests/engine_model.rs
+++ b/crates/standins/tests/engine_model.rs
@@ -1,11 +1,12 @@
-//! The engine model in virtual time: how requests run, wait, continue and end.
+//! The engine model in virtual time: admission, queueing, continuation and end of requests.
 
 mod model_support;
 
 use std::time::Duration;
 
 use model_support::{
-    END, LIFE, SEED, at, cached_tokens, engine, engine_with, first_token_at, request, run, token_indexes,
+    END, INCARNATION, SEED, at, cached_tokens, engine, engine_with, first_token_at, request, run,
+    token_indexes,
 };
 use paddlemount_protocol::{
     engine::{Precondition, Priority},
@@ -134,13 +135,13 @@
         mutate(&mut request.precondition);
         let refusal = engine.submit(request, Timestamp(0)).unwrap_err();
         assert_eq!(refusal.code, RefusalCode::PreconditionFailed);
-        assert_eq!(refusal.incarnation, LIFE);
+        assert_eq!(refusal.incarnation, INCARNATION);
     }
     assert_eq!(engine.next_event_at(), None, "nothing has run");
 }
 
 #[test]
-fn a_try_is_accepted_once() {
+fn an_attempt_is_accepted_once() {
     let mut engine = engine();
     engine.submit(request("a", 1, 2), Timestamp(0)).unwrap();
     assert_eq!(engine.submit(request("a", 1, 2), Timestamp(1)).unwrap_err().code, RefusalCode::InProgress);
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn a_request_given_up_in_the_queue_does_not_run() {
+fn a_request_that_expires_in_the_queue_does_not_run() {
     let mut engine = engine_with(|behaviour| {
         behaviour.speed.batch_slots = 1;
     });
@@ -200,17 +201,17 @@
     let mut engine = engine();
     engine.submit(request("a", 1, 2), Timestamp(0)).unwrap();
     run(&mut engine, Timestamp::from_millis(1_000));
-    let progress = engine.resume(&"a".into(), LIFE).unwrap();
+    let progress = engine.resume(&"a".into(), INCARNATION).unwrap();
     assert!(progress.ended && progress.next_index == 5);
     let refusal = engine.resume(&"a".into(), Incarnation(4)).unwrap_err();
     assert_eq!(refusal.code, RefusalCode::PreconditionFailed);
     engine.submit(request("b", 1, 2), Timestamp::from_millis(9_000)).unwrap();
     run(&mut engine, END);
-    assert_eq!(engine.resume(&"a".into(), LIFE).unwrap_err().code, RefusalCode::NotFound);
+    assert_eq!(engine.resume(&"a".into(), INCARNATION).unwrap_err().code, RefusalCode::NotFound);
 }
 
 #[test]
-fn a_crash_loses_everything_and_the_next_life_refuses_the_old_precondition() {
+fn a_crash_loses_everything_and_the_next_incarnation_refuses_the_old_precondition() {
     let mut engine = engine();
     engine.submit(request("a", 1, 20), Timestamp(0)).unwrap();
     run(&mut engine, Timestamp::from_millis(70));
--- a/crates/standins/tests/engine_model_orders.rs
+++ b/crates/standins/tests/engine_model_orders.rs
@@ -1,8 +1,8 @@
-//! The engine model in virtual time: orders, and what an engine does between an order and its end.
+//! The engine model in virtual time: orders and their effects.
 
 mod model_support;
 
-use model_support::{END, LIFE, SEED, at, engine, request, run, settings};
+use model_support::{END, INCARNATION, SEED, at, engine, request, run, settings};
 use paddlemount_protocol::{
     engine::{CacheChange, EngineRole, Order, OrderCommand},
     identity::{EventSequence, FencingToken, Incarnation, ModelId, WeightsVersion},
@@ -69,7 +69,8 @@
 
 #[test]
 fn a_load_that_was_replaced_does_not_take_effect() {
-    let mut engine = EngineModel::new(EngineModelSettings { load_duration: None, ..settings() }, LIFE, SEED);
+    let mut engine =
+        EngineModel::new(EngineModelSettings { load_duration: None, ..settings() }, INCARNATION, SEED);
     let model = ModelId::from("model");
     let load = |weights| OrderCommand::LoadModel { model: "model".into(), weights: WeightsVersion(weights) };
     engine.order(&order(1, "x", load(2)), Timestamp(0)).unwrap();
--- a/crates/standins/tests/engine_model_state.rs
+++ b/crates/standins/tests/engine_model_state.rs
@@ -1,11 +1,11 @@
-//! The engine model in virtual time: what it tells of its cache and its load, and cached state that goes elsewhere.
+//! The engine model in virtual time: cache events, load reports, and transfer of cached state.
 
 mod model_support;
 
 use std::time::Duration;
 
 use model_support::{
-    END, LIFE, SEED, blocks, cached_tokens, engine, engine_with, precondition, request, run, settings,
+    END, INCARNATION, SEED, blocks, cached_tokens, engine, engine_with, precondition, request, run, settings,
 };
 use paddlemount_protocol::{
     engine::{CacheChange, ExportRequest},
@@ -55,11 +55,11 @@
     run(&mut engine, END);
     let batch = engine.cache_events(EventSequence(0), 100, END);
     assert_eq!(batch.events[0].sequence, EventSequence(2));
-    let mut deaf = EngineModel::new(settings(), LIFE, SEED);
-    deaf.lose_next_events(100);
-    deaf.submit(request("a", 1, 20), Timestamp(0)).unwrap();
-    run(&mut deaf, END);
-    let batch = deaf.cache_events(EventSequence(0), 100, END);
+    let mut lossy = EngineModel::new(settings(), INCARNATION, SEED);
+    lossy.lose_next_events(100);
+    lossy.submit(request("a", 1, 20), Timestamp(0)).unwrap();
+    run(&mut lossy, END);
+    let batch = lossy.cache_events(EventSequence(0), 100, END);
     assert!(batch.events.is_empty() && batch.last > EventSequence(0));
 }
 
@@ -79,28 +79,32 @@
 }
 
 #[test]
-fn an_export_imports_elsewhere_but_never_across_scopes_weights_or_ended_lives() {
+fn an_export_imports_elsewhere_but_never_across_scopes_weights_or_ended_incarnations() {
     let mut origin = engine();
     origin.submit(request("a", 1, 20), Timestamp(0)).unwrap();
     run(&mut origin, END);
-    let ask = ExportRequest { precondition: precondition(), scope: CacheScope(1), blocks: blocks(1, 30) };
-    let transfer = origin.export(&ask).unwrap();
+    let request_export =
+        ExportRequest { precondition: precondition(), scope: CacheScope(1), blocks: blocks(1, 30) };
+    let transfer = origin.export(&request_export).unwrap();
     assert_eq!(transfer.blocks.len(), 20);
-    assert_eq!((transfer.origin.as_str(), transfer.origin_incarnation), ("engine-1", LIFE));
+    assert_eq!((transfer.origin.as_str(), transfer.origin_incarnation), ("engine-1", INCARNATION));
 
     let mut other =
-        EngineModel::new(EngineModelSettings { engine: "engine-2".into(), ..settings() }, LIFE, SEED);
-    let meant = |name: &str| {
+        EngineModel::new(EngineModelSettings { engine: "engine-2".into(), ..settings() }, INCARNATION, SEED);
+    let request_for_other = |name: &str| {
         let mut request = request(name, 1, 20);
         request.precondition.engine = "engine-2".into();
         request
     };
-    let wrong_scope = ModelRequest { scope: CacheScope(2), import: Some(transfer.clone()), ..meant("scope") };
+    let wrong_scope =
+        ModelRequest { scope: CacheScope(2), import: Some(transfer.clone()), ..request_for_other("scope") };
     assert_eq!(other.submit(wrong_scope, Timestamp(0)).unwrap_err().code, RefusalCode::PreconditionFailed);
     let mut old = transfer.clone();
     old.weights = WeightsVersion(0);
     assert_eq!(other.import(&old, Timestamp(0)).unwrap_err().code, RefusalCode::PreconditionFailed);
-    other.submit(ModelRequest { import: Some(transfer.clone()), ..meant("b") }, Timestamp(0)).unwrap();
+    other
+        .submit(ModelRequest { import: Some(transfer.clone()), ..request_for_other("b") }, Timestamp(0))
+        .unwrap();
     let outputs = run(&mut other, END);
     assert_eq!(cached_tokens(&outputs, "b"), 20 * BLOCK_TOKENS);
     assert!(outputs[0].at > Timestamp(0), "an import takes time");
@@ -112,12 +116,13 @@
 }
 
 #[test]
-fn an_engine_refuses_state_of_its_own_earlier_life() {
+fn an_engine_refuses_state_of_its_own_earlier_incarnation() {
     let mut engine = engine();
     engine.submit(request("a", 1, 20), Timestamp(0)).unwrap();
     run(&mut engine, END);
-    let ask = ExportRequest { precondition: precondition(), scope: CacheScope(1), blocks: blocks(1, 20) };
-    let transfer = engine.export(&ask).unwrap();
+    let request_export =
+        ExportRequest { precondition: precondition(), scope: CacheScope(1), blocks: blocks(1, 20) };
+    let transfer = engine.export(&request_export).unwrap();
     engine.crash();
     engine.restart(Incarnation(6), SEED);
     assert_eq!(engine.import(&transfer, END).unwrap_err().code, RefusalCode::PreconditionFailed);
--- a/crates/standins/tests/engine_server.rs
+++ b/crates/standins/tests/engine_server.rs
@@ -1,4 +1,4 @@
-//! The engine server over real TCP: streams, faults, orders, feed.
+//! The engine server over TCP: streams, faults, orders and the feed.
 
 mod support;
 
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn resuming_another_life_or_an_unknown_try_is_refused() {
+async fn resuming_another_incarnation_or_an_unknown_attempt_is_refused() {
     let engine = start(engine_settings("engine-1"));
     let status = status(engine.address()).await;
     let resume = |incarnation| ResumeRequest { attempt: "none".into(), incarnation, next_index: 0 };
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_nobody_reads_is_given_up_after_the_grace_period() {
+async fn a_stream_without_a_reader_is_abandoned_after_the_grace_period() {
     let mut settings = engine_settings("engine-1");
     settings.behaviour.service.resume_grace_ms = 100;
     settings.behaviour.speed.decode_base_ms = 200.0;
@@ -175,10 +175,10 @@
     let first = start(engine_settings("engine-1"));
     let second = start(engine_settings("engine-2"));
     let request = generate_request(&status(first.address()).await, "a", &prompt(30));
-    let whole = expected(&request);
-    let mut rest = generate_request(&status(second.address()).await, "b", &prompt(30));
-    rest.answer_prefix = whole[..9].to_vec();
-    let (frames, clean) = generate(second.address(), &rest).await;
+    let complete = expected(&request);
+    let mut remainder = generate_request(&status(second.address()).await, "b", &prompt(30));
+    remainder.answer_prefix = complete[..9].to_vec();
+    let (frames, clean) = generate(second.address(), &remainder).await;
     assert!(clean);
     let continued: Vec<String> = frames
         .iter()
@@ -187,7 +187,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(continued, whole[9..]);
+    assert_eq!(continued, complete[9..]);
     assert_eq!(control(second.address()).await.counters.foreign_continuations, 0);
     let mut foreign = generate_request(&status(second.address()).await, "c", &prompt(30));
     foreign.answer_prefix = vec!["something else ".into()];
@@ -238,13 +238,13 @@
     stored.sort();
     let first: CacheSnapshot = get(address, "/snapshot?limit=5").await;
     assert!(first.more);
-    let rest: CacheSnapshot = get(address, &format!("/snapshot?after={}", first.blocks[4])).await;
-    assert_eq!([first.blocks, rest.blocks].concat(), stored);
-    assert_eq!(batch.last, rest.as_of);
+    let remainder: CacheSnapshot = get(address, &format!("/snapshot?after={}", first.blocks[4])).await;
+    assert_eq!([first.blocks, remainder.blocks].concat(), stored);
+    assert_eq!(batch.last, remainder.as_of);
 }
 
 #[tokio::test]
-async fn lost_events_and_a_later_life_show_in_the_feed() {
+async fn lost_events_and_a_later_incarnation_show_in_the_feed() {
     let engine = start(engine_settings("engine-1"));
     let address = engine.address();
     let deaf = FeedSettings { delay_ms: 0, loss: 1.0, ..FeedSettings::default() };
@@ -262,17 +262,17 @@
 }
 
 #[tokio::test]
-async fn kept_cache_travels_between_engines() {
+async fn cached_state_is_transferred_between_engines() {
     let first = start(engine_settings("engine-1"));
     let second = start(engine_settings("engine-2"));
     let request = generate_request(&status(first.address()).await, "a", &prompt(100));
     generate(first.address(), &request).await;
-    let ask = ExportRequest {
+    let request = ExportRequest {
         precondition: request.precondition.clone(),
         scope: request.scope,
         blocks: request.blocks.clone(),
     };
-    let transfer: KvTransfer = post(first.address(), "/export", &ask).await;
+    let transfer: KvTransfer = post(first.address(), "/export", &request).await;
     assert_eq!(transfer.blocks, request.blocks);
     let result: ImportResult = post(second.address(), "/import", &transfer).await;
     assert_eq!(result.blocks as usize, request.blocks.len());
--- a/crates/standins/tests/model_support/mod.rs
+++ b/crates/standins/tests/model_support/mod.rs
@@ -1,4 +1,4 @@
-//! Engine models in virtual time, requests to them, and what to read from their outputs.
+//! Helpers for engine models in virtual time: requests and evaluation of outputs.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -16,7 +16,7 @@
 };
 
 pub const SEED: u64 = 7;
-pub const LIFE: Incarnation = Incarnation(5);
+pub const INCARNATION: Incarnation = Incarnation(5);
 
 pub fn settings() -> EngineModelSettings {
     EngineModelSettings {
@@ -31,14 +31,14 @@
 }
 
 pub fn engine() -> EngineModel {
-    EngineModel::new(settings(), LIFE, SEED)
+    EngineModel::new(settings(), INCARNATION, SEED)
 }
 
-/// An engine whose behaviour differs from the usual.
+/// Creates an engine with changed behaviour.
 pub fn engine_with(change: impl FnOnce(&mut EngineBehaviour)) -> EngineModel {
     let mut settings = settings();
     change(&mut settings.behaviour);
-    EngineModel::new(settings, LIFE, SEED)
+    EngineModel::new(settings, INCARNATION, SEED)
 }
 
 pub fn blocks(first: u128, count: u32) -> Vec<BlockHash> {
@@ -48,7 +48,7 @@
 pub fn precondition() -> Precondition {
     Precondition {
         engine: "engine-1".into(),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         model: "model".into(),
         weights: WeightsVersion(1),
         adapter: None,
@@ -71,7 +71,7 @@
     }
 }
 
-/// All that the engine puts out until then.
+/// Runs the engine until a time and returns all outputs.
 pub fn run(engine: &mut EngineModel, until: Timestamp) -> Vec<EngineOutput> {
     let mut outputs = vec![];
     while let Some(at) = engine.next_event_at().filter(|at| *at <= until) {
@@ -80,7 +80,7 @@
     outputs
 }
 
-/// Positions of all tokens, in the order in which they came.
+/// Indexes of all tokens in order of output.
 pub fn token_indexes(outputs: &[EngineOutput]) -> Vec<u32> {
     let index = |output: &EngineOutput| match output.event {
         EngineEvent::Token { index, .. } => Some(index),
@@ -96,7 +96,7 @@
         }
         _ => None,
     });
-    found.expect("the try started")
+    found.expect("the attempt started")
 }
 
 pub fn at(outputs: &[EngineOutput], matches: impl Fn(&EngineEvent) -> bool) -> Timestamp {
--- a/crates/standins/tests/servers.rs
+++ b/crates/standins/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers over real TCP.
+//! Stand-in servers over TCP.
 
 mod support;
 
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_refuses_a_request_meant_for_another_life() {
+async fn an_engine_refuses_a_request_for_another_incarnation() {
     let engine = support::start(StandinSettings::Engine(engine_settings("engine-1")));
     let status: EngineStatus = get(engine.address(), "/status").await;
     let mut request = generate_request(&status, "attempt-1", "a prompt");
@@ -65,8 +65,8 @@
     let mut settings = engine_settings("engine-1");
     settings.listen = address;
     let again = support::start(StandinSettings::Engine(settings));
-    let reborn: EngineStatus = get(address, "/status").await;
-    assert!(reborn.incarnation > status.incarnation);
+    let restarted: EngineStatus = get(address, "/status").await;
+    assert!(restarted.incarnation > status.incarnation);
     again.stop();
 }
 
@@ -112,18 +112,19 @@
 async fn a_lease_has_one_holder_and_a_rising_token() {
     let store = support::start(StandinSettings::ConfigurationStore(ConfigurationStoreSettings::default()));
     let address = store.address();
-    let ask = |holder: &str| LeaseAcquire { name: "pool".into(), holder: holder.into(), ttl_ms: 60_000 };
-    let LeaseResult::Held { token, .. } = post(address, "/lease/acquire", &ask("node-1")).await else {
+    let request = |holder: &str| LeaseAcquire { name: "pool".into(), holder: holder.into(), ttl_ms: 60_000 };
+    let LeaseResult::Held { token, .. } = post(address, "/lease/acquire", &request("node-1")).await else {
         panic!()
     };
-    let other: LeaseResult = post(address, "/lease/acquire", &ask("node-2")).await;
+    let other: LeaseResult = post(address, "/lease/acquire", &request("node-2")).await;
     assert!(matches!(other, LeaseResult::HeldByOther { .. }));
     let renew = LeaseRenew { name: "pool".into(), holder: "node-1".into(), token, ttl_ms: 60_000 };
     let renewed: LeaseResult = post(address, "/lease/renew", &renew).await;
     assert_eq!(renewed, LeaseResult::Held { token, ttl_ms: 60_000 });
     let released: LeaseResult = post(address, "/lease/release", &renew).await;
     assert_eq!(released, LeaseResult::NotHeld);
-    let LeaseResult::Held { token: later, .. } = post(address, "/lease/acquire", &ask("node-2")).await else {
+    let LeaseResult::Held { token: later, .. } = post(address, "/lease/acquire", &request("node-2")).await
+    else {
         panic!()
     };
     assert!(later > token);
--- a/crates/standins/tests/service_servers.rs
+++ b/crates/standins/tests/service_servers.rs
@@ -1,4 +1,4 @@
-//! The platform's services and booking over real TCP, with faults.
+//! Servers of the platform's services and of booking over TCP, with faults.
 
 mod support;
 
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn kept_copies_go_when_their_origin_ends() {
+async fn stored_copies_are_dropped_when_their_origin_ends() {
     let store = start(StandinSettings::CacheStore(CacheStoreSettings::default()));
     let address = store.address();
     let blocks: Vec<BlockHash> = (0..4).map(BlockHash).collect();
@@ -104,19 +104,19 @@
         bytes: 400,
     };
     let _: serde_json::Value = post(address, "/put", &transfer).await;
-    let ask = CacheLookup { scope: CacheScope(1), blocks };
-    let found: CacheLookupResult = post(address, "/find", &ask).await;
+    let request = CacheLookup { scope: CacheScope(1), blocks };
+    let found: CacheLookupResult = post(address, "/find", &request).await;
     assert_eq!(found.transfer, Some(transfer.clone()));
     let ended = EndedIncarnation { engine: "engine-1".into(), incarnation: Incarnation(7) };
     let _: serde_json::Value = post(address, "/ended", &ended).await;
-    let found: CacheLookupResult = post(address, "/find", &ask).await;
+    let found: CacheLookupResult = post(address, "/find", &request).await;
     assert_eq!(found.transfer, None);
     let (code, refusal): (u16, Refusal) = call(POST, address, "/put", &transfer).await;
     assert_eq!((code, refusal.code), (412, RefusalCode::PreconditionFailed));
 }
 
 #[tokio::test]
-async fn booking_runs_what_it_is_sent_and_tells_in_its_ledger() {
+async fn booking_runs_every_request_and_records_it_in_its_ledger() {
     let booking = start(StandinSettings::Booking(BookingSettings::new("booking-1".into())));
     let address = booking.address();
     let request = |attempt: &str| ServiceRequest {
@@ -147,7 +147,7 @@
     let address = store.address();
     let watch = StoreWatch { key: "key".into(), after: Revision(0), wait_ms: 3_600_000 };
     let waiting = tokio::spawn(async move { post::<StoreValue>(address, "/watch", &watch).await });
-    // One that comes after the stop has begun is refused, so the watch has to be there first.
+    // A watch that arrives after the start of the shutdown would be refused.
     while store.in_flight() == 0 {
         tokio::time::sleep(std::time::Duration::from_millis(1)).await;
     }
--- a/crates/standins/tests/services.rs
+++ b/crates/standins/tests/services.rs
@@ -1,4 +1,4 @@
-//! The platform's services and booking: their models in virtual time.
+//! Models of the platform's services and of booking in virtual time.
 
 use std::time::Duration;
 
@@ -122,18 +122,18 @@
 fn an_abandoned_load_gives_its_bandwidth_back() {
     let mut store = WeightStoreModel::new(WeightStoreSpeed { load_ms: 1_000, full_speed_loads: 1 });
     let load = WeightLoad { engine: "engine".into(), model: "model".into(), weights: WeightsVersion(1) };
-    let kept = store.begin(&load, at(0));
+    let remaining = store.begin(&load, at(0));
     let abandoned = store.begin(&load, at(0));
     store.abandon(abandoned, at(400));
     assert_eq!(store.next_done_at().unwrap().as_millis(), 1_300, "a quarter of the speed for 400 ms");
-    assert!(store.is_done(kept, at(1_301)));
+    assert!(store.is_done(remaining, at(1_301)));
 }
 
-fn transfer(origin: &str, life: u64, blocks: std::ops::Range<u128>) -> KvTransfer {
+fn transfer(origin: &str, incarnation: u64, blocks: std::ops::Range<u128>) -> KvTransfer {
     let blocks: Vec<BlockHash> = blocks.map(BlockHash).collect();
     KvTransfer {
         origin: origin.into(),
-        origin_incarnation: Incarnation(life),
+        origin_incarnation: Incarnation(incarnation),
         model: "model".into(),
         weights: WeightsVersion(1),
         scope: CacheScope(1),
@@ -146,58 +146,62 @@
     CacheLookup { scope: CacheScope(scope), blocks: blocks.map(BlockHash).collect() }
 }
 
-fn kept_blocks(store: &mut CacheStoreModel, ask: &CacheLookup, now: Timestamp) -> usize {
-    store.find(ask, now).transfer.map_or(0, |transfer| transfer.blocks.len())
+fn stored_blocks(store: &mut CacheStoreModel, request: &CacheLookup, now: Timestamp) -> usize {
+    store.find(request, now).transfer.map_or(0, |transfer| transfer.blocks.len())
 }
 
 #[test]
-fn the_longest_kept_part_is_found_within_its_scope_only() {
+fn the_longest_stored_part_is_found_within_its_scope_only() {
     let mut store = CacheStoreModel::new(CacheStoreLimits::default());
     store.put(transfer("engine-1", 1, 0..8), at(0)).unwrap();
     let found = store.find(&find(1, 0..5), at(1)).transfer.unwrap();
     assert_eq!((found.blocks.len(), found.bytes), (5, 50));
-    assert_eq!(kept_blocks(&mut store, &find(1, 0..20), at(1)), 8);
-    assert_eq!(kept_blocks(&mut store, &find(2, 0..8), at(1)), 0);
+    assert_eq!(stored_blocks(&mut store, &find(1, 0..20), at(1)), 8);
+    assert_eq!(stored_blocks(&mut store, &find(2, 0..8), at(1)), 0);
 }
 
 #[test]
-fn copies_of_ended_lives_are_dropped_and_refused() {
+fn copies_of_ended_incarnations_are_dropped_and_refused() {
     let mut store = CacheStoreModel::new(CacheStoreLimits::default());
     store.put(transfer("engine-1", 1, 0..8), at(0)).unwrap();
     store.put(transfer("engine-2", 1, 100..108), at(0)).unwrap();
     store.end(&EndedIncarnation { engine: "engine-1".into(), incarnation: Incarnation(1) });
-    assert_eq!(kept_blocks(&mut store, &find(1, 0..8), at(1)), 0);
-    assert_eq!(kept_blocks(&mut store, &find(1, 100..108), at(1)), 8);
+    assert_eq!(stored_blocks(&mut store, &find(1, 0..8), at(1)), 0);
+    assert_eq!(stored_blocks(&mut store, &find(1, 100..108), at(1)), 8);
     let refusal = store.put(transfer("engine-1", 1, 0..8), at(1)).unwrap_err();
     assert_eq!(refusal.code, RefusalCode::PreconditionFailed);
     store.put(transfer("engine-2", 2, 200..202), at(2)).unwrap();
-    assert_eq!(kept_blocks(&mut store, &find(1, 100..108), at(3)), 0, "a later life ends the earlier one");
+    assert_eq!(
+        stored_blocks(&mut store, &find(1, 100..108), at(3)),
+        0,
+        "a later incarnation ends the earlier one"
+    );
     assert_eq!(store.len(), 1);
 }
 
 #[test]
-fn the_kept_cache_is_bounded_in_bytes_and_age() {
+fn the_cache_store_is_bounded_in_bytes_and_age() {
     let mut store = CacheStoreModel::new(CacheStoreLimits { capacity_bytes: 100, max_age_ms: 1_000 });
     store.put(transfer("engine-1", 1, 0..6), at(0)).unwrap();
     store.put(transfer("engine-1", 1, 100..106), at(1)).unwrap();
-    assert_eq!(kept_blocks(&mut store, &find(1, 0..6), at(2)), 0);
-    assert_eq!(kept_blocks(&mut store, &find(1, 100..106), at(2)), 6);
-    assert_eq!(kept_blocks(&mut store, &find(1, 100..106), at(1_002)), 0);
+    assert_eq!(stored_blocks(&mut store, &find(1, 0..6), at(2)), 0);
+    assert_eq!(stored_blocks(&mut store, &find(1, 100..106), at(2)), 6);
+    assert_eq!(stored_blocks(&mut store, &find(1, 100..106), at(1_002)), 0);
     assert!(store.is_empty());
     let refusal = store.put(transfer("engine-1", 1, 0..11), at(3)).unwrap_err();
     assert_eq!(refusal.code, RefusalCode::TooLarge);
 }
 
 #[test]
-fn a_life_once_ended_stays_ended() {
-    let mut origins = LatestIncarnations::default();
+fn an_ended_incarnation_stays_ended() {
+    let mut incarnations = LatestIncarnations::default();
     let engine = "engine-1".into();
-    origins.end(&engine, Incarnation(3));
-    origins.observe(&engine, Incarnation(3));
-    assert!(!origins.accepts(&engine, Incarnation(2)));
-    assert!(!origins.accepts(&engine, Incarnation(3)));
-    assert!(origins.accepts(&engine, Incarnation(4)));
-    assert!(!origins.is_live(&engine, Incarnation(3)));
+    incarnations.end(&engine, Incarnation(3));
+    incarnations.observe(&engine, Incarnation(3));
+    assert!(!incarnations.accepts(&engine, Incarnation(2)));
+    assert!(!incarnations.accepts(&engine, Incarnation(3)));
+    assert!(incarnations.accepts(&engine, Incarnation(4)));
+    assert!(!incarnations.is_live(&engine, Incarnation(3)));
 }
 
 fn booking(attempt: &str, key: &str) -> ServiceRequest {
@@ -225,26 +229,29 @@
 }
 
 #[test]
-fn a_gate_limits_the_rate_and_says_when_to_come_back() {
-    let gate =
+fn an_injector_limits_the_rate_with_a_retry_delay() {
+    let injector =
         FaultInjector::new(ServiceFaults { requests_per_second: Some(10.0), ..ServiceFaults::default() });
-    let admitted = (0..20).filter(|_| gate.admit(at(1_000)).is_ok()).count();
+    let admitted = (0..20).filter(|_| injector.admit(at(1_000)).is_ok()).count();
     assert_eq!(admitted, 10);
-    assert_eq!(gate.admit(at(1_000)), Err(InjectedRefusal::RateLimited(Duration::from_millis(100))));
-    assert_eq!(gate.admit(at(1_100)), Ok(()));
-    assert!(gate.admit(at(1_100)).is_err());
+    assert_eq!(injector.admit(at(1_000)), Err(InjectedRefusal::RateLimited(Duration::from_millis(100))));
+    assert_eq!(injector.admit(at(1_100)), Ok(()));
+    assert!(injector.admit(at(1_100)).is_err());
 }
 
 #[test]
-fn a_gate_shows_outages_and_loses_or_fails_as_many_replies_as_asked() {
-    let gate = FaultInjector::new(ServiceFaults::default());
-    gate.set_faults(ServiceFaults {
+fn an_injector_causes_outages_and_loses_or_fails_the_configured_number_of_replies() {
+    let injector = FaultInjector::new(ServiceFaults::default());
+    injector.set_faults(ServiceFaults {
         lose_next_replies: 2,
         fail_next_after_effect: 1,
         ..ServiceFaults::default()
     });
-    let fates: Vec<ReplyOutcome> = (0..4).map(|_| gate.reply_outcome()).collect();
-    assert_eq!(fates, vec![ReplyOutcome::Lost, ReplyOutcome::Lost, ReplyOutcome::Failed, ReplyOutcome::Sent]);
-    gate.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() });
-    assert_eq!(gate.admit(at(0)), Err(InjectedRefusal::Outage));
+    let outcomes: Vec<ReplyOutcome> = (0..4).map(|_| injector.reply_outcome()).collect();
+    assert_eq!(
+        outcomes,
+        vec![ReplyOutcome::Lost, ReplyOutcome::Lost, ReplyOutcome::Failed, ReplyOutcome::Sent]
+    );
+    injector.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() });
+    assert_eq!(injector.admit(at(0)), Err(InjectedRefusal::Outage));
 }
--- a/crates/standins/tests/settings.rs
+++ b/crates/standins/tests/settings.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn unknown_keys_and_kinds_are_mistakes_that_name_themselves() {
+fn unknown_keys_and_kinds_are_errors_that_name_them() {
     let mistakes = [
         (ENGINE.replace("pool =", "poool ="), "poool"),
         (ENGINE.replace("cache_blocks", "cache_block"), "cache_block"),
--- a/crates/standins/tests/support/mod.rs
+++ b/crates/standins/tests/support/mod.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads frames until the body ends or breaks; says whether it ended cleanly.
+/// Reads frames until the body ends; also returns whether it ended without an error.
 pub async fn read_frames(response: http::Response<Incoming>) -> (Vec<Frame>, bool) {
     let mut body = response.into_body();
     let mut bytes = Vec::new();
