--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -98,7 +98,7 @@
     /// The connection that carries the body.
     pub connection: Connection,
     /// Counts the request as load on the back end.
-    pub work: LoadGuard,
+    pub load: LoadGuard,
     /// Whether the end of the body can be told from a broken connection.
     pub framed: bool,
 }
@@ -161,7 +161,7 @@
     run: RunKind,
     deadline: Timestamp,
 ) -> Result<AttemptAnswer, AttemptFailure> {
-    let work = LoadGuard::begin(node, choice);
+    let load = LoadGuard::begin(node, choice);
     // A continued run does not start, so the age of its weights no longer matters.
     let starting_at = (run == RunKind::New).then_some(choice);
     // Checked before the pool is used, because a connection that is taken and not used is closed.
@@ -215,7 +215,7 @@
     node.observe_answer(&process, &parsed, Some(sent_at));
     let framed = head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING);
-    let upstream = AttemptAnswer { head, parsed, body, connection, work, framed };
+    let upstream = AttemptAnswer { head, parsed, body, connection, load, framed };
     classify(node, choice, upstream, reused, deadline).await
 }
 
@@ -331,11 +331,11 @@
 
 /// Reads an answer to its end and returns the connection to the pool.
 pub async fn read_full_answer(node: &Rc<Node>, upstream: AttemptAnswer) -> Result<Response<Bytes>, String> {
-    let AttemptAnswer { head, body, connection, mut work, .. } = upstream;
+    let AttemptAnswer { head, body, connection, mut load, .. } = upstream;
     let body =
         Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|error| error.to_string())?.to_bytes();
-    work.record_first_chunk();
-    node.pool.borrow_mut().put(&work.backend, connection, node.now());
+    load.record_first_chunk();
+    node.pool.borrow_mut().put(&load.backend, connection, node.now());
     Ok(Response::from_parts(head, body))
 }
 
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -115,8 +115,8 @@
 
 impl Exchange {
     async fn read_body(&mut self, body: Incoming) -> Result<(), Reason> {
-        let most = self.node.state.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
-        let reading = Limited::new(body, most).collect();
+        let max_bytes = self.node.state.borrow().table.as_ref().map_or(0, |table| table.limits().body_bytes);
+        let reading = Limited::new(body, max_bytes).collect();
         match self.node.clock.timeout_at(self.deadline, reading).await {
             Some(Ok(collected)) => {
                 self.body = collected.to_bytes();
@@ -140,7 +140,7 @@
                 Ok(upstream) if self.route.kind.is_stream() && upstream.head.status.is_success() => {
                     return self.relay(choice, upstream).await;
                 }
-                Ok(upstream) => match self.finish_whole(upstream).await {
+                Ok(upstream) => match self.finish_answer(upstream).await {
                     Ok(answer) => {
                         self.run_completed();
                         return self.pass_on(answer, ANSWERED);
@@ -227,15 +227,15 @@
         result
     }
 
-    /// How long to wait for this attempt: less than the request's deadline only if another back end may be
+    /// Until when to wait for this attempt: the request's deadline, or earlier if another back end may be
     /// tried.
     fn attempt_deadline(&self, choice: &Choice, now: Timestamp) -> Timestamp {
         if !self.may_try_another() {
             return self.deadline;
         }
         let usual = self.node.slow_latency(&choice.backend) * 3 / 2;
-        let attempt_deadline = (self.route.target_latency * 3 / 2).max(MIN_ATTEMPT_TIMEOUT).max(usual);
-        (now + attempt_deadline).min(self.deadline)
+        let timeout = (self.route.target_latency * 3 / 2).max(MIN_ATTEMPT_TIMEOUT).max(usual);
+        (now + timeout).min(self.deadline)
     }
 
     /// Whether an unresponsive back end may be abandoned for another one.
@@ -244,8 +244,8 @@
         attempts_left && self.route.kind.is_idempotent() && self.node.retries_left(&self.service) > 0
     }
 
-    /// The back end from which a broken stream can continue, which holds a copy of the run's memory. It must
-    /// still have the weights of the run, and so must the back end that broke off.
+    /// The back end that holds a copy of the run's memory, from which a broken stream can continue. It must
+    /// still have the weights of the run, and the back end that broke off must not have changed its own.
     pub fn copy_of(&self, choice: &Choice) -> Option<(Choice, CopiedRun)> {
         let (holder, scope) = (choice.copy_to.as_ref()?, choice.scope.as_ref()?);
         let state = self.node.state.borrow();
@@ -282,7 +282,7 @@
         found
     }
 
-    async fn finish_whole(&mut self, upstream: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
+    async fn finish_answer(&mut self, upstream: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
         match self.node.clock.timeout_at(self.deadline, read_full_answer(&self.node, upstream)).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(detail)) => {
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,8 +1,8 @@
-//! The forwarding router: servers, clients and loops around `core::forwarding`, which route requests by the operator's
-//! document.
+//! The forwarding router: servers, clients and loops around `core::forwarding`, which route requests by the
+//! operator's document.
 //!
-//! The surrounding platform is accessed through [`ports`]; an adapter only translates. One thread does all the work, and
-//! its tasks share one [`node::Node`].
+//! The surrounding platform is accessed through [`ports`]; an adapter only translates. One thread does all
+//! the work, and its tasks share one [`node::Node`].
 //!
 //! | module | content |
 //! |---|---|
@@ -18,7 +18,7 @@
 //! | `unknown_headers`, [`logged_once`] | logs unknown headers of back ends' answers, once each |
 //! | [`store_feed`], [`store_restore`] | follows the metadata store, also when it is restored from a backup |
 //! | [`facts`] | parses facts from other nodes, including those of other versions |
-//! | `replica`, `recent_targets` | the known state of the store as facts, and recently announced target versions |
+//! | `replica`, `recent_targets` | the known store as facts, and recently announced target versions |
 //! | [`cache_feed`] | follows the cached segments of engines and cache stores |
 //! | [`peers`] | the exchange between nodes |
 //! | [`leadership`], [`orders`] | holds the lease, and orders engines to load new weights |
@@ -26,7 +26,7 @@
 //! | [`admission`] | route, tenant, quota, and the age of the configuration |
 //! | [`callers`], [`caller_stream`], [`caller_close`] | callers' connections: accepted, served, closed |
 //! | [`ingress`] | listeners, readiness and metrics |
-//! | [`exchange`], [`dispatch`], [`attempts`], [`outcomes`], [`relay`] | serves requests: sends, retries, relays streams |
+//! | [`exchange`], [`dispatch`], [`attempts`], [`outcomes`], [`relay`] | sends, retries and relays requests |
 //! | `retries` | retry budgets |
 //! | [`response_wait`] | ends waits at back ends whose weights have become outdated |
 //! | [`quarantine`], `runs` | which broken runs were crashes, and which requests are quarantined for them |
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -29,8 +29,8 @@
 }
 
 impl Node {
-    /// Applies the limit that an answer of `process` advertises, if any. `sent_at` is when the answered request
-    /// was sent.
+    /// Applies the limit that an answer of `process` advertises, if any. `sent_at` is when the answered
+    /// request was sent.
     pub(crate) fn observe_limit(
         &self,
         process: &BackendProcess,
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The exchange between forwarding nodes: their number, their load, cached segments and the state of the store.
+//! The exchange between forwarding nodes: their number and load, cached segments, and the state of the store.
 //!
 //! | module | content |
 //! |---|---|
@@ -8,8 +8,8 @@
 //! | [`newer_facts`] | exchanges newer facts after the store was restored from a backup |
 //! | [`snapshot`] | transfers the whole known state of the store |
 //!
-//! The store's state is relayed as facts, with the age of their proof. A node without a relay, or without a recent
-//! one, queries the store itself.
+//! The store's state is relayed as facts, with the age of their proof. A node without a recent relay queries
+//! the store itself.
 
 pub mod client;
 pub mod digest_updates;
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -54,7 +54,7 @@
     /// Whether the current run has sent an event.
     has_event: bool,
     /// Whether any run has sent an event.
-    has_passed_on: bool,
+    has_relayed: bool,
     waits_to_end: bool,
     /// When data last arrived from the back end.
     received_at: Timestamp,
@@ -111,7 +111,7 @@
             opening: None,
             splitter,
             has_event: false,
-            has_passed_on: false,
+            has_relayed: false,
             waits_to_end: false,
             received_at,
             done: false,
@@ -232,9 +232,9 @@
             return;
         }
         self.has_event = true;
-        self.has_passed_on = true;
+        self.has_relayed = true;
         if let Some(upstream) = &mut self.upstream {
-            upstream.work.record_first_chunk();
+            upstream.load.record_first_chunk();
         }
         self.exchange.record_first_chunk(&self.choice);
     }
@@ -249,7 +249,7 @@
         self.exchange.set_outcome(STREAMED);
         self.exchange.run_completed();
         let node = &self.exchange.node;
-        node.pool.borrow_mut().put(&upstream.work.backend, upstream.connection, node.now());
+        node.pool.borrow_mut().put(&upstream.load.backend, upstream.connection, node.now());
         let rest = self.splitter.finish();
         Some((!rest.is_empty()).then_some(Ok(rest)))
     }
@@ -306,8 +306,8 @@
             return false;
         };
         let failure = AttemptFailure { end: AttemptEnd::Copied, ..failure };
-        let retries = self.exchange.decide(&self.choice, &failure) == NextAction::Retry;
-        if !retries || self.exchange.held_for().is_some() {
+        let may_retry = self.exchange.decide(&self.choice, &failure) == NextAction::Retry;
+        if !may_retry || self.exchange.held_for().is_some() {
             return false;
         }
         let resume = Resume { after: self.splitter.last_id(), continues: Some(run) };
@@ -366,7 +366,7 @@
         self.exchange.record_resume();
         // A copy continues the run whose events the caller has; any other run starts anew.
         self.has_event &= !is_resumable(self.exchange.route.kind);
-        if !self.has_passed_on {
+        if !self.has_relayed {
             self.head = upstream.head.clone();
         }
         self.choice = choice;
--- a/crates/forward/src/response_wait.rs
+++ b/crates/forward/src/response_wait.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Waits for `attempt` at another back end. Meanwhile `stalled_run` is kept, but only for a short time and
-    /// only while it may still start at `starting_at`.
+    /// Waits for `attempt` at another back end. Meanwhile `stalled_run` is kept, but only for a short time
+    /// and only while it may still start at `starting_at`.
     pub async fn attempt_beside<R, T>(
         &self,
         stalled_run: &mut Option<R>,
