--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Waits for an interrupt, which ends open requests at once. A repeated SIGTERM does not, since a platform
-    /// may send it more than once.
+    /// Waits for an interrupt, which ends open requests at once. A repeated SIGTERM does not, since a
+    /// platform may send it more than once.
     async fn forced_stop_requested(&mut self) {
         loop {
             tokio::select! {
--- a/crates/cli/tests/forward/announced.rs
+++ b/crates/cli/tests/forward/announced.rs
@@ -1,5 +1,5 @@
-//! Draining and back-off announced in answers apply at the receiving node regardless of the registry, even during an outage of
-//! the store.
+//! Draining and back-off announced in answers apply at the receiving node regardless of the registry, even
+//! during an outage of the store.
 
 use std::time::{Duration, Instant};
 
@@ -48,8 +48,8 @@
     answers
 }
 
-/// Sends concurrent requests until a runner has announced draining or a back-off in an answer, and returns the time of that
-/// answer.
+/// Sends concurrent requests until a runner has announced draining or a back-off in an answer, and returns
+/// the time of that answer.
 async fn send_until_announced(router: &Router, path: &str, runner: &Runner) -> Instant {
     let first_announcement =
         || runner.seen().into_iter().find(|seen| seen.announced_leaving || seen.retry_after.is_some());
@@ -287,7 +287,8 @@
     let last = *announced_at.iter().max().expect("engines");
     tokio::time::sleep_until((last + IN_FLIGHT_ALLOWANCE).into()).await;
     assert!(all_ok(&send_for(&router, "/claim/1", Duration::from_millis(500)).await));
-    // Even if the remaining engine sheds requests without a back-off, those that back off must not get retries.
+    // Even if the remaining engine sheds requests without a back-off, those that back off must not get
+    // retries.
     cluster.engines[0].script(&[Behaviour::Sheds; 12]);
     for _ in 0..12 {
         assert_eq!(send(&router, "/claim/1").await.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -315,7 +316,7 @@
             send(&router, "/quote/1").await;
             runner.seen().iter().skip(before).any(|seen| seen.ran)
         };
-        router.until("asked again", again).await;
+        router.until("given requests again", again).await;
     }
     assert_eq!(lines_of(&router, "rest_unreadable").len(), 3, "each invalid value is logged");
 }
--- a/crates/cli/tests/forward/budget.rs
+++ b/crates/cli/tests/forward/budget.rs
@@ -97,13 +97,10 @@
     for number in 0..REQUESTS {
         let response = router.send("/claim/1", &format!("wrong-{number}")).await.expect("an answer");
         assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(
-            response.headers.contains_key(http::header::RETRY_AFTER),
-            "the caller is told when to come back"
-        );
+        assert!(response.headers.contains_key(http::header::RETRY_AFTER), "the refusal has a retry-after");
     }
     let seen: Vec<_> = cluster.engines.iter().flat_map(Runner::seen).collect();
-    assert_eq!(seen.len(), cluster.engines.len(), "each back end that is gone is asked once");
+    assert_eq!(seen.len(), cluster.engines.len(), "each stale entry gets one request");
     for number in 0..REQUESTS {
         let id = format!("wrong-{number}");
         assert!(seen.iter().filter(|seen| seen.id == id).count() <= 2, "{id} went on more than once");
@@ -115,8 +112,8 @@
     router.until("serving", served).await;
 }
 
-/// The first request of a node must be able to leave an unresponsive back end, so the budget must not start at zero. Several
-/// nodes are started because the choice of the instance is random.
+/// The first request of a node must be able to leave an unresponsive back end, so the budget must not start
+/// at zero. Several nodes are started because the choice of the instance is random.
 #[tokio::test]
 async fn the_first_request_of_a_node_may_leave_a_silent_back_end() {
     let cluster = Cluster::start().await.expect("the cluster starts");
--- a/crates/cli/tests/forward/delivery.rs
+++ b/crates/cli/tests/forward/delivery.rs
@@ -118,7 +118,8 @@
 #[tokio::test]
 async fn a_resumable_stream_goes_on_behind_the_last_whole_event() {
     let (cluster, router) = cluster_and_router().await;
-    // Each request may need a retry. Before a node knows that it is alone, its retry budget is 2 instead of 28.
+    // Each request may need a retry. Before a node knows that it is alone, its retry budget is 2 instead of
+    // 28.
     router
         .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
         .await;
--- a/crates/cli/tests/forward/fleet.rs
+++ b/crates/cli/tests/forward/fleet.rs
@@ -190,7 +190,8 @@
 
 #[tokio::test]
 async fn a_document_of_thousands_of_tenants_is_passed_on_and_fetched_by_one() {
-    // Large answers of the store must be relayed too, or all nodes fetch the document at once and overload the store.
+    // Large answers of the store must be relayed too, or all nodes fetch the document at once and overload
+    // the store.
     let (cluster, _links, routers) = fleet().await;
     let leader = leader(&routers).await;
     let follower = &routers[(leader + 1) % routers.len()];
--- a/crates/cli/tests/forward/limit_judge.rs
+++ b/crates/cli/tests/forward/limit_judge.rs
@@ -56,8 +56,8 @@
     runner.limits().into_iter().map(read).collect()
 }
 
-/// Returns the windows in which one back end received too many requests; `arrivals` are in order of time. `is_excused` returns
-/// whether a node was disconnected at any time in an interval.
+/// Returns the windows in which one back end received too many requests; `arrivals` are in order of time.
+/// `is_excused` returns whether a node was disconnected at any time in an interval.
 pub fn exceeded(
     arrivals: &[Arrival],
     advertised: &[AdvertisedLimit],
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -230,7 +230,7 @@
         let before = runner.seen().len();
         let max = before + allowed(0.0) as usize;
         nodes.send_until_met("served on", || runner.seen().len() > max).await;
-        nodes.send_until_met("told", || nodes.lines_of("limit_unreadable").len() > number).await;
+        nodes.send_until_met("logged", || nodes.lines_of("limit_unreadable").len() > number).await;
     }
     assert_eq!(nodes.lines_of("backend_limited").len(), 0);
 }
--- a/crates/cli/tests/forward/planned_soak.rs
+++ b/crates/cli/tests/forward/planned_soak.rs
@@ -1,5 +1,5 @@
-//! Randomized planned operations over real processes, during which every request must receive a complete answer. The only
-//! exceptions are requests that cross the close of an idle connection, which the node logs as `closed_unread`. Run it with:
+//! Randomized planned operations, during which every request gets a complete answer, except those that cross
+//! the close of an idle connection and that the node logs as `closed_unread`. By hand:
 //! `PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 cargo test -p paddlemount-cli --test forward planned_soak -- --nocapture`
 
 use std::{
@@ -23,8 +23,8 @@
 /// How long a caller waits after a refusal.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 const CI_SECONDS: u64 = 8;
-/// Seeds to run. Regressions: 2, a shutdown closed its listener and reset requests on new connections; 143, a stream started
-/// after the end of admission and was cut.
+/// Seeds to run. Regressions: 2, a shutdown closed its listener and reset requests on new connections; 143, a
+/// stream started after the end of admission and was cut.
 const SEEDS: [u64; 3] = [1, 2, 143];
 const PATHS: [&str; 4] = ["/hold/1", "/quote/1", "/chat/1", "/claim/1"];
 
@@ -207,7 +207,7 @@
 
     async fn hang_up(&self, random: &mut StdRng, node: usize) {
         let Some(router) = self.router(node) else { return };
-        self.log(&format!("node {node} is told of its settings"));
+        self.log(&format!("node {node} receives SIGHUP"));
         for _ in 0..random.random_range(1..5) {
             router.hang_up();
             tokio::time::sleep(Duration::from_millis(random.random_range(0..40))).await;
@@ -249,7 +249,7 @@
             *weights += 1;
             *weights
         };
-        self.log(&format!("version {version} is named"));
+        self.log(&format!("the target version is {version}"));
         self.cluster.set_target_version(version);
     }
 
--- a/crates/cli/tests/forward/restored.rs
+++ b/crates/cli/tests/forward/restored.rs
@@ -1,5 +1,5 @@
-//! Restores of the store from an older backup, after which revisions fall. Nodes must detect the restore, apply later
-//! changes, and issue rising fencing tokens.
+//! Restores of the store from an older backup, after which revisions fall. Nodes must detect the restore,
+//! apply later changes, and issue rising fencing tokens.
 
 use std::time::{Duration, Instant};
 
@@ -169,7 +169,8 @@
     }
 }
 
-/// A node that starts after the restore reads an outdated key from the backup, and must learn the removal from other nodes.
+/// A node that starts after the restore reads an outdated key from the backup, and must learn the removal
+/// from other nodes.
 #[tokio::test]
 async fn a_node_that_starts_before_all_is_written_again_goes_by_what_the_others_know() {
     let cluster = Cluster::start().await.expect("the cluster starts");
--- a/crates/cli/tests/forward/soak/callers.rs
+++ b/crates/cli/tests/forward/soak/callers.rs
@@ -15,15 +15,15 @@
 const POISON_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long a caller waits after a refusal or while its node is down. Refused requests add to the retry budget too, and a
-/// shorter delay would keep every scenario far below it.
+/// How long a caller waits after a refusal or while its node is down. Refused requests add to the retry
+/// budget too, and a shorter delay would keep every scenario far below it.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 const PATHS: [&str; 4] = ["/hold/1", "/quote/1", "/chat/1", "/claim/1"];
 /// Paths whose requests may be retried on a second back end.
 const REPEATABLE_PATHS: [&str; 4] = ["/claim/1", "/claim/1", "/claim/1", "/quote/1"];
 
-/// Paths that callers choose from. Odd seeds of the target version scenario use retryable paths only, which exhausts the
-/// retry budget.
+/// Paths that callers choose from. Odd seeds of the target version scenario use retryable paths only, which
+/// exhausts the retry budget.
 fn paths_of(scenario: Scenario, seed: u64) -> [&'static str; 4] {
     match (scenario, seed % 2) {
         (Scenario::TargetVersions, 1) => REPEATABLE_PATHS,
@@ -177,8 +177,8 @@
     }
 }
 
-/// A unique request body. Identical requests that are caught in serial crashes look like the cause of the crashes and would
-/// be quarantined.
+/// A unique request body. Identical requests that are caught in serial crashes look like the cause of the
+/// crashes and would be quarantined.
 pub fn unique_body(id: &str) -> String {
     format!("{ORDINARY} of {id}")
 }
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -144,7 +144,8 @@
         format!("weights {longest:?} after newer ones at most; {}", windows.join("; "))
     }
 
-    /// Returns requests of undisturbed nodes that started on older weights more than `bound` after newer ones could be known.
+    /// Returns requests of undisturbed nodes that started on older weights more than `bound` after newer ones
+    /// could be known.
     fn started_on_older_weights(&self, sent: &[Sent], bound: Duration) -> Vec<LateStart> {
         let nodes: BTreeMap<&str, usize> = sent.iter().map(|one| (one.id.as_str(), one.node)).collect();
         let ran = self.cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.ran);
@@ -208,7 +209,8 @@
         self.seen().into_iter().filter(ran).map(|seen| seen.id).collect()
     }
 
-    /// Requests that crashed a back end, sent by undisturbed nodes after the quarantine must have reached them.
+    /// Requests that crashed a back end, sent by undisturbed nodes after the quarantine must have reached
+    /// them.
     fn late_poison<'a>(&self, sent: &'a [Sent]) -> Vec<&'a str> {
         let runs = self.poison_runs();
         let mut crashing: Vec<&Sent> = sent.iter().filter(|one| runs.contains(&one.id)).collect();
--- a/crates/cli/tests/forward/soak/disturbance.rs
+++ b/crates/cli/tests/forward/soak/disturbance.rs
@@ -25,7 +25,8 @@
 }
 
 impl Disturbance {
-    /// Returns whether the disturbance affects any node at `at`. An unreachable node may be the one that decides for others.
+    /// Returns whether the disturbance affects any node at `at`. An unreachable node may be the one that
+    /// decides for others.
     pub fn affects_any(&self, at: Instant) -> bool {
         self.from < at && at < self.to + SETTLE_TIME
     }
@@ -41,7 +42,8 @@
         disconnects && self.from < to && self.to > from
     }
 
-    /// The time since which store and links are undisturbed at `at`; `None` if this disturbance does not concern them by then.
+    /// The time since which store and links are undisturbed at `at`; `None` if this disturbance does not
+    /// concern them by then.
     pub fn place_undisturbed_since(&self, at: Instant) -> Option<Instant> {
         let disturbs_place = matches!(self.cause, Cause::Store | Cause::Link);
         (disturbs_place && self.from < at).then(|| at.min(self.to + SETTLE_TIME))
--- a/crates/cli/tests/forward/soak/faults.rs
+++ b/crates/cli/tests/forward/soak/faults.rs
@@ -95,7 +95,7 @@
         let all = [&self.store_links, &self.runner_links, &self.peer_links];
         let kind = random.random_range(0..all.len());
         let number = random.random_range(0..all[kind].len());
-        self.log(format!("open connections over link {kind}.{number} fall silent for good"));
+        self.log(format!("open connections over link {kind}.{number} stall"));
         let from = Instant::now();
         all[kind][number].stall_open_connections();
         self.disturbed(Cause::Link, from);
@@ -133,7 +133,7 @@
     pub(super) async fn freeze(&self, node: usize, length: Duration) {
         let Ok(_guard) = self.node_locks[node].try_lock() else { return };
         let Some(router) = self.router(node) else { return };
-        self.log(format!("node {node} stands still for {length:?}"));
+        self.log(format!("node {node} is frozen for {length:?}"));
         let from = Instant::now();
         router.freeze();
         tokio::time::sleep(length).await;
@@ -183,7 +183,7 @@
         self.cluster.set_target_version(version);
         targets.push(TargetVersion { version, at: Instant::now() });
         drop(targets);
-        self.log(format!("version {version} is named"));
+        self.log(format!("the target version is {version}"));
     }
 
     /// Publishes several versions of the document in quick succession.
@@ -203,7 +203,7 @@
     /// Sends reload signals in quick succession without a change of settings.
     async fn hang_up(&self, random: &mut StdRng, node: usize) {
         let Some(router) = self.router(node) else { return };
-        self.log(format!("node {node} is told of its settings"));
+        self.log(format!("node {node} receives SIGHUP"));
         for _ in 0..random.random_range(1..5) {
             if router.is_gone() {
                 return;
@@ -216,7 +216,7 @@
     /// Crashes several engines at the same time.
     fn crash_engines(&self, random: &mut StdRng) {
         let count = random.random_range(1..=self.cluster.engines.len());
-        self.log(format!("{count} engines end together"));
+        self.log(format!("{count} engines crash together"));
         self.cluster.engines.iter().take(count).for_each(Runner::crash);
     }
 
--- a/crates/cli/tests/forward/soak/leaving.rs
+++ b/crates/cli/tests/forward/soak/leaving.rs
@@ -1,5 +1,5 @@
-//! Back ends that announce draining, back-off or limits, combined with store outages, restores of older backups and
-//! restarts and freezes of nodes. Links have no faults.
+//! Back ends that announce draining, back-off or limits, combined with store outages, restores of older
+//! backups and restarts and freezes of nodes. Links have no faults.
 
 use std::time::{Duration, Instant};
 
@@ -94,7 +94,7 @@
     }
 
     async fn store_outage(&self, length: Duration) {
-        self.log(format!("the store is away for {length:?}"));
+        self.log(format!("the store is down for {length:?}"));
         let from = Instant::now();
         self.cluster.store.set_fault(StoreFault::Silent);
         tokio::time::sleep(length).await;
@@ -108,7 +108,7 @@
         let Ok(_guard) = self.restore_lock.try_lock() else { return };
         let backup = self.cluster.store.backup();
         tokio::time::sleep(age).await;
-        self.log(format!("the store comes back from a copy of {age:?} ago"));
+        self.log(format!("the store is restored from a backup of {age:?} ago"));
         let from = Instant::now();
         self.cluster.store.set_fault(StoreFault::Silent);
         tokio::time::sleep(RESTORE_DELAY).await;
@@ -119,7 +119,8 @@
         self.disturbed(Cause::Store, from);
     }
 
-    /// Drains one or two back ends: they announce it in their answers, some also in their entries, and restart seconds later.
+    /// Drains one or two back ends: they announce it in their answers, some also in their entries, and
+    /// restart seconds later.
     async fn leave(&self, random: &mut StdRng) {
         let leaving: Vec<&Runner> = (0..random.random_range(1..3)).map(|_| self.any_runner(random)).collect();
         let updates_entry = random.random_range(0..2) == 0;
@@ -127,7 +128,7 @@
         let serves_on = Duration::from_millis(random.random_range(1_500..4_500));
         let identity = if random.random_range(0..2) == 0 { Identity::Same } else { Identity::Another };
         let names: Vec<String> = leaving.iter().map(|runner| runner.id()).collect();
-        self.log(format!("{names:?} leave in {serves_on:?}, entries say so: {updates_entry}"));
+        self.log(format!("{names:?} drain for {serves_on:?}, entries updated: {updates_entry}"));
         leaving.iter().for_each(|runner| runner.announce_leaving());
         let ends = leaving.iter().map(|runner| async {
             if updates_entry {
@@ -152,7 +153,7 @@
             (0..count.min(runners.len())).map(|number| &runners[(first + number) % runners.len()]).collect();
         for _ in 0..random.random_range(2..9) {
             let text = LIMITS[random.random_range(0..LIMITS.len())];
-            self.log(format!("{count} from {} on name a limit of {text:?}", runners[first].id()));
+            self.log(format!("{count} from {} on advertise a limit of {text:?}", runners[first].id()));
             limited.iter().for_each(|runner| runner.advertise_limit(text));
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
@@ -166,7 +167,10 @@
         let text = BACK_OFFS[random.random_range(0..BACK_OFFS.len())];
         let duration = Duration::from_millis(random.random_range(200..4_000));
         let first = random.random_range(0..runners.len());
-        self.log(format!("{count} from {} on ask for {text:?} over {duration:?}", runners[first].id()));
+        self.log(format!(
+            "{count} from {} on request a back-off of {text:?} over {duration:?}",
+            runners[first].id()
+        ));
         for number in 0..count.min(runners.len()) {
             runners[(first + number) % runners.len()].reject_requests(text, duration);
         }
--- a/crates/cli/tests/forward/soak/mod.rs
+++ b/crates/cli/tests/forward/soak/mod.rs
@@ -1,5 +1,5 @@
-//! Randomized faults over real processes, checked by what callers and back ends observe. Several sequences of faults run
-//! concurrently in each scenario. A longer run with another seed and more nodes:
+//! Randomized faults over real processes, checked by what callers and back ends observe. Several sequences of
+//! faults run concurrently in each scenario. A longer run with another seed and more nodes:
 //! `PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 cargo test -p paddlemount-cli --test forward soak -- --nocapture`
 
 mod announced;
@@ -45,19 +45,21 @@
 const CI_SECONDS: u64 = 12;
 /// Duration of the target version scenario in CI, in seconds; longer than the bound for older weights.
 const TARGET_VERSION_CI_SECONDS: u64 = 16;
-/// How long an engine takes to load weights; loads of all engines in sequence exceed the polling interval of a leader.
+/// How long an engine takes to load weights; loads of all engines in sequence exceed the polling interval of
+/// a leader.
 const LOAD_TIME: Duration = Duration::from_millis(600);
 /// Interval at which engines publish their loaded version.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a rollout may take after the last fault: a leader's lease and some polling intervals.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Seeds of the scenario with all faults. Regressions: 1, requests interrupted by a poison request were quarantined with it;
-/// 108, a retry on a second engine of a lost rack counted as a crash.
+/// Seeds of the scenario with all faults. Regressions: 1, requests interrupted by a poison request were
+/// quarantined with it; 108, a retry on a second engine of a lost rack counted as a crash.
 const SEEDS: [u64; 4] = [1, 2, 3, 108];
 /// Seeds of the target version scenario.
 const TARGET_VERSION_SEEDS: [u64; 2] = [1, 2];
 
-/// Seeds of the announcement scenario. Regression: 144, an older entry from a restored store ended a requested back-off.
+/// Seeds of the announcement scenario. Regression: 144, an older entry from a restored store ended a
+/// requested back-off.
 const ANNOUNCEMENT_SEEDS: [u64; 3] = [1, 2, 144];
 
 /// The scenarios of the soak test.
@@ -206,7 +208,8 @@
         router.until("serving", served).await;
     }
 
-    /// Publishes engine versions until the end of the rollout; returns whether all engines loaded the last target.
+    /// Publishes engine versions until the end of the rollout; returns whether all engines loaded the last
+    /// target.
     async fn heartbeats(&self) -> bool {
         loop {
             self.cluster.publish_weights();
--- a/crates/cli/tests/forward/soak/retries.rs
+++ b/crates/cli/tests/forward/soak/retries.rs
@@ -46,8 +46,8 @@
 
 /// Returns the window of one service with the smallest margin to the budget; `None` without retries.
 ///
-/// `offered` holds the times at which callers sent requests. The budget of a window counts the requests of that window, of
-/// the one before it, or of the one half a window earlier, whichever has the most.
+/// `offered` holds the times at which callers sent requests. The budget of a window counts the requests of
+/// that window, of the one before it, or of the one half a window earlier, whichever has the most.
 pub fn fullest_window(offered: &[Instant], arrivals: &[Arrival], budget: &Budget) -> Option<Window> {
     let offered = sorted(offered.to_vec());
     let retries = retries(arrivals);
@@ -102,7 +102,7 @@
     }
 
     /// One request every 100 ms, each with the number of arrivals that `arrivals` returns.
-    fn play(start: Instant, requests: u64, arrivals: impl Fn(u64) -> u64) -> Option<Window> {
+    fn run(start: Instant, requests: u64, arrivals: impl Fn(u64) -> u64) -> Option<Window> {
         let ids: Vec<String> = (0..requests).map(|number| number.to_string()).collect();
         let offered: Vec<Instant> = (0..requests).map(|number| instant(start, number)).collect();
         let arrived = ids.iter().zip(&offered).enumerate().flat_map(|(number, (id, at))| {
@@ -113,7 +113,7 @@
 
     #[test]
     fn first_arrivals_are_no_retries() {
-        assert_eq!(play(Instant::now(), 300, |_| 1), None);
+        assert_eq!(run(Instant::now(), 300, |_| 1), None);
     }
 
     #[test]
@@ -121,29 +121,29 @@
         // 23 retries are allowed for the 100 requests of a window.
         let start = Instant::now() + Duration::from_secs(60);
         let burst = |first: u64| move |number| 1 + u64::from((first..200).contains(&number));
-        assert_eq!(play(start, 300, burst(177)), None);
-        let over = play(start, 300, burst(176)).expect("over the budget");
+        assert_eq!(run(start, 300, burst(177)), None);
+        let over = run(start, 300, burst(176)).expect("over the budget");
         assert_eq!((over.retries, over.requests, over.allowed), (24, 100, 23));
     }
 
     #[test]
     fn retries_of_two_windows_do_not_add_up() {
         let start = Instant::now() + Duration::from_secs(60);
-        assert_eq!(play(start, 300, |number| 1 + u64::from(number % 100 >= 80)), None);
+        assert_eq!(run(start, 300, |number| 1 + u64::from(number % 100 >= 80)), None);
     }
 
     #[test]
     fn a_burst_across_the_border_of_two_windows_counts_whole() {
         let start = Instant::now() + Duration::from_secs(60);
         let burst = |number| 1 + u64::from((88..112).contains(&number));
-        assert_eq!(play(start, 300, burst).expect("over the budget").retries, 24);
+        assert_eq!(run(start, 300, burst).expect("over the budget").retries, 24);
     }
 
     #[test]
     fn a_refused_arrival_of_a_request_counts_as_often_as_it_comes() {
         let start = Instant::now() + Duration::from_secs(60);
-        assert_eq!(play(start, 300, |number| if number == 150 { 24 } else { 1 }), None);
-        assert!(play(start, 300, |number| if number == 150 { 25 } else { 1 }).is_some());
+        assert_eq!(run(start, 300, |number| if number == 150 { 24 } else { 1 }), None);
+        assert!(run(start, 300, |number| if number == 150 { 25 } else { 1 }).is_some());
     }
 
     #[test]
--- a/crates/cli/tests/forward/soak/targets.rs
+++ b/crates/cli/tests/forward/soak/targets.rs
@@ -1,5 +1,5 @@
-//! New target versions combined with engine crashes, and restarts and freezes of nodes. Store and links have no faults
-//! except for stalled connections with some seeds.
+//! New target versions combined with engine crashes, and restarts and freezes of nodes. Store and links have
+//! no faults except for stalled connections with some seeds.
 
 use std::time::{Duration, Instant};
 
@@ -122,7 +122,7 @@
         let outage = outage.min(left);
         let identity = if random.random_range(0..2) == 0 { Identity::Same } else { Identity::Another };
         self.log(format!(
-            "{count} engines end together and are back after {outage:?}, identity: {identity:?}"
+            "{count} engines crash together and restart after {outage:?}, identity: {identity:?}"
         ));
         for engine in engines.iter().take(count) {
             // Stagger the restarts.
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Advances the target version, keeps all engines down until about the bound for older weights, and restarts or freezes all
-    /// nodes meanwhile.
+    /// Advances the target version, keeps all engines down until about the bound for older weights, and
+    /// restarts or freezes all nodes meanwhile.
     async fn advance_before_node_restart(&self, random: &mut StdRng) {
         self.advance_target_version();
         let outage = WEIGHTS_BOUND + Duration::from_millis(random.random_range(0..1_000));
@@ -154,10 +154,10 @@
         tokio::time::sleep(Duration::from_millis(random.random_range(1_000..5_000))).await;
         if random.random_range(0..3) == 0 {
             let length = Duration::from_millis(random.random_range(1_000..3_000));
-            self.log(format!("all nodes stand still for {length:?}"));
+            self.log(format!("all nodes are frozen for {length:?}"));
             join_all((0..self.nodes()).map(|node| self.freeze(node, length))).await;
         } else {
-            self.log("all nodes start again".into());
+            self.log("all nodes restart".into());
             let outage = Duration::from_millis(random.random_range(0..500));
             join_all((0..self.nodes()).map(|node| self.restart_process(node, false, outage))).await;
         }
@@ -187,7 +187,7 @@
             self.advance_target_version();
             tokio::time::sleep(before).await;
         }
-        self.log(format!("all nodes start again after {outage:?}, planned: {planned}"));
+        self.log(format!("all nodes restart after {outage:?}, planned: {planned}"));
         let starts = join_all((0..self.nodes()).map(|node| self.restart_process(node, planned, outage)));
         let advance = async {
             if random.random_range(0..2) == 0 {
--- a/crates/cli/tests/forward/soak/weights.rs
+++ b/crates/cli/tests/forward/soak/weights.rs
@@ -37,8 +37,8 @@
 
 /// Returns requests that started on a version more than `bound` after a newer target was set.
 ///
-/// The bound applies to periods without faults of store and links, and to nodes that have not been disturbed for a while.
-/// A start counts as a disturbance, after which the node must learn earlier targets.
+/// The bound applies to periods without faults of store and links, and to nodes that have not been disturbed
+/// for a while. A start counts as a disturbance, after which the node must learn earlier targets.
 pub fn late_starts(
     started: &[StartedRequest],
     targets: &[TargetVersion],
--- a/crates/cli/tests/forward/unanswered.rs
+++ b/crates/cli/tests/forward/unanswered.rs
@@ -1,5 +1,5 @@
-//! A graceful shutdown and the close of idle connections must answer requests that have arrived by then, in sockets or in the
-//! listen backlog, even if the process is frozen across that moment.
+//! A graceful shutdown and the close of idle connections must answer requests that have arrived by then, in
+//! sockets or in the listen backlog, even if the process is frozen across that moment.
 
 use std::time::{Duration, Instant};
 
@@ -94,7 +94,8 @@
     assert_all_complete(&endings(callers).await, &router).await;
 }
 
-/// An unresponsive run must not be abandoned before another back end has accepted its stream, since the run may go on.
+/// An unresponsive run must not be abandoned before another back end has accepted its stream, since the run
+/// may go on.
 #[tokio::test]
 async fn a_silent_run_is_kept_until_another_has_taken_its_stream() {
     let (cluster, router) = cluster_and_router().await;
@@ -133,8 +134,8 @@
     assert_eq!(runs, 0, "a refusal that says when to come back has not run");
 }
 
-/// A connection whose stream started before the signal stays open without `connection: close`. The next request on it after
-/// the end of admission must be refused.
+/// A connection whose stream started before the signal stays open without `connection: close`. The next
+/// request on it after the end of admission must be refused.
 #[tokio::test]
 async fn a_planned_stop_begins_nothing_after_it_takes_callers_no_longer() {
     let (cluster, router) = long_streams_and_short_grace().await;
@@ -184,7 +185,8 @@
     assert!(caller.call("/quote/1", "rest-2").await.is_complete(), "{:#?}", router.lines());
 }
 
-/// Requests that arrive before an idle connection is closed must be answered, even if the node is frozen meanwhile.
+/// Requests that arrive before an idle connection is closed must be answered, even if the node is frozen
+/// meanwhile.
 #[tokio::test]
 async fn what_lies_in_connections_that_have_rested_for_long_is_answered() {
     /// An advertised idle timeout of 300 ms and its slack.
@@ -209,7 +211,8 @@
     assert!(endings.iter().all(Ending::is_complete), "{endings:?}\n{:#?}", router.lines());
 }
 
-/// The head of a stream must not be forwarded before its first event, so that an earlier failure gets a complete answer.
+/// The head of a stream must not be forwarded before its first event, so that an earlier failure gets a
+/// complete answer.
 #[tokio::test]
 async fn what_breaks_before_its_first_event_is_answered_whole() {
     let (cluster, router) = cluster_and_router().await;
--- a/crates/cli/tests/forward/weights_named.rs
+++ b/crates/cli/tests/forward/weights_named.rs
@@ -1,5 +1,5 @@
-//! Requests start on older weights only for a bounded time after a newer target version is set, even if nodes restart, freeze
-//! or lose the store, and even if no engine has the target version.
+//! Requests start on older weights only for a bounded time after a newer target version is set, even if nodes
+//! restart, freeze or lose the store, and even if no engine has the target version.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
 const PARTITION_BOUND_MS: u64 = 3_000;
 /// Longer than that bound and than the maximum age of keys.
 const PARTITION_TIME: Duration = Duration::from_millis(5_500);
-/// Bound of nodes that record a target version, in milliseconds. The leader has half of it for that, even on a busy machine.
+/// Bound of nodes that record a target version, in milliseconds. The leader has half of it for that, even on
+/// a busy machine.
 const RECORDED_BOUND_MS: u64 = 8_000;
 /// Longer than that bound.
 const PAST_RECORDED_BOUND: Duration = Duration::from_millis(8_500);
--- a/crates/cli/tests/planned_work.rs
+++ b/crates/cli/tests/planned_work.rs
@@ -1,5 +1,5 @@
-//! Signals and graceful shutdown of a router node must not end requests without an answer, including requests that
-//! arrive while the process is frozen.
+//! Signals and graceful shutdown of a router node must not end requests without an answer, including requests
+//! that arrive while the process is frozen.
 
 mod support;
 
@@ -181,11 +181,11 @@
         request_models(stream);
         assert_eq!(read_answer(stream).status, 200);
     }
-    let begun = b"GET /v1/models HTTP/1.1\r\nhost: node\r\n";
+    let head_start = b"GET /v1/models HTTP/1.1\r\nhost: node\r\n";
     // More than the node reads at once.
     let padding = "x".repeat(10_000);
     let remainder = format!("x-padding: {padding}\r\nauthorization: Bearer {KEY}\r\n\r\n");
-    streams.iter_mut().for_each(|stream| stream.write_all(begun).expect("the connection is open"));
+    streams.iter_mut().for_each(|stream| stream.write_all(head_start).expect("the connection is open"));
     // Long enough for the node to read the first part, and much shorter than the timeout of a head.
     std::thread::sleep(HEAD_TIMEOUT / 10);
     node.signal("-STOP");
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -13,7 +13,8 @@
     program_at(env!("CARGO_BIN_EXE_paddlemount"))
 }
 
-/// Creates a command for a forwarding node, which alternates between this build and the one in [`PRODUCTION`].
+/// Creates a command for a forwarding node, which alternates between this build and the one in
+/// [`PRODUCTION`].
 #[allow(dead_code, reason = "other tests that use this file start no forwarding nodes")]
 pub fn forwarding_program() -> Command {
     static STARTED: AtomicU64 = AtomicU64::new(0);
@@ -25,8 +26,8 @@
 }
 
 fn program_at(path: &str) -> Command {
-    // `setpriv` makes the kernel kill the program when its parent thread ends. Otherwise nodes of a killed test
-    // would go on calling addresses that other tests use by then.
+    // `setpriv` makes the kernel kill the program when its parent thread ends. Otherwise nodes of a killed
+    // test would go on calling addresses that other tests use by then.
     let mut command = Command::new("setpriv");
     command.args(["--pdeathsig", "KILL", "--", path]);
     command
--- a/crates/standins/src/machine_list/server.rs
+++ b/crates/standins/src/machine_list/server.rs
@@ -1,8 +1,8 @@
 //! Serves the machine list over TCP.
 //!
-//! Besides `GET /machines`, `POST /control/machines` takes a [`MachineChange`],
-//! `POST /control/lag` a [`ListLag`], `POST /control/faults`
-//! [`ServiceFaults`](crate::faults::ServiceFaults), and `GET /control/state` returns the faults and the model.
+//! Besides `GET /machines`, `POST /control/machines` takes a [`MachineChange`], `POST /control/lag` a
+//! [`ListLag`], `POST /control/faults` [`ServiceFaults`](crate::faults::ServiceFaults), and `GET
+//! /control/state` returns the faults and the model.
 
 use std::{sync::Arc, time::Duration};
 
