--- a/crates/core/src/forwarding/announcements/limits.rs
+++ b/crates/core/src/forwarding/announcements/limits.rs
@@ -194,9 +194,10 @@
         if self.by_process.is_empty() {
             return None;
         }
-        let first = BackendProcess { id: entry.id.clone(), started_at: entry.born };
-        let starts = self.of_starts_from(first);
-        let limited = starts.filter_map(|(process, known)| Some((process, known.limit.as_ref()?))).last();
+        let first = BackendProcess { id: entry.id.clone(), started_at: entry.started_at };
+        let incarnations = self.incarnations_from(first);
+        let limited =
+            incarnations.filter_map(|(process, known)| Some((process, known.limit.as_ref()?))).last();
         limited.filter(|(_, limit)| limit.per_second().is_some())
     }
 
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Returns the permit of a request of which nothing was written.
+    /// Returns the permit of a request of which no byte was sent.
     pub fn release_permit(&mut self, id: &BackendId) {
         if let Some(limit) = self.limit_mut(id) {
             limit.release();
--- a/crates/core/src/forwarding/announcements/mod.rs
+++ b/crates/core/src/forwarding/announcements/mod.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Announced {
     /// When a node first observed that it drains.
-    leaving_since: Option<Timestamp>,
+    draining_since: Option<Timestamp>,
     backed_off_until: Option<Timestamp>,
     back_off_requested_at: Timestamp,
     /// The last limit that it has advertised.
@@ -56,14 +56,14 @@
 }
 
 impl Announced {
-    fn holds(&self, now: Timestamp) -> bool {
-        let is_remembered = now.saturating_since(self.observed_at) < ANNOUNCEMENT_TTL;
-        let lasts = self.leaving_since.is_some() || self.limit.is_some();
-        (lasts && is_remembered) || self.backed_off_until.is_some_and(|until| now < until)
+    fn is_in_force(&self, now: Timestamp) -> bool {
+        let is_recent = now.saturating_since(self.observed_at) < ANNOUNCEMENT_TTL;
+        let lasts = self.draining_since.is_some() || self.limit.is_some();
+        (lasts && is_recent) || self.backed_off_until.is_some_and(|until| now < until)
     }
 }
 
-/// A time for which a back end has requested no requests.
+/// A back-off that a back end has requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackOff {
     pub until: Timestamp,
@@ -75,7 +75,7 @@
 
 /// The effect of an observation that a process drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Departure {
+pub enum DrainingEffect {
     /// No effect: it was known already, or the process is unknown.
     Known,
     /// The back end gets no requests any more, unless no other is left.
@@ -98,12 +98,12 @@
     /// The announcements of a process, for an update.
     fn of(&mut self, process: &BackendProcess, now: Timestamp) -> &mut Announced {
         if self.by_process.len() >= MAX_PROCESSES && !self.by_process.contains_key(process) {
-            let first = self.by_process.iter().min_by_key(|(_, announced)| announced.observed_at);
-            let first = first.map(|(process, _)| process.clone());
-            first.and_then(|process| self.by_process.remove(&process));
+            let oldest = self.by_process.iter().min_by_key(|(_, announced)| announced.observed_at);
+            let oldest = oldest.map(|(process, _)| process.clone());
+            oldest.and_then(|process| self.by_process.remove(&process));
         }
         let fresh = Announced {
-            leaving_since: None,
+            draining_since: None,
             backed_off_until: None,
             back_off_requested_at: now,
             limit: None,
@@ -115,10 +115,10 @@
     }
 
     /// Records that a process drains. Returns whether that is new.
-    fn record_leaving(&mut self, process: &BackendProcess, now: Timestamp) -> bool {
+    fn record_draining(&mut self, process: &BackendProcess, now: Timestamp) -> bool {
         let known = self.of(process, now);
-        let is_new = known.leaving_since.is_none();
-        known.leaving_since.get_or_insert(now);
+        let is_new = known.draining_since.is_none();
+        known.draining_since.get_or_insert(now);
         is_new
     }
 
@@ -142,26 +142,29 @@
     }
 
     /// When a node first observed that the process of an entry drains.
-    pub(super) fn leaving_since(&self, entry: &BackendEntry) -> Option<Timestamp> {
-        self.of_entry(entry).filter_map(|known| known.leaving_since).min()
+    pub(super) fn draining_since(&self, entry: &BackendEntry) -> Option<Timestamp> {
+        self.of_entry(entry).filter_map(|known| known.draining_since).min()
     }
 
     /// The announcements of the process of an entry. A stale entry may name an earlier incarnation, so those
     /// of later incarnations are included.
     fn of_entry(&self, entry: &BackendEntry) -> impl Iterator<Item = &Announced> {
-        let first = BackendProcess { id: entry.id.clone(), started_at: entry.born };
-        self.of_starts_from(first).map(|(_, known)| known)
+        let first = BackendProcess { id: entry.id.clone(), started_at: entry.started_at };
+        self.incarnations_from(first).map(|(_, known)| known)
     }
 
-    fn of_starts_from(&self, first: BackendProcess) -> impl Iterator<Item = (&BackendProcess, &Announced)> {
+    fn incarnations_from(
+        &self,
+        first: BackendProcess,
+    ) -> impl Iterator<Item = (&BackendProcess, &Announced)> {
         let id = first.id.clone();
         self.by_process.range(first..).take_while(move |(process, _)| process.id == id)
     }
 
     /// Whether any incarnation of a back end drains.
-    fn any_leaving(&self, id: &BackendId) -> bool {
+    fn any_draining(&self, id: &BackendId) -> bool {
         let first = BackendProcess { id: id.clone(), started_at: None };
-        self.of_starts_from(first).any(|(_, known)| known.leaving_since.is_some())
+        self.incarnations_from(first).any(|(_, known)| known.draining_since.is_some())
     }
 
     /// The end of the back-off of an entry's process; none where no back-off is in force.
@@ -169,10 +172,10 @@
         if self.by_process.is_empty() {
             return None;
         }
-        let any_start = BackendProcess { id: entry.id.clone(), started_at: None };
-        let ends = self.of_starts_from(any_start).filter_map(|(process, known)| {
+        let any_incarnation = BackendProcess { id: entry.id.clone(), started_at: None };
+        let ends = self.incarnations_from(any_incarnation).filter_map(|(process, known)| {
             let until = known.backed_off_until?;
-            let is_earlier = process.started_at < entry.born;
+            let is_earlier = process.started_at < entry.started_at;
             Some(if is_earlier { until.min(known.back_off_requested_at + REGISTRY_DELAY) } else { until })
         });
         ends.max().filter(|until| now < *until)
@@ -184,7 +187,7 @@
             .by_process
             .iter()
             .filter_map(|(process, known)| {
-                let since = known.leaving_since.filter(|since| is_gossiped(*since, now))?;
+                let since = known.draining_since.filter(|since| is_gossiped(*since, now))?;
                 Some((since, process.clone()))
             })
             .collect();
@@ -200,13 +203,15 @@
                 ended.push(process.id.clone());
             }
         }
-        self.by_process.retain(|_, known| known.holds(now));
+        self.by_process.retain(|_, known| known.is_in_force(now));
         ended
     }
 
     /// Whether there are draining processes to gossip.
     pub fn has_pending_gossip(&self, now: Timestamp) -> bool {
-        self.by_process.values().any(|known| known.leaving_since.is_some_and(|since| is_gossiped(since, now)))
+        self.by_process
+            .values()
+            .any(|known| known.draining_since.is_some_and(|since| is_gossiped(since, now)))
     }
 
     /// The number of processes with a back-off in force.
@@ -226,36 +231,36 @@
 impl Backends {
     /// The incarnation of a back end that its entry names.
     pub fn process_of(&self, id: &BackendId) -> BackendProcess {
-        let started_at = self.get(id).and_then(|known| known.entry.born);
+        let started_at = self.get(id).and_then(|known| known.entry.started_at);
         BackendProcess { id: id.clone(), started_at }
     }
 
     /// Records that a process drains, as its answer or another node reported.
-    pub fn observe_draining(&mut self, process: &BackendProcess, now: Timestamp) -> Departure {
-        let is_new = self.announcements.record_leaving(process, now);
+    pub fn observe_draining(&mut self, process: &BackendProcess, now: Timestamp) -> DrainingEffect {
+        let is_new = self.announcements.record_draining(process, now);
         // A later incarnation may have started since the observed request was sent.
-        let known = self.get(&process.id).filter(|known| known.entry.born <= process.started_at);
+        let known = self.get(&process.id).filter(|known| known.entry.started_at <= process.started_at);
         match known.map(|known| known.state) {
             Some(BackendState::Ready) => {
-                self.set_state(&process.id, BackendState::Departing { since: now });
-                Departure::Leaves
+                self.set_state(&process.id, BackendState::Draining { since: now });
+                DrainingEffect::Leaves
             }
             Some(BackendState::Suspect { .. }) => {
                 self.drop(&process.id);
-                Departure::Dropped
+                DrainingEffect::Dropped
             }
-            Some(BackendState::Replaced) if is_new => Departure::Leaves,
-            Some(BackendState::Departing { .. } | BackendState::Leaving | BackendState::Replaced) | None => {
-                Departure::Known
+            Some(BackendState::Replaced) if is_new => DrainingEffect::Leaves,
+            Some(BackendState::Draining { .. } | BackendState::Leaving | BackendState::Replaced) | None => {
+                DrainingEffect::Known
             }
         }
     }
 
     /// The state of a back end with this entry, given only its announcements.
     pub(super) fn state_with(&self, entry: &BackendEntry) -> BackendState {
-        match self.announcements.leaving_since(entry) {
+        match self.announcements.draining_since(entry) {
             _ if entry.leaving => BackendState::Leaving,
-            Some(since) => BackendState::Departing { since },
+            Some(since) => BackendState::Draining { since },
             None => BackendState::Ready,
         }
     }
@@ -265,19 +270,19 @@
     pub fn is_leaving(&self, id: &BackendId) -> bool {
         match self.get(id) {
             Some(known) => known.state.is_leaving(),
-            None => self.announcements.any_leaving(id),
+            None => self.announcements.any_draining(id),
         }
     }
 
-    /// Whether a back end may be sent a request now. A departing one may for `departing_timeout` after it was first
-    /// observed to drain.
-    pub fn takes_requests(&self, backend: &Backend, departing_timeout: Duration, now: Timestamp) -> bool {
-        let stays = match backend.state {
+    /// Whether a back end may be sent a request now. A draining one may for `draining_timeout` after it was
+    /// first observed to drain.
+    pub fn takes_requests(&self, backend: &Backend, draining_timeout: Duration, now: Timestamp) -> bool {
+        let is_open = match backend.state {
             BackendState::Ready | BackendState::Suspect { .. } => true,
-            BackendState::Departing { since } => now.saturating_since(since) < departing_timeout,
+            BackendState::Draining { since } => now.saturating_since(since) < draining_timeout,
             BackendState::Leaving | BackendState::Replaced => false,
         };
-        stays
+        is_open
             && self.announcements.backed_off_until(&backend.entry, now).is_none()
             && self.announcements.has_permit(&backend.entry, now)
     }
--- a/crates/core/src/forwarding/attempt.rs
+++ b/crates/core/src/forwarding/attempt.rs
@@ -57,8 +57,8 @@
 /// Maximum number of misdirected attempts per request: each uses capacity of a service that was not meant.
 const MAX_MISDIRECTED: u32 = 2;
 
-/// Maximum number of misdirected attempts per request: each one uses capacity of a service that may be
-/// limited.
+/// Decides what follows an attempt. `time_left` says whether the request's deadline allows another one, and
+/// `budget` takes a retry from the retry budget.
 pub fn next_action(
     kind: RouteKind,
     attempts: u32,
--- a/crates/core/src/forwarding/backends.rs
+++ b/crates/core/src/forwarding/backends.rs
@@ -1,9 +1,9 @@
 //! The back ends that the registry lists, and their states.
 //!
-//! A back end is identified by one start of its process. It stops getting requests as soon as the registry or
-//! the back end itself ([`super::announcements`]) reports that it is leaving. When an entry vanishes while
-//! the registry is unavailable or has just returned, the back end becomes a suspect: it gets requests only
-//! where too few others are old_address.
+//! A back end stops getting requests as soon as the registry or the back end itself
+//! ([`super::announcements`]) reports that it is leaving. When an entry vanishes while the registry is
+//! unavailable or recovering, the back end becomes a suspect: it gets requests only where too few others are
+//! left.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -44,7 +44,7 @@
     pub weights: BTreeMap<ModelId, WeightsVersion>,
     /// When its process started, in Unix milliseconds, if known. A back end that restarts may keep its
     /// identity, but not its state.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 /// The fields of an entry in their order on the wire.
@@ -52,15 +52,15 @@
     (BackendId, ServiceId, SocketAddr, ZoneId, u32, bool, BTreeMap<ModelId, WeightsVersion>, Option<u64>);
 
 impl From<EntryRow> for BackendEntry {
-    fn from((id, service, address, zone, slots, leaving, weights, born): EntryRow) -> Self {
-        Self { id, service, address, zone, slots, leaving, weights, born }
+    fn from((id, service, address, zone, slots, leaving, weights, started_at): EntryRow) -> Self {
+        Self { id, service, address, zone, slots, leaving, weights, started_at }
     }
 }
 
 impl From<BackendEntry> for EntryRow {
     fn from(entry: BackendEntry) -> Self {
-        let BackendEntry { id, service, address, zone, slots, leaving, weights, born } = entry;
-        (id, service, address, zone, slots, leaving, weights, born)
+        let BackendEntry { id, service, address, zone, slots, leaving, weights, started_at } = entry;
+        (id, service, address, zone, slots, leaving, weights, started_at)
     }
 }
 
@@ -70,13 +70,13 @@
     Ready,
     /// The registry reports that it is leaving: it gets no requests.
     Leaving,
-    /// It has announced itself that it is leaving, and the registry has not. It gets requests for a short
-    /// time, and only where no other back end is old_address.
-    Departing {
+    /// It has announced that it drains, but the registry does not report it as leaving. It gets requests for
+    /// a short time, and only where no other back end is left.
+    Draining {
         /// When a node first observed that.
         since: Timestamp,
     },
-    /// Its entry vanished while the registry was unavailable or returning.
+    /// Its entry vanished while the registry was unavailable or recovering.
     Suspect {
         since: Timestamp,
     },
@@ -87,7 +87,7 @@
 impl BackendState {
     /// Whether the back end is leaving, according to itself or the registry.
     pub const fn is_leaving(self) -> bool {
-        matches!(self, Self::Leaving | Self::Departing { .. })
+        matches!(self, Self::Leaving | Self::Draining { .. })
     }
 }
 
@@ -139,7 +139,7 @@
     None,
     /// The entry is gone, and the back end with it.
     Removed,
-    /// The entry is gone while the registry is unavailable or returning.
+    /// The entry is gone while the registry is unavailable or recovering.
     Suspect,
 }
 
@@ -160,16 +160,16 @@
             return EntryChange::None;
         }
         known.weights_observed = false;
-        let started_again =
-            matches!((known.entry.born, entry.born), (Some(before), Some(now)) if before != now);
+        let restarted =
+            matches!((known.entry.started_at, entry.started_at), (Some(before), Some(now)) if before != now);
         // A process does not return from leaving.
         let state = match known.state {
-            BackendState::Leaving if !started_again => BackendState::Leaving,
-            BackendState::Departing { .. } if !started_again && state == BackendState::Ready => known.state,
+            BackendState::Leaving if !restarted => BackendState::Leaving,
+            BackendState::Draining { .. } if !restarted && state == BackendState::Ready => known.state,
             _ => state,
         };
         let change = match (known.state == state, known.entry == entry) {
-            _ if started_again => EntryChange::Restarted,
+            _ if restarted => EntryChange::Restarted,
             (true, true) => EntryChange::None,
             (false, _) if state == BackendState::Leaving => EntryChange::Leaving,
             _ => EntryChange::Updated,
@@ -203,7 +203,7 @@
             BackendState::Ready
             | BackendState::Suspect { .. }
             | BackendState::Leaving
-            | BackendState::Departing { .. }
+            | BackendState::Draining { .. }
             | BackendState::Replaced => {}
         }
         self.drop(id);
@@ -229,15 +229,17 @@
         self.reactivate_latest(backend.entry.address);
     }
 
-    /// Drops the suspects whose entries are still missing after the registry's return. Returns the dropped
-    /// ones.
+    /// Drops the suspects whose entries are still missing once the registry has recovered, or for too long.
+    /// Returns the dropped ones.
     pub fn expire(&mut self, now: Timestamp) -> Vec<BackendId> {
-        let returned = !self.registry.may_lack_entries(now);
+        let has_recovered = !self.registry.may_lack_entries(now);
         let expired = |backend: &Backend| match backend.state {
-            BackendState::Suspect { since } => returned || now.saturating_since(since) >= SUSPECT_TIMEOUT,
+            BackendState::Suspect { since } => {
+                has_recovered || now.saturating_since(since) >= SUSPECT_TIMEOUT
+            }
             BackendState::Ready
             | BackendState::Leaving
-            | BackendState::Departing { .. }
+            | BackendState::Draining { .. }
             | BackendState::Replaced => false,
         };
         let ids: Vec<BackendId> =
@@ -333,7 +335,7 @@
         of_service.filter(move |backend| match backend.state {
             BackendState::Ready => true,
             BackendState::Suspect { .. } => with_suspects,
-            BackendState::Leaving | BackendState::Departing { .. } | BackendState::Replaced => false,
+            BackendState::Leaving | BackendState::Draining { .. } | BackendState::Replaced => false,
         })
     }
 }
--- a/crates/core/src/forwarding/budget.rs
+++ b/crates/core/src/forwarding/budget.rs
@@ -23,7 +23,7 @@
 /// The number of windows over which a request earns its share: its own and the next one. At most half of the
 /// share is available at once; in steady traffic all of it is available over a window.
 const WINDOWS: u64 = 2;
-/// Thousandths in a whole.
+/// The number of thousandths in one.
 const PER_MILLE: u64 = 1_000;
 
 /// Minimum reserve of a node while the number of nodes is unknown: enough for two back ends that fail at
--- a/crates/core/src/forwarding/children.rs
+++ b/crates/core/src/forwarding/children.rs
@@ -62,7 +62,7 @@
 pub enum Admission {
     /// The node reports here.
     Accepted,
-    /// The node has to ask another one.
+    /// The node has to ask this one instead.
     Referred(Contact),
 }
 
@@ -154,8 +154,8 @@
     /// How many more nodes this subtree can accept.
     pub fn join_capacity(&self, now: Timestamp) -> u32 {
         let own = self.fan_in.saturating_sub(self.staying_count(now)) as u32;
-        let child_rooms = self.fresh(now).map(|child| u32::try_from(child.join_capacity).unwrap_or(0));
-        child_rooms.fold(own, u32::saturating_add)
+        let child_capacities = self.fresh(now).map(|child| u32::try_from(child.join_capacity).unwrap_or(0));
+        child_capacities.fold(own, u32::saturating_add)
     }
 
     /// The number of children.
@@ -216,7 +216,7 @@
         Admission::Accepted
     }
 
-    /// The strongest matching child, and among equally strong ones the one with the most join_capacity: weak machines
+    /// The strongest matching child, and among equally strong ones the one with the most room: weak machines
     /// become inner nodes only if no strong one has room.
     fn best_child(&self, now: Timestamp, matches: impl Fn(&Child) -> bool) -> Option<Contact> {
         let fresh = self.fresh(now).filter(|child| child.referred_to.is_none() && matches(child));
--- a/crates/core/src/forwarding/choice.rs
+++ b/crates/core/src/forwarding/choice.rs
@@ -8,7 +8,7 @@
 //!
 //! For other services, the cost is the number of requests at the back end, weighted by its latency.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! |---|---|
 //! | `candidate_pool` | the back ends of a pool, and the sample that a choice evaluates |
 //! | `prompts` | the cost of each back end for a prompt |
@@ -87,7 +87,7 @@
     pub sample_size: Option<usize>,
     /// Whether the run's memory is copied to another back end as it grows.
     pub replicate: bool,
-    /// When it is placed: what back ends have measured is worth less with time.
+    /// When it is placed: measured latencies decay with time.
     pub now: Timestamp,
 }
 
@@ -240,6 +240,7 @@
     }
 }
 
+/// Breaks ties between back ends of equal cost differently for each request.
 fn tie(backend: &BackendId, draw: u64) -> u64 {
     xxh3_64_with_seed(backend.as_str().as_bytes(), draw)
 }
--- a/crates/core/src/forwarding/freshness.rs
+++ b/crates/core/src/forwarding/freshness.rs
@@ -14,7 +14,7 @@
 }
 
 impl Freshness {
-    /// Records that a call sent at `sent_at` was answered, and that its whole answer has been applied.
+    /// Records that a call sent at `sent_at` was answered, and that its complete answer has been applied.
     pub fn prove(&mut self, sent_at: Timestamp) {
         self.proved_at = Some(self.proved_at.map_or(sent_at, |earlier| earlier.max(sent_at)));
     }
--- a/crates/core/src/forwarding/load.rs
+++ b/crates/core/src/forwarding/load.rs
@@ -17,7 +17,7 @@
 /// then.
 const SLOWEST_DECAY: Duration = Duration::from_secs(4);
 /// The time constant by which an average decays without newer measurements, so that a back end that was slow
-/// for a moment is tried again however few requests there are.
+/// for a moment gets requests again, however few there are.
 const AVERAGE_DECAY: Duration = Duration::from_secs(10);
 /// The time constant of the rate of requests to a back end.
 const SENT_DECAY: Duration = Duration::from_secs(1);
@@ -25,7 +25,7 @@
 const MIN_MEASUREMENTS: u32 = 5;
 /// Bounds of the factor by which latency scales a back end's cost.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 8.0);
-/// The slowness of a back end that is as fast as any is assumed to be.
+/// The minimum slowness, assumed for a back end without measurements to have it measured.
 pub const MIN_SLOWNESS: f64 = SLOWNESS_BOUNDS.0;
 /// The slowness of a back end with the median latency.
 pub const TYPICAL_SLOWNESS: f64 = 1.0;
--- a/crates/core/src/forwarding/pool.rs
+++ b/crates/core/src/forwarding/pool.rs
@@ -21,8 +21,8 @@
 pub struct Pool {
     ready: Vec<Ranked>,
     suspects: Vec<Ranked>,
-    /// Back ends that have announced that they are leaving.
-    departing: Vec<Ranked>,
+    /// Back ends that have announced that they drain.
+    draining: Vec<Ranked>,
     /// The number of ready back ends per model and version.
     versions: BTreeMap<ModelId, BTreeMap<WeightsVersion, usize>>,
 }
@@ -34,7 +34,7 @@
         let list = match backend.state {
             BackendState::Ready => &mut self.ready,
             BackendState::Suspect { .. } => &mut self.suspects,
-            BackendState::Departing { .. } => &mut self.departing,
+            BackendState::Draining { .. } => &mut self.draining,
             BackendState::Leaving | BackendState::Replaced => return,
         };
         if let Err(index) = list.binary_search(&ranked) {
@@ -50,7 +50,7 @@
     /// Removes a back end; its state and entry must be those with which it was added.
     pub(super) fn remove(&mut self, backend: &Backend) {
         let ranked = Ranked { rank: rank(&backend.entry.id), id: backend.entry.id.clone() };
-        for list in [&mut self.ready, &mut self.suspects, &mut self.departing] {
+        for list in [&mut self.ready, &mut self.suspects, &mut self.draining] {
             if let Ok(index) = list.binary_search(&ranked) {
                 list.remove(index);
             }
@@ -71,14 +71,14 @@
     }
 
     /// The back ends that may get requests: the ready ones, and the suspects where fewer than half are ready.
-    /// Where there are neither, the departing ones.
+    /// Where there are neither, the draining ones.
     pub fn usable(&self) -> impl Iterator<Item = &Ranked> {
-        self.ready.iter().chain(self.suspects_in_use()).chain(self.departing_in_use())
+        self.ready.iter().chain(self.suspects_in_use()).chain(self.draining_in_use())
     }
 
     /// The number of back ends that may get requests.
     pub fn len(&self) -> usize {
-        self.ready.len() + self.suspects_in_use().len() + self.departing_in_use().len()
+        self.ready.len() + self.suspects_in_use().len() + self.draining_in_use().len()
     }
 
     /// Whether no back end may get requests.
@@ -88,7 +88,7 @@
 
     /// The back end at `index` among those that may get requests.
     pub fn get(&self, index: usize) -> Option<&Ranked> {
-        let others = if self.uses_departing() { &self.departing } else { self.suspects_in_use() };
+        let others = if self.uses_draining() { &self.draining } else { self.suspects_in_use() };
         self.ready.get(index).or_else(|| others.get(index - self.ready.len()))
     }
 
@@ -97,13 +97,13 @@
         self.ready.len() < self.suspects.len()
     }
 
-    /// Whether departing back ends are in use, as no others are left.
-    pub const fn uses_departing(&self) -> bool {
+    /// Whether draining back ends are in use, as no others are left.
+    pub const fn uses_draining(&self) -> bool {
         self.ready.is_empty() && self.suspects.is_empty()
     }
 
-    fn departing_in_use(&self) -> &[Ranked] {
-        if self.uses_departing() { &self.departing } else { &[] }
+    fn draining_in_use(&self) -> &[Ranked] {
+        if self.uses_draining() { &self.draining } else { &[] }
     }
 
     fn suspects_in_use(&self) -> &[Ranked] {
--- a/crates/core/src/forwarding/registry.rs
+++ b/crates/core/src/forwarding/registry.rs
@@ -5,9 +5,9 @@
 //!
 //! | state | an entry vanishes | a call fails | a call succeeds |
 //! |---|---|---|---|
-//! | serving | its back end is gone | away | serving |
-//! | away | its back end is a suspect | away | returning |
-//! | returning, for [`RENEWAL_TIMEOUT`] | its back end is a suspect | away | returning, then serving |
+//! | serving | its back end is gone | unavailable | serving |
+//! | unavailable | its back end is a suspect | unavailable | recovering |
+//! | recovering, for [`RENEWAL_TIMEOUT`] | its back end is a suspect | unavailable | recovering or serving |
 //!
 //! A back end that is still a suspect when the registry serves again is gone.
 
@@ -25,9 +25,9 @@
     #[default]
     Serving,
     /// The last call failed.
-    Away,
+    Unavailable,
     /// Calls succeed again.
-    Returning {
+    Recovering {
         /// The first success after a failure.
         since: Timestamp,
     },
@@ -36,14 +36,14 @@
 impl Registry {
     /// Records that a call failed or was refused.
     pub const fn failed(&mut self) {
-        *self = Self::Away;
+        *self = Self::Unavailable;
     }
 
     /// Records that a call succeeded.
     pub fn answered(&mut self, now: Timestamp) {
         *self = match *self {
-            Self::Away => Self::Returning { since: now },
-            Self::Returning { since } if now.saturating_since(since) >= RENEWAL_TIMEOUT => Self::Serving,
+            Self::Unavailable => Self::Recovering { since: now },
+            Self::Recovering { since } if now.saturating_since(since) >= RENEWAL_TIMEOUT => Self::Serving,
             other => other,
         };
     }
@@ -52,8 +52,8 @@
     pub fn report(self, now: Timestamp) -> RegistryState {
         match self {
             Self::Serving => RegistryState::Serving,
-            Self::Away => RegistryState::Unavailable,
-            Self::Returning { since } => {
+            Self::Unavailable => RegistryState::Unavailable,
+            Self::Recovering { since } => {
                 RegistryState::Recovering { for_ms: now.saturating_since(since).as_millis() as u64 }
             }
         }
@@ -63,9 +63,9 @@
     pub fn follow(&mut self, reported: RegistryState, now: Timestamp) {
         *self = match reported {
             RegistryState::Serving => Self::Serving,
-            RegistryState::Unavailable => Self::Away,
+            RegistryState::Unavailable => Self::Unavailable,
             RegistryState::Recovering { for_ms } => {
-                Self::Returning { since: now - Duration::from_millis(for_ms) }
+                Self::Recovering { since: now - Duration::from_millis(for_ms) }
             }
         };
     }
@@ -74,8 +74,8 @@
     pub fn may_lack_entries(self, now: Timestamp) -> bool {
         match self {
             Self::Serving => false,
-            Self::Away => true,
-            Self::Returning { since } => now.saturating_since(since) < RENEWAL_TIMEOUT,
+            Self::Unavailable => true,
+            Self::Recovering { since } => now.saturating_since(since) < RENEWAL_TIMEOUT,
         }
     }
 }
--- a/crates/core/src/forwarding/replacement.rs
+++ b/crates/core/src/forwarding/replacement.rs
@@ -84,31 +84,31 @@
         let id = entry.id.clone();
         let before = self.get(&id).map(|known| (known.entry.address, known.state));
         let change = self.put(entry);
-        let is_new_there = match (change, before, self.get(&id)) {
+        let is_new_at_address = match (change, before, self.get(&id)) {
             (EntryChange::Appeared | EntryChange::Restarted, _, _) => true,
             (EntryChange::Updated, Some((address, state)), Some(known)) => {
                 address != known.entry.address || state != known.state
             }
             _ => false,
         };
-        let replaced = if is_new_there { self.resolve_owner(&id, source) } else { Vec::new() };
+        let replaced = if is_new_at_address { self.resolve_owner(&id, source) } else { Vec::new() };
         AppliedEntry { change, replaced }
     }
 
     /// Records that an answer from `address` came from `by` instead of `id`. Returns whether that is new.
     pub fn observe_misdirected(&mut self, id: &BackendId, address: SocketAddr, by: &BackendId) -> bool {
-        let is_there =
+        let is_at_address =
             |known: &BackendId| self.get(known).is_some_and(|known| known.entry.address == address);
-        if id == by || !is_there(id) {
+        if id == by || !is_at_address(id) {
             return false;
         }
-        let by_is_there = is_there(by);
+        let by_is_at_address = is_at_address(by);
         let state = self.get(id).map(|known| known.state);
         // If `id` is already known to be gone, a later process may have taken the address since.
         if !matches!(state, Some(BackendState::Ready | BackendState::Suspect { .. })) {
             return false;
         }
-        if by_is_there {
+        if by_is_at_address {
             self.reactivate(by);
         }
         self.replace(id)
@@ -127,7 +127,7 @@
         if at_address.iter().any(|backend| backend.state != BackendState::Replaced) {
             return;
         }
-        let latest = at_address.into_iter().max_by_key(|backend| backend.entry.born);
+        let latest = at_address.into_iter().max_by_key(|backend| backend.entry.started_at);
         let Some(id) = latest.map(|backend| backend.entry.id.clone()) else { return };
         self.reactivate(&id);
         self.reactivated.push(id);
@@ -137,14 +137,14 @@
     fn resolve_owner(&mut self, id: &BackendId, source: EntrySource) -> Vec<Replacement> {
         let Some(newcomer) = self.get(id).map(|known| known.entry.clone()) else { return Vec::new() };
         // A back end that is already leaving when it is first seen may have stopped long ago.
-        if newcomer.leaving || self.announcements.leaving_since(&newcomer).is_some() {
+        if newcomer.leaving || self.announcements.draining_since(&newcomer).is_some() {
             return Vec::new();
         }
         let mut replaced = Vec::new();
         for other in self.addresses.others(&newcomer) {
             let Some(known) = self.get(&other) else { continue };
-            let other_is_earlier = match (known.entry.born, newcomer.born) {
-                (Some(known), Some(born)) if known != born => Some(known < born),
+            let other_is_earlier = match (known.entry.started_at, newcomer.started_at) {
+                (Some(known), Some(started_at)) if known != started_at => Some(known < started_at),
                 _ if source == EntrySource::Update => Some(true),
                 _ => None,
             };
@@ -166,7 +166,7 @@
         match self.get(id).map(|known| known.state) {
             Some(BackendState::Ready) => self.set_state(id, BackendState::Replaced),
             Some(BackendState::Suspect { .. }) => self.drop(id),
-            Some(BackendState::Leaving | BackendState::Departing { .. } | BackendState::Replaced) | None => {
+            Some(BackendState::Leaving | BackendState::Draining { .. } | BackendState::Replaced) | None => {
                 return false;
             }
         }
--- a/crates/core/src/forwarding/rollout.rs
+++ b/crates/core/src/forwarding/rollout.rs
@@ -128,9 +128,10 @@
 /// there.
 const PREFERENCE_FACTOR: f64 = 1.5;
 
-/// Whether a request with this `draw` prefers the engines that have the preferred version, `having` of `all`.
-pub fn prefers(draw: u64, having: usize, all: usize) -> bool {
-    let share = having as f64 / all.max(1) as f64;
+/// Whether a request with this `draw` prefers the engines that have the preferred version: `updated` of the
+/// `all` engines.
+pub fn prefers(draw: u64, updated: usize, all: usize) -> bool {
+    let share = updated as f64 / all.max(1) as f64;
     (draw as f64) < share * PREFERENCE_FACTOR * u64::MAX as f64
 }
 
@@ -149,9 +150,9 @@
 const MAX_WAIT: Duration = Duration::from_millis(3_000);
 /// How long after a failed update a back end is tried again.
 pub const UPDATE_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Thousandths in a whole.
+/// The number of thousandths in one.
 const PER_MILLE: usize = 1_000;
-/// One in so many back ends is updated concurrently.
+/// One in this many back ends is updated concurrently.
 const CONCURRENT_UPDATE_DIVISOR: usize = 3;
 
 impl Rollout {
@@ -170,12 +171,12 @@
         self.target_versions.newest(model).map(|target| target.version)
     }
 
-    /// The oldest version of a model on which a request may still begin that waits up to `waits` after it was
-    /// sent.
+    /// The oldest version of a model on which a request may still begin that waits up to `max_wait` after it
+    /// was sent.
     ///
     /// A target version whose announcement time is unknown is required at once.
-    pub fn required(&self, model: &ModelId, waits: Duration, now: Timestamp) -> Option<WeightsVersion> {
-        let after = self.settings.bound.saturating_sub(self.settings.margin + waits.min(MAX_WAIT));
+    pub fn required(&self, model: &ModelId, max_wait: Duration, now: Timestamp) -> Option<WeightsVersion> {
+        let after = self.settings.bound.saturating_sub(self.settings.margin + max_wait.min(MAX_WAIT));
         let is_due = |target: &&TargetVersion| target.may_be_older_than(after, now);
         self.target_versions.of(model).iter().rev().find(is_due).map(|target| target.version)
     }
@@ -185,8 +186,8 @@
     /// version is unknown.
     pub fn begin_by(&self, model: &ModelId, held: WeightsVersion) -> Option<Timestamp> {
         let newer = self.target_versions.first_newer(model, held)?;
-        let lasts = self.settings.bound.saturating_sub(BEGIN_MARGIN);
-        Some(newer.not_before.map_or(Timestamp::ZERO, |after| after + lasts))
+        let allowed = self.settings.bound.saturating_sub(BEGIN_MARGIN);
+        Some(newer.not_before.map_or(Timestamp::ZERO, |after| after + allowed))
     }
 
     /// The back ends to update now. Each one counts as active until [`Rollout::ended`]. Those with the oldest
@@ -203,8 +204,8 @@
             .filter(|backend| backend.state == BackendState::Ready && !backend.entry.weights.is_empty())
             .filter(|backend| !self.postponed_until.contains_key(&backend.entry.id))
             .collect();
-        let at_once = self.at_once(ready.len());
-        let free = at_once.saturating_sub(self.active.len());
+        let max_concurrent_updates = self.max_concurrent_updates(ready.len());
+        let free = max_concurrent_updates.saturating_sub(self.active.len());
         let mut waiting: Vec<(WeightsVersion, u32, Target)> = ready
             .into_iter()
             .filter(|backend| !self.active.contains(&backend.entry.id))
@@ -216,8 +217,9 @@
         });
         let outdated = waiting.len();
         let oldest = waiting.first().map(|(held, _, target)| (*held, target.model.clone()));
-        let drain =
-            oldest.map_or(Duration::ZERO, |(held, model)| self.drain(&model, held, outdated, at_once, now));
+        let drain = oldest.map_or(Duration::ZERO, |(held, model)| {
+            self.drain(&model, held, outdated, max_concurrent_updates, now)
+        });
         let begun: Vec<Target> =
             waiting.into_iter().take(free).map(|(.., target)| Target { drain, ..target }).collect();
         self.active.extend(begun.iter().map(|target| target.backend.clone()));
@@ -237,7 +239,7 @@
     }
 
     /// The number of back ends to update concurrently: the others must carry the requests.
-    fn at_once(&self, backends: usize) -> usize {
+    fn max_concurrent_updates(&self, backends: usize) -> usize {
         (backends / CONCURRENT_UPDATE_DIVISOR)
             .max(self.max_concurrent_loads(backends).min(backends / 2))
             .max(1)
@@ -275,7 +277,7 @@
         model: &ModelId,
         held: WeightsVersion,
         outdated: usize,
-        at_once: usize,
+        max_concurrent_updates: usize,
         now: Timestamp,
     ) -> Duration {
         let Some(after) = self.target_versions.first_newer(model, held).and_then(|target| target.not_before)
@@ -283,7 +285,7 @@
             return Duration::ZERO;
         };
         let due = after + self.settings.bound.saturating_sub(self.settings.margin + RECOVERY_MARGIN);
-        let rounds = u32::try_from(outdated.div_ceil(at_once).max(1)).unwrap_or(u32::MAX);
+        let rounds = u32::try_from(outdated.div_ceil(max_concurrent_updates).max(1)).unwrap_or(u32::MAX);
         (due.saturating_since(now) / rounds).saturating_sub(TYPICAL_LOAD_TIME).min(MAX_DRAIN)
     }
 }
--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -6,7 +6,7 @@
 use paddlemount_core::{
     back_off::MAX_BACK_OFF,
     forwarding::{
-        announcements::{Announcements, BackOff, Departure},
+        announcements::{Announcements, BackOff, DrainingEffect},
         backends::{BackendEntry, BackendId, BackendState, Backends},
         replacement::EntrySource,
     },
@@ -19,8 +19,8 @@
 
 /// The number of back ends in a history.
 const BACKENDS: u8 = 4;
-/// How long a departing back end may still get requests where no other is left.
-const DEPARTING_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a draining back end may still get requests where no other is left.
+const DRAINING_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long the back-off of an earlier incarnation holds.
 const REGISTRY_DELAY: Duration = Duration::from_secs(3);
 /// How long the announcements of a process are kept after its last one.
@@ -30,7 +30,7 @@
     BackendId::from(format!("b{number}").as_str())
 }
 
-fn entry(number: u8, born: u64) -> BackendEntry {
+fn entry(number: u8, started_at: u64) -> BackendEntry {
     BackendEntry {
         id: id(number),
         service: ServiceId::from("s"),
@@ -39,12 +39,12 @@
         slots: 1,
         leaving: false,
         weights: BTreeMap::new(),
-        born: Some(born),
+        started_at: Some(started_at),
     }
 }
 
-fn process(number: u8, born: u64) -> BackendProcess {
-    BackendProcess { id: id(number), started_at: Some(born) }
+fn process(number: u8, started_at: u64) -> BackendProcess {
+    BackendProcess { id: id(number), started_at: Some(started_at) }
 }
 
 fn at(ms: u64) -> Timestamp {
@@ -56,7 +56,7 @@
 }
 
 fn takes_requests(backends: &Backends, number: u8, now: Timestamp) -> bool {
-    backends.get(&id(number)).is_some_and(|known| backends.takes_requests(known, DEPARTING_TIMEOUT, now))
+    backends.get(&id(number)).is_some_and(|known| backends.takes_requests(known, DRAINING_TIMEOUT, now))
 }
 
 fn usable(backends: &Backends) -> usize {
@@ -67,14 +67,14 @@
 fn a_repeated_entry_does_not_end_draining_and_a_restart_does() {
     let mut backends = Backends::default();
     backends.apply_entry(entry(0, 1), EntrySource::Update);
-    assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Leaves);
-    assert_eq!(backends.observe_draining(&process(0, 1), at(5)), Departure::Known);
-    let departing = Some(BackendState::Departing { since: at(0) });
+    assert_eq!(backends.observe_draining(&process(0, 1), at(0)), DrainingEffect::Leaves);
+    assert_eq!(backends.observe_draining(&process(0, 1), at(5)), DrainingEffect::Known);
+    let draining = Some(BackendState::Draining { since: at(0) });
     backends.apply_entry(BackendEntry { slots: 2, ..entry(0, 1) }, EntrySource::Update);
-    assert_eq!(state(&backends, 0), departing);
+    assert_eq!(state(&backends, 0), draining);
     backends.remove(&id(0), at(10));
     backends.apply_entry(entry(0, 1), EntrySource::Listing);
-    assert_eq!(state(&backends, 0), departing, "it counts from the first observation");
+    assert_eq!(state(&backends, 0), draining, "it counts from the first observation");
     backends.apply_entry(BackendEntry { leaving: true, ..entry(0, 1) }, EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Leaving));
     backends.apply_entry(entry(0, 2), EntrySource::Update);
@@ -85,14 +85,14 @@
 fn announcements_of_an_earlier_incarnation_do_not_apply_to_the_next_one() {
     let mut backends = Backends::default();
     backends.apply_entry(entry(0, 2), EntrySource::Update);
-    assert_eq!(backends.observe_draining(&process(0, 1), at(0)), Departure::Known);
+    assert_eq!(backends.observe_draining(&process(0, 1), at(0)), DrainingEffect::Known);
     assert_eq!(state(&backends, 0), Some(BackendState::Ready));
     backends.announcements.observe_back_off(&process(0, 1), Duration::from_secs(60), at(0));
     // The registry may show a restart late, so this may come from the new process.
     assert!(!takes_requests(&backends, 0, at(2_999)) && takes_requests(&backends, 0, at(3_000)));
-    assert_eq!(backends.observe_draining(&process(0, 2), at(2)), Departure::Leaves);
-    assert_eq!(backends.observe_draining(&process(0, 1), at(3)), Departure::Known);
-    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(2) }));
+    assert_eq!(backends.observe_draining(&process(0, 2), at(2)), DrainingEffect::Leaves);
+    assert_eq!(backends.observe_draining(&process(0, 1), at(3)), DrainingEffect::Known);
+    assert_eq!(state(&backends, 0), Some(BackendState::Draining { since: at(2) }));
 }
 
 /// Guards against a stale entry, as from a restored store, being taken for a restart that ends a back-off.
@@ -104,9 +104,9 @@
     backends.apply_entry(entry(0, 1), EntrySource::Listing);
     assert!(!takes_requests(&backends, 0, at(530)) && takes_requests(&backends, 0, at(2_000)));
     backends.observe_draining(&process(0, 2), at(3_000));
-    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(3_000) }));
+    assert_eq!(state(&backends, 0), Some(BackendState::Draining { since: at(3_000) }));
     backends.apply_entry(entry(0, 2), EntrySource::Update);
-    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(3_000) }));
+    assert_eq!(state(&backends, 0), Some(BackendState::Draining { since: at(3_000) }));
     backends.apply_entry(entry(0, 3), EntrySource::Update);
     assert_eq!(state(&backends, 0), Some(BackendState::Ready), "a restart ends it");
 }
@@ -117,14 +117,14 @@
     backends.apply_entry(entry(0, 1), EntrySource::Update);
     backends.registry.failed();
     backends.remove(&id(0), at(0));
-    assert_eq!(backends.observe_draining(&process(0, 1), at(1)), Departure::Dropped);
+    assert_eq!(backends.observe_draining(&process(0, 1), at(1)), DrainingEffect::Dropped);
     assert_eq!(backends.iter().count(), 0);
     backends.apply_entry(entry(0, 1), EntrySource::Update);
-    assert_eq!(state(&backends, 0), Some(BackendState::Departing { since: at(1) }));
+    assert_eq!(state(&backends, 0), Some(BackendState::Draining { since: at(1) }));
 }
 
 #[test]
-fn departing_back_ends_are_used_only_if_no_other_is_left_and_for_a_while() {
+fn draining_back_ends_are_used_only_if_no_other_is_left_and_for_a_while() {
     let mut backends = Backends::default();
     for number in 0..2 {
         backends.apply_entry(entry(number, 1), EntrySource::Update);
@@ -229,27 +229,28 @@
     backends: Backends,
     now: u64,
     /// The present incarnation of each back end.
-    born: BTreeMap<u8, u64>,
+    started_at: BTreeMap<u8, u64>,
     /// By back end and incarnation.
     recorded: BTreeMap<(u8, u64), Recorded>,
 }
 
 impl History {
-    fn born(&self, backend: u8) -> u64 {
-        self.born.get(&backend).copied().unwrap_or(1)
+    fn started_at(&self, backend: u8) -> u64 {
+        self.started_at.get(&backend).copied().unwrap_or(1)
     }
 
-    fn recorded(&mut self, backend: u8, born: u64) -> &mut Recorded {
-        self.recorded.entry((backend, born)).or_default()
+    fn recorded(&mut self, backend: u8, started_at: u64) -> &mut Recorded {
+        self.recorded.entry((backend, started_at)).or_default()
     }
 
     fn apply(&mut self, step: &Step) {
         match *step {
             Step::Entry { backend, leaving, is_older, slots, in_listing } => {
                 let backend = backend % BACKENDS;
-                let born = self.born(backend) - u64::from(is_older && self.born(backend) > 1);
+                let started_at =
+                    self.started_at(backend) - u64::from(is_older && self.started_at(backend) > 1);
                 self.apply_entry(
-                    BackendEntry { leaving, slots: slots.into(), ..entry(backend, born) },
+                    BackendEntry { leaving, slots: slots.into(), ..entry(backend, started_at) },
                     in_listing,
                 );
             }
@@ -259,28 +260,33 @@
             }
             Step::Start { backend } => {
                 let backend = backend % BACKENDS;
-                let born = self.born(backend) + 1;
-                self.born.insert(backend, born);
-                self.apply_entry(entry(backend, born), false);
+                let started_at = self.started_at(backend) + 1;
+                self.started_at.insert(backend, started_at);
+                self.apply_entry(entry(backend, started_at), false);
             }
             Step::Drains { backend, is_older } => {
                 let backend = backend % BACKENDS;
-                let born = self.born(backend) - u64::from(is_older && self.born(backend) > 1);
+                let started_at =
+                    self.started_at(backend) - u64::from(is_older && self.started_at(backend) > 1);
                 let now = self.now;
-                self.recorded(backend, born).draining_since.get_or_insert(now);
-                self.backends.observe_draining(&process(backend, born), at(now));
+                self.recorded(backend, started_at).draining_since.get_or_insert(now);
+                self.backends.observe_draining(&process(backend, started_at), at(now));
             }
             Step::BackOff { backend, tenths } => {
                 let backend = backend % BACKENDS;
-                let (born, now) = (self.born(backend), self.now);
+                let (started_at, now) = (self.started_at(backend), self.now);
                 let requested = u64::from(tenths) * 100;
-                let recorded = self.recorded(backend, born);
+                let recorded = self.recorded(backend, started_at);
                 recorded.backed_off_until = recorded.backed_off_until.max(now + requested);
                 if requested > 0 {
                     recorded.back_off_requested_at = now;
                 }
                 let requested = Duration::from_millis(requested);
-                self.backends.announcements.observe_back_off(&process(backend, born), requested, at(now));
+                self.backends.announcements.observe_back_off(
+                    &process(backend, started_at),
+                    requested,
+                    at(now),
+                );
             }
             Step::Registry { answers: true } => self.backends.registry.answered(at(self.now)),
             Step::Registry { answers: false } => self.backends.registry.failed(),
@@ -303,15 +309,15 @@
         let (now, self_now) = (at(self.now), self.now);
         for backend in 0..BACKENDS {
             let Some(known) = self.backends.get(&id(backend)) else { continue };
-            let born = known.entry.born.expect("the entries of this test have it");
-            let (state, takes) = (known.state, self.backends.takes_requests(known, DEPARTING_TIMEOUT, now));
-            let is_present = born == self.born(backend);
-            let earlier_back_off = (1..born).any(|earlier| {
+            let started_at = known.entry.started_at.expect("all entries have a start time");
+            let (state, takes) = (known.state, self.backends.takes_requests(known, DRAINING_TIMEOUT, now));
+            let is_present = started_at == self.started_at(backend);
+            let earlier_back_off = (1..started_at).any(|earlier| {
                 let recorded = self.recorded(backend, earlier);
                 at(self_now)
                     < at(recorded.backed_off_until).min(at(recorded.back_off_requested_at) + REGISTRY_DELAY)
             });
-            let recorded = self.recorded(backend, born);
+            let recorded = self.recorded(backend, started_at);
             recorded.registry_says_leaving |= state == BackendState::Leaving;
             let is_leaving = recorded.draining_since.is_some() || recorded.registry_says_leaving;
             let drained_for = recorded.draining_since.map(|left| now.saturating_since(at(left)));
@@ -324,7 +330,7 @@
                 );
             }
             if drained_for
-                .is_some_and(|drained_for| drained_for >= DEPARTING_TIMEOUT && drained_for < ANNOUNCEMENT_TTL)
+                .is_some_and(|drained_for| drained_for >= DRAINING_TIMEOUT && drained_for < ANNOUNCEMENT_TTL)
             {
                 assert!(!takes, "b{backend} has been draining for {drained_for:?}");
             }
--- a/crates/core/tests/forwarding_budget_properties.rs
+++ b/crates/core/tests/forwarding_budget_properties.rs
@@ -168,7 +168,7 @@
             let misdirected_retries = within(&arrivals.misdirected_retries, start, *end);
             assert!(
                 misdirected_retries <= SLACK as usize,
-                "{misdirected_retries} went from one wrong address to another"
+                "{misdirected_retries} misdirected retries after misdirected attempts"
             );
         }
     });
--- a/crates/core/tests/forwarding_decisions.rs
+++ b/crates/core/tests/forwarding_decisions.rs
@@ -184,7 +184,7 @@
         zone: ZoneId::from("z"),
         slots: 1,
         leaving,
-        born: None,
+        started_at: None,
         weights: BTreeMap::new(),
     }
 }
@@ -214,7 +214,7 @@
     assert_eq!(usable(&backends), ["b", "c"]);
     assert_eq!(backends.remove(&BackendId::from("b"), at(0)), EntryChange::Suspect);
     assert_eq!(usable(&backends), ["a", "b", "c"]);
-    assert!(backends.expire(at(10_000)).is_empty(), "no back end is gone while the registry is away");
+    assert!(backends.expire(at(10_000)).is_empty(), "no back end is gone while the registry is unavailable");
     backends.registry.answered(at(10_000));
     assert_eq!(backends.remove(&BackendId::from("c"), at(10_500)), EntryChange::Suspect);
     backends.put(entry("a", false));
@@ -242,9 +242,9 @@
         let mut splitter = EventSplitter::default();
         let (mut emitted, mut rest) = (Vec::new(), &stream[..]);
         for cut in cuts.iter().map(|cut| usize::from(*cut) % 9 + 1) {
-            let (part, behind) = rest.split_at(cut.min(rest.len()));
-            emitted.extend_from_slice(&splitter.push(part));
-            rest = behind;
+            let (chunk, remaining) = rest.split_at(cut.min(rest.len()));
+            emitted.extend_from_slice(&splitter.push(chunk));
+            rest = remaining;
         }
         emitted.extend_from_slice(&splitter.push(rest));
         assert_eq!(emitted, stream[..stream.len() - 8]);
--- a/crates/core/tests/forwarding_limits.rs
+++ b/crates/core/tests/forwarding_limits.rs
@@ -60,7 +60,7 @@
         slots: 8,
         leaving: false,
         weights: std::collections::BTreeMap::new(),
-        born: Some(1),
+        started_at: Some(1),
     };
     backends.apply_entry(entry, EntrySource::Update);
     backends
--- a/crates/core/tests/forwarding_pool.rs
+++ b/crates/core/tests/forwarding_pool.rs
@@ -34,7 +34,7 @@
         zone: ZoneId::from("z"),
         slots: 8,
         leaving,
-        born: None,
+        started_at: None,
         weights: BTreeMap::from([(model(), WeightsVersion(u64::from(version % 3)))]),
     }
 }
--- a/crates/core/tests/forwarding_replacement.rs
+++ b/crates/core/tests/forwarding_replacement.rs
@@ -19,7 +19,7 @@
     ModelId::from("m")
 }
 
-fn entry(id: &str, port: u16, born: Option<u64>) -> BackendEntry {
+fn entry(id: &str, port: u16, started_at: Option<u64>) -> BackendEntry {
     BackendEntry {
         id: BackendId::from(id),
         service: ServiceId::from("s"),
@@ -27,7 +27,7 @@
         zone: ZoneId::from("z"),
         slots: 1,
         leaving: false,
-        born,
+        started_at,
         weights: BTreeMap::from([(model(), WeightsVersion(3))]),
     }
 }
--- a/crates/core/tests/forwarding_rollout.rs
+++ b/crates/core/tests/forwarding_rollout.rs
@@ -25,7 +25,7 @@
             zone: ZoneId::from("z"),
             slots: 8,
             leaving: false,
-            born: None,
+            started_at: None,
             weights: BTreeMap::from([(model(), WeightsVersion(*version))]),
         });
     }
--- a/crates/core/tests/tree_support/mod.rs
+++ b/crates/core/tests/tree_support/mod.rs
@@ -50,7 +50,7 @@
 
 impl Nodes {
     /// Nodes in five zones, every `strong_interval`th of which is strong; all start at once, and the first
-    /// one is_leader.
+    /// one is the leader.
     pub fn starting(count: usize, strong_interval: usize) -> Self {
         let fleets = (0..count).map(|number| (name(number), fleet(number, strong_interval))).collect();
         Self {
@@ -183,9 +183,9 @@
     }
 
     pub fn restart(&mut self, node: &NodeId) {
-        let me = self.fleets[node].local_member().clone();
-        let fan_in = if me.capacity > 1 { STRONG_FAN_IN } else { WEAK_FAN_IN };
-        self.fleets.insert(node.clone(), Fleet::new(me, fan_in));
+        let member = self.fleets[node].local_member().clone();
+        let fan_in = if member.capacity > 1 { STRONG_FAN_IN } else { WEAK_FAN_IN };
+        self.fleets.insert(node.clone(), Fleet::new(member, fan_in));
         self.running.insert(node.clone());
     }
 
@@ -233,8 +233,8 @@
 
     /// The percentage of nodes deeper than `depth`.
     pub fn percent_deeper_than(&self, depth: usize) -> usize {
-        let deep = |node: &&NodeId| self.path_to_root(node).is_none_or(|path| path.len() - 1 > depth);
-        self.running.iter().filter(deep).count() * 100 / self.running.len()
+        let is_deeper = |node: &&NodeId| self.path_to_root(node).is_none_or(|path| path.len() - 1 > depth);
+        self.running.iter().filter(is_deeper).count() * 100 / self.running.len()
     }
 
     pub fn max_children(&self) -> usize {
--- a/crates/forward/src/announcements.rs
+++ b/crates/forward/src/announcements.rs
@@ -8,7 +8,7 @@
 use paddlemount_core::{
     back_off::{self, MAX_BACK_OFF},
     forwarding::{
-        announcements::{BackOff, Departure},
+        announcements::{BackOff, DrainingEffect},
         backends::BackendId,
         choice::Choice,
     },
@@ -111,9 +111,9 @@
         let mut state = self.state.borrow_mut();
         let service = state.backends.get(&process.id).map(|known| known.entry.service.clone());
         match state.backends.observe_draining(process, self.now()) {
-            Departure::Known => return,
-            Departure::Leaves => {}
-            Departure::Dropped => {
+            DrainingEffect::Known => return,
+            DrainingEffect::Leaves => {}
+            DrainingEffect::Dropped => {
                 state.forget(&process.id);
                 self.pool.borrow_mut().close(&process.id);
             }
--- a/crates/forward/src/candidates.rs
+++ b/crates/forward/src/candidates.rs
@@ -260,7 +260,7 @@
         let in_use = match backend.state {
             BackendState::Ready => true,
             BackendState::Suspect { .. } => self.pool.uses_suspect(),
-            BackendState::Departing { .. } => self.pool.uses_departing(),
+            BackendState::Draining { .. } => self.pool.uses_draining(),
             BackendState::Leaving | BackendState::Replaced => false,
         };
         let of_service = backend.entry.service == *self.request.service;
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -74,7 +74,7 @@
 fn entry_fact(backend: &Backend) -> Option<Fact> {
     let leaving = match backend.state {
         // Draining announcements are shared separately.
-        BackendState::Ready | BackendState::Departing { .. } | BackendState::Replaced => false,
+        BackendState::Ready | BackendState::Draining { .. } | BackendState::Replaced => false,
         BackendState::Leaving => true,
         BackendState::Suspect { .. } => return None,
     };
