--- a/crates/core/tests/forwarding_announcements.rs
+++ b/crates/core/tests/forwarding_announcements.rs
@@ -150,10 +150,10 @@
     assert_eq!(requested(1.0, 100), Some(BackOff { until: at(3_000), begins: false, is_cut: false }));
     assert_eq!(requested(3.0, 100), Some(BackOff { until: at(3_100), begins: false, is_cut: false }));
     assert_eq!(requested(0.5, 4_000), Some(BackOff { until: at(4_500), begins: true, is_cut: false }));
-    let longest = at(5_000) + MAX_BACK_OFF;
-    assert_eq!(requested(1e9, 5_000), Some(BackOff { until: longest, begins: true, is_cut: true }));
+    let max_end = at(5_000) + MAX_BACK_OFF;
+    assert_eq!(requested(1e9, 5_000), Some(BackOff { until: max_end, begins: true, is_cut: true }));
     assert_eq!(announcements.expire(at(4_500)), Vec::new());
-    assert_eq!(announcements.expire(longest), [id(0)]);
+    assert_eq!(announcements.expire(max_end), [id(0)]);
     assert_eq!(announcements.count_backed_off(at(5_001)), 0);
 }
 
@@ -163,14 +163,14 @@
     for number in 0..2 {
         backends.apply_entry(entry(number, 1), EntrySource::Update);
     }
-    let least =
+    let first_opening =
         |backends: &Backends, now| backends.next_opening(backends.iter(), at(now)).map(|opening| opening.at);
-    assert_eq!(least(&backends, 0), None);
+    assert_eq!(first_opening(&backends, 0), None);
     backends.announcements.observe_back_off(&process(0, 1), Duration::from_secs(3), at(0));
-    assert_eq!(least(&backends, 0), None);
+    assert_eq!(first_opening(&backends, 0), None);
     backends.announcements.observe_back_off(&process(1, 1), Duration::from_secs(2), at(500));
-    assert_eq!(least(&backends, 500), Some(at(2_500)));
-    assert_eq!(least(&backends, 2_500), None);
+    assert_eq!(first_opening(&backends, 500), Some(at(2_500)));
+    assert_eq!(first_opening(&backends, 2_500), None);
     assert_eq!(Backends::default().next_opening(std::iter::empty(), at(0)), None);
 }
 
@@ -202,9 +202,9 @@
     /// The registry sends an entry of the present incarnation or of the one before it.
     Entry { backend: u8, leaving: bool, is_older: bool, slots: u8, in_listing: bool },
     /// The registry removes the entry.
-    Gone { backend: u8 },
+    Removed { backend: u8 },
     /// The process restarts under its identity, and its entry shows it.
-    Start { backend: u8 },
+    Restart { backend: u8 },
     /// An answer or another node reports that the present or the previous incarnation drains.
     Drains { backend: u8, is_older: bool },
     /// An answer of the present incarnation requests a back-off.
@@ -254,11 +254,11 @@
                     in_listing,
                 );
             }
-            Step::Gone { backend } => {
+            Step::Removed { backend } => {
                 let now = at(self.now);
                 self.backends.remove(&id(backend % BACKENDS), now);
             }
-            Step::Start { backend } => {
+            Step::Restart { backend } => {
                 let backend = backend % BACKENDS;
                 let started_at = self.started_at(backend) + 1;
                 self.started_at.insert(backend, started_at);
@@ -320,7 +320,7 @@
             let recorded = self.recorded(backend, started_at);
             recorded.registry_says_leaving |= state == BackendState::Leaving;
             let is_leaving = recorded.draining_since.is_some() || recorded.registry_says_leaving;
-            let drained_for = recorded.draining_since.map(|left| now.saturating_since(at(left)));
+            let drained_for = recorded.draining_since.map(|since| now.saturating_since(at(since)));
             let backed_off = now < at(recorded.backed_off_until);
             if backed_off {
                 assert!(
--- a/crates/core/tests/forwarding_budget.rs
+++ b/crates/core/tests/forwarding_budget.rs
@@ -99,7 +99,7 @@
 /// No window has more retries than the share of its requests or of those of the window before, and the
 /// reserve.
 #[test]
-fn no_window_holds_more_repeats_than_it_may() {
+fn no_window_holds_more_retries_than_allowed() {
     bolero::check!().with_type::<Vec<(u8, bool)>>().for_each(|steps| {
         let mut budget = budget(3);
         let (mut now, mut requests, mut retries) = (0_u64, Vec::new(), Vec::new());
--- a/crates/core/tests/forwarding_budget_properties.rs
+++ b/crates/core/tests/forwarding_budget_properties.rs
@@ -138,7 +138,7 @@
 /// half a window earlier, and the slack; nor more misdirected retries after misdirected attempts than the
 /// slack.
 #[test]
-fn all_nodes_together_keep_to_the_sum_whatever_their_tries_meet() {
+fn all_nodes_together_keep_to_the_sum_whatever_the_outcome_of_attempts() {
     bolero::check!().with_type::<Vec<Step>>().for_each(|steps| {
         let mut processes: Vec<Process> = (0..NODES).map(|_| Process::start(0, None)).collect();
         let (mut now, mut arrivals) = (0, Arrivals::default());
--- a/crates/core/tests/forwarding_choice.rs
+++ b/crates/core/tests/forwarding_choice.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_isolated_tenant_finds_nothing_that_others_have_read() {
+fn an_isolated_tenant_finds_no_segment_cached_for_others() {
     let fixture = Fixture::of(&[1; 4]);
     let prompt = prompt(&[(7, 4_000)], 300);
     let mut chooser = Chooser::default();
@@ -349,7 +349,7 @@
 
 /// Guards against an average that never decays: a back end that was slow once would get no requests again.
 #[test]
-fn a_back_end_that_was_briefly_slow_is_tried_again_even_with_few_requests() {
+fn a_back_end_that_was_briefly_slow_gets_requests_again_even_if_they_are_few() {
     let pause = Duration::from_millis(100);
     for (count, slow_ms) in [(2, 10.0), (4, 10.0), (4, 2_000.0)] {
         let fixture = Fixture::of(&vec![1; count]);
@@ -367,7 +367,7 @@
     }
 }
 
-/// A back end that owes an answer keeps its measured slowness.
+/// The measured slowness does not decay while a request is unanswered.
 #[test]
 fn a_slow_back_end_with_an_unanswered_request_stays_slow() {
     let fixture = Fixture::of(&[1; 2]);
--- a/crates/core/tests/forwarding_decisions.rs
+++ b/crates/core/tests/forwarding_decisions.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_entry_that_vanishes_while_the_registry_is_away_is_doubted_and_used_only_where_few_are_left() {
+fn an_entry_that_vanishes_while_the_registry_is_unavailable_is_suspect_and_used_only_where_few_are_left() {
     let at = Timestamp::from_millis;
     let mut backends = Backends::default();
     for id in ["a", "b", "c"] {
@@ -236,13 +236,13 @@
 }
 
 #[test]
-fn events_come_out_whole_however_the_bytes_are_cut() {
+fn events_are_returned_complete_however_the_bytes_are_split() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c\n\nid: 4\nda";
-    bolero::check!().with_type::<Vec<u8>>().for_each(|cuts| {
+    bolero::check!().with_type::<Vec<u8>>().for_each(|lengths| {
         let mut splitter = EventSplitter::default();
         let (mut emitted, mut rest) = (Vec::new(), &stream[..]);
-        for cut in cuts.iter().map(|cut| usize::from(*cut) % 9 + 1) {
-            let (chunk, remaining) = rest.split_at(cut.min(rest.len()));
+        for length in lengths.iter().map(|length| usize::from(*length) % 9 + 1) {
+            let (chunk, remaining) = rest.split_at(length.min(rest.len()));
             emitted.extend_from_slice(&splitter.push(chunk));
             rest = remaining;
         }
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_tenants_rank_goes_ahead_of_its_routes() {
+fn a_tenants_rank_takes_precedence_over_its_routes() {
     let tenant = |priority| Tenant {
         name: TenantId::from("a"),
         keys: Vec::new(),
--- a/crates/core/tests/forwarding_limits.rs
+++ b/crates/core/tests/forwarding_limits.rs
@@ -27,7 +27,7 @@
 /// The time in which the back end answers.
 const ANSWER_MS: u64 = 100;
 /// How long a received report counts.
-const FRESH_MS: u64 = 1_500;
+const REPORT_TTL_MS: u64 = 1_500;
 /// The window in which requests are counted.
 const WINDOW_MS: u64 = 4_000;
 /// How long after the first limit windows that are checked may end.
@@ -201,7 +201,7 @@
 
     /// Whether a node's parent has received a recent report of it.
     fn reports_to(&self, number: usize) -> bool {
-        self.nodes[number].reported_at.is_some_and(|reported| reported + FRESH_MS > self.now)
+        self.nodes[number].reported_at.is_some_and(|reported| reported + REPORT_TTL_MS > self.now)
     }
 
     fn report(&mut self, number: usize) {
@@ -209,8 +209,8 @@
         let parent = (number > 0).then(|| (number - 1) / FAN_IN);
         let reached = parent.filter(|parent| !self.is_partitioned(number) && !self.is_partitioned(*parent));
         if let Some(parent) = reached {
-            let news = self.nodes[number].backends.announcements.pending_limit_gossip(now);
-            self.nodes[parent].backends.announcements.merge_limit_gossip(&news, now);
+            let gossip = self.nodes[number].backends.announcements.pending_limit_gossip(now);
+            self.nodes[parent].backends.announcements.merge_limit_gossip(&gossip, now);
             let name = self.nodes[number].name.clone();
             let grants = self.nodes[parent].backends.announcements.limit_grants_for(&name, now);
             let node = &mut self.nodes[number];
@@ -239,21 +239,21 @@
         self.arrivals.iter().filter(counts).find_map(|end| {
             let from = end.at.saturating_sub(WINDOW_MS);
             let within: Vec<&Arrival> =
-                self.arrivals.iter().filter(|one| one.at > from && one.at <= end.at).collect();
-            // A node applies a changed limit as late as the first one.
+                self.arrivals.iter().filter(|arrival| arrival.at > from && arrival.at <= end.at).collect();
+            // A node applies a changed limit as late as the first limit.
             let limit = self.max_limit(from.saturating_sub(ANSWER_MS + ENFORCED_AFTER_MS), end.at);
             let is_bound = |node: usize| {
-                let observed = |one: &Arrival| {
-                    one.node == node
-                        && one.limit.is_some()
-                        && one.at + ANSWER_MS + ENFORCED_AFTER_MS <= end.at
+                let observed = |arrival: &Arrival| {
+                    arrival.node == node
+                        && arrival.limit.is_some()
+                        && arrival.at + ANSWER_MS + ENFORCED_AFTER_MS <= end.at
                 };
                 let is_recovering = self.nodes[node].disturbed_at.is_some_and(|at| at + RECOVERY_MS > from);
                 !is_recovering && self.arrivals.iter().any(observed)
             };
-            let got = within.iter().filter(|one| is_bound(one.node)).count();
+            let received = within.iter().filter(|arrival| is_bound(arrival.node)).count();
             let allowed = 1.5 * limit * 4.0 + 5.0;
-            (got as f64 > allowed).then_some((end.at, got, allowed))
+            (received as f64 > allowed).then_some((end.at, received, allowed))
         })
     }
 
--- a/crates/core/tests/forwarding_replacement.rs
+++ b/crates/core/tests/forwarding_replacement.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_replaced_back_end_is_dropped_with_its_entry_while_the_registry_is_away() {
+fn a_replaced_back_end_is_dropped_with_its_entry_while_the_registry_is_unavailable() {
     let mut backends = Backends::default();
     update(&mut backends, entry("a", 1, None));
     update(&mut backends, entry("b", 1, None));
--- a/crates/core/tests/forwarding_rollout.rs
+++ b/crates/core/tests/forwarding_rollout.rs
@@ -54,9 +54,9 @@
 #[test]
 fn requests_prefer_new_weights_in_proportion_to_the_engines_that_have_them() {
     use paddlemount_core::forwarding::rollout::prefers;
-    let preferring = |having, all| {
+    let preferring = |updated, all| {
         let draws = (0..1_000_u64).map(|number| number * (u64::MAX / 1_000));
-        draws.filter(|draw| prefers(*draw, having, all)).count()
+        draws.filter(|draw| prefers(*draw, updated, all)).count()
     };
     assert_eq!(preferring(0, 240), 0);
     assert!((145..=155).contains(&preferring(24, 240)), "{}", preferring(24, 240));
--- a/crates/core/tests/forwarding_target_versions.rs
+++ b/crates/core/tests/forwarding_target_versions.rs
@@ -103,13 +103,13 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    Pass { milliseconds: u8 },
+    Wait { milliseconds: u8 },
     Announce { skipped: bool },
     Watch { node: u8, sent_ago: u8 },
     List { node: u8, sent_ago: u8 },
     Restart { node: u8 },
     Report { from: u8, to: u8 },
-    Record { node: u8, lasts: u8 },
+    Record { node: u8, lease_ms: u8 },
 }
 
 const NODES: usize = 3;
@@ -118,13 +118,13 @@
 struct View {
     target_versions: TargetVersions,
     /// The number of announced versions that were known; none before the first complete view.
-    upto: Option<usize>,
+    known_count: Option<usize>,
     proved_at: Timestamp,
 }
 
 impl View {
-    fn complete(&mut self, upto: usize, proved_at: Timestamp) {
-        self.upto = Some(upto);
+    fn complete(&mut self, known_count: usize, proved_at: Timestamp) {
+        self.known_count = Some(known_count);
         self.proved_at = self.proved_at.max(proved_at);
         self.target_versions.confirm_complete(proved_at);
     }
@@ -151,7 +151,7 @@
 impl World {
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Pass { milliseconds } => self.now += u64::from(milliseconds),
+            Step::Wait { milliseconds } => self.now += u64::from(milliseconds),
             Step::Announce { skipped } => {
                 let last = self.announced.last().map_or(0, |(version, _)| version.0);
                 self.announced.push((WeightsVersion(last + 1 + u64::from(skipped)), at(self.now)));
@@ -159,7 +159,7 @@
             Step::Watch { node, sent_ago } => self.watch(usize::from(node) % NODES, sent_ago),
             Step::List { node, sent_ago } => self.list(usize::from(node) % NODES, sent_ago),
             Step::Restart { node } => self.nodes[usize::from(node) % NODES] = View::default(),
-            Step::Record { node, lasts } => self.write_record(usize::from(node) % NODES, lasts),
+            Step::Record { node, lease_ms } => self.write_record(usize::from(node) % NODES, lease_ms),
             Step::Report { from, to } => self.report(usize::from(from) % NODES, usize::from(to) % NODES),
         }
     }
@@ -167,8 +167,8 @@
     /// A watch returns all versions announced since.
     fn watch(&mut self, node: usize, sent_ago: u8) {
         let view = &mut self.nodes[node];
-        let Some(upto) = view.upto else { return };
-        for (version, _) in &self.announced[upto..] {
+        let Some(known_count) = view.known_count else { return };
+        for (version, _) in &self.announced[known_count..] {
             view.target_versions.record(model(), *version);
         }
         let sent_at = at(self.now.saturating_sub(u64::from(sent_ago))).max(view.proved_at);
@@ -183,7 +183,8 @@
         if let Some((version, _)) = self.announced.last() {
             view.target_versions.record(model(), *version);
         }
-        if let Some((record, _)) = self.record.as_ref().filter(|(_, over_at)| sent_at < *over_at) {
+        if let Some((record, _)) = self.record.as_ref().filter(|(_, lease_ends_at)| sent_at < *lease_ends_at)
+        {
             view.target_versions
                 .merge_proof(&TargetVersionProof { at: sent_at - record.max_age, ..record.proof.clone() });
         }
@@ -191,17 +192,20 @@
     }
 
     /// A node records its proof of the newest version, bound to a lease that starts now.
-    fn write_record(&mut self, node: usize, lasts: u8) {
+    fn write_record(&mut self, node: usize, lease_ms: u8) {
         let Some(proof) = self.nodes[node].target_versions.proofs(ALWAYS, at(self.now)).pop() else { return };
-        let lasts = Duration::from_millis(u64::from(lasts));
-        let max_age = lasts + at(self.now).saturating_since(proof.at);
-        self.record = Some((Record { proof, max_age }, at(self.now) + lasts));
+        let lease = Duration::from_millis(u64::from(lease_ms));
+        let max_age = lease + at(self.now).saturating_since(proof.at);
+        self.record = Some((Record { proof, max_age }, at(self.now) + lease));
     }
 
     /// A node reports its newest version and its proofs to another.
     fn report(&mut self, from: usize, to: usize) {
-        let (upto, proved_at) = (self.nodes[from].upto, self.nodes[from].proved_at);
-        let Some(known) = upto.filter(|_| from != to && upto >= self.nodes[to].upto) else { return };
+        let (known_count, proved_at) = (self.nodes[from].known_count, self.nodes[from].proved_at);
+        let Some(known) = known_count.filter(|_| from != to && known_count >= self.nodes[to].known_count)
+        else {
+            return;
+        };
         let proofs = self.nodes[from].target_versions.proofs(ALWAYS, at(self.now));
         let newest = self.nodes[from].target_versions.newest(&model()).copied();
         let view = &mut self.nodes[to];
