--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,4 +1,4 @@
-//! At-most-once execution by claims on idempotency keys, which a few nodes hold in memory.
+//! At-most-once execution by claims on idempotency keys, which a few nodes store in memory.
 //!
 //! A [`ClaimCoordinator`] dispatches a request that must not run twice only after a majority of the key's
 //! replicas has granted the claim. [`ClaimReplica`] is the state of one replica, and [`placement`] selects a
--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -128,7 +128,7 @@
     ///
     /// The replicas are asked in order until one grants; then all others are asked at once. Two attempts for
     /// one key therefore meet at the first replica that both can reach, and one of them stops there. If all
-    /// were asked at once, each attempt could hold one of the last two replicas and neither would win.
+    /// were asked at once, each attempt could be granted one of the last two replicas and neither would win.
     pub fn begin(
         request: ClaimedRequest,
         settings: &ClaimSettings,
@@ -198,7 +198,7 @@
     fn ask_next(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         let next = if self.count_granted() > 0 {
             self.request.replicas.len()
-        } else if self.is_held() || (self.replies.len() < self.contacted && now < self.next_ask_at) {
+        } else if self.is_in_progress() || (self.replies.len() < self.contacted && now < self.next_ask_at) {
             self.contacted
         } else {
             (self.contacted + 1).min(self.request.replicas.len())
@@ -225,9 +225,9 @@
         actions
     }
 
-    /// Whether another attempt holds the key at a replica.
-    fn is_held(&self) -> bool {
-        self.replies.values().any(|reply| matches!(reply, Some(ClaimReply::Held { .. })))
+    /// Whether a replica reported that another attempt is in progress.
+    fn is_in_progress(&self) -> bool {
+        self.replies.values().any(|reply| matches!(reply, Some(ClaimReply::InProgress { .. })))
     }
 
     fn unreachable(&mut self, replica: NodeId, now: Timestamp) -> Vec<ClaimAction> {
--- a/crates/core/src/claims/placement.rs
+++ b/crates/core/src/claims/placement.rs
@@ -44,7 +44,7 @@
     ranked.iter().filter(|member| zones.insert(&member.zone)).map(|member| member.node.clone()).collect()
 }
 
-/// Returns the members of the region that holds the tenant's claims. Regions with fewer than [`REPLICAS`]
+/// Returns the members of the region that stores the tenant's claims. Regions with fewer than [`REPLICAS`]
 /// zones are skipped; if none has as many, all members of all regions are used.
 fn members_of_claim_region<'a>(members: &'a [ClaimMember], key: &ClaimKey) -> Vec<&'a ClaimMember> {
     let mut zones: BTreeMap<&RegionId, BTreeSet<&ZoneId>> = BTreeMap::new();
--- a/crates/core/src/claims/replica.rs
+++ b/crates/core/src/claims/replica.rs
@@ -16,9 +16,9 @@
 /// Estimated bytes of an entry besides its key and answer, for the memory bound.
 const ENTRY_BYTES: usize = 256;
 
-/// The claims that one node holds.
+/// The claims that one node stores.
 ///
-/// The replica grants a claim only for a key issued after `floor`, and holds every claim that any of its
+/// The replica grants a claim only for a key issued after `floor`, and stores every claim that any of its
 /// earlier incarnations may have granted for such a key: a new replica sets the floor above each key that
 /// could have been granted before its start, and dropping claims raises the floor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -41,7 +41,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum EntryState {
-    Held { until: Timestamp },
+    Granted { until: Timestamp },
     Ended(RecordedOutcome),
     Released,
 }
@@ -126,7 +126,7 @@
         if let Some(reply) = self.refusal(epoch, key, now) {
             return reply;
         }
-        let entry = Entry { owner: owner.clone(), fingerprint, state: EntryState::Held { until } };
+        let entry = Entry { owner: owner.clone(), fingerprint, state: EntryState::Granted { until } };
         self.insert(key, entry);
         ClaimReply::Granted
     }
@@ -138,9 +138,9 @@
         match &entry.state {
             EntryState::Released if entry.owner == *owner => Some(ClaimReply::AlreadyReleased),
             EntryState::Released => None,
-            EntryState::Held { .. } if entry.owner == *owner => Some(ClaimReply::Granted),
-            EntryState::Held { until } if now <= *until => Some(ClaimReply::Held { fingerprint }),
-            EntryState::Held { .. } => {
+            EntryState::Granted { .. } if entry.owner == *owner => Some(ClaimReply::Granted),
+            EntryState::Granted { until } if now <= *until => Some(ClaimReply::InProgress { fingerprint }),
+            EntryState::Granted { .. } => {
                 Some(ClaimReply::Ended { fingerprint, outcome: RecordedOutcome::Unknown })
             }
             EntryState::Ended(outcome) => Some(ClaimReply::Ended { fingerprint, outcome: outcome.clone() }),
@@ -199,25 +199,25 @@
     fn release(&mut self, key: &ClaimKey, owner: &AttemptId, now: Timestamp) {
         let Ok(issued) = key::issued_at(&key.key) else { return };
         if issued <= self.floor || issued > now + self.settings.clock_skew {
-            self.remove_held_by(key, owner);
+            self.remove_granted(key, owner);
             return;
         }
-        let held_by_other = self
+        let is_settled = self
             .entries
             .get(key)
             .is_some_and(|entry| entry.owner != *owner || matches!(entry.state, EntryState::Ended(_)));
-        if !held_by_other {
+        if !is_settled {
             let fingerprint = self.entries.get(key).map_or(Fingerprint(0), |entry| entry.fingerprint);
             self.insert(key, Entry { owner: owner.clone(), fingerprint, state: EntryState::Released });
         }
     }
 
-    fn remove_held_by(&mut self, key: &ClaimKey, owner: &AttemptId) {
-        let held = self
+    fn remove_granted(&mut self, key: &ClaimKey, owner: &AttemptId) {
+        let is_running = self
             .entries
             .get(key)
-            .is_some_and(|entry| entry.owner == *owner && matches!(entry.state, EntryState::Held { .. }));
-        if held {
+            .is_some_and(|entry| entry.owner == *owner && matches!(entry.state, EntryState::Granted { .. }));
+        if is_running {
             self.remove(key);
         }
     }
--- a/crates/core/src/claims/verdict.rs
+++ b/crates/core/src/claims/verdict.rs
@@ -21,7 +21,7 @@
 /// request.
 pub(super) fn known_outcome(replies: &Replies, requested: Fingerprint) -> Option<ClaimOutcome> {
     replies.values().flatten().find_map(|reply| match reply {
-        ClaimReply::Held { fingerprint } | ClaimReply::Ended { fingerprint, .. }
+        ClaimReply::InProgress { fingerprint } | ClaimReply::Ended { fingerprint, .. }
             if *fingerprint != requested =>
         {
             Some(refused(
@@ -58,7 +58,7 @@
              ask the service whether it did",
         );
     }
-    if has(|reply| matches!(reply, ClaimReply::Held { .. })) {
+    if has(|reply| matches!(reply, ClaimReply::InProgress { .. })) {
         return refused_temporarily(
             RefusalCode::InProgress,
             "another try under this idempotency key is running: ask again with the same key",
--- a/crates/core/src/limits/peer_reports.rs
+++ b/crates/core/src/limits/peer_reports.rs
@@ -36,17 +36,17 @@
     pub requests_per_second: f64,
     pub tokens_per_second: f64,
     /// Concurrent requests that the nodes want to run.
-    pub concurrent_wanted: f64,
+    pub requested_concurrency: f64,
     /// Concurrent requests that run or may be started.
-    pub held: f64,
+    pub granted_concurrency: f64,
 }
 
 impl PeerUsage {
     fn add(&mut self, entry: &TenantUsage) {
         self.requests_per_second += entry.milli_requests_per_second as f64 / 1_000.0;
         self.tokens_per_second += entry.tokens_per_second as f64;
-        self.concurrent_wanted += f64::from(entry.requested_concurrency);
-        self.held += f64::from(entry.granted_concurrency);
+        self.requested_concurrency += f64::from(entry.requested_concurrency);
+        self.granted_concurrency += f64::from(entry.granted_concurrency);
     }
 }
 
--- a/crates/core/src/limits/tenant.rs
+++ b/crates/core/src/limits/tenant.rs
@@ -92,10 +92,11 @@
 
     fn update_share(&mut self, timing: &Timing, reporting: u32, others: &PeerUsage, now: Timestamp) {
         let own = self.reported.settled(timing.window, now);
-        let input = ShareInput { members: timing.members, reporting, own, others: others.concurrent_wanted };
+        let input =
+            ShareInput { members: timing.members, reporting, own, others: others.requested_concurrency };
         let quota = f64::from(self.quota);
         // A node whose share has shrunk keeps its running requests: others may start more only as these end.
-        let unused = (quota - others.held).max(0.0);
+        let unused = (quota - others.granted_concurrency).max(0.0);
         self.granted = share(quota, &input).min(unused) as u32;
         // A share below one would block the tenant at this node even with free quota elsewhere.
         self.allowed = self.granted.max(u32::from(unused >= 1.0));
--- a/crates/core/src/quarantine/ends.rs
+++ b/crates/core/src/quarantine/ends.rs
@@ -26,7 +26,7 @@
 pub(super) struct EngineEnds {
     by_engine: BTreeMap<EngineId, Timestamp>,
     by_time: BTreeSet<(Timestamp, EngineId)>,
-    /// The held request under which an engine ended.
+    /// The quarantined request under which an engine ended.
     explained: BTreeMap<EngineId, RequestFingerprint>,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Attributes the end of an engine to a request that is held for it.
+    /// Attributes the end of an engine to the request that is quarantined for it.
     pub fn attribute(&mut self, engine: &EngineId, by: RequestFingerprint) {
         if self.by_engine.contains_key(engine) {
             self.explained.insert(engine.clone(), by);
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Holds requests that crash engines.
+//! Quarantines requests that crash engines.
 //!
 //! A request may crash every engine that runs it. Its caller retries it, at any node, and each attempt costs
 //! another engine with everything that runs there. Retry budgets do not stop this, since each retry by the
@@ -6,13 +6,13 @@
 //!
 //! Nodes report up the tree which engines ended under which requests. The root concludes that a request is
 //! the cause once it counts [`CRASH_THRESHOLD`] successive crashes without a completed run between them; no
-//! engine then receives the request for [`HOLD_DURATION`]. The conclusion is written to the metadata store,
-//! so that it survives restarts, and is distributed down the tree.
+//! engine then receives the request for [`QUARANTINE_DURATION`]. The conclusion is written to the metadata
+//! store, so that it survives restarts, and is distributed down the tree.
 //!
-//! Ordinary requests that were caught in crashes are not held:
+//! Ordinary requests that were caught in crashes are not quarantined:
 //! - Engines that end together, as in a rack without power, have a common cause and do not count.
 //! - A completed run clears the request; all nodes are asked for such runs before a conclusion.
-//! - An engine that ended under a held request counts against no other request.
+//! - An engine that ended under a quarantined request counts against no other request.
 //! - A broken connection counts only if the engine is found to have ended.
 
 mod completions;
@@ -40,10 +40,11 @@
 use suspicion::Suspicion;
 pub use tree::{MAX_REPORTED_EVENTS, ReportBatch};
 
-/// Successive crashes after which a request is held. Two may be chance where engines are replaced in turn.
+/// Successive crashes after which a request is quarantined. Two may be chance where engines are replaced in
+/// turn.
 pub const CRASH_THRESHOLD: usize = 3;
-/// How long a request is held: the maximum TTL of a lease in the users' store.
-pub const HOLD_DURATION: Duration = Duration::from_secs(600);
+/// How long a request is quarantined: the maximum TTL of a lease in the users' store.
+pub const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 /// Time for which a crash counts as evidence.
 const CRASH_TTL: Duration = Duration::from_secs(600);
 /// Maximum difference between two nodes' times of the same event.
@@ -63,29 +64,29 @@
 const DIGEST_TTL: Duration = Duration::from_secs(30);
 /// Maximum number of suspected requests.
 const MAX_SUSPICIONS: usize = 2_048;
-/// Maximum number of held requests by source.
-const MAX_HELD: usize = 1_024;
+/// Maximum number of quarantined requests by source.
+const MAX_QUARANTINED: usize = 1_024;
 /// Maximum number of events kept for reports.
 const MAX_EVENTS: usize = 1_024;
 
-/// How a node learned that a request is held.
+/// How a node learned that a request is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldSource {
+pub enum QuarantineSource {
     /// This node counted the crashes.
     Counted,
-    /// The metadata store holds the conclusion.
+    /// The metadata store contains the conclusion.
     Stored,
     /// The parent reported it.
     Parent,
 }
 
-/// The hold on a request, as known at one node.
+/// The quarantine of one request, as known at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hold {
-    pub by: HoldSource,
+pub struct QuarantineStatus {
+    pub by: QuarantineSource,
     /// When this node learned of it.
     pub since: Timestamp,
-    /// When the hold ends at the latest.
+    /// When the quarantine ends at the latest.
     pub until: Timestamp,
 }
 
@@ -102,7 +103,7 @@
     suspicions: BTreeMap<RequestFingerprint, Suspicion>,
     counted: BTreeMap<RequestFingerprint, Timestamp>,
     stored: BTreeMap<RequestFingerprint, Timestamp>,
-    parent_holds: BTreeMap<RequestFingerprint, Timestamp>,
+    parent_quarantined: BTreeMap<RequestFingerprint, Timestamp>,
     parent_suspects: BTreeSet<RequestFingerprint>,
     digest_received_at: Option<Timestamp>,
     completions: Completions,
@@ -135,13 +136,14 @@
         if let Some(at) = self.completions.last(&fingerprint) {
             self.apply_completion(fingerprint, at, now);
         }
-        self.bound_suspicions(fingerprint);
+        self.evict_excess_suspicion(fingerprint);
     }
 
-    /// Draws conclusions and returns the requests to hold from now on. Call several times per second at a
-    /// node that receives the reports of all nodes: with partial reports, a common cause may go unnoticed.
+    /// Draws conclusions and returns the requests to quarantine from now on. Call several times per second
+    /// at a node that receives the reports of all nodes: with partial reports, a common cause may go
+    /// unnoticed.
     pub fn conclude(&mut self, found_by: &NodeId, now: Timestamp) -> Vec<QuarantinedRequest> {
-        let mut held = Vec::new();
+        let mut quarantined = Vec::new();
         for fingerprint in std::mem::take(&mut self.to_review) {
             self.recount(fingerprint, now);
             let Some(suspicion) = self.suspicions.get(&fingerprint) else { continue };
@@ -156,26 +158,26 @@
                 self.to_review.insert(fingerprint);
                 continue;
             }
-            held.extend(suspicion.as_held(found_by));
+            quarantined.extend(suspicion.as_quarantined(found_by));
             self.counted.insert(fingerprint, now);
-            bound(&mut self.counted);
+            evict_excess(&mut self.counted);
         }
-        for request in &held {
+        for request in &quarantined {
             request.engines.iter().for_each(|engine| self.ends.attribute(engine, request.fingerprint));
         }
         // Conclusions already in the store are not written again.
-        held.retain(|request| !self.stored.contains_key(&request.fingerprint));
-        held
+        quarantined.retain(|request| !self.stored.contains_key(&request.fingerprint));
+        quarantined
     }
 
-    /// Records a run completed at this node. Returns whether that ends a hold.
+    /// Records a run completed at this node. Returns whether that ends a quarantine.
     pub fn record_completion(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> bool {
         self.completions.record(fingerprint, now);
         self.apply_completion(fingerprint, now, now)
     }
 
     /// Records a run completed at `at`, here or elsewhere: earlier crashes had another cause. Returns whether
-    /// that ends a hold.
+    /// that ends a quarantine.
     fn apply_completion(&mut self, fingerprint: RequestFingerprint, at: Timestamp, now: Timestamp) -> bool {
         let Some(suspicion) = self.suspicions.get_mut(&fingerprint) else {
             self.report_completion(fingerprint, at);
@@ -191,7 +193,8 @@
         is_cleared && self.counted.remove(&fingerprint).is_some()
     }
 
-    /// Reports a completed run of a request that other nodes suspect or hold, once per completion.
+    /// Reports a completed run of a request that other nodes suspect or quarantine, once per
+    /// completion.
     fn report_completion(&mut self, fingerprint: RequestFingerprint, at: Timestamp) {
         let suspected = self.parent_suspects.contains(&fingerprint) || self.is_known(&fingerprint);
         let is_reported = self
@@ -215,19 +218,19 @@
     }
 
     /// Records a conclusion from the metadata store. Returns whether it is new to this node.
-    pub fn add_stored_hold(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> bool {
+    pub fn add_stored(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> bool {
         let is_new = !self.is_known(&fingerprint);
         self.stored.entry(fingerprint).or_insert(now);
-        bound(&mut self.stored);
+        evict_excess(&mut self.stored);
         is_new
     }
 
     /// Records that a conclusion was removed from the metadata store, by expiry or by an operator. One
-    /// further crash restores the hold. Returns whether the request was held.
-    pub fn remove_stored_hold(&mut self, fingerprint: &RequestFingerprint, now: Timestamp) -> bool {
+    /// further crash restores the quarantine. Returns whether the request was quarantined.
+    pub fn remove_stored(&mut self, fingerprint: &RequestFingerprint, now: Timestamp) -> bool {
         let known = self.stored.remove(fingerprint).is_some();
         let counted = self.counted.remove(fingerprint).is_some();
-        self.parent_holds.remove(fingerprint);
+        self.parent_quarantined.remove(fingerprint);
         let cleared = self.suspicions.get(fingerprint).is_some_and(Suspicion::was_cleared);
         if (known || counted) && !cleared {
             self.restart_suspicion(*fingerprint, now);
@@ -235,38 +238,38 @@
         known || counted
     }
 
-    /// Returns the requests that are held according to the metadata store.
-    pub fn stored_holds(&self) -> impl Iterator<Item = &RequestFingerprint> {
+    /// Returns the requests that are quarantined according to the metadata store.
+    pub fn stored_requests(&self) -> impl Iterator<Item = &RequestFingerprint> {
         self.stored.keys()
     }
 
-    /// Returns the hold on a request.
-    pub fn held(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<Hold> {
+    /// Returns the quarantine of a request, `None` if there is none.
+    pub fn quarantined(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<QuarantineStatus> {
         let sources = [
-            (HoldSource::Counted, &self.counted),
-            (HoldSource::Stored, &self.stored),
-            (HoldSource::Parent, &self.parent_holds),
+            (QuarantineSource::Counted, &self.counted),
+            (QuarantineSource::Stored, &self.stored),
+            (QuarantineSource::Parent, &self.parent_quarantined),
         ];
         sources.into_iter().find_map(|(by, known)| {
             let since = *known.get(fingerprint)?;
-            let until = since + HOLD_DURATION;
-            (now < until || by == HoldSource::Stored).then_some(Hold { by, since, until })
+            let until = since + QUARANTINE_DURATION;
+            (now < until || by == QuarantineSource::Stored).then_some(QuarantineStatus { by, since, until })
         })
     }
 
-    /// Whether any request of this origin may be held; only then is its fingerprint needed.
-    pub fn may_be_held(&self, origin: u64) -> bool {
-        let mut maps = [&self.counted, &self.stored, &self.parent_holds].into_iter();
+    /// Whether any request of this origin may be quarantined; only then is its fingerprint needed.
+    pub fn may_be_quarantined(&self, origin: u64) -> bool {
+        let mut maps = [&self.counted, &self.stored, &self.parent_quarantined].into_iter();
         maps.any(|known| known.range(fingerprints_of(origin)).next().is_some())
     }
 
-    /// Drops expired entries and returns the requests that are no longer held.
+    /// Drops expired entries and returns the requests that are no longer quarantined.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<RequestFingerprint> {
         if self.digest_received_at.is_some_and(|at| now.saturating_since(at) >= DIGEST_TTL) {
-            self.parent_holds.clear();
+            self.parent_quarantined.clear();
             self.parent_suspects.clear();
         }
-        let over = |since: &Timestamp| now.saturating_since(*since) >= HOLD_DURATION;
+        let over = |since: &Timestamp| now.saturating_since(*since) >= QUARANTINE_DURATION;
         let ended: Vec<RequestFingerprint> = self
             .counted
             .iter()
@@ -274,7 +277,7 @@
             .map(|(fingerprint, _)| *fingerprint)
             .collect();
         for fingerprint in &ended {
-            self.remove_stored_hold(fingerprint, now);
+            self.remove_stored(fingerprint, now);
         }
         self.ends.forget_before(now - CRASH_TTL);
         self.reported_completions.retain(|_, at| now.saturating_since(*at) < CRASH_TTL);
@@ -282,16 +285,21 @@
         ended
     }
 
-    /// Returns the number of held requests that this node knows.
-    pub fn count_held(&self) -> usize {
+    /// Returns the number of quarantined requests that this node knows.
+    pub fn count_quarantined(&self) -> usize {
         let all: BTreeSet<&RequestFingerprint> =
-            self.counted.keys().chain(self.stored.keys()).chain(self.parent_holds.keys()).collect();
+            self.counted.keys().chain(self.stored.keys()).chain(self.parent_quarantined.keys()).collect();
         all.len()
     }
 
-    /// Returns when this node learned of the oldest hold.
-    pub fn oldest_held(&self) -> Option<Timestamp> {
-        self.counted.values().chain(self.stored.values()).chain(self.parent_holds.values()).min().copied()
+    /// Returns when this node learned of the oldest quarantine.
+    pub fn oldest_quarantined(&self) -> Option<Timestamp> {
+        self.counted
+            .values()
+            .chain(self.stored.values())
+            .chain(self.parent_quarantined.values())
+            .min()
+            .copied()
     }
 
     /// Returns the number of suspected requests.
@@ -300,14 +308,14 @@
     }
 
     fn is_known(&self, fingerprint: &RequestFingerprint) -> bool {
-        let maps = [&self.counted, &self.stored, &self.parent_holds];
+        let maps = [&self.counted, &self.stored, &self.parent_quarantined];
         maps.into_iter().any(|known| known.contains_key(fingerprint))
     }
 
     fn restart_suspicion(&mut self, fingerprint: RequestFingerprint, now: Timestamp) {
         let suspicion = self.suspicions.entry(fingerprint).or_default();
-        suspicion.reset_after_hold(CRASH_THRESHOLD - 1, now);
-        self.bound_suspicions(fingerprint);
+        suspicion.reset_after_quarantine(CRASH_THRESHOLD - 1, now);
+        self.evict_excess_suspicion(fingerprint);
     }
 
     fn log(&mut self, event: Event) {
@@ -319,7 +327,7 @@
     }
 
     /// Evicts the suspicion with the fewest crashes, the least recently updated first.
-    fn bound_suspicions(&mut self, newest: RequestFingerprint) {
+    fn evict_excess_suspicion(&mut self, newest: RequestFingerprint) {
         if self.suspicions.len() <= MAX_SUSPICIONS {
             return;
         }
@@ -337,13 +345,13 @@
     RequestFingerprint { origin, content: 0 }..=RequestFingerprint { origin, content: u128::MAX }
 }
 
-/// Evicts the oldest held request above the bound.
-fn bound(held: &mut BTreeMap<RequestFingerprint, Timestamp>) {
-    if held.len() <= MAX_HELD {
+/// Evicts the oldest quarantined request above the limit.
+fn evict_excess(quarantined: &mut BTreeMap<RequestFingerprint, Timestamp>) {
+    if quarantined.len() <= MAX_QUARANTINED {
         return;
     }
-    let oldest = held.iter().min_by_key(|(_, since)| **since).map(|(fingerprint, _)| *fingerprint);
+    let oldest = quarantined.iter().min_by_key(|(_, since)| **since).map(|(fingerprint, _)| *fingerprint);
     if let Some(fingerprint) = oldest {
-        held.remove(&fingerprint);
+        quarantined.remove(&fingerprint);
     }
 }
--- a/crates/core/src/quarantine/suspicion.rs
+++ b/crates/core/src/quarantine/suspicion.rs
@@ -33,9 +33,9 @@
     crashes: Vec<Crash>,
     /// When a run of the request last completed.
     completed: Option<Timestamp>,
-    /// Crashes counted from an earlier hold, without details.
+    /// Crashes counted before an earlier quarantine, without details.
     carried: usize,
-    /// When that hold ended.
+    /// When that quarantine ended.
     carried_at: Option<Timestamp>,
     /// The number of successive crashes at the last count.
     pub counted: usize,
@@ -69,8 +69,8 @@
         true
     }
 
-    /// Resets the evidence after a hold: `carried` crashes still count.
-    pub fn reset_after_hold(&mut self, carried: usize, at: Timestamp) {
+    /// Resets the evidence after a quarantine: `carried` crashes still count.
+    pub fn reset_after_quarantine(&mut self, carried: usize, at: Timestamp) {
         self.crashes.clear();
         self.carried = carried;
         self.carried_at = Some(at);
@@ -113,8 +113,8 @@
         ended.max(self.completed).max(self.carried_at).unwrap_or(Timestamp::ZERO)
     }
 
-    /// Returns the hold record for the store.
-    pub fn as_held(&self, found_by: &NodeId) -> Option<QuarantinedRequest> {
+    /// Returns the quarantine record for the store.
+    pub fn as_quarantined(&self, found_by: &NodeId) -> Option<QuarantinedRequest> {
         let last = self.crashes.last()?;
         Some(QuarantinedRequest {
             fingerprint: last.fingerprint,
--- a/crates/core/src/quarantine/tree.rs
+++ b/crates/core/src/quarantine/tree.rs
@@ -11,7 +11,7 @@
 
 /// How long a conclusion is sent down the tree although the store has it, as other nodes read the store a
 /// little later.
-const STORED_HOLD_TTL: Duration = Duration::from_secs(10);
+const STORED_TTL: Duration = Duration::from_secs(10);
 /// Maximum number of events in one report to the parent, of about 150 bytes each.
 pub const MAX_REPORTED_EVENTS: usize = 48;
 /// Maximum number of requests in one digest, of about 50 bytes each.
@@ -26,7 +26,7 @@
 }
 
 impl Quarantine {
-    /// Applies another node's report and returns the requests that are no longer held because of it.
+    /// Applies another node's report and returns the requests that it releases from quarantine.
     pub fn receive_report(&mut self, report: RunReport, now: Timestamp) -> Vec<RequestFingerprint> {
         let mut released = Vec::new();
         let ago = |milliseconds: u64| now - Duration::from_millis(milliseconds);
@@ -82,37 +82,37 @@
         let suspects: BTreeSet<RequestFingerprint> =
             own.chain(self.parent_suspects.iter().copied()).collect();
         let is_sent = |(fingerprint, since): &(&RequestFingerprint, &Timestamp)| {
-            !self.stored.contains_key(*fingerprint) || now.saturating_since(**since) < STORED_HOLD_TTL
+            !self.stored.contains_key(*fingerprint) || now.saturating_since(**since) < STORED_TTL
         };
-        let held = self
+        let quarantined = self
             .counted
             .iter()
-            .chain(&self.parent_holds)
+            .chain(&self.parent_quarantined)
             .filter(is_sent)
             .map(|(fingerprint, _)| *fingerprint);
-        let held: BTreeSet<RequestFingerprint> = held.collect();
+        let quarantined: BTreeSet<RequestFingerprint> = quarantined.collect();
         QuarantineDigest {
             suspects: suspects.into_iter().take(MAX_DIGEST_REQUESTS).collect(),
-            quarantined: held.into_iter().take(MAX_DIGEST_REQUESTS).collect(),
+            quarantined: quarantined.into_iter().take(MAX_DIGEST_REQUESTS).collect(),
         }
     }
 
-    /// Applies the parent's digest and returns the requests that this node learns to be held.
+    /// Applies the parent's digest and returns the requests that it newly quarantines here.
     pub fn receive_digest(&mut self, digest: QuarantineDigest, now: Timestamp) -> Vec<RequestFingerprint> {
         self.digest_received_at = Some(now);
         self.parent_suspects = digest.suspects.into_iter().collect();
-        let before = std::mem::take(&mut self.parent_holds);
+        let before = std::mem::take(&mut self.parent_quarantined);
         let mut new = Vec::new();
         for fingerprint in digest.quarantined {
             if !before.contains_key(&fingerprint) && !self.is_known(&fingerprint) {
                 new.push(fingerprint);
             }
             let since = before.get(&fingerprint).copied().unwrap_or(now);
-            self.parent_holds.insert(fingerprint, since);
+            self.parent_quarantined.insert(fingerprint, since);
         }
         // Requests suspected elsewhere may have completed here.
         let to_check: Vec<RequestFingerprint> =
-            self.parent_suspects.iter().copied().chain(self.parent_holds.keys().copied()).collect();
+            self.parent_suspects.iter().copied().chain(self.parent_quarantined.keys().copied()).collect();
         for fingerprint in to_check {
             if let Some(at) = self.completions.last(&fingerprint) {
                 self.apply_completion(fingerprint, at, now);
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -78,8 +78,8 @@
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::Granted);
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::Granted);
-    let held = ClaimReply::Held { fingerprint: Fingerprint(1) };
-    assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), held);
+    let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
+    assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), in_progress);
     assert_eq!(replica.handle(&record(&key, "a", "1"), seconds(11)), ClaimReply::Noted);
     let reply = replica.handle(&claim(&key, "b"), seconds(12));
     assert!(
@@ -154,7 +154,7 @@
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::AlreadyReleased);
     assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), ClaimReply::Granted);
     replica.handle(&release(&key, "a"), seconds(10));
-    assert!(matches!(replica.handle(&claim(&key, "c"), seconds(10)), ClaimReply::Held { .. }));
+    assert!(matches!(replica.handle(&claim(&key, "c"), seconds(10)), ClaimReply::InProgress { .. }));
     replica.handle(&record(&key, "b", "1"), seconds(10));
     replica.handle(&release(&key, "b"), seconds(10));
     assert!(matches!(replica.handle(&claim(&key, "c"), seconds(10)), ClaimReply::Ended { .. }));
@@ -207,10 +207,10 @@
     assert_eq!(asked(&first.handle(unreachable(), seconds(10))), ["r2"]);
     assert_eq!(asked(&second.handle(unreachable(), seconds(10))), ["r2"]);
     assert_eq!(asked(&reply(&mut first, "r2", ClaimReply::Granted)), ["r3"]);
-    let held = ClaimReply::Held { fingerprint: Fingerprint(1) };
-    let stopped = reply(&mut second, "r2", held);
+    let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
+    let stopped = reply(&mut second, "r2", in_progress);
     assert_eq!(refusal(&stopped).0, RefusalCode::InProgress);
-    assert!(asked(&stopped).is_empty(), "the second try holds nothing that the first one needs");
+    assert!(asked(&stopped).is_empty(), "the second attempt is granted nothing that the first one needs");
     assert!(reply(&mut first, "r3", ClaimReply::Granted).contains(&ClaimAction::Dispatch));
 }
 
@@ -277,12 +277,12 @@
 
 #[test]
 fn no_refusal_without_a_majority_says_not_run() {
-    let held = ClaimReply::Held { fingerprint: Fingerprint(1) };
-    let other = ClaimReply::Held { fingerprint: Fingerprint(2) };
+    let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
+    let other = ClaimReply::InProgress { fingerprint: Fingerprint(2) };
     let too_old = ClaimReply::TooOld { floor: seconds(20) };
     let unknown = ClaimReply::Ended { fingerprint: Fingerprint(1), outcome: RecordedOutcome::Unknown };
     let cases = [
-        (held, RefusalCode::InProgress),
+        (in_progress, RefusalCode::InProgress),
         (other, RefusalCode::KeyReused),
         (too_old, RefusalCode::KeyTooOld),
         (unknown, RefusalCode::BackendFailed),
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,9 +1,9 @@
-//! Which requests are held for crashing engines, and which are not.
+//! Which requests are quarantined for crashing engines, and which are not.
 
 use std::time::Duration;
 
 use paddlemount_core::quarantine::{
-    CRASH_THRESHOLD, Crash, HOLD_DURATION, HoldSource, MAX_REPORTED_EVENTS, Origin, Quarantine,
+    CRASH_THRESHOLD, Crash, MAX_REPORTED_EVENTS, Origin, QUARANTINE_DURATION, Quarantine, QuarantineSource,
 };
 use paddlemount_protocol::{
     identity::{EngineId, NodeId},
@@ -41,8 +41,8 @@
     quarantine.conclude(&NodeId::from("n1"), later).pop()
 }
 
-/// A quarantine that holds a request after successive crashes.
-fn held(body: &str) -> Quarantine {
+/// A quarantine that contains a request after successive crashes.
+fn with_quarantined(body: &str) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 0..CRASH_THRESHOLD as u64 {
         let began = number * 1_000;
@@ -52,20 +52,21 @@
 }
 
 #[test]
-fn the_third_successive_crash_holds_a_request_and_lists_the_engines() {
+fn the_third_successive_crash_quarantines_a_request_and_lists_the_engines() {
     let mut quarantine = Quarantine::default();
     assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e0", 0, 100)), None);
     assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e1", 200, 300)), None);
-    assert!(quarantine.held(&request("x"), at(300)).is_none());
-    let held = crash_and_conclude(&mut quarantine, crash("x", "e2", 400, 500)).expect("it is held");
-    assert_eq!(held.engines.len(), CRASH_THRESHOLD);
-    let known = quarantine.held(&request("x"), at(1_200)).expect("it is held");
+    assert!(quarantine.quarantined(&request("x"), at(300)).is_none());
+    let quarantined =
+        crash_and_conclude(&mut quarantine, crash("x", "e2", 400, 500)).expect("it is quarantined");
+    assert_eq!(quarantined.engines.len(), CRASH_THRESHOLD);
+    let known = quarantine.quarantined(&request("x"), at(1_200)).expect("it is quarantined");
     assert_eq!(
         (known.by, known.since, known.until),
-        (HoldSource::Counted, at(1_200), at(1_200) + HOLD_DURATION)
+        (QuarantineSource::Counted, at(1_200), at(1_200) + QUARANTINE_DURATION)
     );
-    assert!(quarantine.may_be_held(request("x").origin));
-    assert!(quarantine.held(&request("y"), at(500)).is_none(), "another body is another request");
+    assert!(quarantine.may_be_quarantined(request("x").origin));
+    assert!(quarantine.quarantined(&request("y"), at(500)).is_none(), "another body is another request");
 }
 
 #[test]
@@ -100,11 +101,11 @@
             "engine {engine}"
         );
     }
-    assert!(quarantine.held(&request("x"), at(1_400)).is_none());
+    assert!(quarantine.quarantined(&request("x"), at(1_400)).is_none());
 }
 
 #[test]
-fn racks_lost_in_succession_hold_no_request_even_without_completed_runs() {
+fn racks_lost_in_succession_quarantine_no_request_even_without_completed_runs() {
     let mut quarantine = Quarantine::default();
     for rack in 0..10 {
         let began = rack * 1_000;
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_lost_rack_reported_by_several_nodes_holds_no_request() {
+fn a_lost_rack_reported_by_several_nodes_quarantines_no_request() {
     let mut quarantine = Quarantine::default();
     for rack in 0..10 {
         let began = rack * 1_000;
@@ -146,17 +147,17 @@
 #[test]
 fn two_concurrent_runs_do_not_hide_a_request_that_crashes_engines() {
     let mut quarantine = Quarantine::default();
-    let mut held = None;
+    let mut quarantined = None;
     for pair in 0..3 {
         let began = pair * 1_000;
         for engine in 0..2 {
-            held = held.or(crash_and_conclude(
+            quarantined = quarantined.or(crash_and_conclude(
                 &mut quarantine,
                 crash("x", &format!("e{pair}-{engine}"), began + engine, began + 100),
             ));
         }
     }
-    assert!(held.is_some());
+    assert!(quarantined.is_some());
 }
 
 #[test]
@@ -181,8 +182,8 @@
         // Two engines end together; the run of one is retried on the other before its end is known.
         quarantine.record_crash(crash("x", &format!("a{time}"), ended - 90, ended), at(ended + 1));
         quarantine.record_crash(crash("x", &format!("b{time}"), ended, ended + 1), at(ended + 2));
-        let held = quarantine.conclude(&NodeId::from("n"), at(ended + 700));
-        assert_eq!(held.len(), usize::from(time == 2), "the third pair in turn is the third crash");
+        let quarantined = quarantine.conclude(&NodeId::from("n"), at(ended + 700));
+        assert_eq!(quarantined.len(), usize::from(time == 2), "the third pair in turn is the third crash");
     }
 }
 
@@ -199,19 +200,19 @@
 #[test]
 fn immediate_retries_at_the_next_engine_are_not_mistaken_for_a_lost_rack() {
     let mut quarantine = Quarantine::default();
-    let mut held = None;
+    let mut quarantined = None;
     for time in 0..2 {
         for step in 0..3 {
             let (began, engine) = (time * 1_000 + step * 13, format!("e{time}-{step}"));
             quarantine.record_crash(crash("x", &engine, began, began + 12), at(began + 13));
         }
-        held = held.or(quarantine.conclude(&NodeId::from("n"), at(time * 1_000 + 900)).pop());
+        quarantined = quarantined.or(quarantine.conclude(&NodeId::from("n"), at(time * 1_000 + 900)).pop());
     }
-    assert!(held.is_some(), "six engines in two attempts");
+    assert!(quarantined.is_some(), "six engines in two attempts");
 }
 
 #[test]
-fn a_rolling_restart_holds_no_request_that_completes_in_between() {
+fn a_rolling_restart_quarantines_no_request_that_completes_in_between() {
     let mut quarantine = Quarantine::default();
     for engine in 0..90 {
         let began = engine * 500;
@@ -223,11 +224,11 @@
             quarantine.record_completion(request(body), at(began + 400));
         }
     }
-    assert_eq!(quarantine.count_held(), 0);
+    assert_eq!(quarantine.count_quarantined(), 0);
 }
 
 #[test]
-fn requests_that_come_once_are_not_held_however_many_engines_end() {
+fn requests_that_come_once_are_not_quarantined_however_many_engines_end() {
     let mut quarantine = Quarantine::default();
     for number in 0..4_000 {
         let body = format!("request {}", number / 2);
@@ -249,10 +250,10 @@
 }
 
 #[test]
-fn a_completed_run_ends_a_hold() {
-    let mut quarantine = held("x");
+fn a_completed_run_ends_a_quarantine() {
+    let mut quarantine = with_quarantined("x");
     assert!(quarantine.record_completion(request("x"), at(3_000)));
-    assert!(quarantine.held(&request("x"), at(3_000)).is_none());
+    assert!(quarantine.quarantined(&request("x"), at(3_000)).is_none());
     // Earlier crashes no longer count, even if reported late.
     assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e9", 2_900, 2_950)), None);
     assert_eq!(crash_and_conclude(&mut quarantine, crash("x", "e10", 3_100, 3_200)), None);
@@ -278,7 +279,10 @@
     let digest = root.digest(at(3_000));
     let mut newcomer = Quarantine::default();
     assert_eq!(newcomer.receive_digest(digest, at(3_100)), vec![request("x")]);
-    assert_eq!(newcomer.held(&request("x"), at(3_100)).map(|held| held.by), Some(HoldSource::Parent));
+    assert_eq!(
+        newcomer.quarantined(&request("x"), at(3_100)).map(|quarantined| quarantined.by),
+        Some(QuarantineSource::Parent)
+    );
 }
 
 #[test]
@@ -319,8 +323,8 @@
 }
 
 #[test]
-fn engines_that_ended_under_a_held_request_count_against_no_other() {
-    let mut quarantine = held("x");
+fn engines_that_ended_under_a_quarantined_request_count_against_no_other() {
+    let mut quarantine = with_quarantined("x");
     for number in 3..9 {
         let (began, engine) = (number * 1_000, format!("e{number}"));
         // Another request is caught in each of these crashes.
@@ -366,23 +370,23 @@
 }
 
 #[test]
-fn a_stored_hold_lasts_until_the_store_releases_it() {
+fn a_stored_quarantine_lasts_until_the_store_releases_it() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.add_stored_hold(request("x"), at(0)));
-    assert!(!quarantine.add_stored_hold(request("x"), at(10)));
-    let much_later = at(0) + HOLD_DURATION * 3;
-    assert!(quarantine.held(&request("x"), much_later).is_some());
-    assert!(quarantine.remove_stored_hold(&request("x"), much_later));
-    assert!(quarantine.held(&request("x"), much_later).is_none());
+    assert!(quarantine.add_stored(request("x"), at(0)));
+    assert!(!quarantine.add_stored(request("x"), at(10)));
+    let much_later = at(0) + QUARANTINE_DURATION * 3;
+    assert!(quarantine.quarantined(&request("x"), much_later).is_some());
+    assert!(quarantine.remove_stored(&request("x"), much_later));
+    assert!(quarantine.quarantined(&request("x"), much_later).is_none());
     let crash =
         Crash { began: much_later, ended: much_later + Duration::from_millis(100), ..crash("x", "e0", 0, 0) };
     assert!(crash_and_conclude(&mut quarantine, crash).is_some());
 }
 
 #[test]
-fn a_hold_that_was_never_stored_expires() {
-    let mut quarantine = held("x");
-    assert!(quarantine.sweep(at(2_900) + HOLD_DURATION - Duration::from_millis(1)).is_empty());
-    assert_eq!(quarantine.sweep(at(2_900) + HOLD_DURATION), vec![request("x")]);
-    assert_eq!(quarantine.count_held(), 0);
+fn a_quarantine_that_was_never_stored_expires() {
+    let mut quarantine = with_quarantined("x");
+    assert!(quarantine.sweep(at(2_900) + QUARANTINE_DURATION - Duration::from_millis(1)).is_empty());
+    assert_eq!(quarantine.sweep(at(2_900) + QUARANTINE_DURATION), vec![request("x")]);
+    assert_eq!(quarantine.count_quarantined(), 0);
 }
--- a/crates/core/tests/quarantine_properties.rs
+++ b/crates/core/tests/quarantine_properties.rs
@@ -1,4 +1,4 @@
-//! Invariants of holds under any order of events and reports.
+//! Invariants of the quarantine under any order of events and reports.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,7 +7,7 @@
 
 use bolero::{TypeGenerator, check};
 use paddlemount_core::quarantine::{
-    CRASH_THRESHOLD, Crash, HoldSource, MAX_REPORTED_EVENTS, Origin, Quarantine,
+    CRASH_THRESHOLD, Crash, MAX_REPORTED_EVENTS, Origin, Quarantine, QuarantineSource,
 };
 use paddlemount_protocol::{
     identity::{EngineId, NodeId},
@@ -66,23 +66,23 @@
             }
             Step::Reports { .. } | Step::SendsDigest { .. } => {}
             Step::Concludes => {
-                let held = self.nodes[0].conclude(&NodeId::from("n0"), self.now);
-                for request in held {
+                let quarantined = self.nodes[0].conclude(&NodeId::from("n0"), self.now);
+                for request in quarantined {
                     let ended = self.ended.get(&request.fingerprint).map_or(0, BTreeSet::len);
-                    assert!(ended >= CRASH_THRESHOLD, "held after {ended} engines: {request:?}");
+                    assert!(ended >= CRASH_THRESHOLD, "quarantined after {ended} engines: {request:?}");
                     assert!(request.engines.len() >= CRASH_THRESHOLD);
                 }
             }
         }
         for node in &mut self.nodes {
             node.sweep(self.now);
-            assert!(node.count_held() <= 4 && node.count_suspected() <= 4);
+            assert!(node.count_quarantined() <= 4 && node.count_suspected() <= 4);
         }
     }
 }
 
 #[test]
-fn no_request_is_held_below_the_threshold_and_only_the_root_concludes() {
+fn no_request_is_quarantined_below_the_threshold_and_only_the_root_concludes() {
     check!().with_type::<Vec<Step>>().for_each(|steps| {
         let mut world =
             World { nodes: vec![Quarantine::default(); NODES], now: START, ended: BTreeMap::new() };
@@ -91,8 +91,8 @@
         }
         for node in &world.nodes[1..] {
             for number in 0..4 {
-                let by = node.held(&request(number), world.now).map(|held| held.by);
-                assert_ne!(by, Some(HoldSource::Counted), "only the root draws conclusions");
+                let by = node.quarantined(&request(number), world.now).map(|status| status.by);
+                assert_ne!(by, Some(QuarantineSource::Counted), "only the root draws conclusions");
             }
         }
     });
--- a/crates/core/tests/quota_support/mod.rs
+++ b/crates/core/tests/quota_support/mod.rs
@@ -1,6 +1,5 @@
-//! Simulates a fleet of nodes in virtual time that grants one tenant's requests by one of several strategies.
-//!
-//! Nodes report up a tree every 200 ms, as forwarding nodes do; a message takes up to 120 ms.
+//! Simulates in virtual time a tree of nodes that grants one tenant's requests by one of several strategies.
+//! Nodes report to their parent every 200 ms; a message takes up to 120 ms.
 
 use std::{collections::VecDeque, time::Duration};
 
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -14,7 +14,7 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::{BodyExt, Full};
-use paddlemount_core::{forwarding::rollout::TYPICAL_LOAD_TIME, quarantine::HOLD_DURATION};
+use paddlemount_core::{forwarding::rollout::TYPICAL_LOAD_TIME, quarantine::QUARANTINE_DURATION};
 use serde::Serialize;
 
 use crate::relay::RelayError;
@@ -98,7 +98,7 @@
             Self::NotTaken | Self::QuotaExceeded => Some(Duration::from_millis(150)),
             // Another node can serve the caller at once.
             Self::TimeUpBeforeSending | Self::Stopping => Some(Duration::from_millis(50)),
-            Self::HeldBack => Some(HOLD_DURATION),
+            Self::HeldBack => Some(QUARANTINE_DURATION),
             _ => None,
         }
     }
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -166,7 +166,7 @@
         let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::subject).collect();
         let state = self.state.borrow();
         let backends = state.backends.iter().map(|backend| EntryKey::Backend(backend.entry.id.clone()));
-        let held = state.quarantine.stored_holds().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
+        let held = state.quarantine.stored_requests().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
         let leader = state.leader.iter().map(|_| EntryKey::Leader);
         backends.chain(held).chain(leader).filter(|subject| !present.contains(subject)).collect()
     }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -347,7 +347,7 @@
             gauge("paddlemount_forward_running", self.running.get() as f64),
             gauge("paddlemount_forward_idle_connections", self.pool.borrow().idle() as f64),
             gauge("paddlemount_forward_leads", f64::from(u8::from(self.token().is_some()))),
-            gauge("paddlemount_forward_held_requests", quarantine.count_held() as f64),
+            gauge("paddlemount_forward_held_requests", quarantine.count_quarantined() as f64),
             gauge("paddlemount_forward_suspected_requests", quarantine.count_suspected() as f64),
             gauge("paddlemount_forward_oldest_hold_seconds", self.oldest_hold(self.now()).as_secs_f64()),
             gauge("paddlemount_forward_named_age_seconds", target_age(&state, self.now())),
--- a/crates/forward/src/peers/digest_updates.rs
+++ b/crates/forward/src/peers/digest_updates.rs
@@ -65,7 +65,7 @@
         self.follow_registry(relay.registry);
         self.apply_relayed_changes(
             facts,
-            relay.upto,
+            relay.revision,
             relayed_proof_time(sent_at, age),
             &relay.recent_targets,
         );
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -180,13 +180,13 @@
     now: Timestamp,
 ) -> Option<StoreRelay> {
     let age = state.freshness.age(now)?;
-    let upto = state.revision?;
-    let changed = state.changes.since(known?, upto)?;
+    let revision = state.revision?;
+    let changed = state.changes.since(known?, revision)?;
     let facts = state.facts_about(&changed);
     let changes = if facts.is_empty() { String::new() } else { serde_json::to_string(&facts).ok()? };
     let registry = state.backends.registry.report(now);
     let recent_targets = state.recent_targets(bound, now - age, now);
-    Some(StoreRelay { age_ms: age.as_millis() as u64 + 1, upto, registry, changes, recent_targets })
+    Some(StoreRelay { age_ms: age.as_millis() as u64 + 1, revision, registry, changes, recent_targets })
 }
 
 fn json(answer: &impl Serialize) -> Response<AnswerBody> {
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -16,7 +16,7 @@
 use paddlemount_core::{
     forwarding::backends::BackendId,
     health::HealthEvent,
-    quarantine::{Crash, HOLD_DURATION, HoldSource},
+    quarantine::{Crash, QUARANTINE_DURATION, QuarantineSource},
 };
 use paddlemount_protocol::{
     quarantine::{QuarantineDigest, QuarantinedRequest, RequestFingerprint, RunReport},
@@ -106,22 +106,22 @@
         for fingerprint in new {
             self.log_hold(
                 &HeldLine { fingerprint: fingerprint.to_string(), ..HeldLine::default() },
-                HoldSource::Parent,
+                QuarantineSource::Parent,
             );
         }
     }
 
     /// Applies a hold from the metadata store.
     pub fn apply_stored_hold(&self, request: &QuarantinedRequest) {
-        let new = self.state.borrow_mut().quarantine.add_stored_hold(request.fingerprint, self.now());
+        let new = self.state.borrow_mut().quarantine.add_stored(request.fingerprint, self.now());
         if new {
-            self.log_hold(&HeldLine::from(request), HoldSource::Stored);
+            self.log_hold(&HeldLine::from(request), QuarantineSource::Stored);
         }
     }
 
     /// Applies a release from the metadata store.
     pub fn apply_stored_release(&self, fingerprint: &RequestFingerprint) {
-        let known = self.state.borrow_mut().quarantine.remove_stored_hold(fingerprint, self.now());
+        let known = self.state.borrow_mut().quarantine.remove_stored(fingerprint, self.now());
         if known {
             self.log_release(fingerprint, "the store holds it no longer");
         }
@@ -129,7 +129,8 @@
 
     /// Releases all stored holds that a listing of the metadata store does not contain.
     pub fn apply_listed_holds(&self, present: &[RequestFingerprint]) {
-        let known: Vec<RequestFingerprint> = self.state.borrow().quarantine.stored_holds().copied().collect();
+        let known: Vec<RequestFingerprint> =
+            self.state.borrow().quarantine.stored_requests().copied().collect();
         for fingerprint in known.iter().filter(|fingerprint| !present.contains(fingerprint)) {
             self.apply_stored_release(fingerprint);
         }
@@ -164,7 +165,7 @@
         let node = self.settings().node.clone();
         let held = self.state.borrow_mut().quarantine.conclude(&node, self.now());
         for request in held {
-            self.log_hold(&HeldLine::from(&request), HoldSource::Counted);
+            self.log_hold(&HeldLine::from(&request), QuarantineSource::Counted);
             // The store may be restored from a backup without the hold before it has confirmed it.
             self.state.borrow_mut().held.insert(request.fingerprint, request.clone());
             self.change(Change::Hold(request));
@@ -180,12 +181,12 @@
         self.quarantine_work.changed.notify_one();
     }
 
-    fn log_hold(&self, line: &HeldLine, by: HoldSource) {
+    fn log_hold(&self, line: &HeldLine, by: QuarantineSource) {
         self.metrics.count(Counter::RequestsHeld);
         self.journal.log(&Event::RequestHeld {
             held: line,
             known_by: label(by),
-            for_s: HOLD_DURATION.as_secs(),
+            for_s: QUARANTINE_DURATION.as_secs(),
         });
     }
 
@@ -196,13 +197,13 @@
     /// How long a request stays quarantined; `None` if it is not.
     pub fn held_for(&self, fingerprint: &RequestFingerprint) -> Option<Duration> {
         let now = self.now();
-        let held = self.state.borrow().quarantine.held(fingerprint, now)?;
+        let held = self.state.borrow().quarantine.quarantined(fingerprint, now)?;
         Some(held.until.saturating_since(now))
     }
 
     /// How long the oldest hold has lasted.
     pub(crate) fn oldest_hold(&self, now: Timestamp) -> Duration {
-        let oldest = self.state.borrow().quarantine.oldest_held();
+        let oldest = self.state.borrow().quarantine.oldest_quarantined();
         oldest.map_or(Duration::ZERO, |since| now.saturating_since(since))
     }
 }
@@ -262,7 +263,7 @@
             return Ok(());
         }
     };
-    let granted = call_store(node, &StoreCall::Grant { ttl: HOLD_DURATION }, CALL_TIMEOUT).await?;
+    let granted = call_store(node, &StoreCall::Grant { ttl: QUARANTINE_DURATION }, CALL_TIMEOUT).await?;
     let StoreAnswer::Lease { lease, .. } = granted else { return Err(StoreError::Unexpected) };
     let hold = StoreCall::Hold { request: Box::new(request), lease };
     // Without an answer the hold may have been stored, so its lease is left alone: ending it would release
@@ -275,10 +276,10 @@
     }
 }
 
-const fn label(by: HoldSource) -> &'static str {
+const fn label(by: QuarantineSource) -> &'static str {
     match by {
-        HoldSource::Counted => "counted here",
-        HoldSource::Stored => "the store",
-        HoldSource::Parent => "the node above",
+        QuarantineSource::Counted => "counted here",
+        QuarantineSource::Stored => "the store",
+        QuarantineSource::Parent => "the node above",
     }
 }
--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -14,7 +14,7 @@
 impl Exchange {
     /// How long this request stays quarantined; `None` if it is not.
     pub(crate) fn held_for(&mut self) -> Option<Duration> {
-        if !self.node.state.borrow().quarantine.may_be_held(self.origin().hash()) {
+        if !self.node.state.borrow().quarantine.may_be_quarantined(self.origin().hash()) {
             return None;
         }
         let fingerprint = self.fingerprint();
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -73,7 +73,7 @@
 
     /// How long a request is still held; none if it is not held.
     pub fn remaining_hold(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<Duration> {
-        let held = self.lock().held(fingerprint, now)?;
+        let held = self.lock().quarantined(fingerprint, now)?;
         Some(held.until.saturating_since(now))
     }
 
@@ -183,8 +183,9 @@
         let mut quarantine = state.quarantine.lock();
         let held = quarantine.conclude(&state.settings.node, now - GOSSIP_DELAY);
         let ended = quarantine.sweep(now);
-        let oldest = quarantine.oldest_held().map_or(Duration::ZERO, |since| now.saturating_since(since));
-        (held, ended, (quarantine.count_held(), quarantine.count_suspected(), oldest))
+        let oldest =
+            quarantine.oldest_quarantined().map_or(Duration::ZERO, |since| now.saturating_since(since));
+        (held, ended, (quarantine.count_quarantined(), quarantine.count_suspected(), oldest))
     };
     for request in held {
         let engines: Vec<&str> = request.engines.iter().map(EngineId::as_str).collect();
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -257,8 +257,9 @@
     /// Age in milliseconds, when the digest was written, of the proof that nothing beyond `changes` has
     /// changed.
     pub age_ms: u64,
-    /// The revision that `changes` lead up to.
-    pub upto: Revision,
+    /// The store revision after `changes`.
+    #[serde(rename = "upto")]
+    pub revision: Revision,
     pub registry: RegistryState,
     /// Changes since the revision in the report, as a JSON list of facts; empty if there are none.
     #[serde(default, skip_serializing_if = "String::is_empty")]
--- a/crates/protocol/src/peer/claims.rs
+++ b/crates/protocol/src/peer/claims.rs
@@ -106,8 +106,9 @@
 pub enum ClaimReply {
     /// The claim is granted to the requesting attempt and to no other.
     Granted,
-    /// Another attempt holds the claim and has not ended.
-    Held {
+    /// The claim was granted to another attempt, which has not ended.
+    #[serde(rename = "held")]
+    InProgress {
         /// Fingerprint of the request that it runs.
         fingerprint: Fingerprint,
     },
