--- a/crates/bench/src/drill/bookings.rs
+++ b/crates/bench/src/drill/bookings.rs
@@ -143,8 +143,11 @@
         now: Timestamp,
     ) {
         let replica = self.nodes[replica].name.clone();
-        let event =
-            if is_claim { ClaimEvent::Replied { replica, reply } } else { ClaimEvent::Noted { replica } };
+        let event = if is_claim {
+            ClaimEvent::Replied { replica, reply }
+        } else {
+            ClaimEvent::Acknowledged { replica }
+        };
         self.handle_claim_event(at, owner, event, now);
     }
 
--- a/crates/bench/src/drill/models.rs
+++ b/crates/bench/src/drill/models.rs
@@ -137,9 +137,9 @@
             RequestAction::Choose { excluded, continuation, .. } => {
                 return self.choose(at, request, &excluded, continuation, now);
             }
-            RequestAction::Dispatch { attempt, precondition, already } => {
+            RequestAction::Dispatch { attempt, precondition, answer_prefix } => {
                 let engine = engine_number(&precondition.engine);
-                let answer_prefix_tokens = u32::try_from(already.len()).unwrap_or(u32::MAX);
+                let answer_prefix_tokens = u32::try_from(answer_prefix.len()).unwrap_or(u32::MAX);
                 let (request, sent) = (request.clone(), attempt.clone());
                 let dispatch =
                     Dispatch { from: at, request, attempt: sent, precondition, answer_prefix_tokens };
--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -38,7 +38,7 @@
         reply: ClaimReply,
     },
     /// A replica acknowledged the recorded outcome.
-    Noted {
+    Acknowledged {
         replica: NodeId,
     },
     /// A replica could not be reached or replied too late.
@@ -162,7 +162,7 @@
         match event {
             ClaimEvent::Replied { replica, reply } => self.replied(replica, Some(reply), now),
             ClaimEvent::Unreachable { replica } => self.unreachable(replica, now),
-            ClaimEvent::Noted { replica } => self.acknowledged(replica),
+            ClaimEvent::Acknowledged { replica } => self.acknowledged(replica),
             ClaimEvent::DispatchEnded(result) => self.dispatch_ended(result, now),
             ClaimEvent::Tick => self.tick(now),
         }
--- a/crates/core/src/claims/replica.rs
+++ b/crates/core/src/claims/replica.rs
@@ -101,11 +101,11 @@
             }
             ClaimMessage::Record { key, owner, fingerprint, outcome } => {
                 self.record(key, owner, *fingerprint, outcome, now);
-                ClaimReply::Noted
+                ClaimReply::Acknowledged
             }
             ClaimMessage::Release { key, owner } => {
                 self.release(key, owner, now);
-                ClaimReply::Noted
+                ClaimReply::Acknowledged
             }
             ClaimMessage::Seal { epoch } => self.seal(*epoch),
         }
@@ -224,13 +224,13 @@
 
     fn seal(&mut self, epoch: PlacementEpoch) -> ClaimReply {
         if epoch < self.epoch {
-            return ClaimReply::Noted;
+            return ClaimReply::Acknowledged;
         }
         if epoch > self.epoch {
             return ClaimReply::OtherEpoch { epoch: self.epoch };
         }
         self.sealed = true;
-        ClaimReply::Noted
+        ClaimReply::Acknowledged
     }
 
     /// Drops claims older than the retention, and the oldest ones above the memory bounds.
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -225,12 +225,12 @@
             ConfigurationRequest::Pull { revision, last_change } => {
                 self.replica.answer_pull(*revision, last_change.as_ref())
             }
-            ConfigurationRequest::Check { revision, asker } => {
-                self.pull_if_behind(*revision, asker);
-                ConfigurationAnswer::Holds { revision: self.replica.revision() }
+            ConfigurationRequest::Check { revision, requester } => {
+                self.pull_if_behind(*revision, requester);
+                ConfigurationAnswer::Applied { revision: self.replica.revision() }
             }
-            ConfigurationRequest::CheckRegion { revision, asker } => {
-                self.pull_if_behind(*revision, asker);
+            ConfigurationRequest::CheckRegion { revision, requester } => {
+                self.pull_if_behind(*revision, requester);
                 self.checks.begin(*revision, Some(call), now);
                 return;
             }
@@ -238,9 +238,9 @@
         self.actions.push(PeerAction::Answer { call, answer: PeerAnswer::Configuration(answer) });
     }
 
-    fn pull_if_behind(&mut self, revision: Revision, asker: &Representative) {
+    fn pull_if_behind(&mut self, revision: Revision, requester: &Representative) {
         if revision > self.replica.revision() {
-            let action = self.replica.pull(asker.address);
+            let action = self.replica.pull(requester.address);
             self.execute(action);
         }
     }
--- a/crates/core/src/peers/changes.rs
+++ b/crates/core/src/peers/changes.rs
@@ -294,7 +294,7 @@
             self.handle_region_answer(id, &region, None);
             return;
         };
-        let request = ConfigurationRequest::CheckRegion { revision, asker: self.own_contact() };
+        let request = ConfigurationRequest::CheckRegion { revision, requester: self.own_contact() };
         let purpose = Purpose::CheckRegion { change: id, region };
         self.call(representative.address, PeerRequest::Configuration(request), REGION_CHECK_TIMEOUT, purpose);
     }
@@ -307,8 +307,8 @@
 
     fn end_unknown(&mut self, id: u64) {
         let Some(task) = self.changes.running.get(&id) else { return };
-        let settle_with = format!("show change {}", task.request.id);
-        self.end(id, ChangeOutcome::Unknown { settle_with });
+        let status_query = format!("show change {}", task.request.id);
+        self.end(id, ChangeOutcome::Unknown { status_query });
     }
 
     fn refuse(&mut self, id: u64, revision: Revision, reason: String, now: Timestamp) {
--- a/crates/core/src/peers/checks.rs
+++ b/crates/core/src/peers/checks.rs
@@ -57,7 +57,7 @@
     pub(super) fn handle_answer(&mut self, check: u64, node: NodeId, answer: Option<&ConfigurationAnswer>) {
         let Some(check) = self.running.get_mut(&check) else { return };
         match answer {
-            Some(ConfigurationAnswer::Holds { revision }) => {
+            Some(ConfigurationAnswer::Applied { revision }) => {
                 check.confirmation.record_answer(node, *revision)
             }
             _ => check.confirmation.record_failure(&node),
@@ -103,7 +103,7 @@
         let revision = check.confirmation.revision();
         let members = check.confirmation.to_ask(table);
         for (node, address) in members {
-            let request = ConfigurationRequest::Check { revision, asker: self.own_contact() };
+            let request = ConfigurationRequest::Check { revision, requester: self.own_contact() };
             let purpose = Purpose::Check { check: id, node };
             self.call(address, PeerRequest::Configuration(request), CHECK_TIMEOUT, purpose);
         }
--- a/crates/core/src/request/events.rs
+++ b/crates/core/src/request/events.rs
@@ -77,7 +77,7 @@
         attempt: AttemptId,
         precondition: Precondition,
         /// Tokens that the caller already has.
-        already: Vec<String>,
+        answer_prefix: Vec<String>,
     },
     /// Reconnect to the engine that runs an attempt.
     Resume {
--- a/crates/core/src/request/machine.rs
+++ b/crates/core/src/request/machine.rs
@@ -178,7 +178,7 @@
         actions.push(RequestAction::Dispatch {
             attempt: id.clone(),
             precondition: precondition.clone(),
-            already: self.emitted.clone(),
+            answer_prefix: self.emitted.clone(),
         });
         self.phase = Phase::Attempting(Attempt {
             id,
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -80,7 +80,7 @@
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::Granted);
     let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
     assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), in_progress);
-    assert_eq!(replica.handle(&record(&key, "a", "1"), seconds(11)), ClaimReply::Noted);
+    assert_eq!(replica.handle(&record(&key, "a", "1"), seconds(11)), ClaimReply::Acknowledged);
     let reply = replica.handle(&claim(&key, "b"), seconds(12));
     assert!(
         matches!(reply, ClaimReply::Ended { outcome: RecordedOutcome::Completed { answer: Some(answer) }, .. } if answer == "1")
@@ -235,9 +235,9 @@
     assert!(reply(&mut coordinator, "r3", ClaimReply::Granted).is_empty());
     let ran = ClaimEvent::DispatchEnded(RunResult::Completed { answer: "1".into() });
     assert_eq!(ending(&coordinator.handle(ran, seconds(10))), None);
-    let noted = |replica| ClaimEvent::Noted { replica: NodeId::from(replica) };
-    assert_eq!(ending(&coordinator.handle(noted("r1"), seconds(10))), None);
-    let actions = coordinator.handle(noted("r3"), seconds(10));
+    let acknowledged = |replica| ClaimEvent::Acknowledged { replica: NodeId::from(replica) };
+    assert_eq!(ending(&coordinator.handle(acknowledged("r1"), seconds(10))), None);
+    let actions = coordinator.handle(acknowledged("r3"), seconds(10));
     assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: false }));
 }
 
@@ -361,7 +361,7 @@
 #[test]
 fn a_sealed_epoch_grants_nothing_more_and_the_next_refuses_its_keys() {
     let (mut replica, key) = (replica(), key_of_second(10, 1));
-    assert_eq!(replica.handle(&ClaimMessage::Seal { epoch: EPOCH }, seconds(10)), ClaimReply::Noted);
+    assert_eq!(replica.handle(&ClaimMessage::Seal { epoch: EPOCH }, seconds(10)), ClaimReply::Acknowledged);
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::OtherEpoch { epoch: EPOCH });
     replica.adopt(PlacementEpoch(2), false, seconds(20));
     replica.adopt(EPOCH, true, seconds(20));
@@ -378,7 +378,7 @@
     let settle = Duration::from_secs(30);
     assert!(Reconfiguration::begin(placement.clone(), settle).is_none());
     placement.next = Some(placement_of(&[("n4", "z1", "r")]).members);
-    let mut change = Reconfiguration::begin(placement, settle).expect("next members are named");
+    let mut change = Reconfiguration::begin(placement, settle).expect("the placement lists next members");
     assert_eq!(change.tick(seconds(1)).len(), 3);
     change.record_sealed(NodeId::from("stranger"), seconds(1));
     change.record_sealed(NodeId::from("n1"), seconds(1));
--- a/crates/core/tests/model_request.rs
+++ b/crates/core/tests/model_request.rs
@@ -52,7 +52,7 @@
     let first = Action::Choose { excluded: Vec::new(), continuation: None, retry: false };
     assert_eq!(request.handle(Event::Arrived, at(0)), [first]);
     let dispatch =
-        Action::Dispatch { attempt: attempt(1), precondition: precondition("a"), already: Vec::new() };
+        Action::Dispatch { attempt: attempt(1), precondition: precondition("a"), answer_prefix: Vec::new() };
     assert_eq!(request.handle(Event::EngineChosen(precondition("a")), at(0)), [dispatch]);
     request
 }
@@ -109,8 +109,11 @@
     let mut request = answering(true);
     request.handle(Event::ConnectionLost { attempt: attempt(1), resumable: false }, at(4));
     let actions = request.handle(Event::EngineChosen(precondition("b")), at(4));
-    let already = vec![text(0), text(1)];
-    assert_eq!(actions, [Action::Dispatch { attempt: attempt(2), precondition: precondition("b"), already }]);
+    let answer_prefix = vec![text(0), text(1)];
+    assert_eq!(
+        actions,
+        [Action::Dispatch { attempt: attempt(2), precondition: precondition("b"), answer_prefix }]
+    );
     assert!(matches!(request.handle(start(2, INCARNATION), at(5))[..], [Action::Started { .. }]));
     assert_eq!(request.handle(token(2, 2), at(6)), [emit(2)]);
 }
--- a/crates/core/tests/model_request_properties.rs
+++ b/crates/core/tests/model_request_properties.rs
@@ -44,12 +44,12 @@
                 assert!(refusal.outcome == Outcome::Unknown || !self.engine_touched);
                 self.endings += 1;
             }
-            Action::Dispatch { already, .. } => {
+            Action::Dispatch { answer_prefix, .. } => {
                 assert!(
                     self.repeatable || self.may_send,
                     "a second attempt of a request that is not repeatable"
                 );
-                assert_eq!(*already, (0..self.emitted).map(text).collect::<Vec<_>>());
+                assert_eq!(*answer_prefix, (0..self.emitted).map(text).collect::<Vec<_>>());
                 self.may_send = false;
                 self.attempt_is_open = true;
             }
--- a/crates/core/tests/peers_start.rs
+++ b/crates/core/tests/peers_start.rs
@@ -117,7 +117,7 @@
             PeerAnswer::Configuration(ConfigurationAnswer::Complete { configuration })
         }
         PeerRequest::Configuration(_) => {
-            PeerAnswer::Configuration(ConfigurationAnswer::Holds { revision: Revision(1) })
+            PeerAnswer::Configuration(ConfigurationAnswer::Applied { revision: Revision(1) })
         }
     }
 }
--- a/crates/language/src/answer.rs
+++ b/crates/language/src/answer.rs
@@ -234,6 +234,6 @@
         ChangeOutcome::Refused { revision, reason } => {
             format!("refused at revision {revision} because {reason}")
         }
-        ChangeOutcome::Unknown { settle_with } => format!("unknown; settle it with: {settle_with}"),
+        ChangeOutcome::Unknown { status_query } => format!("unknown; settle it with: {status_query}"),
     }
 }
--- a/crates/node/src/admin/audit.rs
+++ b/crates/node/src/admin/audit.rs
@@ -24,7 +24,7 @@
     fn heap_bytes(&self) -> usize {
         let detail = match &self.outcome {
             ChangeOutcome::Refused { reason, .. } => reason.capacity(),
-            ChangeOutcome::Unknown { settle_with } => settle_with.capacity(),
+            ChangeOutcome::Unknown { status_query } => status_query.capacity(),
             ChangeOutcome::Accepted { unconfirmed, .. } => {
                 let names = unconfirmed.iter().map(|node| node.as_str().len()).sum::<usize>();
                 names + std::mem::size_of_val(unconfirmed.as_slice())
--- a/crates/node/src/admin/change.rs
+++ b/crates/node/src/admin/change.rs
@@ -92,7 +92,7 @@
 fn with_settling_query(outcome: ChangeOutcome, id: &ChangeId) -> ChangeOutcome {
     match outcome {
         ChangeOutcome::Unknown { .. } => {
-            ChangeOutcome::Unknown { settle_with: format!("show changes where change = \"{id}\"") }
+            ChangeOutcome::Unknown { status_query: format!("show changes where change = \"{id}\"") }
         }
         other => other,
     }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -233,7 +233,7 @@
             let is_claim = matches!(message, ClaimMessage::Claim { .. });
             let event = match call_replica(&state, &to, &message).await {
                 Some(reply) if is_claim => ClaimEvent::Replied { replica: to, reply },
-                Some(_) => ClaimEvent::Noted { replica: to },
+                Some(_) => ClaimEvent::Acknowledged { replica: to },
                 None => ClaimEvent::Unreachable { replica: to },
             };
             // The coordinator may have ended.
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -160,8 +160,8 @@
                 self.pin_weights(continuation);
                 return Some(self.choose(&excluded).await);
             }
-            RequestAction::Dispatch { attempt, precondition, already } => {
-                return self.dispatch(attempt, precondition, already);
+            RequestAction::Dispatch { attempt, precondition, answer_prefix } => {
+                return self.dispatch(attempt, precondition, answer_prefix);
             }
             RequestAction::Resume { attempt, engine, incarnation, next_index } => {
                 let resume = ResumeRequest { attempt, incarnation, next_index };
--- a/crates/node/src/peers/driver.rs
+++ b/crates/node/src/peers/driver.rs
@@ -109,14 +109,14 @@
 
     /// Changes the configuration; returns once the change is in force, refused, or its outcome is unknown.
     pub async fn change(&self, state: &NodeState, request: ChangeRequest) -> ChangeOutcome {
-        let settle_with = format!("show change {}", request.id);
+        let status_query = format!("show change {}", request.id);
         let (call, receiver) = register(&self.next_call, &self.outcomes);
         self.handle_event(state, PeerEvent::Change { call, request: Box::new(request) });
         let outcome = tokio::time::timeout(CHANGE_TIMEOUT, receiver).await;
         lock(&self.outcomes).remove(&call);
         match outcome {
             Ok(Ok(outcome)) => outcome,
-            _ => ChangeOutcome::Unknown { settle_with },
+            _ => ChangeOutcome::Unknown { status_query },
         }
     }
 
--- a/crates/protocol/src/configuration.rs
+++ b/crates/protocol/src/configuration.rs
@@ -225,6 +225,7 @@
     /// The outcome could not be determined before the deadline.
     Unknown {
         /// A query whose answer shows whether the change was applied.
-        settle_with: String,
+        #[serde(rename = "settle_with")]
+        status_query: String,
     },
 }
--- a/crates/protocol/src/peer/claims.rs
+++ b/crates/protocol/src/peer/claims.rs
@@ -138,5 +138,6 @@
     #[serde(rename = "given_back")]
     AlreadyReleased,
     /// The record, release or seal is stored.
-    Noted,
+    #[serde(rename = "noted")]
+    Acknowledged,
 }
--- a/crates/protocol/src/peer/configuration.rs
+++ b/crates/protocol/src/peer/configuration.rs
@@ -103,18 +103,20 @@
         last_change: Option<ChangeId>,
     },
     /// Asks whether the receiver applies this revision or a later one. Answered by
-    /// [`ConfigurationAnswer::Holds`].
+    /// [`ConfigurationAnswer::Applied`].
     Check {
         revision: Revision,
         /// The requester, from which the receiver may pull the revision.
-        asker: crate::peer::membership::Representative,
+        #[serde(rename = "asker")]
+        requester: crate::peer::membership::Representative,
     },
     /// Asks for the status of a revision in the receiver's region. Answered by
     /// [`ConfigurationAnswer::RegionStatus`].
     CheckRegion {
         revision: Revision,
         /// The requester, from which the receiver may pull the revision.
-        asker: crate::peer::membership::Representative,
+        #[serde(rename = "asker")]
+        requester: crate::peer::membership::Representative,
     },
 }
 
@@ -136,7 +138,8 @@
     #[serde(rename = "whole")]
     Complete { configuration: Box<RevisedConfiguration> },
     /// The revision that the receiver applies.
-    Holds { revision: Revision },
+    #[serde(rename = "holds")]
+    Applied { revision: Revision },
     #[serde(rename = "region_holds")]
     RegionStatus(RegionStatus),
 }
--- a/specs/src/claims.rs
+++ b/specs/src/claims.rs
@@ -267,7 +267,7 @@
         let replica = NodeId::from(packet.replica.to_string());
         let event = match *packet.message {
             ClaimMessage::Claim { .. } => ClaimEvent::Replied { replica, reply },
-            ClaimMessage::Record { .. } => ClaimEvent::Noted { replica },
+            ClaimMessage::Record { .. } => ClaimEvent::Acknowledged { replica },
             ClaimMessage::Release { .. } | ClaimMessage::Seal { .. } => return,
         };
         let coordinator = self.attempts[packet.from_attempt].coordinator.as_ref();
