--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -78,9 +78,9 @@
     let (mut replica, key) = (replica(), key_of_second(10, 1));
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::Granted);
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::Granted);
-    let held = ClaimReply::Held { fingerprint: Fingerprint(1) };
-    assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), held);
-    assert_eq!(replica.handle(&record(&key, "a", "1"), seconds(11)), ClaimReply::Noted);
+    let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
+    assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), in_progress);
+    assert_eq!(replica.handle(&record(&key, "a", "1"), seconds(11)), ClaimReply::Acknowledged);
     let reply = replica.handle(&claim(&key, "b"), seconds(12));
     assert!(
         matches!(reply, ClaimReply::Ended { outcome: RecordedOutcome::Completed { answer: Some(answer) }, .. } if answer == "1")
@@ -154,7 +154,7 @@
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::AlreadyReleased);
     assert_eq!(replica.handle(&claim(&key, "b"), seconds(10)), ClaimReply::Granted);
     replica.handle(&release(&key, "a"), seconds(10));
-    assert!(matches!(replica.handle(&claim(&key, "c"), seconds(10)), ClaimReply::Held { .. }));
+    assert!(matches!(replica.handle(&claim(&key, "c"), seconds(10)), ClaimReply::InProgress { .. }));
     replica.handle(&record(&key, "b", "1"), seconds(10));
     replica.handle(&release(&key, "b"), seconds(10));
     assert!(matches!(replica.handle(&claim(&key, "c"), seconds(10)), ClaimReply::Ended { .. }));
@@ -207,10 +207,10 @@
     assert_eq!(asked(&first.handle(unreachable(), seconds(10))), ["r2"]);
     assert_eq!(asked(&second.handle(unreachable(), seconds(10))), ["r2"]);
     assert_eq!(asked(&reply(&mut first, "r2", ClaimReply::Granted)), ["r3"]);
-    let held = ClaimReply::Held { fingerprint: Fingerprint(1) };
-    let stopped = reply(&mut second, "r2", held);
+    let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
+    let stopped = reply(&mut second, "r2", in_progress);
     assert_eq!(refusal(&stopped).0, RefusalCode::InProgress);
-    assert!(asked(&stopped).is_empty(), "the second try holds nothing that the first one needs");
+    assert!(asked(&stopped).is_empty(), "the second attempt is granted nothing that the first one needs");
     assert!(reply(&mut first, "r3", ClaimReply::Granted).contains(&ClaimAction::Dispatch));
 }
 
@@ -235,9 +235,9 @@
     assert!(reply(&mut coordinator, "r3", ClaimReply::Granted).is_empty());
     let ran = ClaimEvent::DispatchEnded(RunResult::Completed { answer: "1".into() });
     assert_eq!(ending(&coordinator.handle(ran, seconds(10))), None);
-    let noted = |replica| ClaimEvent::Noted { replica: NodeId::from(replica) };
-    assert_eq!(ending(&coordinator.handle(noted("r1"), seconds(10))), None);
-    let actions = coordinator.handle(noted("r3"), seconds(10));
+    let acknowledged = |replica| ClaimEvent::Acknowledged { replica: NodeId::from(replica) };
+    assert_eq!(ending(&coordinator.handle(acknowledged("r1"), seconds(10))), None);
+    let actions = coordinator.handle(acknowledged("r3"), seconds(10));
     assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: false }));
 }
 
@@ -277,12 +277,12 @@
 
 #[test]
 fn no_refusal_without_a_majority_says_not_run() {
-    let held = ClaimReply::Held { fingerprint: Fingerprint(1) };
-    let other = ClaimReply::Held { fingerprint: Fingerprint(2) };
+    let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
+    let other = ClaimReply::InProgress { fingerprint: Fingerprint(2) };
     let too_old = ClaimReply::TooOld { floor: seconds(20) };
     let unknown = ClaimReply::Ended { fingerprint: Fingerprint(1), outcome: RecordedOutcome::Unknown };
     let cases = [
-        (held, RefusalCode::InProgress),
+        (in_progress, RefusalCode::InProgress),
         (other, RefusalCode::KeyReused),
         (too_old, RefusalCode::KeyTooOld),
         (unknown, RefusalCode::BackendFailed),
@@ -361,7 +361,7 @@
 #[test]
 fn a_sealed_epoch_grants_nothing_more_and_the_next_refuses_its_keys() {
     let (mut replica, key) = (replica(), key_of_second(10, 1));
-    assert_eq!(replica.handle(&ClaimMessage::Seal { epoch: EPOCH }, seconds(10)), ClaimReply::Noted);
+    assert_eq!(replica.handle(&ClaimMessage::Seal { epoch: EPOCH }, seconds(10)), ClaimReply::Acknowledged);
     assert_eq!(replica.handle(&claim(&key, "a"), seconds(10)), ClaimReply::OtherEpoch { epoch: EPOCH });
     replica.adopt(PlacementEpoch(2), false, seconds(20));
     replica.adopt(EPOCH, true, seconds(20));
@@ -378,7 +378,7 @@
     let settle = Duration::from_secs(30);
     assert!(Reconfiguration::begin(placement.clone(), settle).is_none());
     placement.next = Some(placement_of(&[("n4", "z1", "r")]).members);
-    let mut change = Reconfiguration::begin(placement, settle).expect("next members are named");
+    let mut change = Reconfiguration::begin(placement, settle).expect("the placement lists next members");
     assert_eq!(change.tick(seconds(1)).len(), 3);
     change.record_sealed(NodeId::from("stranger"), seconds(1));
     change.record_sealed(NodeId::from("n1"), seconds(1));
