--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -103,7 +103,7 @@
     let arrival = |seen: paddlemount_platform_standin::ReceivedRequest| Arrival {
         node: node_of(&seen.id),
         at: seen.at,
-        starts: seen.starts,
+        starts: seen.restarts,
         limit: seen.limit.and_then(|text| text.parse().ok()),
         passed_on: seen.ran,
     };
--- a/crates/cli/tests/forward/soak/announced.rs
+++ b/crates/cli/tests/forward/soak/announced.rs
@@ -44,7 +44,7 @@
 ) -> Vec<IgnoredAnnouncement> {
     let mut by_process: BTreeMap<(usize, u32), Vec<&Arrival>> = BTreeMap::new();
     for arrival in arrivals.iter().filter(|arrival| !arrival.seen.misdirected) {
-        by_process.entry((arrival.node, arrival.seen.starts)).or_default().push(arrival);
+        by_process.entry((arrival.node, arrival.seen.restarts)).or_default().push(arrival);
     }
     let disconnected = |node: usize, from: Instant, to: Instant| {
         disturbances.iter().any(|disturbance| disturbance.disconnects_node(node, from, to))
@@ -124,7 +124,7 @@
             deadline_ms: 1,
             resumes_after: None,
             body: Vec::new(),
-            starts: 0,
+            restarts: 0,
             misdirected: false,
             announced_leaving: false,
             retry_after: None,
@@ -163,7 +163,7 @@
     #[test]
     fn a_new_start_of_the_back_end_ends_both() {
         let start = Instant::now();
-        let again = |ms| ReceivedRequest { starts: 1, ..seen(start, ms) };
+        let again = |ms| ReceivedRequest { restarts: 1, ..seen(start, ms) };
         assert_eq!(count_ignored(&[leaving(start, 0), again(9_000)], &[]), 0);
         assert_eq!(count_ignored(&[backing_off(start, 0), again(900), again(950), again(990)], &[]), 0);
     }
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -113,7 +113,7 @@
                     Some(limit_judge::Arrival {
                         node: sent.node,
                         at: seen.at,
-                        starts: seen.starts,
+                        starts: seen.restarts,
                         limit,
                         passed_on,
                     })
