--- a/crates/node/src/admin/client.rs
+++ b/crates/node/src/admin/client.rs
@@ -102,7 +102,7 @@
 }
 
 impl WatchStream {
-    /// The next line; none if the stream has ended regularly.
+    /// The next line; none if the server has ended the stream.
     ///
     /// # Errors
     ///
--- a/crates/node/src/admin/counters.rs
+++ b/crates/node/src/admin/counters.rs
@@ -18,7 +18,7 @@
 pub const MAX_POOLS: usize = 64;
 /// The pool label of all further pools.
 pub const OTHER_POOLS: &str = "other";
-/// The minimum weights of the tenant classes `medium` and `large`.
+/// The minimum tenant weights of the classes `medium` and `large`.
 const CLASS_WEIGHTS: (u32, u32) = (2, 10);
 
 const PROMPT_TOKENS: &str = "paddlemount_prompt_tokens_total";
--- a/crates/node/src/admin/explain.rs
+++ b/crates/node/src/admin/explain.rs
@@ -183,7 +183,7 @@
     Ok(preview(query, &blocks.last().map(ToString::to_string), &decision))
 }
 
-/// The answer length that a preview assumes.
+/// The answer length that a preview assumes, in tokens.
 const PREVIEW_MAX_TOKENS: u32 = 256;
 
 fn preview(query: &RouteQuery, prefix: &Option<String>, decision: &Decision) -> Explanation {
--- a/crates/node/src/admin/prefixes.rs
+++ b/crates/node/src/admin/prefixes.rs
@@ -65,10 +65,10 @@
             entry.count.add(1.0, now);
         }
         while counted.len() > MAX_PREFIXES {
-            let coldest =
+            let least_requested =
                 counted.iter().min_by(|left, right| left.1.count.at(now).total_cmp(&right.1.count.at(now)));
-            let Some(coldest) = coldest.map(|(block, _)| *block) else { return };
-            counted.remove(&coldest);
+            let Some(least_requested) = least_requested.map(|(block, _)| *block) else { return };
+            counted.remove(&least_requested);
         }
     }
 
@@ -119,9 +119,8 @@
             excluded: &[],
         };
         let decision = self.state.with_router(|router| router.preview(&route_request, now));
-        let holds_all =
-            |believed: u32| usize::try_from(believed).is_ok_and(|believed| believed >= blocks.len());
-        let holders = decision.candidates.iter().filter(|candidate| holds_all(candidate.matched_blocks));
+        let caches_all = |matched: u32| usize::try_from(matched).is_ok_and(|matched| matched >= blocks.len());
+        let holders = decision.candidates.iter().filter(|candidate| caches_all(candidate.matched_blocks));
         let mut holders: Vec<String> = holders.map(|candidate| candidate.engine.to_string()).collect();
         holders.sort();
         self.own_row(Noun::Prefixes)
--- a/crates/node/src/admin/rows/configuration.rs
+++ b/crates/node/src/admin/rows/configuration.rs
@@ -98,11 +98,11 @@
     /// Changes requested at this node, and accepted changes recorded in the configuration.
     pub(super) fn visit_changes(&self, visitor: Visitor<'_>) -> ControlFlow<()> {
         let audited = self.state.observations.audit_trail();
-        let remembered = self.active.document.configuration.changes.iter().rev();
+        let recorded = self.active.document.configuration.changes.iter().rev();
         let is_audited = |record: &&ChangeRecord| audited.iter().any(|entry| entry.change == record.id);
-        let remembered = remembered.filter(|record| !is_audited(record));
+        let recorded = recorded.filter(|record| !is_audited(record));
         audited.iter().map(|entry| self.audit_row(entry)).try_for_each(&mut *visitor)?;
-        remembered.map(|record| self.record_row(record)).try_for_each(visitor)
+        recorded.map(|record| self.record_row(record)).try_for_each(visitor)
     }
 
     /// The row of a change that was requested at this node.
--- a/crates/node/src/admin/watch.rs
+++ b/crates/node/src/admin/watch.rs
@@ -1,7 +1,7 @@
 //! `watch`: a stream of new or changed rows, as JSON lines.
 //!
 //! A stream holds no buffer of its own. It reads the nodes' journals from its last position whenever the
-//! receiver has taken the lines before; a receiver that is too slow is told how many rows it lost.
+//! receiver has taken the previous lines; a receiver that is too slow gets the number of rows it missed.
 
 use std::{collections::BTreeMap, convert::Infallible, sync::Arc, time::Duration};
 
@@ -137,7 +137,7 @@
     for line in lines {
         match serde_json::to_writer(&mut bytes, line) {
             Ok(()) => bytes.push(b'\n'),
-            Err(error) => log::error!("a line of watch cannot be encoded: {error}"),
+            Err(error) => log::error!("cannot encode a line of a watch stream as JSON: {error}"),
         }
     }
     bytes.into()
@@ -250,7 +250,7 @@
     format!("{node} {}", serde_json::Value::from_iter(key))
 }
 
-/// A row without the fields that change by themselves.
+/// A row's values without `age` and `node`, which differ between reads of an unchanged object.
 fn compared_values(noun: Noun, row: &Row) -> Vec<Value> {
     let fields = noun.fields().zip(row.values());
     fields
--- a/crates/node/src/caller/services.rs
+++ b/crates/node/src/caller/services.rs
@@ -54,7 +54,7 @@
 }
 
 impl ServiceSpec {
-    /// The fingerprint of the call, equal for each repetition, whatever its key.
+    /// The fingerprint of the call, equal for each retry, whatever its key.
     fn fingerprint(&self) -> RequestFingerprint {
         let path = format!("/v1/services/{}/{}", self.service, self.operation);
         quarantine::fingerprint(&path, &self.tenant, self.body.to_string().as_bytes())
@@ -284,11 +284,11 @@
         }
         Ok(_) => ServiceEvent::Unclear,
         Err(error) => {
-            log::warn!("service {} at {}: {error}", spec.service, entry.address);
+            log::warn!("call of service {} at {} failed: {error}", spec.service, entry.address);
             if matches!(error, ClientError::Broken { .. } | ClientError::Timeout { .. }) {
                 detect_crash(state, spec, entry, began);
             }
-            ending(&error, timeout == remaining)
+            failure_event(&error, timeout == remaining)
         }
     }
 }
@@ -307,7 +307,7 @@
     quarantine::detect_crash(state, broken, LivenessCheck::Instance(entry.address));
 }
 
-fn ending(error: &ClientError, at_deadline: bool) -> ServiceEvent {
+fn failure_event(error: &ClientError, at_deadline: bool) -> ServiceEvent {
     match error {
         ClientError::Connect { .. } => ServiceEvent::NotRun { refusal: None },
         ClientError::Status { body, .. } => match serde_json::from_slice::<Refusal>(body) {
--- a/crates/node/src/caller/stream.rs
+++ b/crates/node/src/caller/stream.rs
@@ -132,13 +132,13 @@
     fn event<T: Serialize>(&mut self, event: &T) {
         self.buffer.put_slice(b"data: ");
         if let Err(error) = serde_json::to_writer((&mut self.buffer).writer(), event) {
-            log::error!("an event cannot be encoded: {error}");
+            log::error!("cannot encode an event as JSON: {error}");
         }
         self.buffer.put_slice(b"\n\n");
     }
 
-    fn add(&mut self, part: Output) {
-        match part {
+    fn add(&mut self, output: Output) {
+        match output {
             Output::Started => {}
             Output::Token(text) => self.chunk(ChunkDelta { role: None, content: Some(text) }, None, None),
             Output::Finished { tokens, reason, usage } => {
@@ -164,7 +164,7 @@
     fn poll_output(&mut self, context: &mut Context<'_>) {
         while self.ending == Ending::Open && self.buffer.len() < MAX_WRITE_BYTES {
             match self.output.poll_recv(context) {
-                Poll::Ready(Some(part)) => self.add(part),
+                Poll::Ready(Some(output)) => self.add(output),
                 Poll::Ready(None) => {
                     self.fail(Refusal::unknown(RefusalCode::Internal, "the request ended without an ending"));
                 }
@@ -221,7 +221,7 @@
     let bytes = match serde_json::to_vec(body) {
         Ok(bytes) => Bytes::from(bytes),
         Err(error) => {
-            log::error!("an answer cannot be encoded: {error}");
+            log::error!("cannot encode an answer as JSON: {error}");
             let refusal = Refusal::unknown(RefusalCode::Internal, "the answer cannot be encoded");
             return json_answer(500, &refusal);
         }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -118,14 +118,14 @@
     runner: R,
 ) -> Result<serde_json::Value, Refusal> {
     let request = claimed_request(state, spec, key)?;
-    let (events, inbox) = mpsc::unbounded_channel();
+    let (events, event_receiver) = mpsc::unbounded_channel();
     let (outcome_sender, outcome) = tokio::sync::oneshot::channel();
     let now = state.clock.now();
     let (coordinator, actions) = ClaimCoordinator::begin(request, &state.claims.settings, now);
     let driver =
         Driver { state: Arc::clone(state), coordinator, events, outcome_sender: Some(outcome_sender) };
     // Detached, so that the result is recorded for the caller's retry even if it disconnects.
-    tokio::spawn(driver.drive(actions, inbox, runner, spec.deadline));
+    tokio::spawn(driver.drive(actions, event_receiver, runner, spec.deadline));
     match outcome.await {
         Ok(ClaimOutcome::Answered { answer, .. }) => serde_json::from_str(&answer).map_err(|error| {
             Refusal::unknown(RefusalCode::Internal, format!("the answer is no JSON: {error}"))
@@ -170,7 +170,7 @@
     async fn drive<R: Runner>(
         mut self,
         mut actions: Vec<ClaimAction>,
-        mut inbox: mpsc::UnboundedReceiver<ClaimEvent>,
+        mut event_receiver: mpsc::UnboundedReceiver<ClaimEvent>,
         mut runner: R,
         deadline: Timestamp,
     ) {
@@ -184,12 +184,12 @@
                 actions = self.coordinator.handle(ClaimEvent::DispatchEnded(result), self.state.clock.now());
                 continue;
             }
-            let Some(event) = inbox.recv().await else { return };
+            let Some(event) = event_receiver.recv().await else { return };
             actions = self.coordinator.handle(event, self.state.clock.now());
         }
     }
 
-    /// The runner enforces the deadline; a run that exceeds it has an unknown outcome.
+    /// Runs the request until the deadline; a run that exceeds it has an unknown outcome.
     async fn run<R: Runner>(&self, runner: &mut R, deadline: Timestamp) -> RunResult {
         let remaining = deadline.saturating_since(self.state.clock.now());
         match tokio::time::timeout(remaining, runner.run()).await {
@@ -252,7 +252,7 @@
     match transport::call(state, address, PATH, message, timeout).await {
         Ok(reply) => Some(reply),
         Err(error) => {
-            log::debug!("claim replica {to}: {error}");
+            log::debug!("cannot call claim replica {to}: {error}");
             None
         }
     }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -54,17 +54,17 @@
 }
 
 impl ClientError {
-    /// Whether the receiver certainly never got the request.
+    /// Whether the request was certainly not sent.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::Connect { .. })
     }
 }
 
 impl HttpClient {
-    /// Creates a client with a connect timeout.
-    pub fn new(connect: Duration) -> Self {
+    /// Creates a client.
+    pub fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
         let build = |idle_connections| {
             Client::builder(TokioExecutor::new())
@@ -80,8 +80,8 @@
 
     /// A client that opens a new connection for each request, for requests that must not be retried.
     ///
-    /// A server may close an idle connection just as a request is sent on it, which cannot be told from a
-    /// request that ran and whose answer was lost. A new connection avoids this.
+    /// A server may close an idle connection just as a request is sent on it. The client cannot distinguish
+    /// this from a request that ran and whose answer was lost. A new connection avoids this.
     pub fn single_use(&self) -> Self {
         Self { client: self.single_use.clone(), single_use: self.single_use.clone() }
     }
@@ -142,7 +142,7 @@
         timeout: Duration,
     ) -> Result<A, ClientError> {
         let builder = Request::builder().method(Method::GET).uri(format!("http://{address}{path}"));
-        self.fetch_json(address, finish(address, builder, Bytes::new())?, timeout).await
+        self.fetch_json(address, with_body(address, builder, Bytes::new())?, timeout).await
     }
 
     /// Sends a prepared request and reads a JSON answer within `timeout`.
@@ -187,10 +187,10 @@
         .method(Method::POST)
         .uri(format!("http://{address}{path}"))
         .header(header::CONTENT_TYPE, "application/json");
-    finish(address, builder, Bytes::from(body))
+    with_body(address, builder, Bytes::from(body))
 }
 
-fn finish(
+fn with_body(
     address: SocketAddr,
     builder: http::request::Builder,
     body: Bytes,
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -75,7 +75,7 @@
 /// Holds the configuration in force. Its revision never decreases.
 pub struct ConfigurationCell {
     active: ArcSwap<ActiveConfiguration>,
-    replace: Mutex<()>,
+    install_lock: Mutex<()>,
     revision: watch::Sender<Revision>,
     confirmed: watch::Sender<Timestamp>,
 }
@@ -84,7 +84,7 @@
     fn default() -> Self {
         Self {
             active: ArcSwap::default(),
-            replace: Mutex::new(()),
+            install_lock: Mutex::new(()),
             revision: watch::Sender::new(Revision(0)),
             confirmed: watch::Sender::new(Timestamp::ZERO),
         }
@@ -119,7 +119,7 @@
 
     /// Installs a document if its revision is higher; returns whether it was.
     pub fn offer(&self, document: RevisedConfiguration) -> bool {
-        let guard = self.replace.lock().unwrap_or_else(PoisonError::into_inner);
+        let guard = self.install_lock.lock().unwrap_or_else(PoisonError::into_inner);
         if document.revision <= self.revision() {
             return false;
         }
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -35,7 +35,7 @@
 use crate::{active::ActiveRequests, clock::Clock, metrics::NodeMetrics, state::NodeState};
 
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// Tells callers how long an idle connection stays open.
+/// Advertises to callers how long an idle connection stays open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 /// Counts connections on which bytes arrived after they had closed.
 const CLOSED_UNREAD: &str = "paddlemount_connections_closed_unread_total";
@@ -81,7 +81,7 @@
         self.metrics.counter(CLOSED_UNREAD, &[]).increment(1);
         let ClosedUnread { bytes, open_ms, stopping } = *closed;
         log::info!(
-            "{bytes} bytes crossed the close of a connection, open {open_ms} ms, stopping: {stopping}"
+            "{bytes} bytes arrived on a connection after its close; open {open_ms} ms, stopping: {stopping}"
         );
     }
 }
@@ -119,7 +119,8 @@
 
     async fn call(&self, stream: TcpStream) -> Result<CallerIo, ()> {
         let stream = stream.into_std().and_then(tokio::net::TcpStream::from_std);
-        let stream = stream.map_err(|error| log::error!("a connection could not be taken: {error}"))?;
+        let stream =
+            stream.map_err(|error| log::error!("cannot register an accepted connection: {error}"))?;
         let socket = CallerSocket::new(stream, Rc::clone(&self.host));
         // Each task serves one connection and accepts it once.
         let _ = CONNECTION.try_with(|connection| connection.set(Rc::clone(&socket)));
@@ -194,8 +195,8 @@
 impl AsyncBufRead for CallerIo {
     async fn read<B: BoundedBufMut>(&self, mut buffer: B) -> (io::Result<usize>, B) {
         let mut bytes = [0; READ_BUFFER_BYTES];
-        let room = (buffer.bytes_total() - buffer.bytes_init()).min(READ_BUFFER_BYTES);
-        let read = self.read_some(&mut bytes[..room]).await;
+        let capacity = (buffer.bytes_total() - buffer.bytes_init()).min(READ_BUFFER_BYTES);
+        let read = self.read_some(&mut bytes[..capacity]).await;
         if let Ok(count) = read {
             buffer.put_slice(&bytes[..count]);
         }
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -56,8 +56,9 @@
 pub struct Directory {
     view: RwLock<DirectoryState>,
     list: watch::Sender<Arc<MachineList>>,
-    last_round: tokio::sync::Mutex<Timestamp>,
-    received: AtomicBool,
+    last_refresh: tokio::sync::Mutex<Timestamp>,
+    /// Whether a machine list was received since the start.
+    has_list: AtomicBool,
 }
 
 #[derive(Debug, Default)]
@@ -71,8 +72,8 @@
         Self {
             view: RwLock::default(),
             list: watch::Sender::new(Arc::new(MachineList::default())),
-            last_round: tokio::sync::Mutex::new(Timestamp::ZERO),
-            received: AtomicBool::new(false),
+            last_refresh: tokio::sync::Mutex::new(Timestamp::ZERO),
+            has_list: AtomicBool::new(false),
         }
     }
 }
@@ -85,7 +86,7 @@
 
     /// Whether a machine list was received since the start.
     pub fn has_machine_list(&self) -> bool {
-        self.received.load(Ordering::Acquire)
+        self.has_list.load(Ordering::Acquire)
     }
 
     /// All engines of the last machine list.
@@ -131,7 +132,7 @@
         *view = next;
         drop(view);
         let changed =
-            !self.received.swap(true, Ordering::AcqRel) || list.revision != self.list.borrow().revision;
+            !self.has_list.swap(true, Ordering::AcqRel) || list.revision != self.list.borrow().revision;
         if changed {
             self.list.send_replace(Arc::new(list));
         }
@@ -172,7 +173,7 @@
     let address = state.settings.platform.machine_list;
     match state.client.get_json::<MachineList>(address, "/machines", POLL_TIMEOUT).await {
         Ok(list) => apply_list(state, list),
-        Err(error) => log::warn!("machine list: {error}"),
+        Err(error) => log::warn!("cannot read the machine list: {error}"),
     }
 }
 
@@ -192,7 +193,7 @@
     apply_drains(state);
 }
 
-/// Marks engines as draining in the router, as the machine list or an operator says.
+/// Passes to the router which engines drain, by the machine list or by an operator's change.
 pub fn apply_drains(state: &NodeState) {
     let configuration = state.configuration.load();
     let drained: BTreeSet<&EngineId> = configuration.document.configuration.drained.keys().collect();
@@ -266,7 +267,7 @@
 /// Refreshes the machine list and the status of all engines, because no engine could serve a request.
 /// Concurrent calls share one refresh, at most one in each [`MIN_REFRESH_INTERVAL`]. Always returns true.
 pub async fn refresh_all(state: &Arc<NodeState>) -> bool {
-    let mut last = state.directory.last_round.lock().await;
+    let mut last = state.directory.last_refresh.lock().await;
     let now = state.clock.now();
     if now.saturating_since(*last) >= MIN_REFRESH_INTERVAL {
         read_list(state).await;
@@ -288,6 +289,6 @@
     match answer {
         Ok(status) if status.engine == engine => state.apply_status(&status),
         Ok(status) => log::warn!("engine {} at {} reports the name {}", engine, entry.address, status.engine),
-        Err(error) => log::debug!("status of {engine}: {error}"),
+        Err(error) => log::debug!("cannot read the status of {engine}: {error}"),
     }
 }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -51,12 +51,13 @@
     connection: Connection,
     import: Option<KvTransfer>,
     usage: Usage,
-    first_token: bool,
+    has_first_token: bool,
     permit: Option<Permit>,
     dispatched: Timestamp,
     engine: Option<EngineId>,
     /// The incarnation of that engine.
     incarnation: Option<Incarnation>,
+    /// The one-way network delay to that engine, as the router estimates it.
     distance: Duration,
     record: ExchangeRecord,
 }
@@ -79,7 +80,7 @@
         import: None,
         usage: Usage { prompt_tokens: prompt_tokens(spec.prompt.len()), ..Usage::default() },
         spec,
-        first_token: false,
+        has_first_token: false,
         permit: None,
         dispatched: Timestamp::ZERO,
         engine: None,
@@ -234,15 +235,15 @@
     }
 
     fn record_first_token(&mut self, index: u32) {
-        if self.first_token {
+        if self.has_first_token {
             return;
         }
-        self.first_token = true;
+        self.has_first_token = true;
         self.apply(RouterEvent::FirstToken { attempt: &self.spec.attempt(self.machine.attempts()) });
         if let (Some(permit), Some(engine)) = (&self.permit, &self.engine) {
-            let missing = self.usage.prompt_tokens.saturating_sub(self.usage.cached_tokens);
+            let missing_tokens = self.usage.prompt_tokens.saturating_sub(self.usage.cached_tokens);
             let elapsed = self.state.clock.now().saturating_since(self.dispatched);
-            permit.record_first_token(engine, missing, self.distance, elapsed);
+            permit.record_first_token(engine, missing_tokens, self.distance, elapsed);
         }
         let waited = self.state.clock.now().saturating_since(self.spec.arrived);
         if index == 0 {
@@ -348,13 +349,13 @@
     }
 
     /// Sends an output to the caller, waiting while the channel is full.
-    async fn emit(&mut self, part: Output) -> Option<RequestEvent> {
-        let part = match self.output.try_send(part) {
+    async fn emit(&mut self, output: Output) -> Option<RequestEvent> {
+        let output = match self.output.try_send(output) {
             Ok(()) => return None,
             Err(mpsc::error::TrySendError::Closed(_)) => return Some(RequestEvent::CallerDisconnected),
-            Err(mpsc::error::TrySendError::Full(part)) => part,
+            Err(mpsc::error::TrySendError::Full(output)) => output,
         };
-        match self.output.send_timeout(part, self.state.settings.timeouts.caller_stall).await {
+        match self.output.send_timeout(output, self.state.settings.timeouts.caller_stall).await {
             Ok(()) => Some(RequestEvent::BackpressureEnded),
             Err(_) => Some(RequestEvent::CallerDisconnected),
         }
--- a/crates/node/src/exchange/connection.rs
+++ b/crates/node/src/exchange/connection.rs
@@ -16,7 +16,7 @@
 use crate::client::{ClientError, HttpClient};
 
 const MAX_FRAME_BYTES: usize = 64 << 10;
-/// The timers of the request's state machine fire much earlier.
+/// Has no effect in practice, as the timers of the request's state machine fire much earlier.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Result<Response<Incoming>, ClientError>> + Send>>;
@@ -96,7 +96,7 @@
     Box::pin(async move { client.open(address, request, RESPONSE_HEAD_TIMEOUT).await })
 }
 
-/// Cancel safe: complete lines are taken from the buffer first.
+/// Reads the next frame. Cancel safe: bytes read stay in the buffer until their line is complete.
 async fn read_frame(attempt: &AttemptId, body: &mut Incoming, buffer: &mut BytesMut) -> RequestEvent {
     loop {
         if let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
@@ -128,7 +128,7 @@
 }
 
 fn failure(attempt: AttemptId, resumed: bool, error: &ClientError) -> RequestEvent {
-    log::debug!("attempt {attempt}: {error}");
+    log::debug!("attempt {attempt} failed: {error}");
     match error {
         ClientError::Connect { .. } => RequestEvent::NotSent { attempt },
         ClientError::Status { body, .. } if !resumed => match refusal_of(body) {
@@ -142,7 +142,7 @@
     }
 }
 
-/// Stands for a refusal that does not name an incarnation.
+/// The incarnation in a refusal whose sender did not state one.
 pub const UNKNOWN_INCARNATION: Incarnation = Incarnation(0);
 
 /// The refusal in the body of an engine's answer. Any other body proves nothing about the attempt.
--- a/crates/node/src/exchange/spec.rs
+++ b/crates/node/src/exchange/spec.rs
@@ -34,7 +34,7 @@
     pub deadline: Timestamp,
     /// W3C trace context.
     pub traceparent: Option<String>,
-    /// Equal for each repetition of the request by the caller.
+    /// Equal for each retry of the request by the caller.
     pub fingerprint: RequestFingerprint,
 }
 
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -61,10 +61,10 @@
     let region = &state.settings.region;
     let mut engines = state.directory.engines();
     engines.retain(|(_, entry)| entry.region == *region);
-    let few = engines.len() <= MAX_ENGINES_FOLLOWED_BY_ALL;
+    let read_all = engines.len() <= MAX_ENGINES_FOLLOWED_BY_ALL;
     let names = engines.into_iter().map(|(engine, _)| engine);
     state.peers.inspect(|peers, _| {
-        names.filter(|engine| few || feed_owners::owns(peers.members(), engine)).collect()
+        names.filter(|engine| read_all || feed_owners::owns(peers.members(), engine)).collect()
     })
 }
 
@@ -73,6 +73,7 @@
     state: Arc<NodeState>,
     engine: EngineId,
     incarnation: Incarnation,
+    /// The last event read.
     after: EventSequence,
     next_snapshot_at: Timestamp,
 }
@@ -88,7 +89,7 @@
             let pause = match self.read().await {
                 Ok(()) => READ_INTERVAL,
                 Err(error) => {
-                    log::debug!("feed of {}: {error}", self.engine);
+                    log::debug!("cannot read the cache event feed of {}: {error}", self.engine);
                     RETRY_INTERVAL
                 }
             };
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -49,7 +49,7 @@
     let (status, bytes) = match serde_json::to_vec(body) {
         Ok(bytes) => (StatusCode::from_u16(status), bytes),
         Err(error) => {
-            log::error!("an answer cannot be encoded: {error}");
+            log::error!("cannot encode an answer as JSON: {error}");
             (Ok(StatusCode::INTERNAL_SERVER_ERROR), Vec::new())
         }
     };
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -56,7 +56,7 @@
         let peers = server::bind("peers", listen.peers)?;
         let admin = server::bind("admin", listen.admin)?;
         let timeouts = settings.timeouts;
-        let bounds = |name, workers| ServerSettings {
+        let server_settings = |name, workers| ServerSettings {
             name,
             workers,
             head: timeouts.head,
@@ -67,9 +67,9 @@
         let mut settings = settings;
         settings.listen.peers = peers.local_addr()?;
         let state = Arc::new(NodeState::new(settings));
-        let callers = caller::start(&state, callers, bounds("callers", workers))?;
-        let peers = peers::start(&state, peers, bounds("peers", INTERNAL_WORKERS))?;
-        let admin = admin::start(&state, admin, bounds("admin", INTERNAL_WORKERS))?;
+        let callers = caller::start(&state, callers, server_settings("callers", workers))?;
+        let peers = peers::start(&state, peers, server_settings("peers", INTERNAL_WORKERS))?;
+        let admin = admin::start(&state, admin, server_settings("admin", INTERNAL_WORKERS))?;
         let tasks = drivers::spawn(&state);
         Ok(RunningNode { state, tasks, callers, peers, admin })
     }
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -34,7 +34,7 @@
 pub use permit::{Denied, Permit, enter, enter_service};
 
 /// Bytes of JSON around the digests of a [`PiggybackItem`].
-const ITEM_OVERHEAD: usize = 40;
+const ITEM_OVERHEAD_BYTES: usize = 40;
 
 /// The result of a request's wait for admission.
 type AdmissionResult = Result<Grant, Refusal>;
@@ -118,9 +118,9 @@
         self.lock().limits.view(tenant)
     }
 
-    /// The usage reports to piggyback on the next probe.
-    pub fn quota_item(&self, bytes: usize, now: Timestamp) -> Option<PiggybackItem> {
-        let digests = self.lock().limits.digests(bytes.saturating_sub(ITEM_OVERHEAD), now);
+    /// The usage reports to piggyback on the next probe, in at most `max_bytes`.
+    pub fn quota_item(&self, max_bytes: usize, now: Timestamp) -> Option<PiggybackItem> {
+        let digests = self.lock().limits.digests(max_bytes.saturating_sub(ITEM_OVERHEAD_BYTES), now);
         let body = serde_json::to_value(digests).ok()?;
         Some(PiggybackItem { topic: Topic::Quotas, body })
     }
--- a/crates/node/src/overload/driver.rs
+++ b/crates/node/src/overload/driver.rs
@@ -9,7 +9,7 @@
 use super::Inner;
 use crate::state::NodeState;
 
-/// Interval between usage reports; the interval of
+/// Interval between usage reports; must equal the one in
 /// [`LimitSettings`](paddlemount_core::limits::LimitSettings).
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 const MAX_SLEEP: Duration = Duration::from_secs(1);
--- a/crates/node/src/overload/permit.rs
+++ b/crates/node/src/overload/permit.rs
@@ -88,7 +88,7 @@
     ) {
         let inner = &mut *self.overload.lock();
         let Some(speed) = inner.capacity.speed(engine) else { return };
-        let expected = prefill(&speed, missing_tokens) + step(&speed) + distance * 2;
+        let expected = prefill(&speed, missing_tokens) + decode_step(&speed) + distance * 2;
         let queueing = elapsed.saturating_sub(expected);
         let event = AdmissionEvent::FirstToken { ticket: self.ticket.clone(), queueing };
         inner.apply(event, self.state.clock.now());
@@ -108,7 +108,7 @@
     Duration::from_secs_f64(f64::from(tokens) / speed.prefill_tokens_per_second.max(1.0))
 }
 
-fn step(speed: &EngineSpeed) -> Duration {
+fn decode_step(speed: &EngineSpeed) -> Duration {
     Duration::from_secs_f64(speed.decode_step_ms.max(0.0) / 1_000.0)
 }
 
@@ -192,7 +192,7 @@
     let speed = inner.capacity.pool_speed(&spec.pool)?;
     let configuration = state.configuration.load();
     let tenant = configuration.document.configuration.tenants.get(&spec.tenant);
-    let work = prefill(&speed, prompt_tokens(spec.prompt.len())) + step(&speed) * spec.max_tokens;
+    let work = prefill(&speed, prompt_tokens(spec.prompt.len())) + decode_step(&speed) * spec.max_tokens;
     inner.waiting.insert(spec.request.clone(), sender);
     let request = AdmissionRequest {
         ticket: spec.request.clone(),
--- a/crates/node/src/peers/items.rs
+++ b/crates/node/src/peers/items.rs
@@ -12,6 +12,6 @@
     match item.topic {
         Topic::Quotas => state.overload.receive_quota_item(&item, state.clock.now()),
         Topic::Crashes => state.quarantine.receive_item(&item, state.clock.now()),
-        topic => log::trace!("item from {from}: {topic:?}"),
+        topic => log::trace!("ignored an item from {from} with topic {topic:?}"),
     }
 }
--- a/crates/node/src/peers/store.rs
+++ b/crates/node/src/peers/store.rs
@@ -42,7 +42,7 @@
         }
     };
     result.map_err(|(failure, message)| {
-        log::warn!("configuration store, {kind}: {message}");
+        log::warn!("{kind} call to the configuration store failed: {message}");
         failure
     })
 }
@@ -57,6 +57,6 @@
     let read: Result<StoreValue, ClientError> = state.client.post_json(address, path, body, timeout).await;
     let value = read.map_err(|error| (store_failure(&error), error.to_string()))?;
     let document = StoredDocument::try_from(value);
-    let document = document.map_err(|error| (StoreFailure::Unclear, format!("the document: {error}")))?;
+    let document = document.map_err(|error| (StoreFailure::Unclear, format!("invalid document: {error}")))?;
     Ok(StoreReply::Document(document))
 }
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -1,6 +1,6 @@
 //! Detects attempts that crashed their back end, and gossips the crashes among nodes.
 //!
-//! Each node decides by what it and all others have observed: crashes are piggybacked on probes, and each
+//! Each node decides from the crashes that any node has observed: they are piggybacked on probes, and each
 //! node passes on what it receives. A restarted node catches up within a few probes. [`Quarantine`] decides
 //! which requests to hold.
 
@@ -56,7 +56,7 @@
     pub began: Timestamp,
 }
 
-/// The fingerprint of a request, equal for each repetition by the caller.
+/// The fingerprint of a request, equal for each retry by the caller.
 pub fn fingerprint(path: &str, tenant: &TenantId, body: &[u8]) -> RequestFingerprint {
     Origin { method: "POST", host: "", path, caller: tenant.as_str() }.fingerprint(body)
 }
@@ -80,7 +80,7 @@
     /// Records that an attempt completed.
     pub fn record_completion(&self, fingerprint: RequestFingerprint, now: Timestamp) {
         if self.lock().record_completion(fingerprint, now) {
-            log::info!("request {fingerprint} is no longer held back: a try of it came to its end");
+            log::info!("request {fingerprint} is no longer held back: an attempt completed");
         }
     }
 
@@ -90,7 +90,7 @@
             Ok(report) => {
                 for fingerprint in self.lock().receive_report(report, now) {
                     log::info!(
-                        "request {fingerprint} is no longer held back: a try of it came to its end elsewhere"
+                        "request {fingerprint} is no longer held back: an attempt completed at another node"
                     );
                 }
             }
@@ -102,7 +102,7 @@
 /// How to check whether a back end has crashed.
 #[derive(Clone, Copy, Debug)]
 pub enum LivenessCheck {
-    /// Asks the engine for its incarnation.
+    /// Checks whether the engine at this address still reports this incarnation.
     Engine(SocketAddr, Incarnation),
     /// Checks whether a service instance accepts connections.
     Instance(SocketAddr),
@@ -197,7 +197,7 @@
         );
     }
     for fingerprint in ended {
-        log::info!("request {fingerprint} is no longer held back: its time is over");
+        log::info!("request {fingerprint} is no longer held back: the hold expired");
     }
     let gauge = |name, value: f64| state.metrics.gauge(name, &[]).set(value);
     gauge("paddlemount_held_requests", counts.0 as f64);
--- a/crates/node/tests/admin/first_minutes.rs
+++ b/crates/node/tests/admin/first_minutes.rs
@@ -59,7 +59,7 @@
     let question = statement("explain request", "REQUEST", request);
     let explanation = cluster.explanation(0, &question).await;
     assert!(explanation.summary.contains("went to engine-"), "{}", explanation.summary);
-    let answer = cluster.ask_as(0, READ_KEY, &question).await.unwrap();
+    let answer = cluster.query_as(0, READ_KEY, &question).await.unwrap();
     println!("{question}\n{}", render::text(&answer));
 }
 
@@ -67,9 +67,9 @@
     let question = statement("show prefixes", "", "");
     let table = cluster
         .until(0, &question, |table| {
-            let held =
+            let has_holder =
                 |row: &Vec<Value>| row.iter().any(|v| matches!(v, Value::List(names) if !names.is_empty()));
-            table.rows.first().is_some_and(held)
+            table.rows.first().is_some_and(has_holder)
         })
         .await;
     println!("{question}\n{}", render::aligned(&table));
@@ -86,8 +86,8 @@
     assert!(matches!(outcome, ChangeOutcome::InForce { .. }), "{sentence}");
     println!("{command}\n{sentence}\n");
     let question = statement("show engines engine, draining", "ENGINE", engine);
-    let empty = |row: &Vec<Value>| row[1] == Value::from(true) && row[2] == Value::from(0_u32);
-    let table = cluster.until(1, &question, |table| table.rows.first().is_some_and(empty)).await;
+    let is_idle = |row: &Vec<Value>| row[1] == Value::from(true) && row[2] == Value::from(0_u32);
+    let table = cluster.until(1, &question, |table| table.rows.first().is_some_and(is_idle)).await;
     println!("{question}\n{}", render::aligned(&table));
     let (request, status) = cluster.prompt(1, &format!("{terms} After the drain.")).await;
     assert_eq!(status, 200);
--- a/crates/node/tests/admin/main.rs
+++ b/crates/node/tests/admin/main.rs
@@ -15,7 +15,7 @@
 async fn answers_merge_all_nodes_and_list_each() {
     let cluster = Cluster::start(2, 2).await;
     let answer =
-        cluster.ask_as(0, READ_KEY, "show engines engine, pool, model order by engine").await.unwrap();
+        cluster.query_as(0, READ_KEY, "show engines engine, pool, model order by engine").await.unwrap();
     let members: Vec<_> =
         answer.members.iter().map(|member| (member.node.as_str(), member.answered)).collect();
     assert_eq!(members, [("node-1", true), ("node-2", true)]);
@@ -30,7 +30,7 @@
 async fn roles_bound_what_operators_may_do() {
     let cluster = Cluster::start(1, 1).await;
     let code = async |key: &str, statement: &str| {
-        cluster.ask_as(0, key, statement).await.map_err(|problem| problem.error.code).err()
+        cluster.query_as(0, key, statement).await.map_err(|problem| problem.error.code).err()
     };
     assert_eq!(code("unknown", "show tenants").await, Some(RefusalCode::Unauthenticated));
     assert_eq!(code("", "show tenants").await, Some(RefusalCode::Unauthenticated));
@@ -47,7 +47,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn syntax_errors_report_the_span_and_a_suggestion() {
     let cluster = Cluster::start(1, 1).await;
-    let problem = cluster.ask_as(0, READ_KEY, "show engnies").await.unwrap_err();
+    let problem = cluster.query_as(0, READ_KEY, "show engnies").await.unwrap_err();
     let syntax = problem.syntax.unwrap();
     assert_eq!((syntax.span, syntax.suggestion.as_deref()), (5..12, Some("engines")));
     assert_eq!(problem.error.code, RefusalCode::InvalidRequest);
@@ -61,9 +61,9 @@
         format!("explain route pool contracts tenant kestrel prompt \"{}\"", "terms ".repeat(200));
     let explanation = cluster.explanation(0, &statement).await;
     assert!(explanation.summary.contains("of kestrel would go to engine-"), "{}", explanation.summary);
-    let weighed = &explanation.sections[1].table;
-    assert_eq!(weighed.rows.len(), 2);
-    let problem = cluster.ask_as(0, READ_KEY, "explain route pool other tenant kestrel prompt \"x\"").await;
+    let candidates = &explanation.sections[1].table;
+    assert_eq!(candidates.rows.len(), 2);
+    let problem = cluster.query_as(0, READ_KEY, "explain route pool other tenant kestrel prompt \"x\"").await;
     assert!(problem.unwrap_err().error.message.contains("there is no pool other"));
     cluster.stop().await;
 }
@@ -78,9 +78,9 @@
     for _ in 1..paddlemount_node::admin::limits::MAX_WATCHERS {
         others.push(cluster.watch(0, "watch routing").await);
     }
-    let refused = cluster.ask_as(0, READ_KEY, "watch routing").await.unwrap_err();
+    let refused = cluster.query_as(0, READ_KEY, "watch routing").await.unwrap_err();
     assert_eq!(refused.error.code, RefusalCode::Overloaded);
-    assert_eq!(cluster.ask_as(0, READ_KEY, "show nodes").await.map(|answer| answer.notes.len()), Ok(0));
+    assert_eq!(cluster.query_as(0, READ_KEY, "show nodes").await.map(|answer| answer.notes.len()), Ok(0));
     cluster.stop().await;
 }
 
@@ -111,7 +111,7 @@
     }
     assert_eq!(explanations[0], explanations[1]);
     assert_eq!(watch.rows().await.rows[0][0], Value::from(request.as_str()));
-    let unknown = cluster.ask_as(0, READ_KEY, "explain request never-sent").await.unwrap_err();
+    let unknown = cluster.query_as(0, READ_KEY, "explain request never-sent").await.unwrap_err();
     assert_eq!(unknown.error.code, RefusalCode::NotFound);
     cluster.stop().await;
 }
@@ -192,7 +192,7 @@
     }
     cluster.until(0, "show nodes member", |table| table.rows.len() == MEMBERS + 1).await;
     let started = Instant::now();
-    let answer = cluster.ask_within(0, READ_KEY, "show tenants", deadline).await.unwrap();
+    let answer = cluster.query_within(0, READ_KEY, "show tenants", deadline).await.unwrap();
     let took = started.elapsed();
     let unanswered: Vec<&str> =
         answer.members.iter().filter(|member| !member.answered).map(|member| member.node.as_str()).collect();
--- a/crates/node/tests/admin/support.rs
+++ b/crates/node/tests/admin/support.rs
@@ -118,7 +118,7 @@
             self.store.address(),
             self.list.address()
         );
-        NodeSettings::parse(&text).unwrap_or_else(|mistakes| panic!("{mistakes:?}"))
+        NodeSettings::parse(&text).unwrap_or_else(|errors| panic!("{errors:?}"))
     }
 
     pub async fn list_machine(&self, role: MachineRole, address: SocketAddr) {
@@ -138,11 +138,11 @@
         AdminClient::new(self.nodes[node].admin_address(), key.to_owned(), deadline)
     }
 
-    pub async fn ask_as(&self, node: usize, key: &str, statement: &str) -> Result<Answer, QueryError> {
-        self.ask_within(node, key, statement, DEADLINE).await
+    pub async fn query_as(&self, node: usize, key: &str, statement: &str) -> Result<Answer, QueryError> {
+        self.query_within(node, key, statement, DEADLINE).await
     }
 
-    pub async fn ask_within(
+    pub async fn query_within(
         &self,
         node: usize,
         key: &str,
@@ -157,7 +157,7 @@
     }
 
     pub async fn table(&self, node: usize, statement: &str) -> Table {
-        let answer = self.ask_as(node, READ_KEY, statement).await.unwrap_or_else(|p| panic!("{}", p.error));
+        let answer = self.query_as(node, READ_KEY, statement).await.unwrap_or_else(|p| panic!("{}", p.error));
         match answer.body {
             Body::Table { table } => table,
             other => panic!("{statement}: {other:?}"),
@@ -165,7 +165,7 @@
     }
 
     pub async fn explanation(&self, node: usize, statement: &str) -> Explanation {
-        let answer = self.ask_as(node, READ_KEY, statement).await.unwrap_or_else(|p| panic!("{}", p.error));
+        let answer = self.query_as(node, READ_KEY, statement).await.unwrap_or_else(|p| panic!("{}", p.error));
         match answer.body {
             Body::Explanation { explanation } => explanation,
             other => panic!("{statement}: {other:?}"),
@@ -173,7 +173,7 @@
     }
 
     pub async fn change(&self, node: usize, statement: &str) -> (ChangeOutcome, String) {
-        let answer = self.ask_as(node, ADMINISTER_KEY, statement).await;
+        let answer = self.query_as(node, ADMINISTER_KEY, statement).await;
         match answer.unwrap_or_else(|problem| panic!("{}", problem.error)).body {
             Body::Change { outcome, sentence, .. } => (outcome, sentence),
             other => panic!("{statement}: {other:?}"),
@@ -181,11 +181,11 @@
     }
 
     /// Repeats a query until its answer meets the condition.
-    pub async fn until(&self, node: usize, statement: &str, wanted: impl Fn(&Table) -> bool) -> Table {
+    pub async fn until(&self, node: usize, statement: &str, condition: impl Fn(&Table) -> bool) -> Table {
         let started = std::time::Instant::now();
         loop {
             let table = self.table(node, statement).await;
-            if wanted(&table) {
+            if condition(&table) {
                 return table;
             }
             assert!(started.elapsed() < TIMEOUT, "{statement}: {table:?}");
--- a/crates/node/tests/overload.rs
+++ b/crates/node/tests/overload.rs
@@ -81,7 +81,7 @@
         store.address(),
         list.address()
     );
-    let node = Node::start(NodeSettings::parse(&settings).expect("settings are right")).unwrap();
+    let node = Node::start(NodeSettings::parse(&settings).expect("valid settings")).unwrap();
     while !node.state().is_ready() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -89,7 +89,7 @@
 }
 
 impl Fixture {
-    async fn ask(&self, key: &str, number: usize) -> Result<ChatResponse, ErrorBody> {
+    async fn send(&self, key: &str, number: usize) -> Result<ChatResponse, ErrorBody> {
         let client = HttpClient::new(Duration::from_secs(1));
         let messages = vec![ChatMessage { role: "user".into(), content: format!("question {number}") }];
         let (model, max_tokens) = ("model".into(), Some(24));
@@ -142,9 +142,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn excess_requests_are_refused_as_not_run_and_all_slots_are_released() {
     let fixture = start("[admission]\nqueue_length = 2\nlongest_wait_ms = 20000\n").await;
-    assert!(fixture.ask("free-key", 0).await.is_ok());
-    let asked = futures_util::future::join_all((1..=8).map(|number| fixture.ask("free-key", number))).await;
-    let (answered, refused): (Vec<_>, Vec<_>) = asked.into_iter().partition(Result::is_ok);
+    assert!(fixture.send("free-key", 0).await.is_ok());
+    let results =
+        futures_util::future::join_all((1..=8).map(|number| fixture.send("free-key", number))).await;
+    let (answered, refused): (Vec<_>, Vec<_>) = results.into_iter().partition(Result::is_ok);
     assert_eq!(answered.len(), 3, "one runs and two wait");
     for refusal in refused.into_iter().filter_map(Result::err) {
         assert_eq!(refusal.error.code, RefusalCode::Overloaded);
@@ -162,14 +163,14 @@
     let began = Instant::now();
     let mut number = 0;
     while began.elapsed() < BACK_OFF * 4 || fixture.attempts().len() < 2 {
-        let refusal = fixture.ask("free-key", number).await.expect_err("the engine refuses everything");
+        let refusal = fixture.send("free-key", number).await.expect_err("the engine refuses everything");
         assert_eq!((refusal.error.code, refusal.error.outcome), (RefusalCode::Overloaded, Outcome::NotRun));
         assert!(refusal.error.retry_after_ms.is_some_and(|after| after <= 250), "{refusal:?}");
         number += 1;
     }
     let attempts = fixture.attempts();
     for pair in attempts.windows(2) {
-        assert!(pair[1].saturating_since(pair[0]) >= BACK_OFF, "{} tries: {attempts:?}", attempts.len());
+        assert!(pair[1].saturating_since(pair[0]) >= BACK_OFF, "{} attempts: {attempts:?}", attempts.len());
     }
     fixture.node.kill().await;
 }
@@ -177,21 +178,21 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn disconnected_callers_release_their_slots() {
     let fixture = start("[admission]\nlongest_wait_ms = 20000\n").await;
-    assert!(fixture.ask("free-key", 0).await.is_ok());
-    let leaving = futures_util::future::join_all((1..=6).map(|number| fixture.ask("free-key", number)));
-    assert!(tokio::time::timeout(Duration::from_millis(30), leaving).await.is_err());
+    assert!(fixture.send("free-key", 0).await.is_ok());
+    let requests = futures_util::future::join_all((1..=6).map(|number| fixture.send("free-key", number)));
+    assert!(tokio::time::timeout(Duration::from_millis(30), requests).await.is_err());
     fixture.until_idle().await;
-    assert!(fixture.ask("free-key", 7).await.is_ok());
+    assert!(fixture.send("free-key", 7).await.is_ok());
     fixture.node.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_quota_refuses_only_its_tenant_with_retry_after() {
     let fixture = start("").await;
-    assert!(fixture.ask("bounded-key", 0).await.is_ok());
-    let refusal = fixture.ask("bounded-key", 1).await.expect_err("the quota is used up");
+    assert!(fixture.send("bounded-key", 0).await.is_ok());
+    let refusal = fixture.send("bounded-key", 1).await.expect_err("the quota is used up");
     assert_eq!((refusal.error.code, refusal.error.outcome), (RefusalCode::QuotaExceeded, Outcome::NotRun));
     assert!(refusal.error.retry_after_ms.is_some_and(|after| (1_000..=60_000).contains(&after)));
-    assert!(fixture.ask("free-key", 2).await.is_ok());
+    assert!(fixture.send("free-key", 2).await.is_ok());
     fixture.node.kill().await;
 }
--- a/crates/node/tests/peers/main.rs
+++ b/crates/node/tests/peers/main.rs
@@ -97,8 +97,11 @@
     assert!((0..3).all(|node| cluster.revision_of(node) == revision));
     let again = cluster.change(1, put_tenant("change-1", 2, None)).await;
     assert!(matches!(again, ChangeOutcome::InForce { revision: same, .. } if same == revision), "{again:?}");
-    let raced = cluster.change(2, put_tenant("change-2", 3, Some(Revision(revision.0 - 1)))).await;
-    assert!(matches!(raced, ChangeOutcome::Refused { revision: same, .. } if same == revision), "{raced:?}");
+    let conflicting = cluster.change(2, put_tenant("change-2", 3, Some(Revision(revision.0 - 1)))).await;
+    assert!(
+        matches!(conflicting, ChangeOutcome::Refused { revision: same, .. } if same == revision),
+        "{conflicting:?}"
+    );
     cluster.stop().await;
 }
 
--- a/crates/node/tests/peers/support.rs
+++ b/crates/node/tests/peers/support.rs
@@ -42,10 +42,10 @@
         let mut cluster =
             Self { store_address: store.address(), store: Some(store), list, nodes: Vec::new() };
         (1..=nodes).for_each(|number| cluster.add_node(number));
-        let know_all = |cluster: &Self| {
+        let all_joined = |cluster: &Self| {
             (0..nodes).all(|node| cluster.is_ready(node) && cluster.members_of(node).len() == nodes)
         };
-        cluster.until(know_all).await;
+        cluster.until(all_joined).await;
         cluster
     }
 
@@ -60,7 +60,7 @@
             self.list.address(),
             seed.unwrap_or_default(),
         );
-        let settings = NodeSettings::parse(&text).unwrap_or_else(|mistakes| panic!("{mistakes:?}"));
+        let settings = NodeSettings::parse(&text).unwrap_or_else(|errors| panic!("{errors:?}"));
         self.nodes.push(Node::start(settings).unwrap());
     }
 
@@ -73,7 +73,7 @@
     pub async fn until(&self, holds: impl Fn(&Self) -> bool) {
         let started = tokio::time::Instant::now();
         while !holds(self) {
-            assert!(started.elapsed() < TIMEOUT, "the cluster did not come to the expected state");
+            assert!(started.elapsed() < TIMEOUT, "the cluster did not reach the expected state");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
