--- a/crates/language/src/token.rs
+++ b/crates/language/src/token.rs
@@ -180,15 +180,15 @@
     }
     let factor = UNITS.iter().find(|(name, _)| *name == unit).map(|(_, factor)| *factor as f64);
     match factor.map(|factor| (number * factor).round()) {
-        Some(microseconds) if (0.0..=MAX_DURATION).contains(&microseconds) => {
+        Some(microseconds) if (0.0..=MAX_DURATION_MICROSECONDS).contains(&microseconds) => {
             TokenKind::Duration(microseconds as u64)
         }
         _ => TokenKind::Word,
     }
 }
 
-/// The longest duration in microseconds, up to which all integers are exact as `f64`.
-const MAX_DURATION: f64 = 9_007_199_254_740_992.0;
+/// The longest duration: up to it all integers are exact as `f64`.
+const MAX_DURATION_MICROSECONDS: f64 = 9_007_199_254_740_992.0;
 
 fn parse_number(digits: &str) -> Option<f64> {
     let unsigned = digits.strip_prefix('-').unwrap_or(digits);
--- a/specs/src/lease.rs
+++ b/specs/src/lease.rs
@@ -81,7 +81,7 @@
     era: StoreEra,
     /// The engine's incarnation as known to the node.
     incarnation: Incarnation,
-    sent: u8,
+    orders_sent: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -201,9 +201,9 @@
             requesting.nodes[node].call = Some(request);
             push(format!("node {node} requests the lease"), requesting);
         }
-        if let Some(token) = view.holder.token(self.now()).filter(|_| view.sent < orders) {
+        if let Some(token) = view.holder.token(self.now()).filter(|_| view.orders_sent < orders) {
             let mut next = self.clone();
-            next.nodes[node].sent += 1;
+            next.nodes[node].orders_sent += 1;
             next.orders.insert(Order { node, token, incarnation: view.incarnation });
             push(format!("node {node} sends an order under token {token}"), next);
         }
@@ -244,7 +244,7 @@
             reply: None,
             era: StoreEra::default(),
             incarnation: Incarnation(1),
-            sent: 0,
+            orders_sent: 0,
         };
         LeaseState {
             second: 0,
--- a/specs/src/relay.rs
+++ b/specs/src/relay.rs
@@ -1,5 +1,4 @@
-//! Relaying of the store's state between nodes: what a node knows was the latest state at the time of its
-//! proof.
+//! Relaying of the store's state between nodes: a node's state was the latest one at the time of its proof.
 //!
 //! The store changes at any time. The root watches it; a leaf reports to the root and may also watch the
 //! store. Calls and answers are delayed or lost; a pause of a node equals a delay.
@@ -107,34 +106,34 @@
         at(self.second).saturating_since(at(*changed_at)) <= age
     }
 
-    fn watch(&self, who: &'static str, node: impl Fn(&mut Self) -> &mut Node) -> Vec<Step<Self>> {
+    fn watch(&self, name: &'static str, node: impl Fn(&mut Self) -> &mut Node) -> Vec<Step<Self>> {
         let mut next = self.clone();
         let (second, latest) = (self.second, self.latest());
         let watcher = node(&mut next);
         let label = match watcher.watching {
             None => {
                 watcher.watching = Some(Watch { sent_at: second, after: watcher.revision, answer: None });
-                format!("the {who} calls the store")
+                format!("the {name} calls the store")
             }
             Some(Watch { sent_at, after, answer: None }) => {
                 watcher.watching = Some(Watch { sent_at, after, answer: Some(latest) });
-                format!("the store answers the {who} with revision {latest}")
+                format!("the store answers the {name} with revision {latest}")
             }
             Some(Watch { sent_at, after, answer: Some(up_to) }) => {
                 watcher.watching = None;
                 if after == watcher.revision {
                     watcher.revision = up_to;
                     watcher.freshness.prove(at(sent_at));
-                    next.record(who, after, up_to);
+                    next.record(name, after, up_to);
                 }
-                format!("the {who} receives revision {up_to}")
+                format!("the {name} receives revision {up_to}")
             }
         };
         vec![Step { label, state: next }]
     }
 
-    fn record(&mut self, who: &str, after: Revision, up_to: Revision) {
-        if who == "root" && up_to > after {
+    fn record(&mut self, name: &str, after: Revision, up_to: Revision) {
+        if name == "root" && up_to > after {
             self.log.record(EntryKey::Document, up_to);
         }
     }
