--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -38,14 +38,14 @@
 pub mod target {
     /// Members of one region: 350 nodes in 5 regions.
     pub const REGION_MEMBERS: f64 = 70.0;
-    /// Regions.
+    /// Regions of the installation.
     pub const REGIONS: f64 = 5.0;
-    /// Tenants.
+    /// Tenants of the installation.
     pub const TENANTS: f64 = 430.0;
     /// Configuration changes per day.
     pub const CHANGES_PER_DAY: f64 = 840.0;
     /// Engines of one pool: 1,100 for 14 models.
-    pub const POOL_RUNNERS: f64 = 1_100.0 / 14.0;
+    pub const POOL_ENGINES: f64 = 1_100.0 / 14.0;
     /// Requests per second at one node: 12,000 at 350 nodes.
     pub const REQUESTS_PER_SECOND: f64 = 12_000.0 / 350.0;
     /// Cache events per second at one node if each feed has one reader: 760,000 at 350 nodes.
@@ -149,7 +149,7 @@
 
 /// A node that follows the configuration: document size, and time to apply a change.
 fn configuration(effort: Effort) -> Vec<Slope> {
-    let (mut bytes, mut read_times, mut replayed) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut bytes, mut read_times, mut replay_times) = (Vec::new(), Vec::new(), Vec::new());
     for tenants in [50, 100, 200, 430, 860] {
         let size = tenants as f64;
         let mut before = document(tenants, MODELS);
@@ -169,14 +169,14 @@
                 record.iter().map(|record| replay(&mut configuration, record)).all(|done| done.is_ok());
             (replayed, digest(&configuration))
         });
-        replayed.push((size, step.as_secs_f64() * 1e3));
+        replay_times.push((size, step.as_secs_f64() * 1e3));
     }
     let role = "configuration watcher";
     let tenants = "tenants";
     vec![
         Slope::new(role, "bytes of the document", tenants, bytes, target::TENANTS, Some(BUDGET_MEMORY_BYTES)),
         Slope::new(role, "ms to read a whole document", tenants, read_times, target::TENANTS, None),
-        Slope::new("member", "ms to take in one change", tenants, replayed, target::TENANTS, None),
+        Slope::new("member", "ms to take in one change", tenants, replay_times, target::TENANTS, None),
     ]
 }
 
@@ -189,28 +189,28 @@
 /// A node that routes requests: time of a decision over the engines of the pool.
 fn data_path(effort: Effort) -> Slope {
     let mut points = Vec::new();
-    for runners in [10, 20, 40, 80, 160] {
-        let mut router = router(runners);
+    for engines in [10, 20, 40, 80, 160] {
+        let mut router = router(engines);
         let blocks: Vec<BlockHash> = (0..64).map(|block| BlockHash(0x1234_5678 + block)).collect();
         let mut number = 0;
         let each = median_time(effort, || {
             number += 1;
             decide(&mut router, &blocks, number)
         });
-        points.push((runners as f64, each.as_secs_f64() * target::REQUESTS_PER_SECOND * 100.0));
+        points.push((engines as f64, each.as_secs_f64() * target::REQUESTS_PER_SECOND * 100.0));
     }
     let quantity = "% of a core at 34 requests/s, prompts of 64 blocks";
     let budget = Some(BUDGET_PROCESSOR_PERCENT);
-    Slope::new("data path", quantity, "runners of the pool", points, target::POOL_RUNNERS, budget)
+    Slope::new("data path", quantity, "runners of the pool", points, target::POOL_ENGINES, budget)
 }
 
 fn engine(number: usize) -> EngineId {
     EngineId::from(format!("engine-{number:04}"))
 }
 
-fn router(runners: usize) -> Router {
+fn router(engines: usize) -> Router {
     let mut router = Router::new(RouterSettings::new(ZoneId::from("zone"), 1));
-    for number in 0..runners {
+    for number in 0..engines {
         let loaded = LoadedModel { model: "model".into(), weights: WeightsVersion(1), adapters: Vec::new() };
         let status = EngineStatus {
             engine: engine(number),
@@ -371,8 +371,8 @@
 
 /// Resident memory of this process; 0 if the system does not report it.
 fn resident_bytes() -> u64 {
-    const PAGE: u64 = 4_096;
+    const PAGE_BYTES: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -29,7 +29,7 @@
     /// Timed decisions per measurement.
     pub decisions: usize,
     /// Maximum number of records in the cache index.
-    pub belief_records: usize,
+    pub cache_index_records: usize,
     pub seed: u64,
 }
 
@@ -38,7 +38,7 @@
         Self {
             runners: vec![12, 110, 350, 1_100],
             decisions: 20_000,
-            belief_records: paddlemount_core::routing::DEFAULT_CACHE_INDEX_RECORDS,
+            cache_index_records: paddlemount_core::routing::DEFAULT_CACHE_INDEX_RECORDS,
             seed: 1,
         }
     }
@@ -56,11 +56,14 @@
     pub mean_blocks: f64,
     pub choose_us: TimePercentiles,
     /// Time to apply the events of one request: dispatch, start, first token, end.
-    pub learn_us: TimePercentiles,
+    #[serde(rename = "learn_us")]
+    pub apply_us: TimePercentiles,
     /// Records in the cache index.
-    pub belief_records: usize,
+    #[serde(rename = "belief_records")]
+    pub cache_index_records: usize,
     /// Size of the records as the index reports it.
-    pub belief_bytes: usize,
+    #[serde(rename = "belief_bytes")]
+    pub cache_index_bytes: usize,
     pub bytes_per_record: f64,
     /// Growth of resident memory per record while the router was filled; none if the system does not report
     /// it. Only in the first measurement, since later ones reuse memory.
@@ -81,7 +84,7 @@
 const PREAMBLE_BLOCKS: usize = 20;
 const RULE_BLOCKS: usize = 30;
 const CONTRACT_BLOCKS: usize = 50;
-const OWN_BLOCKS: usize = 8;
+const UNIQUE_BLOCKS: usize = 8;
 const WEIGHTS: WeightsVersion = WeightsVersion(1);
 /// Interval of requests at one node: 12,000 a second over 350 nodes.
 const REQUEST_MICROS: u64 = 29_000;
@@ -115,13 +118,13 @@
     random: SmallRng,
     now: Timestamp,
     requests: u64,
-    reported: Timestamp,
+    last_report: Timestamp,
 }
 
 impl Bench {
     fn new(runners: usize, settings: &DecisionBenchSettings) -> Self {
         let mut router = Router::new(RouterSettings {
-            cache_index_records: settings.belief_records,
+            cache_index_records: settings.cache_index_records,
             ..RouterSettings::new(ZoneId::from("zone-0"), settings.seed)
         });
         router.apply(RouterEvent::Nodes { count: 350 }, Timestamp::ZERO);
@@ -134,14 +137,14 @@
         let random = SmallRng::seed_from_u64(settings.seed);
         let now = Timestamp(1_000_000);
         let mut bench =
-            Self { router, identities, runners, random, now, requests: 0, reported: Timestamp::ZERO };
+            Self { router, identities, runners, random, now, requests: 0, last_report: Timestamp::ZERO };
         bench.report();
         bench
     }
 
     /// Applies a load report of every engine.
     fn report(&mut self) {
-        self.reported = self.now;
+        self.last_report = self.now;
         for number in 0..self.runners {
             let status = self.status(number);
             self.router.apply(RouterEvent::Status(&status), self.now);
@@ -186,10 +189,14 @@
         let tenant = self.skewed_index(TENANTS as u64);
         let rule = tenant * RULES_PER_TENANT + self.skewed_index(RULES_PER_TENANT);
         let contract = rule * CONTRACTS_PER_RULE + self.skewed_index(CONTRACTS_PER_RULE);
-        let own = self.random.random::<u64>();
+        let unique = self.random.random::<u64>();
         let mut blocks: Vec<BlockHash> = Vec::new();
-        let segments =
-            [(tenant, PREAMBLE_BLOCKS), (rule, RULE_BLOCKS), (contract, CONTRACT_BLOCKS), (own, OWN_BLOCKS)];
+        let segments = [
+            (tenant, PREAMBLE_BLOCKS),
+            (rule, RULE_BLOCKS),
+            (contract, CONTRACT_BLOCKS),
+            (unique, UNIQUE_BLOCKS),
+        ];
         for (text, length) in segments {
             for _ in 0..length {
                 let block = text.to_le_bytes();
@@ -227,7 +234,7 @@
     fn decide_and_apply(&mut self, blocks: &[BlockHash]) -> (f64, f64, usize) {
         self.now.0 += REQUEST_MICROS;
         self.requests += 1;
-        if self.now.0 - self.reported.0 > REPORT_MICROS {
+        if self.now.0 - self.last_report.0 > REPORT_MICROS {
             self.report();
         }
         let Self { router, identities, now, requests, .. } = self;
@@ -250,10 +257,10 @@
         let (mut candidates, mut blocks) = (0, 0);
         for _ in 0..decisions {
             let prompt = self.prompt();
-            let (choose_us, learn_us, weighed) = self.decide_and_apply(&prompt);
+            let (choose_us, apply_us, candidate_count) = self.decide_and_apply(&prompt);
             choose.push(choose_us);
-            apply_times.push(learn_us);
-            candidates += weighed;
+            apply_times.push(apply_us);
+            candidates += candidate_count;
             blocks += prompt.len();
         }
         let size = self.router.cache_index_size();
@@ -263,9 +270,9 @@
             mean_candidates: candidates as f64 / decisions as f64,
             mean_blocks: blocks as f64 / decisions as f64,
             choose_us: percentiles(choose),
-            learn_us: percentiles(apply_times),
-            belief_records: size.records,
-            belief_bytes: size.approximate_bytes,
+            apply_us: percentiles(apply_times),
+            cache_index_records: size.records,
+            cache_index_bytes: size.approximate_bytes,
             bytes_per_record: size.approximate_bytes as f64 / size.records as f64,
             resident_bytes_per_record: resident_growth.map(|bytes| bytes as f64 / filled.records as f64),
         }
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -68,8 +68,8 @@
     pub tenants: Vec<WorkloadTenant>,
     levels: Vec<PrefixLevel>,
     zipf_skew: f64,
-    own_blocks: [u32; 2],
-    most_tokens: u32,
+    unique_blocks: [u32; 2],
+    max_tokens: u32,
     traffic: Vec<f64>,
     interarrival_times: Exp<f64>,
     ramp_up_s: f64,
@@ -92,8 +92,8 @@
             tenants,
             levels: scenario.prefixes.levels.clone(),
             zipf_skew: scenario.prefixes.zipf_skew,
-            own_blocks: scenario.prefixes.own_blocks,
-            most_tokens: scenario.answers.most_tokens,
+            unique_blocks: scenario.prefixes.own_blocks,
+            max_tokens: scenario.answers.max_tokens,
             traffic,
             interarrival_times: exponential(1.0 / scenario.arrivals.requests_per_second),
             ramp_up_s: scenario.arrivals.ramp_up_s,
@@ -125,7 +125,7 @@
         let blocks = self.append_unique_blocks(shared, tenant);
         let prompt_tokens = blocks.len() as u32 * BLOCK_TOKENS;
         let length = self.answer_lengths.sample(&mut self.random).ceil() as u32;
-        let answer_tokens = length.clamp(1, self.most_tokens);
+        let answer_tokens = length.clamp(1, self.max_tokens);
         WorkloadRequest { sent_at: self.clock, tenant, blocks, shared_blocks, prompt_tokens, answer_tokens }
     }
 
@@ -161,8 +161,8 @@
     }
 
     fn append_unique_blocks(&mut self, mut chain: Vec<BlockHash>, tenant: usize) -> Arc<[BlockHash]> {
-        let [least, most] = self.own_blocks;
-        let count = self.random.random_range(least..=most);
+        let [min, max] = self.unique_blocks;
+        let count = self.random.random_range(min..=max);
         let scope = self.tenants[tenant].scope;
         for position in 0..count {
             let content = [self.generated_requests.to_le_bytes(), u64::from(position).to_le_bytes()].concat();
@@ -234,8 +234,8 @@
     let mut members = Vec::with_capacity(level.fan_out);
     for _ in 0..level.fan_out {
         let mut chain = before.to_vec();
-        let [least, most] = level.blocks;
-        for _ in 0..random.random_range(least..=most) {
+        let [min, max] = level.blocks;
+        for _ in 0..random.random_range(min..=max) {
             let content = random.random::<u128>().to_le_bytes();
             chain.push(extend(chain.last().copied(), scope, &content));
         }
--- a/crates/bench/src/scenario/check.rs
+++ b/crates/bench/src/scenario/check.rs
@@ -37,13 +37,13 @@
         self.require((0.0..=1.0).contains(&value), key, value, "a share from 0.0 to 1.0")
     }
 
-    fn range(&self, key: &str, [least, most]: [u32; 2]) -> Result<(), ScenarioError> {
-        let value = format!("[{least}, {most}]");
-        self.require(least <= most, key, value, "[least, most] with least not above most")
+    fn range(&self, key: &str, [min, max]: [u32; 2]) -> Result<(), ScenarioError> {
+        let value = format!("[{min}, {max}]");
+        self.require(min <= max, key, value, "[least, most] with least not above most")
     }
 }
 
-/// Checks all values whose range their type does not give.
+/// Checks all values whose valid range is narrower than their type.
 pub(super) fn check(origin: &str, scenario: &Scenario) -> Result<(), ScenarioError> {
     let checker = Checker { origin };
     check_sizes(&checker, scenario)?;
@@ -108,7 +108,7 @@
     checker.positive("arrivals.requests_per_second", scenario.arrivals.requests_per_second)?;
     checker.not_negative("arrivals.ramp_up_s", scenario.arrivals.ramp_up_s)?;
     checker.positive("answers.mean_tokens", scenario.answers.mean_tokens)?;
-    checker.count("answers.most_tokens", scenario.answers.most_tokens as usize)
+    checker.count("answers.most_tokens", scenario.answers.max_tokens as usize)
 }
 
 fn check_faults(checker: &Checker<'_>, scenario: &Scenario) -> Result<(), ScenarioError> {
--- a/crates/bench/src/scenario/workload.rs
+++ b/crates/bench/src/scenario/workload.rs
@@ -70,6 +70,7 @@
 pub struct Answers {
     /// Mean before truncation.
     pub mean_tokens: f64,
-    /// Maximum.
-    pub most_tokens: u32,
+    /// The length at which answers are truncated.
+    #[serde(rename = "most_tokens")]
+    pub max_tokens: u32,
 }
