--- a/crates/bench/src/demo/cluster.rs
+++ b/crates/bench/src/demo/cluster.rs
@@ -119,15 +119,15 @@
         Ok(())
     }
 
-    /// A new replica refuses keys that were created before its start. Waits until that limit is in the past
-    /// on all nodes.
+    /// Waits until every replica grants claims on new keys: a replica refuses keys that were issued before its
+    /// start plus twice the clock skew.
     async fn wait_until_claims_granted(&self) {
-        let open = || {
+        let all_grant = || {
             let nodes = lock(&self.nodes);
             let mut running = nodes.iter().filter_map(|node| node.running.as_ref());
             running.all(|node| node.state().claims.usage().floor < node.state().clock.now())
         };
-        while !open() {
+        while !all_grant() {
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
--- a/crates/bench/src/demo/cluster/settings.rs
+++ b/crates/bench/src/demo/cluster/settings.rs
@@ -27,10 +27,10 @@
 pub const MODEL: &str = "prairie-8b";
 /// The loaded weights version.
 pub const WEIGHTS: WeightsVersion = WeightsVersion(1);
-/// Tenants.
+/// The tenants' names.
 pub const TENANTS: [&str; 8] =
     ["regina", "saskatoon", "brandon", "estevan", "weyburn", "yorkton", "moose-jaw", "swift-current"];
-/// Zones.
+/// The zones' names.
 pub(super) const ZONES: [&str; 3] = ["regina", "saskatoon", "brandon"];
 const REGION: &str = "prairie";
 const POOL: &str = "contracts";
@@ -111,19 +111,19 @@
     ServiceInstanceId::from(format!("booking-{number}"))
 }
 
-/// The machine list entry.
+/// The machine list entry of an engine.
 pub(super) fn engine_machine(number: usize, settings: &EngineSettings) -> Machine {
     let role = MachineRole::Engine { engine: settings.engine.clone(), pool: settings.pool.clone() };
     machine(role, settings.listen, number)
 }
 
-/// The machine list entry.
+/// The machine list entry of a booking instance.
 pub(super) fn booking_machine(number: usize, address: SocketAddr) -> Machine {
     let role = MachineRole::Service { instance: booking_name(number), service: ServiceId::from(BOOKING) };
     machine(role, address, number)
 }
 
-/// The machine list entry.
+/// The machine list entry of a node.
 pub(super) fn node_machine(number: usize, addresses: &NodeAddresses) -> Machine {
     machine(MachineRole::Node { node: node_name(number) }, addresses.peers, number)
 }
@@ -157,7 +157,7 @@
 /// Settings of one node.
 pub(super) fn node_settings(
     number: usize,
-    own: &NodeAddresses,
+    addresses: &NodeAddresses,
     platform: &PlatformAddresses,
 ) -> Result<NodeSettings, ClusterError> {
     let text = format!(
@@ -168,13 +168,13 @@
          [[operators]]\nname = \"{OPERATOR}\"\nkey_hash = \"{hash}\"\nrole = \"administer\"\n",
         node = node_name(number),
         zone = zone(number),
-        callers = own.callers,
-        peers = own.peers,
-        admin = own.admin,
+        callers = addresses.callers,
+        peers = addresses.peers,
+        admin = addresses.admin,
         store = platform.configuration_store,
         list = platform.machine_list,
         cache_store = platform.cache_store,
         hash = sha256_hex(OPERATOR_KEY),
     );
-    NodeSettings::parse(&text).map_err(|mistakes| ClusterError::Settings(format!("{mistakes:?}")))
+    NodeSettings::parse(&text).map_err(|errors| ClusterError::Settings(format!("{errors:?}")))
 }
--- a/crates/bench/src/drill/bookings.rs
+++ b/crates/bench/src/drill/bookings.rs
@@ -25,8 +25,8 @@
 const DEADLINE: Duration = Duration::from_secs(5);
 const DISPATCH_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_DISPATCHES: u32 = 3;
-const REPLY_LOSS: f64 = 0.4;
-const BUSY_SHARE: f64 = 0.1;
+const REPLY_LOSS_PROBABILITY: f64 = 0.4;
+const BUSY_PROBABILITY: f64 = 0.1;
 const CALLER_DELAY: Duration = Duration::from_millis(1);
 
 impl SimCluster {
@@ -187,7 +187,7 @@
         now: Timestamp,
     ) {
         let key = owner.as_str().split('.').nth(2).unwrap_or_default().to_owned();
-        let busy = self.lose_replies && self.random.random_bool(BUSY_SHARE);
+        let busy = self.lose_replies && self.random.random_bool(BUSY_PROBABILITY);
         let answer = if busy {
             Err("busy".to_owned())
         } else {
@@ -203,7 +203,7 @@
             let result = self.bookings[instance].model.run(request, now);
             result.map(|response| response.body.to_string()).map_err(|refusal| refusal.message)
         };
-        if self.lose_replies && self.random.random_bool(REPLY_LOSS) {
+        if self.lose_replies && self.random.random_bool(REPLY_LOSS_PROBABILITY) {
             return;
         }
         let (back_end, node) = (self.bookings[instance].endpoint, self.nodes[from.node].endpoint);
--- a/crates/bench/src/drill/callers.rs
+++ b/crates/bench/src/drill/callers.rs
@@ -29,7 +29,7 @@
 const CHANGES: u64 = 4;
 const CALLER_TIMEOUT: Duration = Duration::from_secs(7);
 const MAX_ATTEMPTS: usize = 5;
-const HEDGED_SHARE: f64 = 0.25;
+const HEDGE_PROBABILITY: f64 = 0.25;
 
 /// The configuration document at the start of a run.
 pub fn initial_document() -> Configuration {
@@ -95,8 +95,8 @@
 
     /// Sends a model request to `node`, or to a random available node.
     pub fn send_model_request(&mut self, number: u32, node: Option<usize>, now: Timestamp) {
-        let open: Vec<usize> = self.available_nodes(now).into_iter().collect();
-        let chosen = node.or_else(|| open.choose(&mut self.random).copied());
+        let available: Vec<usize> = self.available_nodes(now).into_iter().collect();
+        let chosen = node.or_else(|| available.choose(&mut self.random).copied());
         let Some(node) = chosen else { return };
         let request = RequestId::from(format!("request-{number}"));
         let tokens = self.random.random_range(20..600);
@@ -119,9 +119,10 @@
 
     /// Sends a booking, sometimes to two nodes at once.
     pub fn send_booking(&mut self, key: &str, attempt: usize, now: Timestamp) {
-        let open: Vec<usize> = self.available_nodes(now).into_iter().collect();
-        let hedged = self.random.random_bool(HEDGED_SHARE);
-        let nodes: Vec<usize> = open.sample(&mut self.random, if hedged { 2 } else { 1 }).copied().collect();
+        let available: Vec<usize> = self.available_nodes(now).into_iter().collect();
+        let hedged = self.random.random_bool(HEDGE_PROBABILITY);
+        let nodes: Vec<usize> =
+            available.sample(&mut self.random, if hedged { 2 } else { 1 }).copied().collect();
         let booking = self.history.bookings.entry(key.to_owned()).or_default();
         booking.endings.push(None);
         let timeout = Event::BookingEnded { key: key.to_owned(), attempt, ending: None };
@@ -144,8 +145,8 @@
         if attempt >= booking.endings.len() {
             return;
         }
-        let first = booking.endings[attempt].is_none();
-        let again = match ending {
+        let is_first = booking.endings[attempt].is_none();
+        let retry = match ending {
             Some(ClaimOutcome::Answered { answer, .. }) => {
                 booking.endings[attempt] = Some(Outcome::Completed);
                 booking.answers.push(answer);
@@ -157,7 +158,7 @@
             }
             None => true,
         };
-        if !first || !again || attempt + 1 >= MAX_ATTEMPTS || booking.endings.len() > attempt + 1 {
+        if !is_first || !retry || attempt + 1 >= MAX_ATTEMPTS || booking.endings.len() > attempt + 1 {
             return;
         }
         let pause = Duration::from_millis(self.random.random_range(50..1_500));
@@ -167,7 +168,7 @@
 
     /// Submits two changes of the same object through two nodes, based on the same revision.
     pub fn race_operators(&mut self, fault: usize, now: Timestamp) {
-        let revision = Some(self.store.present().revision);
+        let revision = Some(self.store.current().revision);
         for (operator, node) in [(0_u32, 1), (1, 3)] {
             let id = format!("race-{fault}-{operator}");
             let request = Box::new(weight_change(&id, 100 + operator, revision));
--- a/crates/bench/src/drill/cluster.rs
+++ b/crates/bench/src/drill/cluster.rs
@@ -121,7 +121,7 @@
         self.history
     }
 
-    /// Whether a mechanism is disabled.
+    /// Whether the run has this breakage.
     pub fn has_breakage(&self, breakage: Breakage) -> bool {
         self.settings.breakage == breakage
     }
@@ -195,11 +195,11 @@
 
     /// Nodes that accept requests: running, not paused or stopping, and in the engines' region.
     pub fn available_nodes(&self, now: Timestamp) -> BTreeSet<usize> {
-        let open = |number: &usize| {
+        let is_available = |number: &usize| {
             let node = &self.nodes[*number];
             node.state.is_some() && node.paused_until <= now && !node.stopping
         };
-        (0..PRIMARY_NODES).filter(open).collect()
+        (0..PRIMARY_NODES).filter(is_available).collect()
     }
 }
 
--- a/crates/bench/src/drill/engines.rs
+++ b/crates/bench/src/drill/engines.rs
@@ -27,7 +27,7 @@
 
 const LOAD_TIME: Duration = Duration::from_secs(2);
 /// Probability that a stream stalls after a frame while answers are late.
-const STALL_SHARE: f64 = 0.06;
+const STALL_PROBABILITY: f64 = 0.06;
 /// Time after which a draining engine must get no new work.
 const DRAINING_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -45,7 +45,8 @@
     pub endpoint: Endpoint,
     pub model: EngineModel,
     streams: BTreeMap<AttemptId, Stream>,
-    due: Option<Timestamp>,
+    /// The time of the scheduled step.
+    step_at: Option<Timestamp>,
 }
 
 impl SimEngine {
@@ -65,7 +66,7 @@
             token_outputs: TokenOutputs::All,
         };
         let model = EngineModel::new(settings, Incarnation(1), seed + number as u64);
-        Self { endpoint, model, streams: BTreeMap::new(), due: None }
+        Self { endpoint, model, streams: BTreeMap::new(), step_at: None }
     }
 }
 
@@ -120,7 +121,7 @@
         self.reply_request(number, dispatch.from, &dispatch.request, event);
     }
 
-    /// Checks the precondition of an accepted attempt against the actual state of the engine.
+    /// Registers the stream of an accepted attempt and checks that the engine met its precondition.
     fn check_accepted_attempt(&mut self, number: usize, dispatch: &Dispatch, now: Timestamp) {
         let engine = &mut self.engines[number];
         let stream =
@@ -129,9 +130,9 @@
         let (request, name) = (dispatch.request.as_str(), format!("engine-{number}"));
         let expected = &dispatch.precondition;
         let weights = engine.model.loaded().map(|loaded| loaded.weights);
-        let same = expected.incarnation == engine.model.incarnation() && Some(expected.weights) == weights;
+        let is_met = expected.incarnation == engine.model.incarnation() && Some(expected.weights) == weights;
         self.history.record(now, request, format!("{name} takes try {}", attempt_number(&dispatch.attempt)));
-        if !same {
+        if !is_met {
             let description =
                 format!("{name} ran {request}, which was meant for another life or other weights");
             self.history.record_violation(Invariant::CacheBoundary, now, description, &[request, &name]);
@@ -140,9 +141,9 @@
             answer.ran = true;
         }
         let engine = EngineId::from(name.as_str());
-        let late =
+        let is_overdue =
             self.history.draining_since.get(&engine).is_some_and(|since| now > *since + DRAINING_TIMEOUT);
-        if late {
+        if is_overdue {
             let description = format!("{name} was leaving for more than 3 s and got {request}");
             self.history.record_violation(Invariant::LeavingGetsNothing, now, description, &[request, &name]);
         }
@@ -206,7 +207,7 @@
 
     /// Handles a scheduled step of an engine.
     pub fn step_engine(&mut self, number: usize, now: Timestamp) {
-        self.engines[number].due = None;
+        self.engines[number].step_at = None;
         self.advance_engine(number, now);
     }
 
@@ -217,8 +218,8 @@
         }
         let engine = &mut self.engines[number];
         let Some(next) = engine.model.next_event_at() else { return };
-        if engine.due.is_none_or(|due| due > next) {
-            engine.due = Some(next);
+        if engine.step_at.is_none_or(|scheduled| scheduled > next) {
+            engine.step_at = Some(next);
             self.queue.schedule_at(next, Event::EngineStep(number));
         }
     }
@@ -269,7 +270,7 @@
             return;
         };
         let delay = self.links.transmit(from, self.nodes[node].endpoint);
-        let stalls = self.late_answers && self.random.random_bool(STALL_SHARE);
+        let stalls = self.late_answers && self.random.random_bool(STALL_PROBABILITY);
         let stall = Duration::from_millis(if stalls { self.random.random_range(500..6_000) } else { 0 });
         let Some(stream) = self.engines[number].streams.get_mut(attempt) else { return };
         let Some(delay) = delay.filter(|_| !broken) else {
@@ -290,9 +291,9 @@
         }
         let result = self.engines[number].model.order(order, now);
         let name = format!("engine-{number}");
-        let verdict = if result.is_ok() { "obeys" } else { "refuses" };
+        let reaction = if result.is_ok() { "obeys" } else { "refuses" };
         let description =
-            format!("{verdict} {:?} under token {} of node-{}", order.command, order.token, from.node);
+            format!("{reaction} {:?} under token {} of node-{}", order.command, order.token, from.node);
         self.history.record(now, name, description);
         let event = Event::OrderDone { to: from, engine: number, order: order.id.clone(), result };
         let (engine, node) = (self.engines[number].endpoint, self.nodes[from.node].endpoint);
@@ -304,7 +305,7 @@
     pub fn drop_engine(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         engine.model.crash();
-        engine.due = None;
+        engine.step_at = None;
         let streams = std::mem::take(&mut engine.streams);
         for (attempt, stream) in streams {
             let lost = RequestEvent::ConnectionLost { attempt, resumable: true };
--- a/crates/bench/src/drill/models.rs
+++ b/crates/bench/src/drill/models.rs
@@ -99,7 +99,7 @@
         self.schedule_timer(at, request, now);
     }
 
-    /// Alters an event as the run's breakage demands.
+    /// Alters an event if the run's breakage applies to it.
     fn apply_breakage(
         &mut self,
         at: NodeIncarnation,
--- a/crates/bench/src/drill/settings.rs
+++ b/crates/bench/src/drill/settings.rs
@@ -13,19 +13,19 @@
     /// Nothing is disabled.
     #[default]
     None,
-    /// Engines accept requests whatever incarnation and weights were demanded.
+    /// Engines accept requests regardless of the incarnation and weights in their precondition.
     NoPreconditions,
     /// A broken connection is taken as the end of the answer.
     BreakIsEnd,
     /// A restarted node reads the configuration from the store only.
     NoLearningFromPeers,
-    /// Frames are accepted whatever attempt they belong to.
+    /// Frames are accepted regardless of their attempt.
     FramesOfAnyAttempt,
     /// A dispatch with an unknown outcome is reported as not run.
     UnclearIsNotRun,
     /// Bookings run without a claim.
     NoClaims,
-    /// A restarted replica grants keys older than itself.
+    /// A restarted replica grants keys that were issued before its start.
     FreshReplicaGrantsOldKeys,
     /// The draining state in the machine list is ignored.
     DrainingIgnored,
--- a/crates/bench/src/drill/store.rs
+++ b/crates/bench/src/drill/store.rs
@@ -25,7 +25,7 @@
 use crate::simulation::Endpoint;
 
 const REFUSAL_DELAY: Duration = Duration::from_millis(2);
-const REPLY_LOSS: f64 = 0.4;
+const REPLY_LOSS_PROBABILITY: f64 = 0.4;
 
 /// The store, with every document that it has held.
 pub struct SimStore {
@@ -55,12 +55,12 @@
     }
 
     /// The current document.
-    pub fn present(&self) -> &RevisedConfiguration {
+    pub fn current(&self) -> &RevisedConfiguration {
         self.documents.last().expect("the store begins with a document")
     }
 
     fn put(&mut self, expected: Revision, configuration: Configuration, compares: bool) -> StorePutResult {
-        let expected = if compares { expected } else { self.present().revision };
+        let expected = if compares { expected } else { self.current().revision };
         let value = serde_json::to_value(&configuration).expect("a configuration has a JSON form");
         let result = self.model.put(StorePut { key: DOCUMENT_KEY.to_owned(), expected, value });
         if let StorePutResult::Stored { revision } = result {
@@ -113,9 +113,9 @@
         now: Timestamp,
     ) {
         let reply = match request {
-            StoreRequest::Read => StoreReply::Document(StoredDocument::Present(self.store.present().clone())),
-            StoreRequest::Watch(watch) if self.store.present().revision > watch.after => {
-                StoreReply::Document(StoredDocument::Present(self.store.present().clone()))
+            StoreRequest::Read => StoreReply::Document(StoredDocument::Present(self.store.current().clone())),
+            StoreRequest::Watch(watch) if self.store.current().revision > watch.after => {
+                StoreReply::Document(StoredDocument::Present(self.store.current().clone()))
             }
             StoreRequest::Watch(watch) => {
                 self.store.watches.push((from, call, watch.after));
@@ -139,7 +139,7 @@
         self.history.record(now, "store", format!("takes revision {revision} from node-{}", from.node));
         let watches = std::mem::take(&mut self.store.watches);
         for (from, call, _) in watches {
-            let document = StoredDocument::Present(self.store.present().clone());
+            let document = StoredDocument::Present(self.store.current().clone());
             self.store_reply(from, StoreAnswer::Peers(call, Ok(StoreReply::Document(document))));
         }
     }
@@ -155,7 +155,7 @@
     }
 
     fn store_reply(&mut self, to: NodeIncarnation, answer: StoreAnswer) {
-        if self.lose_replies && self.random.random_bool(REPLY_LOSS) {
+        if self.lose_replies && self.random.random_bool(REPLY_LOSS_PROBABILITY) {
             return;
         }
         let (store, node) = (self.store.endpoint, self.nodes[to.node].endpoint);
--- a/crates/bench/src/experiment/observation.rs
+++ b/crates/bench/src/experiment/observation.rs
@@ -31,8 +31,8 @@
             self.request_all_statuses(node);
             for engine in 0..engines {
                 let phase = (node * engines + engine) as f64 / (nodes * engines) as f64;
-                let ask = Event::RequestStatus { node, engine, recurring: true };
-                self.queue.schedule_after(status_interval.mul_f64(phase), ask);
+                let request = Event::RequestStatus { node, engine, recurring: true };
+                self.queue.schedule_after(status_interval.mul_f64(phase), request);
                 if self.reads_feed(node, engine) {
                     self.nodes[node].feeds.insert(engine, FeedPosition::default());
                     let read = Event::ReadFeed { node, engine };
@@ -79,8 +79,8 @@
     /// Handles a status at a node.
     pub(super) fn handle_status(&mut self, node: usize, status: &EngineStatus, now: Timestamp) {
         self.observe(node, RouterEvent::Status(status), now);
-        let answers = RouterEvent::Draining { engine: &status.engine, draining: false };
-        self.observe(node, answers, now);
+        let responsive = RouterEvent::Draining { engine: &status.engine, draining: false };
+        self.observe(node, responsive, now);
     }
 
     /// Stops a node from sending to an engine until the engine answers a status request.
@@ -182,12 +182,12 @@
 
     fn exact_status(&self, engine: usize, now: Timestamp) -> EngineStatus {
         let state = &self.engines[engine];
-        let present = state.model.current_load(now);
+        let current = state.model.current_load(now);
         let in_flight_tokens: u32 = state.in_flight.iter().map(|it| it.missing_tokens).sum();
         let load = LoadReport {
-            waiting: present.waiting + state.in_flight.len() as u32,
-            queued_prefill_tokens: present.queued_prefill_tokens + in_flight_tokens,
-            ..present
+            waiting: current.waiting + state.in_flight.len() as u32,
+            queued_prefill_tokens: current.queued_prefill_tokens + in_flight_tokens,
+            ..current
         };
         EngineStatus { load, ..state.model.status(now) }
     }
--- a/crates/bench/src/experiment/overload.rs
+++ b/crates/bench/src/experiment/overload.rs
@@ -52,8 +52,8 @@
         if let Some(target) = limits.target_queueing_ms {
             settings.concurrency.target_queueing = milliseconds(target);
         }
-        if let Some(part) = limits.reserved_part {
-            settings.reserved_fraction = part;
+        if let Some(fraction) = limits.reserved_part {
+            settings.reserved_fraction = fraction;
         }
         settings
     }
--- a/crates/bench/src/hollow/cluster/delivery.rs
+++ b/crates/bench/src/hollow/cluster/delivery.rs
@@ -151,6 +151,7 @@
         if let Ok(reply) = &result {
             let body = match reply {
                 StoreReply::Document(StoredDocument::Present(read)) => encoded_bytes(read),
+                // About the bytes of any other reply.
                 _ => 60,
             };
             self.nodes[caller.node].usage.store_bytes += wire::answer_bytes(body) as u64;
@@ -262,6 +263,7 @@
         let caller = StoreCaller { node: index, incarnation: node.incarnation, call };
         let body = match &request {
             StoreRequest::Put { configuration, .. } => encoded_bytes(configuration),
+            // About the bytes of a request without a document.
             StoreRequest::Watch(_) | StoreRequest::Read => 60,
         };
         node.usage.store_bytes += wire::request_bytes("/watch", "", body) as u64;
--- a/crates/bench/src/hollow/measure.rs
+++ b/crates/bench/src/hollow/measure.rs
@@ -249,13 +249,13 @@
         let began = cluster.now();
         cluster.take_observations();
         cluster.kill(target);
-        let seen = follow_death(cluster, target);
-        first.extend(seen.first().map(|at| at.saturating_since(began)));
+        let declared_at = follow_death(cluster, target);
+        first.extend(declared_at.first().map(|at| at.saturating_since(began)));
         let observers = (0..cluster.len())
             .filter(|index| *index != target && cluster.region(*index) == cluster.region(target))
             .count();
-        if seen.len() >= observers {
-            everywhere.extend(seen.last().map(|at| at.saturating_since(began)));
+        if declared_at.len() >= observers {
+            everywhere.extend(declared_at.last().map(|at| at.saturating_since(began)));
         } else {
             not_everywhere += 1;
         }
@@ -268,14 +268,14 @@
 /// The times at which the other nodes declared the target dead, in order.
 fn follow_death(cluster: &mut HollowCluster, target: usize) -> Vec<Timestamp> {
     let name = cluster.name(target).clone();
-    let mut seen: BTreeMap<usize, Timestamp> = BTreeMap::new();
+    let mut declared_at: BTreeMap<usize, Timestamp> = BTreeMap::new();
     cluster.run_for(OBSERVATION_TIMEOUT);
     for NodeObservation { at, node, observation } in cluster.take_observations() {
         if observation == (Observation::Member { node: name.clone(), state: MemberState::Dead }) {
-            seen.entry(node).or_insert(at);
+            declared_at.entry(node).or_insert(at);
         }
     }
-    let mut times: Vec<Timestamp> = seen.into_values().collect();
+    let mut times: Vec<Timestamp> = declared_at.into_values().collect();
     times.sort_unstable();
     times
 }
--- a/crates/bench/src/hollow/store.rs
+++ b/crates/bench/src/hollow/store.rs
@@ -70,9 +70,9 @@
         }
         self.requests += 1;
         match request {
-            StoreRequest::Read => vec![AddressedReply::new(caller, self.present())],
+            StoreRequest::Read => vec![AddressedReply::new(caller, self.current())],
             StoreRequest::Watch(watch) if watch.after != self.document.revision => {
-                vec![AddressedReply::new(caller, self.present())]
+                vec![AddressedReply::new(caller, self.current())]
             }
             StoreRequest::Watch(watch) => {
                 let until = now + Duration::from_millis(watch.wait_ms);
@@ -88,8 +88,8 @@
                 self.document = RevisedConfiguration { revision, configuration: *configuration };
                 let stored = StoreReply::Put(StorePutResult::Stored { revision });
                 let mut replies = vec![AddressedReply::new(caller, stored)];
-                let present = self.present();
-                let notify = |watcher: Watcher| AddressedReply::new(watcher.caller, present.clone());
+                let current = self.current();
+                let notify = |watcher: Watcher| AddressedReply::new(watcher.caller, current.clone());
                 replies.extend(self.watchers.drain(..).map(notify));
                 replies
             }
@@ -111,7 +111,7 @@
         expired.into_iter().map(unchanged).collect()
     }
 
-    fn present(&self) -> StoreReply {
+    fn current(&self) -> StoreReply {
         StoreReply::Document(StoredDocument::Present(self.document.clone()))
     }
 }
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -276,15 +276,15 @@
     }
 }
 
-/// Reads a body to its end and passes on each line that is not empty.
+/// Reads a body to its end and calls `read` with each line that is not empty.
 async fn read_lines(body: &mut Incoming, mut read: impl FnMut(&[u8])) -> Result<(), Ending> {
-    let mut rest: Vec<u8> = Vec::new();
+    let mut buffer: Vec<u8> = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return Err(Ending::Incomplete) };
-        rest.extend_from_slice(&frame.into_data().unwrap_or_default());
-        let Some(end) = rest.iter().rposition(|byte| *byte == b'\n') else { continue };
-        rest[..end].split(|byte| *byte == b'\n').filter(|line| !line.is_empty()).for_each(&mut read);
-        rest.drain(..=end);
+        buffer.extend_from_slice(&frame.into_data().unwrap_or_default());
+        let Some(end) = buffer.iter().rposition(|byte| *byte == b'\n') else { continue };
+        buffer[..end].split(|byte| *byte == b'\n').filter(|line| !line.is_empty()).for_each(&mut read);
+        buffer.drain(..=end);
     }
     Ok(())
 }
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -1,8 +1,8 @@
 //! Load over TCP at a fixed rate, through nodes and direct to an engine in the same run.
 //!
 //! The load is open-loop: requests are sent at their planned times whether or not earlier ones have
-//! been answered, and times count from the planned moment, so a slow server cannot hide behind a
-//! waiting client. Every answer is compared with what its request must get.
+//! been answered, and times count from the planned time, so that a slow server does not delay the
+//! requests by which it is measured. Every answer is compared with what its request must get.
 //!
 //! | module | job |
 //! |---|---|
--- a/crates/bench/src/load/process.rs
+++ b/crates/bench/src/load/process.rs
@@ -4,7 +4,7 @@
 
 use super::LoadError;
 
-/// Linux reports processor time in these clock ticks.
+/// Clock ticks in which Linux reports processor time.
 const TICKS_PER_SECOND: u64 = 100;
 
 /// Fields of `/proc/PID/stat` after the command's closing parenthesis, up to the user time.
--- a/crates/bench/src/load/report.rs
+++ b/crates/bench/src/load/report.rs
@@ -181,7 +181,7 @@
     fn add_failed(&mut self, message: &str) {
         self.report.failed += 1;
         let failures = &mut self.report.failures;
-        if failures.len() < MAX_REPORTED_FAILURES && !failures.iter().any(|named| named == message) {
+        if failures.len() < MAX_REPORTED_FAILURES && !failures.iter().any(|known| known == message) {
             failures.push(message.to_owned());
         }
     }
--- a/crates/bench/src/policy/baseline.rs
+++ b/crates/bench/src/policy/baseline.rs
@@ -14,7 +14,7 @@
     Choice { precondition: engine_state.map(|engine_state| engine_state.precondition(request)), import: None }
 }
 
-/// Round-robin over the engines; each node starts at another one.
+/// Round-robin over the engines. Each node starts at an engine derived from its seed.
 pub struct RoundRobin {
     engines: EngineTable,
     turn: usize,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Rendezvous hashing on the first blocks of the prompt; all nodes choose alike.
+/// Rendezvous hashing on the first blocks of the prompt; all nodes choose the same engine.
 pub struct Sticky {
     engines: EngineTable,
     blocks: usize,
