--- a/crates/bench/src/capacity/plots.rs
+++ b/crates/bench/src/capacity/plots.rs
@@ -10,6 +10,7 @@
 
 use super::Slope;
 
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (420, 260);
 
 /// Why a plot could not be drawn.
--- a/crates/bench/src/capacity/roles.rs
+++ b/crates/bench/src/capacity/roles.rs
@@ -308,10 +308,10 @@
 
 /// A claim replica: time and memory over the claims that it stores.
 fn claim_replica(effort: Effort) -> Vec<Slope> {
-    let (mut processor, mut memory, mut message) = (Vec::new(), Vec::new(), 0);
+    let (mut processor, mut memory, mut max_message_bytes) = (Vec::new(), Vec::new(), 0);
     for claims in [1_000, 2_000, 4_000, 8_000] {
         let messages: Vec<ClaimMessage> = (0..claims).map(claim).collect();
-        message = messages.iter().map(encoded_bytes).max().unwrap_or(0);
+        max_message_bytes = messages.iter().map(encoded_bytes).max().unwrap_or(0);
         let mut usage = 0;
         let all = median_time(Effort { repetitions: effort.repetitions.min(10), ..effort }, || {
             let now = Timestamp::from_millis(1_000_000);
@@ -325,7 +325,7 @@
         processor.push((claims as f64, all.as_secs_f64() * 1e3));
         memory.push((claims as f64, usage as f64));
     }
-    log::debug!("largest claim message: {message} bytes");
+    log::debug!("largest claim message: {max_message_bytes} bytes");
     let (role, over) = ("claim replica", "claims remembered");
     // Assumes that a tenth of 34 requests/s carries a claim, with 5 replicas each and 10 minutes of
     // retention.
--- a/crates/bench/src/drill/faults.rs
+++ b/crates/bench/src/drill/faults.rs
@@ -19,6 +19,7 @@
 const RESTART_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time until a caller detects a broken connection.
 const BREAK_DETECTION_DELAY: Duration = Duration::from_millis(10);
+/// Conflicting pairs of changes in one fault.
 const RACES: u64 = 4;
 const RACE_PERIOD: Duration = Duration::from_millis(1_500);
 const DRAINING_ENGINE: usize = 3;
--- a/crates/bench/src/experiment/metrics.rs
+++ b/crates/bench/src/experiment/metrics.rs
@@ -111,7 +111,7 @@
     pub prompt_tokens: u32,
     /// Tokens found cached, including imported ones.
     pub cached_tokens: u32,
-    /// Tokens that the request asked to import.
+    /// Tokens that the request was to import.
     pub imported_tokens: u32,
     /// Tokens of the longest prefix that a serving engine of the version held.
     pub held_tokens: u32,
--- a/crates/bench/src/experiment/recovery.rs
+++ b/crates/bench/src/experiment/recovery.rs
@@ -5,7 +5,7 @@
 use super::{metrics::SecondResult, summary::median};
 
 /// Seconds per window; a single second has too few requests for a tail.
-const WINDOW: usize = 5;
+const WINDOW_SECONDS: usize = 5;
 
 /// Accepted deviation from the steady state.
 const TOLERANCE: f64 = 0.1;
@@ -35,9 +35,9 @@
         let after: Vec<&SecondResult> =
             seconds.iter().filter(|second| second.second as f64 >= event_s).collect();
         let recovery_time = |good: &dyn Fn(&[&SecondResult]) -> bool| {
-            let last_bad = after.windows(WINDOW).rposition(|window| !good(window));
+            let last_bad = after.windows(WINDOW_SECONDS).rposition(|window| !good(window));
             let first_good = last_bad.map_or(0, |position| position + 1);
-            (first_good + WINDOW <= after.len()).then_some(first_good as f64)
+            (first_good + WINDOW_SECONDS <= after.len()).then_some(first_good as f64)
         };
         let window_median = |window: &[&SecondResult], value: fn(&SecondResult) -> f64| {
             median(window.iter().map(|second| value(second)))
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -130,9 +130,9 @@
     ) -> Sample {
         let mut answer = Answer::default();
         let lateness = planned.elapsed();
-        let limit = Duration::from_millis(self.workload.deadline_ms);
+        let deadline = Duration::from_millis(self.workload.deadline_ms);
         let exchange = self.exchange(&target, &prompt, &mut answer);
-        let ending = match tokio::time::timeout(limit, exchange).await {
+        let ending = match tokio::time::timeout(deadline, exchange).await {
             Ok(Ok(())) => answer.ending(&prompt),
             Ok(Err(ending)) => ending,
             Err(_) => Ending::Failed("no whole answer within the deadline".to_owned()),
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -7,7 +7,7 @@
 //! | module | job |
 //! |---|---|
 //! | [`command`] | the command `paddlemount load` |
-//! | [`hold`] | many open streams at once, and the memory they cost a node |
+//! | [`hold`] | many open streams, and the memory that each takes at a node |
 //! | [`report`] | the report of a run |
 //! | `client` | one request over TCP |
 //! | `process` | memory and processor time of a process |
@@ -120,7 +120,7 @@
 
 /// Makes a run and returns its report.
 pub fn run(settings: &LoadSettings) -> Result<LoadReport, LoadError> {
-    check(settings)?;
+    check_settings(settings)?;
     let runtime = runtime(settings.threads)?;
     let clients = Arc::new(LoadClient::new(&settings.workload));
     let engine = settings.engine.map(|address| runtime.block_on(clients.engine(address))).transpose()?;
@@ -136,8 +136,8 @@
     send_all(settings, &sender, &targets, started);
     let sending_time = started.elapsed();
     drop(sender);
-    let limit = Duration::from_millis(settings.workload.deadline_ms) + DRAIN_TIMEOUT;
-    let collected = runtime.block_on(async { tokio::time::timeout(limit, collector).await });
+    let timeout = Duration::from_millis(settings.workload.deadline_ms) + DRAIN_TIMEOUT;
+    let collected = runtime.block_on(async { tokio::time::timeout(timeout, collector).await });
     let after = process::processor_time(&processes)?;
     let Ok(Ok(samples)) = collected else { return Err(LoadError::Settings("answers did not end in time")) };
     let mut builder = ReportBuilder::new(settings.warm_up);
@@ -145,7 +145,7 @@
     Ok(builder.finish(settings, sending_time, after.saturating_sub(before)))
 }
 
-fn check(settings: &LoadSettings) -> Result<(), LoadError> {
+fn check_settings(settings: &LoadSettings) -> Result<(), LoadError> {
     if settings.nodes.is_empty() {
         return Err(LoadError::Settings("at least one node is needed"));
     }
--- a/crates/bench/src/policy/baseline.rs
+++ b/crates/bench/src/policy/baseline.rs
@@ -59,11 +59,11 @@
     }
 
     fn choose(&mut self, request: &RouteRequest<'_>, _now: Timestamp) -> Choice {
-        let least = self.engines.serving(request).map(EngineState::requests).min();
+        let min_requests = self.engines.serving(request).map(EngineState::requests).min();
         let equals: Vec<&EngineState> = self
             .engines
             .serving(request)
-            .filter(|engine_state| Some(engine_state.requests()) == least)
+            .filter(|engine_state| Some(engine_state.requests()) == min_requests)
             .collect();
         if equals.is_empty() {
             return Choice::default();
--- a/crates/bench/src/report/plot.rs
+++ b/crates/bench/src/report/plot.rs
@@ -6,10 +6,11 @@
 
 use super::ReportError;
 
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (560, 320);
 const WIDE_SIZE: (u32, u32) = (1_140, 360);
 const FONT: (&str, u32) = ("sans-serif", 15);
-const LABEL_SPACE: u32 = 70;
+const LABEL_PIXELS: u32 = 70;
 
 /// A bar chart with one bar per policy.
 pub(super) struct Bars {
@@ -50,7 +51,7 @@
             .caption(&self.title, FONT)
             .margin(8)
             .x_label_area_size(24)
-            .y_label_area_size(LABEL_SPACE)
+            .y_label_area_size(LABEL_PIXELS)
             .build_cartesian_2d((0..count).into_segmented(), 0.0..highest)
             .map_err(failed(&self.title))?;
         let label = |segment: &SegmentValue<usize>| match segment {
@@ -91,7 +92,7 @@
             .caption(&self.title, FONT)
             .margin(8)
             .x_label_area_size(24)
-            .y_label_area_size(LABEL_SPACE)
+            .y_label_area_size(LABEL_PIXELS)
             .build_cartesian_2d(0.0..last, 0.0..highest)
             .map_err(failed(&self.title))?;
         chart.configure_mesh().draw().map_err(failed(&self.title))?;
--- a/crates/node/examples/watch_cost.rs
+++ b/crates/node/examples/watch_cost.rs
@@ -38,12 +38,12 @@
     }
     let (mut without, mut with) = (Vec::new(), Vec::new());
     for period in 0..PERIODS {
-        let watched = period % 2 == 1;
-        let watchers = if watched { watch_all(&cluster).await } else { Vec::new() };
+        let is_watched = period % 2 == 1;
+        let watchers = if is_watched { watch_all(&cluster).await } else { Vec::new() };
         let started = cluster.nodes[0].state().clock.now();
         tokio::time::sleep(PERIOD).await;
         let measured = times_since(&cluster, started);
-        if watched {
+        if is_watched {
             with.extend(measured)
         } else {
             without.extend(measured)
@@ -80,6 +80,6 @@
 fn report(name: &str, times: &mut [u64]) {
     times.sort_unstable();
     let percentile = |percent: usize| times[(times.len() * percent).div_ceil(100).max(1) - 1];
-    let (count, half, most) = (times.len(), percentile(50), percentile(99));
-    println!("{name}: {count} requests, p50 {half} us, p95 {} us, p99 {most} us", percentile(95));
+    let (count, p50, p99) = (times.len(), percentile(50), percentile(99));
+    println!("{name}: {count} requests, p50 {p50} us, p95 {} us, p99 {p99} us", percentile(95));
 }
--- a/crates/node/src/active.rs
+++ b/crates/node/src/active.rs
@@ -17,7 +17,8 @@
     arrivals: AtomicUsize,
     /// The stage of a graceful stop.
     stage: watch::Sender<StopStage>,
-    changed: Notify,
+    /// Notified when no request is active any more.
+    idle: Notify,
 }
 
 /// Why a request is refused on arrival.
@@ -42,7 +43,7 @@
             count: AtomicUsize::new(0),
             arrivals: AtomicUsize::new(0),
             stage: watch::Sender::new(StopStage::Serving),
-            changed: Notify::new(),
+            idle: Notify::new(),
         }
     }
 
@@ -94,13 +95,13 @@
     /// Waits until no request is active.
     pub async fn wait_until_idle(&self) {
         loop {
-            let changed = self.changed.notified();
-            tokio::pin!(changed);
-            changed.as_mut().enable();
+            let idle = self.idle.notified();
+            tokio::pin!(idle);
+            idle.as_mut().enable();
             if self.count() == 0 {
                 return;
             }
-            changed.await;
+            idle.await;
         }
     }
 }
@@ -108,7 +109,7 @@
 impl Drop for ActiveGuard {
     fn drop(&mut self) {
         if self.requests.count.fetch_sub(1, Ordering::SeqCst) == 1 {
-            self.requests.changed.notify_waiters();
+            self.requests.idle.notify_waiters();
         }
     }
 }
--- a/crates/node/src/admin/observations.rs
+++ b/crates/node/src/admin/observations.rs
@@ -70,6 +70,7 @@
     running: Mutex<BTreeMap<RequestId, Arc<Mutex<DecisionRecord>>>>,
     reports: Mutex<BTreeMap<EngineId, EngineReport>>,
     pub prefixes: PrefixCounts,
+    /// Requests that a limit has refused, by tenant.
     refusals: Mutex<BTreeMap<TenantId, u64>>,
     draining: Mutex<BTreeSet<EngineId>>,
 }
--- a/crates/node/src/admin/watch.rs
+++ b/crates/node/src/admin/watch.rs
@@ -98,9 +98,12 @@
     state: Arc<NodeState>,
     query: Query,
     statement: String,
+    /// The position after the rows read last, by node.
     positions: BTreeMap<NodeId, WatchPosition>,
+    /// The compared values of the rows sent last, by row key.
     shown: BTreeMap<String, Vec<Value>>,
     unresponsive: Vec<NodeId>,
+    /// Rows that may still be sent under the query's limit.
     remaining: u64,
     started: bool,
     _guard: ConcurrencyGuard,
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -53,7 +53,9 @@
     usage: Usage,
     has_first_token: bool,
     permit: Option<Permit>,
-    dispatched: Timestamp,
+    /// When the current attempt was sent.
+    dispatched_at: Timestamp,
+    /// The engine of the current attempt.
     engine: Option<EngineId>,
     /// The incarnation of that engine.
     incarnation: Option<Incarnation>,
@@ -82,7 +84,7 @@
         spec,
         has_first_token: false,
         permit: None,
-        dispatched: Timestamp::ZERO,
+        dispatched_at: Timestamp::ZERO,
         engine: None,
         incarnation: None,
         distance: Duration::ZERO,
@@ -229,7 +231,7 @@
             route: self.spec.model.as_str().to_owned(),
             tenant: self.spec.tenant.clone(),
             engine: quarantine::incarnation_id(engine, incarnation),
-            began: self.dispatched,
+            began: self.dispatched_at,
         };
         quarantine::detect_crash(&self.state, broken, LivenessCheck::Engine(entry.address, incarnation));
     }
@@ -242,7 +244,7 @@
         self.apply(RouterEvent::FirstToken { attempt: &self.spec.attempt(self.machine.attempts()) });
         if let (Some(permit), Some(engine)) = (&self.permit, &self.engine) {
             let missing_tokens = self.usage.prompt_tokens.saturating_sub(self.usage.cached_tokens);
-            let elapsed = self.state.clock.now().saturating_since(self.dispatched);
+            let elapsed = self.state.clock.now().saturating_since(self.dispatched_at);
             permit.record_first_token(engine, missing_tokens, self.distance, elapsed);
         }
         let waited = self.state.clock.now().saturating_since(self.spec.arrived);
@@ -281,7 +283,7 @@
         let engine = precondition.engine.clone();
         self.engine = Some(engine.clone());
         self.incarnation = Some(precondition.incarnation);
-        self.dispatched = self.state.clock.now();
+        self.dispatched_at = self.state.clock.now();
         self.record.record_attempt(&attempt, &precondition, self.state.clock.now());
         let request: RouteRequest<'_> = self.spec.route_request(&[]);
         self.apply(RouterEvent::Dispatched { attempt: &attempt, engine: &engine, request: &request });
--- a/crates/node/src/peers/driver.rs
+++ b/crates/node/src/peers/driver.rs
@@ -38,11 +38,14 @@
     peers: Mutex<Peers>,
     clock: SteadyClock,
     authenticator: Authenticator,
+    /// Handlers that wait for the answer to a peer's request.
     answers: Mutex<BTreeMap<CallId, oneshot::Sender<PeerAnswer>>>,
+    /// Operators' changes that wait for their outcome.
     outcomes: Mutex<BTreeMap<CallId, oneshot::Sender<ChangeOutcome>>>,
     next_call: AtomicU64,
     actions: mpsc::UnboundedSender<PeerAction>,
     action_receiver: Mutex<Option<mpsc::UnboundedReceiver<PeerAction>>>,
+    /// Notified when the next wakeup may have changed.
     rescheduled: Notify,
     /// When this node's revision becomes stale, in microseconds of `clock`.
     fresh_until: AtomicU64,
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -178,6 +178,7 @@
     }
 }
 
+/// Evaluates which requests to hold, logs the changes and updates the metrics.
 fn conclude(state: &NodeState, now: Timestamp) {
     let (held, ended, counts) = {
         let mut quarantine = state.quarantine.lock();
--- a/specs/src/claims.rs
+++ b/specs/src/claims.rs
@@ -87,7 +87,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Attempt {
     coordinator: Option<Arc<ClaimCoordinator>>,
-    wake: Option<Timestamp>,
+    /// When the coordinator's timer fires.
+    wake_at: Option<Timestamp>,
+    /// Dispatches in flight.
     dispatches: u8,
     resends: u8,
 }
@@ -244,7 +246,7 @@
                     self.packets.insert(Packet { replica, from_attempt: number, message: Arc::new(message) });
                 }
                 ClaimAction::Dispatch => self.attempts[number].dispatches += 1,
-                ClaimAction::WakeAt(at) => self.attempts[number].wake = Some(at),
+                ClaimAction::WakeAt(at) => self.attempts[number].wake_at = Some(at),
                 ClaimAction::End(outcome) => self.finish(number, &outcome),
             }
         }
@@ -260,7 +262,7 @@
             }
         }
         // After its outcome, only the attempt's dispatch and its messages in flight continue.
-        self.attempts[number].wake = None;
+        self.attempts[number].wake_at = None;
     }
 
     fn reply(&mut self, packet: &Packet, reply: ClaimReply) {
@@ -315,7 +317,7 @@
 
     fn wake(&self, number: usize) -> Step<Self> {
         let mut next = self.clone();
-        next.attempts[number].wake = None;
+        next.attempts[number].wake_at = None;
         next.event(number, ClaimEvent::Tick);
         Step { label: format!("the timer of attempt {number} fires"), state: next }
     }
@@ -327,7 +329,7 @@
     fn initial(&self) -> ClaimsState {
         let memory = Arc::new(ClaimReplica::new(Self::settings(), EPOCH, Self::replica_clock(0, true)));
         let replica = Replica { memory, first_incarnation: true };
-        let fresh = Attempt { coordinator: None, wake: None, dispatches: 0, resends: 0 };
+        let fresh = Attempt { coordinator: None, wake_at: None, dispatches: 0, resends: 0 };
         let idle = ClaimsState {
             second: START_SECOND,
             replicas: vec![replica; self.replica_count()],
@@ -358,7 +360,7 @@
             if attempt.dispatches > 0 {
                 steps.extend(self.dispatched(state, number));
             }
-            if attempt.wake.is_some_and(|wake| wake <= state.now()) {
+            if attempt.wake_at.is_some_and(|at| at <= state.now()) {
                 steps.push(state.wake(number));
             }
         }
--- a/specs/src/lease.rs
+++ b/specs/src/lease.rs
@@ -68,6 +68,7 @@
     era: StoreEra,
     /// The number of the last grant to a new holder.
     number: u64,
+    /// The node that holds the lease, and the second at which the lease expires.
     holder: Option<(usize, u64)>,
 }
 
