--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -130,9 +130,9 @@
     ) -> Sample {
         let mut answer = Answer::default();
         let lateness = planned.elapsed();
-        let limit = Duration::from_millis(self.workload.deadline_ms);
+        let deadline = Duration::from_millis(self.workload.deadline_ms);
         let exchange = self.exchange(&target, &prompt, &mut answer);
-        let ending = match tokio::time::timeout(limit, exchange).await {
+        let ending = match tokio::time::timeout(deadline, exchange).await {
             Ok(Ok(())) => answer.ending(&prompt),
             Ok(Err(ending)) => ending,
             Err(_) => Ending::Failed("no whole answer within the deadline".to_owned()),
@@ -276,15 +276,15 @@
     }
 }
 
-/// Reads a body to its end and passes on each line that is not empty.
+/// Reads a body to its end and calls `read` with each line that is not empty.
 async fn read_lines(body: &mut Incoming, mut read: impl FnMut(&[u8])) -> Result<(), Ending> {
-    let mut rest: Vec<u8> = Vec::new();
+    let mut buffer: Vec<u8> = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return Err(Ending::Incomplete) };
-        rest.extend_from_slice(&frame.into_data().unwrap_or_default());
-        let Some(end) = rest.iter().rposition(|byte| *byte == b'\n') else { continue };
-        rest[..end].split(|byte| *byte == b'\n').filter(|line| !line.is_empty()).for_each(&mut read);
-        rest.drain(..=end);
+        buffer.extend_from_slice(&frame.into_data().unwrap_or_default());
+        let Some(end) = buffer.iter().rposition(|byte| *byte == b'\n') else { continue };
+        buffer[..end].split(|byte| *byte == b'\n').filter(|line| !line.is_empty()).for_each(&mut read);
+        buffer.drain(..=end);
     }
     Ok(())
 }
--- a/crates/bench/src/policy/baseline.rs
+++ b/crates/bench/src/policy/baseline.rs
@@ -14,7 +14,7 @@
     Choice { precondition: engine_state.map(|engine_state| engine_state.precondition(request)), import: None }
 }
 
-/// Round-robin over the engines; each node starts at another one.
+/// Round-robin over the engines. Each node starts at an engine derived from its seed.
 pub struct RoundRobin {
     engines: EngineTable,
     turn: usize,
@@ -59,11 +59,11 @@
     }
 
     fn choose(&mut self, request: &RouteRequest<'_>, _now: Timestamp) -> Choice {
-        let least = self.engines.serving(request).map(EngineState::requests).min();
+        let min_requests = self.engines.serving(request).map(EngineState::requests).min();
         let equals: Vec<&EngineState> = self
             .engines
             .serving(request)
-            .filter(|engine_state| Some(engine_state.requests()) == least)
+            .filter(|engine_state| Some(engine_state.requests()) == min_requests)
             .collect();
         if equals.is_empty() {
             return Choice::default();
@@ -73,7 +73,7 @@
     }
 }
 
-/// Rendezvous hashing on the first blocks of the prompt; all nodes choose alike.
+/// Rendezvous hashing on the first blocks of the prompt; all nodes choose the same engine.
 pub struct Sticky {
     engines: EngineTable,
     blocks: usize,
--- a/crates/node/src/admin/watch.rs
+++ b/crates/node/src/admin/watch.rs
@@ -1,7 +1,7 @@
 //! `watch`: a stream of new or changed rows, as JSON lines.
 //!
 //! A stream holds no buffer of its own. It reads the nodes' journals from its last position whenever the
-//! receiver has taken the lines before; a receiver that is too slow is told how many rows it lost.
+//! receiver has taken the previous lines; a receiver that is too slow gets the number of rows it missed.
 
 use std::{collections::BTreeMap, convert::Infallible, sync::Arc, time::Duration};
 
@@ -98,9 +98,12 @@
     state: Arc<NodeState>,
     query: Query,
     statement: String,
+    /// The position after the rows read last, by node.
     positions: BTreeMap<NodeId, WatchPosition>,
+    /// The compared values of the rows sent last, by row key.
     shown: BTreeMap<String, Vec<Value>>,
     unresponsive: Vec<NodeId>,
+    /// Rows that may still be sent under the query's limit.
     remaining: u64,
     started: bool,
     _guard: ConcurrencyGuard,
@@ -137,7 +140,7 @@
     for line in lines {
         match serde_json::to_writer(&mut bytes, line) {
             Ok(()) => bytes.push(b'\n'),
-            Err(error) => log::error!("a line of watch cannot be encoded: {error}"),
+            Err(error) => log::error!("cannot encode a line of a watch stream as JSON: {error}"),
         }
     }
     bytes.into()
@@ -250,7 +253,7 @@
     format!("{node} {}", serde_json::Value::from_iter(key))
 }
 
-/// A row without the fields that change by themselves.
+/// A row's values without `age` and `node`, which differ between reads of an unchanged object.
 fn compared_values(noun: Noun, row: &Row) -> Vec<Value> {
     let fields = noun.fields().zip(row.values());
     fields
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -51,12 +51,15 @@
     connection: Connection,
     import: Option<KvTransfer>,
     usage: Usage,
-    first_token: bool,
+    has_first_token: bool,
     permit: Option<Permit>,
-    dispatched: Timestamp,
+    /// When the current attempt was sent.
+    dispatched_at: Timestamp,
+    /// The engine of the current attempt.
     engine: Option<EngineId>,
     /// The incarnation of that engine.
     incarnation: Option<Incarnation>,
+    /// The one-way network delay to that engine, as the router estimates it.
     distance: Duration,
     record: ExchangeRecord,
 }
@@ -79,9 +82,9 @@
         import: None,
         usage: Usage { prompt_tokens: prompt_tokens(spec.prompt.len()), ..Usage::default() },
         spec,
-        first_token: false,
+        has_first_token: false,
         permit: None,
-        dispatched: Timestamp::ZERO,
+        dispatched_at: Timestamp::ZERO,
         engine: None,
         incarnation: None,
         distance: Duration::ZERO,
@@ -228,21 +231,21 @@
             route: self.spec.model.as_str().to_owned(),
             tenant: self.spec.tenant.clone(),
             engine: quarantine::incarnation_id(engine, incarnation),
-            began: self.dispatched,
+            began: self.dispatched_at,
         };
         quarantine::detect_crash(&self.state, broken, LivenessCheck::Engine(entry.address, incarnation));
     }
 
     fn record_first_token(&mut self, index: u32) {
-        if self.first_token {
+        if self.has_first_token {
             return;
         }
-        self.first_token = true;
+        self.has_first_token = true;
         self.apply(RouterEvent::FirstToken { attempt: &self.spec.attempt(self.machine.attempts()) });
         if let (Some(permit), Some(engine)) = (&self.permit, &self.engine) {
-            let missing = self.usage.prompt_tokens.saturating_sub(self.usage.cached_tokens);
-            let elapsed = self.state.clock.now().saturating_since(self.dispatched);
-            permit.record_first_token(engine, missing, self.distance, elapsed);
+            let missing_tokens = self.usage.prompt_tokens.saturating_sub(self.usage.cached_tokens);
+            let elapsed = self.state.clock.now().saturating_since(self.dispatched_at);
+            permit.record_first_token(engine, missing_tokens, self.distance, elapsed);
         }
         let waited = self.state.clock.now().saturating_since(self.spec.arrived);
         if index == 0 {
@@ -280,7 +283,7 @@
         let engine = precondition.engine.clone();
         self.engine = Some(engine.clone());
         self.incarnation = Some(precondition.incarnation);
-        self.dispatched = self.state.clock.now();
+        self.dispatched_at = self.state.clock.now();
         self.record.record_attempt(&attempt, &precondition, self.state.clock.now());
         let request: RouteRequest<'_> = self.spec.route_request(&[]);
         self.apply(RouterEvent::Dispatched { attempt: &attempt, engine: &engine, request: &request });
@@ -348,13 +351,13 @@
     }
 
     /// Sends an output to the caller, waiting while the channel is full.
-    async fn emit(&mut self, part: Output) -> Option<RequestEvent> {
-        let part = match self.output.try_send(part) {
+    async fn emit(&mut self, output: Output) -> Option<RequestEvent> {
+        let output = match self.output.try_send(output) {
             Ok(()) => return None,
             Err(mpsc::error::TrySendError::Closed(_)) => return Some(RequestEvent::CallerDisconnected),
-            Err(mpsc::error::TrySendError::Full(part)) => part,
+            Err(mpsc::error::TrySendError::Full(output)) => output,
         };
-        match self.output.send_timeout(part, self.state.settings.timeouts.caller_stall).await {
+        match self.output.send_timeout(output, self.state.settings.timeouts.caller_stall).await {
             Ok(()) => Some(RequestEvent::BackpressureEnded),
             Err(_) => Some(RequestEvent::CallerDisconnected),
         }
--- a/specs/src/lease.rs
+++ b/specs/src/lease.rs
@@ -68,6 +68,7 @@
     era: StoreEra,
     /// The number of the last grant to a new holder.
     number: u64,
+    /// The node that holds the lease, and the second at which the lease expires.
     holder: Option<(usize, u64)>,
 }
 
@@ -81,7 +82,7 @@
     era: StoreEra,
     /// The engine's incarnation as known to the node.
     incarnation: Incarnation,
-    sent: u8,
+    orders_sent: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -201,9 +202,9 @@
             requesting.nodes[node].call = Some(request);
             push(format!("node {node} requests the lease"), requesting);
         }
-        if let Some(token) = view.holder.token(self.now()).filter(|_| view.sent < orders) {
+        if let Some(token) = view.holder.token(self.now()).filter(|_| view.orders_sent < orders) {
             let mut next = self.clone();
-            next.nodes[node].sent += 1;
+            next.nodes[node].orders_sent += 1;
             next.orders.insert(Order { node, token, incarnation: view.incarnation });
             push(format!("node {node} sends an order under token {token}"), next);
         }
@@ -244,7 +245,7 @@
             reply: None,
             era: StoreEra::default(),
             incarnation: Incarnation(1),
-            sent: 0,
+            orders_sent: 0,
         };
         LeaseState {
             second: 0,
