--- a/crates/bench/tests/drill.rs
+++ b/crates/bench/tests/drill.rs
@@ -2,8 +2,10 @@
 
 use paddlemount_bench::drill::{Breakage, Drill, Invariant, RunSettings, run, run_all};
 
+/// Seeds of each drill.
 const SEEDS: u64 = 4;
-const BROKEN_SEEDS: u64 = 24;
+/// Seeds within which a disabled mechanism must be detected.
+const BREAKAGE_SEEDS: u64 = 24;
 const THREADS: usize = 4;
 
 #[test]
@@ -15,7 +17,7 @@
     assert_eq!((summary.violations, summary.runs as u64), (0, summary.drills as u64 * SEEDS));
 }
 
-/// Seeds that once violated an invariant, each for a different cause.
+/// Regression seeds: each violated an invariant for a different cause.
 #[test]
 fn nodes_restarted_together_in_an_outage_serve_without_delay() {
     let drill: Drill = "herd-restart+store-outage".parse().expect("a drill");
@@ -40,9 +42,9 @@
 /// Asserts that some seed violates the invariant while the mechanism is disabled.
 fn assert_detected(breakage: Breakage, drill: &str, invariant: Invariant) {
     let drill: Drill = drill.parse().expect("a drill");
-    let (failures, _) = run_all(&[drill], 0..BROKEN_SEEDS, breakage, THREADS);
+    let (failures, _) = run_all(&[drill], 0..BREAKAGE_SEEDS, breakage, THREADS);
     let failure = failures.iter().find(|failure| failure.invariant == invariant);
-    let failure = failure.unwrap_or_else(|| panic!("{breakage:?} is not caught; seen: {failures:#?}"));
+    let failure = failure.unwrap_or_else(|| panic!("{breakage:?} is not detected; found: {failures:#?}"));
     println!("{breakage:?}: seed {}: {}", failure.seed, failure.description);
     assert!(!failure.trace.is_empty() && failure.reproduce_command.contains("paddlemount bench drill"));
 }
--- a/crates/bench/tests/feed_owners.rs
+++ b/crates/bench/tests/feed_owners.rs
@@ -24,13 +24,12 @@
 fn each_feed_has_the_same_owners_at_every_node() {
     let cluster = cluster();
     for engine in engines() {
-        let believed: Vec<Vec<&NodeId>> =
+        let owners_by_node: Vec<Vec<&NodeId>> =
             (0..NODES).map(|node| owners(cluster.peers(node).unwrap().members(), &engine)).collect();
-        assert_eq!(believed[0].len(), OWNERS_PER_FEED);
-        assert!(believed.iter().all(|owners| *owners == believed[0]));
-        let claiming =
-            (0..NODES).filter(|node| owns(cluster.peers(*node).unwrap().members(), &engine)).count();
-        assert_eq!(claiming, OWNERS_PER_FEED);
+        assert_eq!(owners_by_node[0].len(), OWNERS_PER_FEED);
+        assert!(owners_by_node.iter().all(|owners| *owners == owners_by_node[0]));
+        let owning = (0..NODES).filter(|node| owns(cluster.peers(*node).unwrap().members(), &engine)).count();
+        assert_eq!(owning, OWNERS_PER_FEED);
     }
 }
 
--- a/crates/bench/tests/hollow_cluster.rs
+++ b/crates/bench/tests/hollow_cluster.rs
@@ -169,7 +169,7 @@
     cluster.run_for(Duration::from_secs(20));
     cluster.change(0, change_request(2));
     cluster.run_for(Duration::from_secs(9));
-    let made = outcome(&mut cluster);
-    assert!(matches!(made, Some(ChangeOutcome::InForce { .. })), "{made:?}");
+    let applied = outcome(&mut cluster);
+    assert!(matches!(applied, Some(ChangeOutcome::InForce { .. })), "{applied:?}");
     assert!((0..12).all(|index| revision(&cluster, index) == Revision(2)));
 }
--- a/crates/bench/tests/simulation.rs
+++ b/crates/bench/tests/simulation.rs
@@ -53,8 +53,8 @@
         [near, zone, region].map(|to| links.transmit(here, to).unwrap().as_micros())
     };
     let delays = run(1);
-    for (delay, shortest) in delays.into_iter().zip([100, 1_200, 30_000]) {
-        assert!((shortest..=shortest + shortest / 10).contains(&delay), "{delay}");
+    for (delay, min) in delays.into_iter().zip([100, 1_200, 30_000]) {
+        assert!((min..=min + min / 10).contains(&delay), "{delay}");
     }
     assert_eq!(run(1), delays);
     assert_ne!(run(2), delays);
--- a/crates/standins/src/cache_store/mod.rs
+++ b/crates/standins/src/cache_store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the store of kept cache.
+//! A stand-in for the platform's cache store.
 
 pub mod model;
 pub mod server;
--- a/crates/standins/src/cache_store/model.rs
+++ b/crates/standins/src/cache_store/model.rs
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Returns the longest stored part of a prefix that may be used.
+    /// Returns a copy of the longest stored part of a prefix whose origin has not ended.
     pub fn find(&mut self, request: &CacheLookup, now: Timestamp) -> CacheLookupResult {
         self.evict(now);
         let transfer = (1..=request.blocks.len()).rev().find_map(|length| self.holding(request, length));
--- a/crates/standins/tests/engine_cache.rs
+++ b/crates/standins/tests/engine_cache.rs
@@ -38,10 +38,10 @@
     for hash in blocks {
         let key = BlockKey { scope, hash: *hash };
         if !cache.contains(key) {
-            let before = parent.map(|hash| BlockKey { scope, hash });
-            before.inspect(|before| cache.pin(*before));
+            let parent_key = parent.map(|hash| BlockKey { scope, hash });
+            parent_key.inspect(|key| cache.pin(*key));
             let stored = cache.reserve(1, &mut vec![]) && cache.insert(key, parent);
-            before.inspect(|before| cache.unpin(*before));
+            parent_key.inspect(|key| cache.unpin(*key));
             if !stored {
                 return;
             }
@@ -91,11 +91,8 @@
     assert!(cache.len() + cache.reserved() <= CAPACITY, "over capacity");
     assert_eq!(cache.reserved(), held.reserved);
     for (key, parent) in cache.blocks() {
-        let before = parent.map(|hash| BlockKey { scope: key.scope, hash });
-        assert!(
-            before.is_none_or(|before| cache.contains(before)),
-            "a block is present without the one before it"
-        );
+        let parent_key = parent.map(|hash| BlockKey { scope: key.scope, hash });
+        assert!(parent_key.is_none_or(|key| cache.contains(key)), "a block is present without its parent");
     }
     for key in &held.pins {
         assert!(cache.contains(*key), "a pinned block was evicted");
@@ -140,7 +137,7 @@
 }
 
 #[test]
-fn the_least_recently_used_prefix_goes_first() {
+fn the_least_recently_used_prefix_is_evicted_first() {
     let scope = CacheScope(1);
     let mut cache = BlockCache::new(8);
     let first: Vec<BlockHash> = (10..14).map(BlockHash).collect();
--- a/crates/standins/tests/engine_model.rs
+++ b/crates/standins/tests/engine_model.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_wholly_cached_prompt_still_computes_its_last_token() {
+fn a_fully_cached_prompt_still_computes_its_last_token() {
     let mut engine = engine();
     let exact = |name| ModelRequest { prompt_tokens: 2 * BLOCK_TOKENS, ..request(name, 1, 2) };
     engine.submit(exact("a"), Timestamp(0)).unwrap();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn another_scope_gets_nothing_of_the_cache() {
+fn another_scope_uses_no_cached_blocks() {
     let mut engine = engine();
     engine.submit(request("a", 1, 20), Timestamp(0)).unwrap();
     run(&mut engine, END);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn memory_is_bounded_under_load_and_old_prefixes_go() {
+fn memory_is_bounded_under_load_and_old_prefixes_are_evicted() {
     let mut engine = engine_with(|behaviour| {
         behaviour.speed.cache_blocks = 50;
     });
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn preconditions_are_checked_before_anything() {
+fn preconditions_are_checked_before_anything_runs() {
     let mut engine = engine();
     let mutations: [fn(&mut Precondition); 5] = [
         |precondition| precondition.engine = "engine-2".into(),
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_continuation_counts_on_from_what_the_caller_has() {
+fn a_continuation_starts_after_the_answer_prefix() {
     let mut engine = engine();
     engine.submit(ModelRequest { answer_prefix_tokens: 3, ..request("a", 1, 2) }, Timestamp(0)).unwrap();
     let outputs = run(&mut engine, END);
--- a/crates/standins/tests/engine_model_orders.rs
+++ b/crates/standins/tests/engine_model_orders.rs
@@ -25,7 +25,7 @@
     assert!(engine.status(Timestamp(1)).draining);
     engine.order(&order(4, "z", drain(false)), Timestamp(2)).unwrap();
     engine.order(&order(4, "x", drain(true)), Timestamp(3)).unwrap();
-    assert!(!engine.status(Timestamp(3)).draining, "order x was carried out before");
+    assert!(!engine.status(Timestamp(3)).draining, "order x was executed before");
     let mut stale = order(9, "w", drain(true));
     stale.incarnation = Some(Incarnation(4));
     assert_eq!(engine.order(&stale, Timestamp(4)).unwrap_err().code, RefusalCode::PreconditionFailed);
--- a/crates/standins/tests/engine_model_state.rs
+++ b/crates/standins/tests/engine_model_state.rs
@@ -17,7 +17,7 @@
 use paddlemount_standins::engine::model::{EngineModel, EngineModelSettings, ModelRequest};
 
 #[test]
-fn the_feed_is_late_and_replays_to_the_cache() {
+fn the_feed_is_delayed_and_replays_to_the_content_of_the_cache() {
     let mut engine = engine_with(|behaviour| {
         behaviour.feed.delay_ms = 500;
         behaviour.speed.cache_blocks = 60;
--- a/crates/standins/tests/engine_server.rs
+++ b/crates/standins/tests/engine_server.rs
@@ -247,8 +247,8 @@
 async fn lost_events_and_a_later_incarnation_show_in_the_feed() {
     let engine = start(engine_settings("engine-1"));
     let address = engine.address();
-    let deaf = FeedSettings { delay_ms: 0, loss: 1.0, ..FeedSettings::default() };
-    set_faults(address, EngineFaults { feed: Some(deaf), ..EngineFaults::default() }).await;
+    let lossy = FeedSettings { delay_ms: 0, loss: 1.0, ..FeedSettings::default() };
+    set_faults(address, EngineFaults { feed: Some(lossy), ..EngineFaults::default() }).await;
     let before = status(address).await;
     generate(address, &generate_request(&before, "a", &prompt(200))).await;
     let batch: CacheEventBatch = get(address, "/events?after=0").await;
@@ -322,7 +322,7 @@
 }
 
 #[tokio::test]
-async fn configured_refusals_and_stray_frames_show() {
+async fn configured_refusals_and_stray_frames_are_injected() {
     let engine = start(engine_settings("engine-1"));
     let address = engine.address();
     let request = generate_request(&status(address).await, "a", &prompt(5));
@@ -352,7 +352,7 @@
 }
 
 #[tokio::test]
-async fn a_broken_body_is_a_clear_refusal() {
+async fn an_invalid_body_is_refused() {
     let engine = start(engine_settings("engine-1"));
     let (code, refusal): (u16, serde_json::Value) =
         call(POST, engine.address(), "/generate", &serde_json::json!({"attempt": 3})).await;
--- a/crates/standins/tests/services.rs
+++ b/crates/standins/tests/services.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_longest_stored_part_is_found_within_its_scope_only() {
+fn the_longest_stored_prefix_is_found_within_its_scope_only() {
     let mut store = CacheStoreModel::new(CacheStoreLimits::default());
     store.put(transfer("engine-1", 1, 0..8), at(0)).unwrap();
     let found = store.find(&find(1, 0..5), at(1)).transfer.unwrap();
--- a/crates/standins/tests/settings.rs
+++ b/crates/standins/tests/settings.rs
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn an_engine_is_read_with_defaults_for_what_is_absent() {
+fn engine_settings_have_defaults_for_absent_keys() {
     let StandinSettings::Engine(settings) = StandinSettings::from_toml(ENGINE).unwrap() else {
         panic!("not an engine")
     };
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn every_kind_survives_being_written_and_read() {
+fn every_kind_round_trips_through_toml() {
     let all = [
         StandinSettings::from_toml(ENGINE).unwrap(),
         StandinSettings::ConfigurationStore(ConfigurationStoreSettings::default()),
