--- a/crates/cli/tests/forward/announced.rs
+++ b/crates/cli/tests/forward/announced.rs
@@ -20,10 +20,10 @@
 /// Concurrent requests, enough to reach all back ends of a service.
 const CONCURRENT_REQUESTS: usize = 6;
 /// Longer than any test.
-const ALWAYS: Duration = Duration::from_secs(600);
+const MAX_TEST_TIME: Duration = Duration::from_secs(600);
 /// Pause between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// How long callers go on after the time from which no request may arrive.
+/// How long callers continue after the time from which no request may arrive.
 const OBSERVATION_TIME: Duration = Duration::from_millis(1_500);
 
 async fn cluster() -> Cluster {
@@ -78,7 +78,7 @@
     answers.iter().all(|response| response.status == StatusCode::OK)
 }
 
-async fn gets_nothing_while_the_store_is_away(path: &str, leaving: impl Fn(&Cluster) -> Runner) {
+async fn check_draining_during_store_outage(path: &str, leaving: impl Fn(&Cluster) -> Runner) {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     router.until("serving", async || send(&router, path).await.status == StatusCode::OK).await;
@@ -88,23 +88,23 @@
     let announced_at = send_until_announced(&router, path, &runner).await;
     let answers = send_for(&router, path, DRAIN_TIMEOUT + OBSERVATION_TIME).await;
     let late = arrivals_after(&runner, announced_at + DRAIN_TIMEOUT);
-    assert!(late.is_empty(), "requests reached it so long after the timeout: {late:?}");
+    assert!(late.is_empty(), "requests arrived this long after the announcement: {late:?}");
     assert!(all_ok(&answers), "the others serve");
     assert_eq!(lines_of(&router, "backend_leaving").len(), 1, "it is logged once");
 }
 
 #[tokio::test]
-async fn an_instance_that_says_in_an_answer_that_it_leaves_gets_nothing_while_the_store_is_away() {
-    gets_nothing_while_the_store_is_away("/quote/1", |cluster| cluster.bookings[0].clone()).await;
+async fn a_draining_booking_instance_gets_no_requests_during_a_store_outage() {
+    check_draining_during_store_outage("/quote/1", |cluster| cluster.bookings[0].clone()).await;
 }
 
 #[tokio::test]
-async fn an_engine_that_says_in_an_answer_that_it_leaves_gets_nothing_while_the_store_is_away() {
-    gets_nothing_while_the_store_is_away("/claim/1", |cluster| cluster.engines[0].clone()).await;
+async fn a_draining_engine_gets_no_requests_during_a_store_outage() {
+    check_draining_during_store_outage("/claim/1", |cluster| cluster.engines[0].clone()).await;
 }
 
 #[tokio::test]
-async fn no_entry_takes_back_what_a_back_end_has_said_itself() {
+async fn a_registry_entry_does_not_revoke_announced_draining() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     let runner = &cluster.bookings[0];
@@ -118,19 +118,19 @@
     cluster.register(runner, "ready");
     let answers = send_for(&router, "/quote/1", DRAIN_TIMEOUT / 4 + OBSERVATION_TIME).await;
     let late = arrivals_after(runner, announced_at + DRAIN_TIMEOUT);
-    assert!(late.is_empty(), "requests reached it so long after the timeout: {late:?}");
+    assert!(late.is_empty(), "requests arrived this long after the announcement: {late:?}");
     assert!(all_ok(&answers), "the other one serves");
 }
 
 #[tokio::test]
-async fn a_new_start_ends_what_the_process_before_it_said() {
+async fn a_restart_ends_the_draining_of_the_earlier_process() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     let runner = &cluster.bookings[0];
     runner.announce_leaving();
     send_until_announced(&router, "/quote/1", runner).await;
     runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
-    router.until("whole again", async || cluster.all_running()).await;
+    router.until("running again", async || cluster.all_running()).await;
     let back = Instant::now();
     let serves = async || {
         send(&router, "/quote/1").await;
@@ -140,8 +140,7 @@
 }
 
 #[tokio::test]
-async fn where_all_say_that_they_leave_they_serve_for_a_while_and_callers_are_refused_at_once_after_the_timeout()
- {
+async fn if_all_back_ends_drain_they_serve_until_the_timeout_and_then_requests_are_refused_at_once() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     router.until("serving", async || send(&router, "/quote/1").await.status == StatusCode::OK).await;
@@ -166,12 +165,16 @@
     }
     for (runner, announced_at) in cluster.bookings.iter().zip(announced_at) {
         let late = arrivals_after(runner, announced_at + DRAIN_TIMEOUT);
-        assert!(late.is_empty(), "requests reached {} so long after the timeout: {late:?}", runner.id());
+        assert!(
+            late.is_empty(),
+            "requests arrived at {} this long after the announcement: {late:?}",
+            runner.id()
+        );
     }
 }
 
 #[tokio::test]
-async fn other_nodes_are_told_of_a_back_end_that_leaves() {
+async fn announced_draining_is_gossiped_to_other_nodes() {
     // The first node sends no requests, so it can learn of the announcement only from the other node.
     let cluster = cluster().await;
     let first = Router::start_at(cluster.store_address, "node-0").await;
@@ -190,11 +193,11 @@
     assert_eq!(line["heard"], "told");
     let before = Instant::now();
     assert!(all_ok(&send_for(&first, "/quote/1", OBSERVATION_TIME).await));
-    assert!(arrivals_after(runner, before).is_empty(), "it stops as well");
+    assert!(arrivals_after(runner, before).is_empty(), "the first node sends it no requests either");
 }
 
 #[tokio::test]
-async fn an_engine_whose_report_says_that_it_leaves_is_loaded_with_nothing_and_gets_no_work() {
+async fn an_engine_that_reports_draining_gets_no_loads_and_no_requests() {
     // The engine gets no requests; the leader receives the announcement with the answer to an order.
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
@@ -218,31 +221,31 @@
 }
 
 #[tokio::test]
-async fn a_back_end_that_asks_for_rest_gets_none_of_it_disturbed_and_work_again_after_it() {
+async fn a_back_end_gets_no_requests_during_its_back_off_and_gets_them_again_afterwards() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     let runner = &cluster.engines[0];
-    runner.reject_requests(BACK_OFF_TEXT, ALWAYS);
+    runner.reject_requests(BACK_OFF_TEXT, MAX_TEST_TIME);
     let announced_at = send_until_announced(&router, "/claim/1", runner).await;
     let backing_off = gauge(&router, "paddlemount_forward_backends_resting").await;
     assert_eq!(backing_off, Some(1.0), "a metric counts it");
     let answers = send_for(&router, "/claim/1", BACK_OFF).await;
     assert!(all_ok(&answers), "the others serve");
     assert_eq!(arrivals_in_back_off(runner, announced_at), Vec::<Duration>::new());
-    let again = async || {
+    let gets_requests = async || {
         send(&router, "/claim/1").await;
         !arrivals_after(runner, announced_at + BACK_OFF).is_empty()
     };
-    router.until("given work again", again).await;
+    router.until("sending requests again", gets_requests).await;
     assert_eq!(lines_of(&router, "backend_rests").len(), 1);
     router.until("logged", async || router.logged("backend_rested")).await;
 }
 
 #[tokio::test]
-async fn where_all_ask_for_rest_callers_are_refused_at_once_until_the_first_may_be_asked_again() {
+async fn if_all_back_ends_back_off_requests_are_refused_at_once_until_the_first_back_off_ends() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
-    cluster.engines.iter().for_each(|engine| engine.reject_requests(BACK_OFF_TEXT, ALWAYS));
+    cluster.engines.iter().for_each(|engine| engine.reject_requests(BACK_OFF_TEXT, MAX_TEST_TIME));
     let mut announced_at = Vec::new();
     for engine in &cluster.engines {
         announced_at.push(send_until_announced(&router, "/claim/1", engine).await);
@@ -274,11 +277,11 @@
 }
 
 #[tokio::test]
-async fn where_all_but_one_ask_for_rest_that_one_serves_and_repeats_go_nowhere_else() {
+async fn if_all_but_one_back_off_that_one_serves_and_the_others_get_no_retries() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     for engine in &cluster.engines[1..] {
-        engine.reject_requests(BACK_OFF_TEXT, ALWAYS);
+        engine.reject_requests(BACK_OFF_TEXT, MAX_TEST_TIME);
     }
     let mut announced_at = Vec::new();
     for engine in &cluster.engines[1..] {
@@ -299,12 +302,12 @@
 }
 
 #[tokio::test]
-async fn a_rest_that_cannot_be_read_or_is_over_at_once_keeps_nobody_out() {
+async fn an_invalid_or_zero_back_off_is_ignored() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     let runner = &cluster.bookings[0];
     for text in ["-3", "soon", "NaN", "0"] {
-        runner.reject_requests(text, ALWAYS);
+        runner.reject_requests(text, MAX_TEST_TIME);
         let rejected = async || {
             send(&router, "/quote/1").await;
             runner.seen().iter().any(|seen| seen.retry_after.as_deref() == Some(text))
@@ -312,17 +315,17 @@
         router.until("rejected", rejected).await;
         runner.accept_requests();
         let before = runner.seen().len();
-        let again = async || {
+        let gets_requests = async || {
             send(&router, "/quote/1").await;
             runner.seen().iter().skip(before).any(|seen| seen.ran)
         };
-        router.until("given requests again", again).await;
+        router.until("sending requests again", gets_requests).await;
     }
     assert_eq!(lines_of(&router, "rest_unreadable").len(), 3, "each invalid value is logged");
 }
 
 #[tokio::test]
-async fn a_header_of_answers_that_nothing_reads_is_told_once_without_its_value() {
+async fn an_unknown_answer_header_is_logged_once_without_its_value() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     cluster.bookings.iter().for_each(|runner| runner.add_header("Server-Mood"));
--- a/crates/cli/tests/forward/belief.rs
+++ b/crates/cli/tests/forward/belief.rs
@@ -1,4 +1,4 @@
-//! A node's view of its configuration, back ends and weights, and its effects.
+//! How a node follows configuration, back ends and target versions in the store, also while it is unavailable.
 
 use http::StatusCode;
 use paddlemount_platform_standin::{Cluster, Runner, cluster::KEY, store::StoreFault};
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_removed_key_is_refused_as_soon_as_the_node_hears_of_it() {
+async fn a_removed_key_is_refused_once_the_node_observes_the_removal() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     assert_eq!(router.send("/hold/1", "b1").await.expect("an answer").status, StatusCode::OK);
@@ -64,26 +64,26 @@
     };
     router.until("in force", newer).await;
     cluster.configure(4, &[KEY]);
-    router.until("passed over", async || router.logged("configuration_passed_over")).await;
+    router.until("ignored", async || router.logged("configuration_passed_over")).await;
     assert_eq!(router.send("/hold/1", "d2").await.expect("an answer").status, StatusCode::UNAUTHORIZED);
 }
 
 #[tokio::test]
-async fn nonsense_in_the_store_is_named_and_what_was_known_holds_on() {
+async fn invalid_store_content_is_logged_and_the_last_valid_configuration_stays_in_force() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     cluster.configure_invalid();
-    router.until("named", async || router.logged("item_unreadable")).await;
+    router.until("logged", async || router.logged("item_unreadable")).await;
     assert_eq!(router.send("/hold/1", "e1").await.expect("an answer").status, StatusCode::OK);
     cluster.store.set_fault(StoreFault::Nonsense);
-    router.until("named", async || router.logged("store_lost")).await;
+    router.until("logged", async || router.logged("store_lost")).await;
     cluster.store.set_fault(StoreFault::None);
     router.until("regained", async || router.logged("store_regained")).await;
     assert_eq!(router.send("/hold/1", "e2").await.expect("an answer").status, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn a_store_that_forgot_its_history_is_listed_anew() {
+async fn a_store_that_compacted_its_history_is_listed_again() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     cluster.store.set_fault(StoreFault::Silent);
@@ -122,7 +122,7 @@
     let router = Router::start(&cluster).await;
     cluster.set_target_version(2);
     let loaded = async || cluster.engines.iter().all(|engine| engine.version() == 2);
-    router.until("brought to the version", loaded).await;
+    router.until("loaded", loaded).await;
     assert!(cluster.engines.iter().all(|engine| engine.loads() == 1), "no engine loads twice");
 }
 
@@ -133,7 +133,7 @@
     assert_eq!(router.send("/claim/1", "i1").await.expect("an answer").status, StatusCode::OK);
     cluster.set_target_version(2);
     let loaded = async || cluster.engines.iter().all(|engine| engine.version() == 2);
-    router.until("brought to the version", loaded).await;
+    router.until("loaded", loaded).await;
     let served = async || {
         router.send("/claim/1", "i2").await.is_some_and(|response| response.status == StatusCode::OK)
     };
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test]
-async fn no_line_and_no_metric_holds_a_callers_key() {
+async fn no_log_line_or_metric_contains_a_callers_key() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     for number in 0..5 {
@@ -168,14 +168,14 @@
 }
 
 #[tokio::test]
-async fn settings_are_read_again_and_bad_ones_are_named_and_passed_over() {
+async fn settings_are_reloaded_and_invalid_ones_are_logged_and_ignored() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     router.write_settings("node = 3");
     router.hang_up();
-    router.until("named", async || router.logged("settings_rejected")).await;
+    router.until("logged", async || router.logged("settings_rejected")).await;
     assert_eq!(router.send("/hold/1", "l1").await.expect("an answer").status, StatusCode::OK);
     router.write_settings(&settings(&cluster, 4_000));
-    router.until("read again", async || router.logged("settings_reloaded")).await;
+    router.until("reloaded", async || router.logged("settings_reloaded")).await;
     assert_eq!(router.send("/hold/1", "l2").await.expect("an answer").status, StatusCode::OK);
 }
--- a/crates/cli/tests/forward/budget.rs
+++ b/crates/cli/tests/forward/budget.rs
@@ -32,7 +32,7 @@
 
 /// A request that meets several refused connections must add to the retry budget only once.
 #[tokio::test]
-async fn a_request_earns_its_share_of_repeats_once_however_many_connections_are_refused() {
+async fn a_request_adds_to_the_retry_budget_once_even_if_several_connections_are_refused() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     let closed = closed_addresses(cluster.engines.len());
@@ -53,26 +53,29 @@
     // The node uses nine tenths of the percentage, half of them at once.
     let earned = RETRY_SLACK_ALONE + REQUESTS as u64 * 9 / 100;
     assert_eq!(left.last(), Some(&earned), "each request earns: {left:?}");
-    assert!(left.iter().all(|left| *left <= max), "{left:?} for {REQUESTS} requests, {max} were earned");
+    assert!(
+        left.iter().all(|left| *left <= max),
+        "{left:?} retries left after {REQUESTS} requests, at most {max} earned"
+    );
 }
 
 /// A stale entry whose address belongs to another process must receive at most one request per node.
 #[tokio::test]
-async fn a_back_end_whose_address_another_process_has_is_asked_once_at_most() {
+async fn a_stale_address_gets_at_most_one_misdirected_request() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     let router = Router::start(&cluster).await;
     let gone = &cluster.bookings[0];
     let id = gone.id();
     gone.crash();
-    router.until("whole again", async || cluster.all_running()).await;
+    router.until("running again", async || cluster.all_running()).await;
     cluster.register_stale(&id, gone);
     let reappeared = async || {
         let changes = lines_of(&router, "backend_changed");
         let appeared = |line: &&Value| line["backend"] == id.as_str() && line["change"] == "appeared";
         changes.iter().filter(appeared).count() == 2
     };
-    router.until("informed of the old entry", reappeared).await;
+    router.until("informed of the stale entry", reappeared).await;
     for number in 0..REQUESTS * 2 {
         let response = router.send("/quote/1", &format!("quote-{number}")).await.expect("an answer");
         assert_eq!(response.status, StatusCode::OK);
@@ -81,12 +84,12 @@
     let misdirected = gone.seen().into_iter().filter(|seen| seen.intended_for == id && !seen.ran).count();
     assert!(misdirected <= 1, "{misdirected} requests were sent to a process that is gone");
     let ran = gone.seen().into_iter().filter(|seen| seen.ran && seen.intended_for == gone.id()).count();
-    assert!(ran > 0, "the process that has the address gets work of its own");
+    assert!(ran > 0, "the process at the address gets requests under its own name");
 }
 
 /// A request that meets a wrong address must be retried at most once.
 #[tokio::test]
-async fn a_request_goes_on_from_a_wrong_address_once_and_is_refused_then() {
+async fn a_misdirected_request_is_retried_at_most_once() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     for (number, engine) in cluster.engines.iter().enumerate() {
@@ -103,7 +106,7 @@
     assert_eq!(seen.len(), cluster.engines.len(), "each stale entry gets one request");
     for number in 0..REQUESTS {
         let id = format!("wrong-{number}");
-        assert!(seen.iter().filter(|seen| seen.id == id).count() <= 2, "{id} went on more than once");
+        assert!(seen.iter().filter(|seen| seen.id == id).count() <= 2, "{id} was retried more than once");
     }
     cluster.engines.iter().for_each(|engine| cluster.register(engine, "ready"));
     let served = async || {
@@ -115,7 +118,7 @@
 /// The first request of a node must be able to leave an unresponsive back end, so the budget must not start
 /// at zero. Several nodes are started because the choice of the instance is random.
 #[tokio::test]
-async fn the_first_request_of_a_node_may_leave_a_silent_back_end() {
+async fn the_first_request_of_a_node_may_be_retried_after_an_unresponsive_back_end() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     for number in 0..6 {
--- a/crates/cli/tests/forward/delivery.rs
+++ b/crates/cli/tests/forward/delivery.rs
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_is_passed_on_whole_and_in_order() {
+async fn a_stream_is_forwarded_completely_and_in_order() {
     let (cluster, router) = cluster_and_router().await;
     let response = router.send("/chat/1", "s1").await.expect("an answer");
     assert_eq!(
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn where_all_back_ends_refuse_the_caller_is_told_when_to_come_back() {
+async fn if_all_back_ends_refuse_the_refusal_has_a_retry_after() {
     let (cluster, router) = cluster_and_router().await;
     script_all(&cluster.bookings, &[Behaviour::Sheds; 4]);
     let response = router.send("/hold/1", "d1").await.expect("an answer");
@@ -100,17 +100,17 @@
 }
 
 #[tokio::test]
-async fn a_repeatable_request_is_sent_again_after_a_break_and_after_a_failure() {
+async fn a_repeatable_request_is_retried_after_a_broken_connection_or_a_failure() {
     let (cluster, router) = cluster_and_router().await;
     for (id, behaviour) in [("e1", Behaviour::Breaks), ("e2", Behaviour::Fails)] {
         cluster.bookings[0].script(&[behaviour]);
         cluster.bookings[1].script(&[]);
-        let mut tries = 0;
-        // The choice is random, so repeat until some request meets the faulty back end.
-        while cluster.bookings[0].seen().len() <= tries / 8 && tries < 40 {
-            let response = router.send("/quote/1", &format!("{id}-{tries}")).await.expect("an answer");
+        let mut sent = 0;
+        // The choice is random, so send requests until some request meets the faulty back end.
+        while cluster.bookings[0].seen().len() <= sent / 8 && sent < 40 {
+            let response = router.send("/quote/1", &format!("{id}-{sent}")).await.expect("an answer");
             assert_eq!(response.status, StatusCode::OK, "{}", response.body);
-            tries += 1;
+            sent += 1;
         }
     }
 }
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_back_end_is_given_up_for_another_where_the_request_may_be_repeated() {
+async fn a_repeatable_request_is_retried_after_an_unresponsive_back_end() {
     let (cluster, router) = cluster_and_router().await;
     cluster.bookings[0].script(&[Behaviour::Hangs; 2]);
     for number in 0..6 {
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_stream_goes_on_elsewhere_where_the_route_allows_it() {
+async fn a_stalled_stream_is_resumed_at_another_back_end_if_the_route_allows_it() {
     let (cluster, router) = cluster_and_router().await;
     cluster.engines[0].script(&[Behaviour::FallsSilent; 3]);
     for number in 0..6 {
--- a/crates/cli/tests/forward/ending.rs
+++ b/crates/cli/tests/forward/ending.rs
@@ -21,29 +21,29 @@
     let (response, ()) = tokio::join!(router.send("/chat/1", "a1"), async {
         router.until("running", async || cluster.engines.iter().any(|engine| engine.runs("a1") == 1)).await;
         router.terminate();
-        let out = async || router.fetch_readiness().await == Some(StatusCode::SERVICE_UNAVAILABLE);
-        router.until("taken out", out).await;
+        let unready = async || router.fetch_readiness().await == Some(StatusCode::SERVICE_UNAVAILABLE);
+        router.until("unready", unready).await;
     });
     let response = response.expect("an answer");
     assert!(response.complete, "{response:?}");
     assert!(response.body.ends_with("id: 5\ndata: piece 5\n\n"));
-    assert!(router.ended().await, "the process ends well");
+    assert!(router.wait_for_exit().await, "the process exits with success");
     assert!(router.logged("stopping") && router.logged("stopped"));
 }
 
 #[tokio::test]
-async fn the_lease_is_given_up_at_a_planned_stop() {
+async fn the_lease_is_released_at_a_planned_stop() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     let mut router = Router::start(&cluster).await;
     router.until("leading", async || router.logged("leadership_gained")).await;
     router.terminate();
-    assert!(router.ended().await);
+    assert!(router.wait_for_exit().await);
     assert!(!cluster.has_leader());
 }
 
 #[tokio::test]
-async fn a_configuration_that_was_acknowledged_outlasts_a_loss_of_all_nodes() {
+async fn an_acknowledged_configuration_survives_the_loss_of_all_nodes() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY, REMOVED_KEY]);
     for version in 2..6 {
@@ -65,16 +65,16 @@
         let answered = async || {
             let response = router.send_with_key("/hold/1", &format!("lost-{version}"), REMOVED_KEY).await;
             let status = response.expect("an answer").status;
-            let wanted = if version % 2 == 0 { StatusCode::UNAUTHORIZED } else { StatusCode::OK };
-            assert!(status == wanted || status == StatusCode::SERVICE_UNAVAILABLE, "{version}: {status}");
-            status == wanted
+            let expected = if version % 2 == 0 { StatusCode::UNAUTHORIZED } else { StatusCode::OK };
+            assert!(status == expected || status == StatusCode::SERVICE_UNAVAILABLE, "{version}: {status}");
+            status == expected
         };
-        router.until("served by what was acknowledged", answered).await;
+        router.until("serving by the acknowledged configuration", answered).await;
     }
 }
 
 #[tokio::test]
-async fn a_head_that_never_ends_keeps_a_connection_no_longer_than_a_rest() {
+async fn an_incomplete_head_keeps_a_connection_open_no_longer_than_the_idle_timeout() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure_idle(1, &[KEY], 300);
     let router = Router::start(&cluster).await;
@@ -92,7 +92,7 @@
 
 /// Nodes that outlive a killed test would send requests to addresses that other tests use by then.
 #[test]
-fn a_node_ends_with_the_test_that_started_it_also_where_nobody_stops_it() {
+fn a_node_is_killed_when_the_test_that_started_it_ends() {
     let test = std::thread::spawn(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
@@ -107,7 +107,7 @@
     let process = test.join().expect("a node starts");
     let ended_at = Instant::now();
     while runs(process) {
-        assert!(ended_at.elapsed() < Duration::from_secs(5), "process {process} lives on");
+        assert!(ended_at.elapsed() < Duration::from_secs(5), "process {process} still runs");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/cli/tests/forward/fleet.rs
+++ b/crates/cli/tests/forward/fleet.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_is_cut_off_from_the_store_hears_of_changes_from_the_others() {
+async fn a_node_partitioned_from_the_store_learns_of_changes_by_gossip() {
     let (cluster, links, routers) = fleet().await;
     let cut_off = (leader(&routers).await + 1) % routers.len();
     links[cut_off].set(LinkFault::Silent);
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn a_leader_that_is_killed_and_starts_again_need_not_wait_until_its_own_lease_runs_out() {
+async fn a_restarted_leader_leads_again_before_its_earlier_lease_expires() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     let link = Proxy::start(cluster.store_address).await.expect("a proxy starts");
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn a_leader_that_is_cut_off_from_the_store_proves_nothing_to_the_others() {
+async fn a_leader_partitioned_from_the_store_does_not_confirm_keys_to_others() {
     let (cluster, links, routers) = fleet().await;
     let cut_off = leader(&routers).await;
     links[cut_off].set(LinkFault::Silent);
@@ -155,8 +155,8 @@
 }
 
 #[tokio::test]
-async fn nodes_that_hear_from_others_call_the_store_less_often() {
-    let (_place, _links, routers) = fleet().await;
+async fn nodes_that_receive_gossip_call_the_store_less_often() {
+    let (_cluster, _links, routers) = fleet().await;
     let leader = leader(&routers).await;
     let follower = &routers[(leader + 1) % routers.len()];
     let before = store_calls(follower).await;
@@ -177,7 +177,7 @@
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-async fn until_served_by(router: &Router, key: &str) {
+async fn wait_until_served_by(router: &Router, key: &str) {
     let served = async || {
         let id = format!("k-{}", rand::random::<u64>());
         router
@@ -189,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn a_document_of_thousands_of_tenants_is_passed_on_and_fetched_by_one() {
+async fn a_document_of_thousands_of_tenants_is_fetched_once_and_relayed() {
     // Large answers of the store must be relayed too, or all nodes fetch the document at once and overload
     // the store.
     let (cluster, _links, routers) = fleet().await;
@@ -197,14 +197,14 @@
     let follower = &routers[(leader + 1) % routers.len()];
     let before = store_calls(follower).await;
     cluster.configure_with_tenants(2, &["another-key"], 4_000);
-    until_served_by(follower, "another-key").await;
+    wait_until_served_by(follower, "another-key").await;
     let called = store_calls(follower).await - before;
     // A watch that started before the first gossip may still complete.
     assert!(called <= 1.0, "{called} calls to the store for one document");
 }
 
 #[tokio::test]
-async fn where_the_store_forgets_its_history_the_root_alone_lists_it() {
+async fn if_the_store_compacts_its_history_only_the_root_lists_it() {
     // A listing by the root must not clear what it relays, or all nodes list the complete store at once.
     let (cluster, _links, routers) = fleet().await;
     let leader = leader(&routers).await;
@@ -214,7 +214,7 @@
     }
     cluster.configure_and_compact(2, &["another-key"]);
     for router in &routers {
-        until_served_by(router, "another-key").await;
+        wait_until_served_by(router, "another-key").await;
     }
     for (number, router) in routers.iter().enumerate().filter(|(number, _)| *number != leader) {
         let again = calls_for(router, "list").await - listed[number];
@@ -224,20 +224,20 @@
 }
 
 #[tokio::test]
-async fn where_the_root_is_cut_off_from_a_store_that_forgets_the_others_go_on_by_themselves() {
+async fn if_the_root_is_partitioned_from_a_compacted_store_the_others_list_it_themselves() {
     // The nodes must not keep fetching the root's snapshot, which is older than what they know.
     let (cluster, links, routers) = fleet().await;
     let cut_off = leader(&routers).await;
     links[cut_off].set(LinkFault::Silent);
     cluster.configure_and_compact(2, &["another-key"]);
     for (number, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
-        until_served_by(router, "another-key").await;
+        wait_until_served_by(router, "another-key").await;
         let refused = router.send("/hold/1", &format!("o{number}")).await;
         assert!(refused.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED));
     }
     cluster.configure_and_compact(3, &["a-third-key"]);
     for (_, router) in routers.iter().enumerate().filter(|(number, _)| *number != cut_off) {
-        until_served_by(router, "a-third-key").await;
+        wait_until_served_by(router, "a-third-key").await;
     }
 }
 
@@ -247,9 +247,9 @@
     cluster.store.set_page_size(2);
     let started = Router::start_at(cluster.store_address, "node-9").await;
     let taken = async || gauge(&started, "paddlemount_forward_snapshots_taken_total").await == Some(1.0);
-    started.until("given the other pages", taken).await;
-    until_served_by(&started, KEY).await;
-    assert_eq!(calls_for(&started, "list").await, 2.0, "the store has more pages than that");
+    started.until("supplied with the other pages", taken).await;
+    wait_until_served_by(&started, KEY).await;
+    assert_eq!(calls_for(&started, "list").await, 2.0, "the node lists two of the store's pages");
     let counted = async || gauge(&started, "paddlemount_forward_nodes").await == Some(4.0);
     started.until("counted", counted).await;
     drop(routers);
@@ -261,7 +261,7 @@
     cluster.configure(1, &[KEY]);
     cluster.store.set_page_size(2);
     let router = Router::start(&cluster).await;
-    until_served_by(&router, KEY).await;
+    wait_until_served_by(&router, KEY).await;
     for path in ["/hold/1", "/chat/1"] {
         let served = async || {
             let id = format!("p-{}", rand::random::<u64>());
--- a/crates/cli/tests/forward/limit_check.rs
+++ b/crates/cli/tests/forward/limit_check.rs
@@ -142,7 +142,7 @@
     }
 
     #[test]
-    fn a_limit_is_the_greatest_that_was_named_within_the_window_and_begins_anew_after_a_break() {
+    fn the_highest_limit_in_the_window_applies_and_a_withdrawal_restarts_its_period() {
         let start = Instant::now();
         let at = |ms| start + Duration::from_millis(ms);
         let advertised =
@@ -156,7 +156,7 @@
     }
 
     #[test]
-    fn one_request_over_what_is_allowed_is_found_from_the_time_of_contact_on() {
+    fn one_request_over_the_allowance_is_found_after_the_settle_time() {
         let start = Instant::now();
         // A limit of 1 allows 11 requests.
         let mut times: Vec<(usize, u64)> = (0..11).map(|number| (number % 2, number as u64)).collect();
@@ -167,7 +167,7 @@
     }
 
     #[test]
-    fn nodes_that_were_not_told_or_that_are_excused_do_not_count() {
+    fn uninformed_and_excused_nodes_do_not_count() {
         let start = Instant::now();
         let mut times: Vec<(usize, u64)> = (0..12).map(|number| (0, number)).collect();
         times.push((1, 3_100));
@@ -180,7 +180,7 @@
     }
 
     #[test]
-    fn a_new_start_of_the_back_end_or_the_end_of_its_limit_counts_nothing_more() {
+    fn a_restart_of_the_back_end_or_a_withdrawn_limit_ends_the_count() {
         let start = Instant::now();
         let times: Vec<(usize, u64)> = (0..12).map(|number| (0, number)).collect();
         let mut all = arrivals(start, Some(1.0), &times);
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -8,13 +8,13 @@
 use serde_json::Value;
 
 use crate::{
-    limit_judge::{Arrival, WINDOW, advertised_by, allowed, exceeded},
+    limit_check::{Arrival, WINDOW, advertised_by, allowed, exceeded},
     router::{CallerResponse, Router, gauge},
 };
 
 const NODES: usize = 3;
 /// Callers per node, each with one request at a time.
-const CALLERS: usize = 2;
+const CALLERS_PER_NODE: usize = 2;
 /// Pause of a caller between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// How long callers go on after a limit is advertised: four windows, the first of which may have no requests.
@@ -27,7 +27,7 @@
 /// A response and its latency.
 struct TimedResponse {
     response: CallerResponse,
-    after: Duration,
+    latency: Duration,
 }
 
 struct Nodes {
@@ -58,14 +58,14 @@
 
     /// Sends requests to some nodes until an instant and returns the responses.
     async fn send_until(&self, nodes: &[usize], until: Instant) -> Vec<TimedResponse> {
-        let callers = nodes.iter().flat_map(|node| (0..CALLERS).map(move |caller| (*node, caller)));
+        let callers = nodes.iter().flat_map(|node| (0..CALLERS_PER_NODE).map(move |caller| (*node, caller)));
         let calls = callers.map(async |(node, caller)| {
             let mut answers = Vec::new();
             while Instant::now() < until {
                 let id = format!("{node}-{caller}-{}-{}", answers.len(), rand::random::<u64>());
                 let sent_at = Instant::now();
                 let response = self.routers[node].send(PATH, &id).await.expect("an answer");
-                answers.push(TimedResponse { response, after: sent_at.elapsed() });
+                answers.push(TimedResponse { response, latency: sent_at.elapsed() });
                 tokio::time::sleep(REQUEST_INTERVAL).await;
             }
             answers
@@ -127,7 +127,7 @@
 
 /// The limit applies to the sum over all nodes that have passed on an answer with it.
 #[tokio::test]
-async fn a_back_end_gets_no_more_than_the_limit_that_it_names_from_all_nodes_together() {
+async fn all_nodes_together_stay_within_an_advertised_limit() {
     let nodes = Nodes::start().await;
     let runner = &nodes.cluster.engines[0];
     nodes.send_for(Duration::from_secs(1)).await;
@@ -138,12 +138,12 @@
     assert!(answers.iter().all(|answer| answer.response.status == StatusCode::OK), "the others serve");
     let settled = advertised_at + WINDOW;
     let used = count_after(runner, settled);
-    let aim = 1.1 * (advertised_at + OBSERVATION_TIME - settled).as_secs_f64();
-    assert!(used as f64 >= aim / 2.0, "{used} requests where {aim} may come");
+    let permitted = 1.1 * (advertised_at + OBSERVATION_TIME - settled).as_secs_f64();
+    assert!(used as f64 >= permitted / 2.0, "{used} requests, {permitted} permitted");
 }
 
 #[tokio::test]
-async fn where_all_back_ends_name_limits_they_are_used_and_what_goes_beyond_is_refused_at_once() {
+async fn if_all_back_ends_advertise_limits_they_are_used_and_the_excess_is_refused_at_once() {
     let nodes = Nodes::start().await;
     nodes.send_for(Duration::from_secs(1)).await;
     nodes.cluster.engines.iter().for_each(|engine| engine.advertise_limit("5"));
@@ -157,16 +157,16 @@
     for answer in refused {
         assert_eq!(answer.response.status, StatusCode::SERVICE_UNAVAILABLE, "{}", answer.response.body);
         assert!(answer.response.headers.contains_key(header::RETRY_AFTER));
-        assert!(answer.after < MAX_REFUSAL_DELAY, "refused after {:?}", answer.after);
+        assert!(answer.latency < MAX_REFUSAL_DELAY, "refused after {:?}", answer.latency);
     }
     let settled = advertised_at + WINDOW;
     let used: usize = nodes.cluster.engines.iter().map(|engine| count_after(engine, settled)).sum();
-    let aim = 3.0 * 5.0 * (advertised_at + OBSERVATION_TIME - settled).as_secs_f64();
-    assert!(used as f64 >= aim / 2.0, "{used} requests where {aim} may come");
+    let permitted = 3.0 * 5.0 * (advertised_at + OBSERVATION_TIME - settled).as_secs_f64();
+    assert!(used as f64 >= permitted / 2.0, "{used} requests, {permitted} permitted");
 }
 
 #[tokio::test]
-async fn a_node_that_was_told_of_a_limit_by_another_one_keeps_to_it() {
+async fn a_node_enforces_a_limit_learned_by_gossip() {
     let nodes = Nodes::start().await;
     let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0.5");
@@ -184,7 +184,7 @@
 }
 
 #[tokio::test]
-async fn a_limit_ends_with_an_answer_that_names_none() {
+async fn a_limit_ends_with_an_answer_without_one() {
     let nodes = Nodes::start().await;
     let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0.5");
@@ -198,7 +198,7 @@
 }
 
 #[tokio::test]
-async fn a_limit_of_nothing_is_kept_to_and_its_end_is_noticed() {
+async fn a_limit_of_zero_is_enforced_and_its_withdrawal_is_noticed() {
     let nodes = Nodes::start().await;
     let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0");
@@ -209,20 +209,20 @@
 }
 
 #[tokio::test]
-async fn a_new_start_of_a_back_end_ends_the_limit_of_the_process_before_it() {
+async fn a_restart_of_a_back_end_ends_its_limit() {
     let nodes = Nodes::start().await;
     let runner = &nodes.cluster.engines[0];
     runner.advertise_limit("0");
     nodes.send_until_met("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
     runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
-    nodes.routers[0].until("whole again", async || nodes.cluster.all_running()).await;
+    nodes.routers[0].until("running again", async || nodes.cluster.all_running()).await;
     let back = Instant::now();
     let max = allowed(0.0) as usize;
     nodes.send_until_met("serving again", || count_after(runner, back) > max).await;
 }
 
 #[tokio::test]
-async fn a_limit_that_cannot_be_read_bounds_nothing() {
+async fn an_invalid_limit_is_ignored() {
     let nodes = Nodes::start().await;
     let runner = &nodes.cluster.engines[0];
     for (number, text) in ["-1", "NaN", "soon", "inf", ""].into_iter().enumerate() {
--- a/crates/cli/tests/forward/main.rs
+++ b/crates/cli/tests/forward/main.rs
@@ -6,7 +6,7 @@
 mod delivery;
 mod ending;
 mod fleet;
-mod limit_judge;
+mod limit_check;
 mod limits;
 mod planned_soak;
 mod poison;
--- a/crates/cli/tests/forward/planned_soak.rs
+++ b/crates/cli/tests/forward/planned_soak.rs
@@ -1,6 +1,9 @@
 //! Randomized planned operations, during which every request gets a complete answer, except those that cross
-//! the close of an idle connection and that the node logs as `closed_unread`. By hand:
-//! `PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 cargo test -p paddlemount-cli --test forward planned_soak -- --nocapture`
+//! the close of an idle connection and that the node logs as `closed_unread`.
+
+// A longer run with another seed and more nodes:
+// PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 \
+//     cargo test -p paddlemount-cli --test forward planned_soak -- --nocapture
 
 use std::{
     collections::BTreeMap,
@@ -19,11 +22,13 @@
 const NODES: usize = 3;
 /// Callers per node.
 const CALLERS_PER_NODE: usize = 8;
+/// Concurrent sequences of planned operations.
 const SERIES: u64 = 3;
 /// How long a caller waits after a refusal.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Duration of a run in CI.
 const CI_SECONDS: u64 = 8;
-/// Seeds to run. Regressions: 2, a shutdown closed its listener and reset requests on new connections; 143, a
+/// Seeds of the runs in CI. Regressions: 2, a shutdown closed its listener and reset requests on new connections; 143, a
 /// stream started after the end of admission and was cut.
 const SEEDS: [u64; 3] = [1, 2, 143];
 const PATHS: [&str; 4] = ["/hold/1", "/quote/1", "/chat/1", "/claim/1"];
@@ -61,8 +66,10 @@
     routers: Vec<Mutex<Option<Arc<Router>>>>,
     /// Held by the sequence that stops a node.
     node_locks: Vec<tokio::sync::Mutex<()>>,
+    /// The version of the operator's document.
     document: tokio::sync::Mutex<u64>,
-    weights: Mutex<u64>,
+    /// The target version of the weights.
+    target_version: Mutex<u64>,
     began: Instant,
     until: Instant,
     events: Mutex<Vec<String>>,
@@ -88,7 +95,7 @@
             routers,
             node_locks: (0..nodes).map(|_| tokio::sync::Mutex::default()).collect(),
             document: tokio::sync::Mutex::new(1),
-            weights: Mutex::new(1),
+            target_version: Mutex::new(1),
             began,
             until: began + Duration::from_secs(seconds),
             events: Mutex::default(),
@@ -191,7 +198,7 @@
             router.hang_up();
             router.terminate();
         }
-        router.until("gone after its grace period", async || router.is_gone()).await;
+        router.until("gone after its grace period", async || router.has_exited()).await;
         self.save_lines(&router);
         *locked(&self.routers[node]) = None;
         let fresh = start_node(&self.cluster, node).await;
@@ -245,9 +252,9 @@
 
     fn advance_target_version(&self) {
         let version = {
-            let mut weights = locked(&self.weights);
-            *weights += 1;
-            *weights
+            let mut version = locked(&self.target_version);
+            *version += 1;
+            *version
         };
         self.log(&format!("the target version is {version}"));
         self.cluster.set_target_version(version);
@@ -302,9 +309,9 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let mut statuses: BTreeMap<u16, usize> = BTreeMap::new();
     let mut unanswered = Vec::new();
-    for (counts, cut) in called {
+    for (counts, unanswered_by_caller) in called {
         counts.into_iter().for_each(|(status, count)| *statuses.entry(status).or_default() += count);
-        unanswered.extend(cut);
+        unanswered.extend(unanswered_by_caller);
     }
     let closed_unread = soak.closed_unread();
     println!(
@@ -317,7 +324,7 @@
     assert!(unanswered.iter().all(Unanswered::may_have_crossed_close), "seed {seed}:\n{events}\n{listed}");
     assert!(
         unanswered.len() <= closed_unread,
-        "seed {seed}: more than the nodes logged:\n{events}\n{listed}"
+        "seed {seed}: more requests without an answer than the {closed_unread} logged as `closed_unread`:\n{events}\n{listed}"
     );
     let served = statuses.get(&200).copied().unwrap_or_default();
     assert!(served > 0, "nothing was served: {statuses:?}\n{events}");
--- a/crates/cli/tests/forward/poison.rs
+++ b/crates/cli/tests/forward/poison.rs
@@ -70,7 +70,7 @@
 }
 
 /// Checks the quarantine of a request that a caller repeats at all nodes.
-async fn poison_is_held_back(path: &str) {
+async fn check_poison_is_held_back(path: &str) {
     let (cluster, _links, routers) = fleet().await;
     arm_poison(&cluster);
     let answers = send_poison(&cluster, &routers, path, "poison", ATTEMPTS).await;
@@ -90,22 +90,22 @@
 
 #[tokio::test]
 async fn a_stream_that_crashes_its_engines_is_held_back_by_all_nodes() {
-    poison_is_held_back("/chat/1").await;
+    check_poison_is_held_back("/chat/1").await;
 }
 
 #[tokio::test]
 async fn a_resumable_stream_that_crashes_its_engines_is_held_back_by_all_nodes() {
-    poison_is_held_back("/claim/1").await;
+    check_poison_is_held_back("/claim/1").await;
 }
 
 #[tokio::test]
 async fn a_repeatable_request_that_crashes_its_back_ends_is_held_back_by_all_nodes() {
-    poison_is_held_back("/quote/1").await;
+    check_poison_is_held_back("/quote/1").await;
 }
 
 #[tokio::test]
 async fn an_at_most_once_request_that_crashes_its_back_ends_is_held_back_by_all_nodes() {
-    poison_is_held_back("/hold/1").await;
+    check_poison_is_held_back("/hold/1").await;
 }
 
 #[tokio::test]
@@ -126,7 +126,7 @@
             (StatusCode::SERVICE_UNAVAILABLE, true)
         );
     }
-    assert_eq!(poison_runs(&cluster), before, "nodes that start anew hold it back at once");
+    assert_eq!(poison_runs(&cluster), before, "restarted nodes hold it back at once");
 }
 
 #[tokio::test]
@@ -202,7 +202,7 @@
     answers.into_iter().flatten().collect()
 }
 
-fn none_was_held_back(answers: &[CallerResponse], routers: &[Router]) {
+fn assert_none_held_back(answers: &[CallerResponse], routers: &[Router]) {
     let held = answers.iter().filter(|response| response.body.contains("held_back")).count();
     let lines = routers.iter().flat_map(Router::lines);
     let crash_lines: Vec<String> =
@@ -226,14 +226,14 @@
         }
     };
     let answers = ordinary_callers(&routers, faults).await;
-    none_was_held_back(&answers, &routers);
+    assert_none_held_back(&answers, &routers);
     for router in &routers {
         wait_until_serving(router, "/chat/1").await;
     }
 }
 
 #[tokio::test]
-async fn ordinary_requests_that_were_caught_in_a_release_are_not_held_back() {
+async fn ordinary_requests_interrupted_by_a_rolling_restart_are_not_held_back() {
     let (cluster, _links, routers) = fleet().await;
     let faults = async {
         for _ in 0..3 {
@@ -245,7 +245,7 @@
         }
     };
     let answers = ordinary_callers(&routers, faults).await;
-    none_was_held_back(&answers, &routers);
+    assert_none_held_back(&answers, &routers);
     for router in &routers {
         wait_until_serving(router, "/chat/1").await;
     }
@@ -253,7 +253,7 @@
 
 /// A request interrupted by the end of draining back ends must not count as the cause of a crash.
 #[tokio::test]
-async fn a_request_under_which_back_ends_end_as_they_had_said_is_not_held_back() {
+async fn a_request_interrupted_by_announced_exits_is_not_held_back() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     let router = Router::start(&cluster).await;
@@ -273,7 +273,7 @@
             cluster.engines.iter().for_each(Runner::crash);
         };
         let (response, ()) = tokio::join!(router.send_body("/chat/1", &id, KEY, "takes long"), ends);
-        assert!(response.is_none_or(|response| !response.complete), "its engine has ended under it");
+        assert!(response.is_none_or(|response| !response.complete), "its engine exited during the stream");
     }
     wait_until_running(&cluster).await;
     wait_until_serving(&router, "/chat/1").await;
--- a/crates/cli/tests/forward/quota.rs
+++ b/crates/cli/tests/forward/quota.rs
@@ -7,8 +7,8 @@
 
 use crate::router::Router;
 
-/// Tokens charged for a request without usage, as configured by the stand-in.
-const TOKENS_OF_A_REQUEST: f64 = 200.0;
+/// Tokens charged for a request whose answer reports no usage, as configured by the stand-in.
+const TOKENS_PER_REQUEST: f64 = 200.0;
 const TOKENS_PER_SECOND: u64 = 2_000;
 /// The default quota window in seconds.
 const WINDOW_S: f64 = 10.0;
@@ -57,16 +57,16 @@
     }
     // Each window that has started admits its rate and one burst.
     let windows = 1.0 + began.elapsed().as_secs_f64() / WINDOW_S;
-    let most = windows * (WINDOW_S + 1.0) * TOKENS_PER_SECOND as f64;
+    let max_tokens = windows * (WINDOW_S + 1.0) * TOKENS_PER_SECOND as f64;
     assert!(refused > 0, "the offered load exceeds the quota");
-    assert!(granted > 0.0 && granted * TOKENS_OF_A_REQUEST <= most, "{granted} granted");
+    assert!(granted > 0.0 && granted * TOKENS_PER_REQUEST <= max_tokens, "{granted} granted");
     let matches =
         |line: &String| line.contains("\"outcome\":\"over_quota\"") && line.contains("\"per_second\":");
     routers[0].until("logged", async || has_logged(&routers[0], matches)).await;
 }
 
 #[tokio::test]
-async fn a_quota_that_is_raised_or_taken_away_refuses_nothing_any_more() {
+async fn a_removed_quota_refuses_nothing_any_more() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure_quota(1, &[KEY], 1);
     let router = Router::start(&cluster).await;
--- a/crates/cli/tests/forward/restored.rs
+++ b/crates/cli/tests/forward/restored.rs
@@ -35,62 +35,62 @@
     Some(router.send_with_key("/hold/1", &id, key).await?.status)
 }
 
-async fn until_served(router: &Router, key: &str) {
+async fn wait_until_served(router: &Router, key: &str) {
     router.until("serving", async || status(router, key).await == Some(StatusCode::OK)).await;
 }
 
-async fn until_leading(router: &Router) {
+async fn wait_until_leading(router: &Router) {
     router.until("leading", async || gauge(router, "paddlemount_forward_leads").await == Some(1.0)).await;
 }
 
-/// Advances the revision by irrelevant changes.
-fn pass_revisions(cluster: &Cluster, count: u32) {
+/// Advances the store's revision by irrelevant changes.
+fn advance_revision(cluster: &Cluster, count: u32) {
     for slots in 0..count {
         cluster.change_slots(&cluster.bookings[0], 10 + slots % 2);
     }
 }
 
 #[tokio::test]
-async fn a_configuration_that_is_written_after_the_stores_return_is_in_force() {
+async fn a_configuration_written_after_a_restore_is_applied() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
-    until_served(&router, KEY).await;
+    wait_until_served(&router, KEY).await;
     let backup = cluster.store.backup();
-    pass_revisions(&cluster, LOST_REVISIONS);
+    advance_revision(&cluster, LOST_REVISIONS);
     tokio::time::sleep(PROPAGATION_TIME).await;
     let written = cluster.store.restore(&backup);
     cluster.store.rewrite(&written);
     cluster.configure(2, &[KEY, LATE_KEY]);
-    until_served(&router, LATE_KEY).await;
+    wait_until_served(&router, LATE_KEY).await;
     router.until("logged", async || router.logged("store_restored")).await;
 }
 
 #[tokio::test]
-async fn revisions_that_were_given_out_again_are_no_continuation() {
+async fn reused_revisions_are_detected_as_a_restore() {
     // By the next watch, other changes have advanced the store past the revision that the node knows.
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
-    until_served(&router, KEY).await;
+    wait_until_served(&router, KEY).await;
     let backup = cluster.store.backup();
-    pass_revisions(&cluster, LOST_REVISIONS);
+    advance_revision(&cluster, LOST_REVISIONS);
     tokio::time::sleep(PROPAGATION_TIME).await;
     cluster.store.set_fault(StoreFault::Refuses);
     tokio::time::sleep(OUTAGE).await;
     let written = cluster.store.restore(&backup);
     cluster.store.rewrite(&written);
     cluster.configure(2, &[KEY, LATE_KEY]);
-    pass_revisions(&cluster, LOST_REVISIONS * 2);
+    advance_revision(&cluster, LOST_REVISIONS * 2);
     cluster.store.set_fault(StoreFault::None);
-    until_served(&router, LATE_KEY).await;
+    wait_until_served(&router, LATE_KEY).await;
 }
 
 #[tokio::test]
-async fn a_leader_gives_orders_under_tokens_that_rise_over_restores() {
+async fn fencing_tokens_of_orders_rise_across_restores() {
     let cluster = cluster().await;
     let backup = cluster.store.backup();
     let router = Router::start(&cluster).await;
-    until_leading(&router).await;
-    pass_revisions(&cluster, LOST_REVISIONS);
+    wait_until_leading(&router).await;
+    advance_revision(&cluster, LOST_REVISIONS);
     cluster.set_target_version(2);
     let loaded = |version| cluster.engines.iter().all(|engine| engine.version() == version);
     router.until("loaded", async || loaded(2)).await;
@@ -104,11 +104,11 @@
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_away_stays_away_while_the_copy_has_it() {
+async fn a_removed_key_stays_refused_after_a_restore_of_a_backup_that_has_it() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY, REMOVED_KEY]);
     let router = Router::start(&cluster).await;
-    until_served(&router, REMOVED_KEY).await;
+    wait_until_served(&router, REMOVED_KEY).await;
     let backup = cluster.store.backup();
     cluster.configure(2, &[KEY]);
     let refused = async || status(&router, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
@@ -119,20 +119,20 @@
         tokio::time::sleep(OUTAGE / 10).await;
     }
     cluster.store.rewrite(&written);
-    until_served(&router, KEY).await;
+    wait_until_served(&router, KEY).await;
     assert_eq!(status(&router, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
 }
 
 #[tokio::test]
-async fn a_request_that_is_held_back_stays_held_and_is_written_again() {
+async fn a_quarantined_request_stays_held_back_and_is_recorded_again() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
-    until_leading(&router).await;
-    until_served(&router, KEY).await;
+    wait_until_leading(&router).await;
+    wait_until_served(&router, KEY).await;
     let backup = cluster.store.backup();
     cluster.engines.iter().for_each(|engine| engine.crash_on(POISON.as_bytes()));
     let is_held = async || {
-        router.until("whole", async || cluster.all_running()).await;
+        router.until("running", async || cluster.all_running()).await;
         let id = format!("poison-{}", rand::random::<u64>());
         let response = router.send_body("/chat/1", &id, KEY, POISON).await;
         response.is_some_and(|response| response.body.contains("held_back"))
@@ -151,32 +151,32 @@
 }
 
 #[tokio::test]
-async fn nodes_that_are_told_by_others_hear_what_follows_a_restore() {
+async fn nodes_that_receive_gossip_learn_of_changes_after_a_restore() {
     let cluster = cluster().await;
     let first = Router::start_at(cluster.store_address, "node-0").await;
-    until_leading(&first).await;
+    wait_until_leading(&first).await;
     let second = Router::start_at(cluster.store_address, "node-1").await;
-    until_served(&second, KEY).await;
+    wait_until_served(&second, KEY).await;
     second.until("reporting", async || second.logged("parent_changed")).await;
     let backup = cluster.store.backup();
-    pass_revisions(&cluster, LOST_REVISIONS);
+    advance_revision(&cluster, LOST_REVISIONS);
     tokio::time::sleep(PROPAGATION_TIME).await;
     let written = cluster.store.restore(&backup);
     cluster.store.rewrite(&written);
     cluster.configure(2, &[KEY, LATE_KEY]);
     for router in [&first, &second] {
-        until_served(router, LATE_KEY).await;
+        wait_until_served(router, LATE_KEY).await;
     }
 }
 
 /// A node that starts after the restore reads an outdated key from the backup, and must learn the removal
 /// from other nodes.
 #[tokio::test]
-async fn a_node_that_starts_before_all_is_written_again_goes_by_what_the_others_know() {
+async fn a_node_started_after_a_restore_learns_lost_changes_from_other_nodes() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY, REMOVED_KEY]);
     let first = Router::start_at(cluster.store_address, "node-0").await;
-    until_leading(&first).await;
+    wait_until_leading(&first).await;
     let backup = cluster.store.backup();
     cluster.configure(2, &[KEY]);
     let refused = async || status(&first, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
@@ -184,12 +184,12 @@
     let written = cluster.store.restore(&backup);
     // Once a node leads again, nothing is written and both nodes know the same revision.
     first.until("logged", async || first.logged("store_restored")).await;
-    until_leading(&first).await;
+    wait_until_leading(&first).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
     // The node serves by what it reads; an accepted change must apply within seconds.
     let second = Router::start_at(cluster.store_address, "node-1").await;
     let started = Instant::now();
-    until_served(&second, KEY).await;
+    wait_until_served(&second, KEY).await;
     let refused = async || status(&second, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
     second.until("refusing the key as well", refused).await;
     assert!(started.elapsed() < MAX_CONVERGENCE_TIME, "{:?} after its start", started.elapsed());
@@ -198,6 +198,6 @@
         tokio::time::sleep(OUTAGE / 10).await;
     }
     cluster.store.rewrite(&written);
-    until_served(&second, KEY).await;
+    wait_until_served(&second, KEY).await;
     assert_eq!(status(&second, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
 }
--- a/crates/cli/tests/forward/router.rs
+++ b/crates/cli/tests/forward/router.rs
@@ -284,12 +284,12 @@
     }
 
     /// Returns whether the process has exited.
-    pub fn is_gone(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         self.child().try_wait().expect("a child can be waited for").is_some()
     }
 
     /// Waits for the process to exit and returns whether it succeeded.
-    pub async fn ended(&mut self) -> bool {
+    pub async fn wait_for_exit(&mut self) -> bool {
         let began = Instant::now();
         loop {
             if let Some(status) = self.child().try_wait().expect("a child can be waited for") {
--- a/crates/cli/tests/forward/soak/announced.rs
+++ b/crates/cli/tests/forward/soak/announced.rs
@@ -9,7 +9,7 @@
 
 use super::disturbance::Disturbance;
 
-/// Time during which requests in flight may still arrive after an announcement.
+/// How long requests in flight may still arrive after an announcement.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
 /// Maximum number of requests that a back end may receive during its back-off.
 const MAX_IN_BACK_OFF: usize = 2;
@@ -147,21 +147,21 @@
     }
 
     #[test]
-    fn a_back_end_that_leaves_may_be_sent_requests_up_to_the_bound() {
+    fn a_draining_back_end_may_be_sent_requests_up_to_the_bound() {
         let start = Instant::now();
         assert_eq!(count_ignored(&[leaving(start, 0), seen(start, 2_500)], &[]), 0);
         assert_eq!(count_ignored(&[leaving(start, 0), seen(start, 2_501)], &[]), 1);
     }
 
     #[test]
-    fn what_a_node_has_not_passed_on_binds_it_to_nothing() {
+    fn a_node_is_not_bound_by_an_answer_that_it_has_not_passed_on() {
         let start = Instant::now();
         let broken = ReceivedRequest { ran: false, ..leaving(start, 0) };
         assert_eq!(count_ignored(&[broken, seen(start, 9_000)], &[]), 0);
     }
 
     #[test]
-    fn a_new_start_of_the_back_end_ends_both() {
+    fn a_restart_of_the_back_end_ends_draining_and_back_off() {
         let start = Instant::now();
         let again = |ms| ReceivedRequest { starts: 1, ..seen(start, ms) };
         assert_eq!(count_ignored(&[leaving(start, 0), again(9_000)], &[]), 0);
@@ -169,7 +169,7 @@
     }
 
     #[test]
-    fn two_requests_may_come_in_a_rest_beside_those_on_their_way() {
+    fn two_requests_are_allowed_in_a_back_off_besides_those_in_flight() {
         let start = Instant::now();
         let two = [
             backing_off(start, 0),
@@ -184,7 +184,7 @@
     }
 
     #[test]
-    fn a_start_of_the_node_or_a_trouble_of_a_link_excuses_what_follows_it() {
+    fn a_node_restart_or_a_link_fault_excuses_later_requests() {
         let start = Instant::now();
         let at = |ms| start + Duration::from_millis(ms);
         let late = [leaving(start, 0), seen(start, 9_000)];
--- a/crates/cli/tests/forward/soak/callers.rs
+++ b/crates/cli/tests/forward/soak/callers.rs
@@ -16,7 +16,7 @@
 /// How long a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a caller waits after a refusal or while its node is down. Refused requests add to the retry
-/// budget too, and a shorter delay would keep every scenario far below it.
+/// budget too, and with a shorter delay no scenario would come close to exhausting it.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 const PATHS: [&str; 4] = ["/hold/1", "/quote/1", "/chat/1", "/claim/1"];
 /// Paths whose requests may be retried on a second back end.
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -19,7 +19,7 @@
 };
 use crate::{
     delivery::COMPLETE_STREAM,
-    limit_judge,
+    limit_check,
     router::{CallerResponse, DRAIN_TIMEOUT, RETRY_PERCENT, RETRY_SLACK, RETRY_WINDOW, WEIGHTS_BOUND},
 };
 
@@ -27,7 +27,7 @@
 const REVOCATION_BOUND: Duration = Duration::from_millis(5_200);
 /// Crashes after which a request must be quarantined.
 const CRASHES_UNTIL_HELD: usize = 3;
-/// How long the quarantine takes to reach all undisturbed nodes.
+/// How long the quarantine may take to reach all undisturbed nodes.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of runs after that.
 const MAX_LATE_RUNS: usize = 3;
@@ -57,15 +57,11 @@
         }
         let late = self.late_poison(sent);
         if late.len() > MAX_LATE_RUNS {
-            violations.push(format!("{} runs of a request that crashes came late: {late:?}", late.len()));
+            violations.push(format!("{} late runs of the request that crashes: {late:?}", late.len()));
         }
         let late = self.started_on_older_weights(sent, WEIGHTS_BOUND + IN_FLIGHT_ALLOWANCE);
         violations.extend(late.iter().map(|late| self.describe_late(late)));
-        violations.extend(
-            self.ignored_announcements(sent)
-                .iter()
-                .map(|ignored_announcements| format!("{ignored_announcements:?}")),
-        );
+        violations.extend(self.ignored_announcements(sent).iter().map(|ignored| format!("{ignored:?}")));
         violations.extend(self.over_limits(sent));
         let over = self.fullest_windows().into_iter().filter(|(_, window)| window.is_over());
         violations.extend(over.map(|(service, window)| self.describe_window(service, &window)));
@@ -102,7 +98,7 @@
         };
         let runners = self.cluster.engines.iter().chain(&self.cluster.bookings);
         let over = runners.flat_map(|runner| {
-            let arrivals: Vec<limit_judge::Arrival> = runner
+            let arrivals: Vec<limit_check::Arrival> = runner
                 .seen()
                 .iter()
                 .filter_map(|seen| {
@@ -110,7 +106,7 @@
                     let passed_on = seen.ran
                         && sent.response.as_ref().is_some_and(|response| response.is_answer_of(seen));
                     let limit = seen.limit.as_ref().and_then(|text| text.parse().ok());
-                    Some(limit_judge::Arrival {
+                    Some(limit_check::Arrival {
                         node: sent.node,
                         at: seen.at,
                         starts: seen.starts,
@@ -119,11 +115,11 @@
                     })
                 })
                 .collect();
-            let over = limit_judge::exceeded(&arrivals, &limit_judge::advertised_by(runner), is_excused);
-            let describe = |over: limit_judge::Exceeded| {
-                let (at, may) = (self.second(over.at), limit_judge::allowed(over.limit));
+            let over = limit_check::exceeded(&arrivals, &limit_check::advertised_by(runner), is_excused);
+            let describe = |over: limit_check::Exceeded| {
+                let (at, allowed) = (self.second(over.at), limit_check::allowed(over.limit));
                 format!(
-                    "{at:7.3} s: {} got {} requests by a limit of {}, {may} may come",
+                    "{at:7.3} s: {} received {} requests with a limit of {}, {allowed} allowed",
                     runner.id(),
                     over.received,
                     over.limit
@@ -141,7 +137,7 @@
         let windows = self.fullest_windows().into_iter();
         let windows: Vec<String> =
             windows.map(|(service, window)| self.describe_window(service, &window)).collect();
-        format!("weights {longest:?} after newer ones at most; {}", windows.join("; "))
+        format!("older weights at most {longest:?} after newer ones; {}", windows.join("; "))
     }
 
     /// Returns requests of undisturbed nodes that started on older weights more than `bound` after newer ones
@@ -160,7 +156,7 @@
     fn describe_late(&self, late: &LateStart) -> String {
         let StartedRequest { id, node, version, at } = &late.started;
         format!(
-            "{:7.3} s: {id} of node {node} began on version {version}, {:?} after {} could be known",
+            "{:7.3} s: {id} of node {node} started on version {version}, {:?} after {} could be known",
             self.second(*at),
             late.known_for,
             late.newer.version
@@ -264,9 +260,11 @@
     }
     match response.status {
         StatusCode::SERVICE_UNAVAILABLE if allowed == 1 && runs > 0 => Some("refused and ran"),
-        StatusCode::OK if !response.headers.contains_key(Cluster::SIGNATURE) => Some("no back end's answer"),
+        StatusCode::OK if !response.headers.contains_key(Cluster::SIGNATURE) => {
+            Some("an answer without a back end's signature")
+        }
         StatusCode::OK if is_stream && response.complete && response.body != COMPLETE_STREAM => {
-            Some("not the whole stream")
+            Some("an incomplete stream")
         }
         StatusCode::OK if is_stream && !COMPLETE_STREAM.starts_with(&response.body) => {
             Some("a stream out of order")
--- a/crates/cli/tests/forward/soak/disturbance.rs
+++ b/crates/cli/tests/forward/soak/disturbance.rs
@@ -44,8 +44,8 @@
 
     /// The time since which store and links are undisturbed at `at`; `None` if this disturbance does not
     /// concern them by then.
-    pub fn place_undisturbed_since(&self, at: Instant) -> Option<Instant> {
-        let disturbs_place = matches!(self.cause, Cause::Store | Cause::Link);
-        (disturbs_place && self.from < at).then(|| at.min(self.to + SETTLE_TIME))
+    pub fn store_and_links_undisturbed_since(&self, at: Instant) -> Option<Instant> {
+        let disturbs_store_or_links = matches!(self.cause, Cause::Store | Cause::Link);
+        (disturbs_store_or_links && self.from < at).then(|| at.min(self.to + SETTLE_TIME))
     }
 }
--- a/crates/cli/tests/forward/soak/faults.rs
+++ b/crates/cli/tests/forward/soak/faults.rs
@@ -37,7 +37,7 @@
                 10 => self.hang_up(&mut random, node).await,
                 11 => self.crash_engines(&mut random),
                 12 => self.stall_connections(&mut random),
-                _ => self.release(&mut random, length).await,
+                _ => self.rolling_restart(&mut random, length).await,
             }
         }
     }
@@ -161,7 +161,7 @@
         self.log(format!("node {node} is stopped as planned"));
         let from = Instant::now();
         router.terminate();
-        router.until("gone after its grace period", async || router.is_gone()).await;
+        router.until("gone after its grace period", async || router.has_exited()).await;
         self.set_router(node, None);
         self.restart(node).await;
         self.disturbed(Cause::Node(node), from);
@@ -205,7 +205,7 @@
         let Some(router) = self.router(node) else { return };
         self.log(format!("node {node} receives SIGHUP"));
         for _ in 0..random.random_range(1..5) {
-            if router.is_gone() {
+            if router.has_exited() {
                 return;
             }
             router.hang_up();
@@ -221,7 +221,7 @@
     }
 
     /// Crashes runners one after the other.
-    pub(super) async fn release(&self, random: &mut StdRng, length: Duration) {
+    pub(super) async fn rolling_restart(&self, random: &mut StdRng, length: Duration) {
         self.log(format!("runners are replaced one by one over {length:?}"));
         for _ in 0..3 {
             self.any_runner(random).crash();
--- a/crates/cli/tests/forward/soak/leaving.rs
+++ b/crates/cli/tests/forward/soak/leaving.rs
@@ -32,7 +32,7 @@
     Freeze,
     Kill,
     Stop,
-    Release,
+    RollingRestart,
     Misbehave,
     AdvanceTarget,
 }
@@ -57,7 +57,7 @@
     Fault::Freeze,
     Fault::Kill,
     Fault::Stop,
-    Fault::Release,
+    Fault::RollingRestart,
     Fault::Misbehave,
     Fault::Misbehave,
     Fault::AdvanceTarget,
@@ -86,7 +86,7 @@
                 Fault::Freeze => self.freeze(node, length).await,
                 Fault::Kill => self.kill(node, length).await,
                 Fault::Stop => self.stop(node).await,
-                Fault::Release => self.release(&mut random, length).await,
+                Fault::RollingRestart => self.rolling_restart(&mut random, length).await,
                 Fault::Misbehave => self.script_misbehaviour(&mut random),
                 Fault::AdvanceTarget => self.advance_target_version(),
             }
--- a/crates/cli/tests/forward/soak/mod.rs
+++ b/crates/cli/tests/forward/soak/mod.rs
@@ -1,6 +1,9 @@
 //! Randomized faults over real processes, checked by what callers and back ends observe. Several sequences of
-//! faults run concurrently in each scenario. A longer run with another seed and more nodes:
-//! `PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 cargo test -p paddlemount-cli --test forward soak -- --nocapture`
+//! faults run concurrently in each scenario.
+
+// A longer run with another seed and more nodes:
+// PADDLEMOUNT_SOAK_SECONDS=60 PADDLEMOUNT_SOAK_SEED=77 PADDLEMOUNT_SOAK_NODES=12 \
+//     cargo test -p paddlemount-cli --test forward soak -- --nocapture
 
 mod announced;
 mod callers;
@@ -69,7 +72,7 @@
     AllFaults,
     /// New target versions combined with crashes, restarts and freezes.
     TargetVersions,
-    /// Back ends that announce draining or back-off, combined with store outages and node restarts.
+    /// Back ends that announce draining, back-off or limits, combined with store outages and node restarts.
     Announcements,
 }
 
@@ -181,7 +184,7 @@
     /// Log lines of running nodes about crashed back ends and announcements, in order of time.
     fn crash_lines(&self) -> Vec<String> {
         let routers = (0..self.nodes()).filter_map(|number| self.router(number));
-        let about = |line: &String| {
+        let is_relevant = |line: &String| {
             let events = [
                 "\"run_c",
                 "\"request_",
@@ -190,9 +193,9 @@
                 "\"backend_leaving",
                 "to another request",
             ];
-            events.iter().any(|word| line.contains(word))
+            events.iter().any(|event| line.contains(event))
         };
-        let mut lines: Vec<String> = routers.flat_map(|router| router.lines()).filter(about).collect();
+        let mut lines: Vec<String> = routers.flat_map(|router| router.lines()).filter(is_relevant).collect();
         lines.sort();
         lines
     }
@@ -237,9 +240,10 @@
                 sent
             }
             Scenario::TargetVersions | Scenario::Announcements => {
-                let holding =
+                let persistent_callers =
                     (0..PERSISTENT_CALLERS).map(|caller| self.call_on_one_connection(caller, seed, until));
-                let (mut sent, persistent) = tokio::join!(callers, futures_util::future::join_all(holding));
+                let (mut sent, persistent) =
+                    tokio::join!(callers, futures_util::future::join_all(persistent_callers));
                 sent.extend(persistent);
                 sent
             }
@@ -280,7 +284,7 @@
     let mut violations = soak.violations(&sent);
     if !rolled_out {
         let loaded: Vec<u64> = soak.cluster.engines.iter().map(|engine| engine.version()).collect();
-        violations.push(format!("engines did not get the last version: {loaded:?}"));
+        violations.push(format!("engines have not loaded the last target version: {loaded:?}"));
     }
     let ordinary = sent.iter().filter(|one| one.body != POISON);
     let statuses = ordinary.fold(BTreeMap::new(), |mut counts: BTreeMap<u16, usize>, one| {
@@ -291,7 +295,7 @@
     let tightest_margins = soak.tightest_margins(&sent);
     println!(
         "{scenario:?}, seed {seed}, {seconds} s, {nodes} nodes: {} requests, ordinary ones by status {statuses:?}, {} runs of \
-         the one that crashes, {} namings, {} wrong; {tightest_margins}",
+         the one that crashes, {} target versions, {} violations; {tightest_margins}",
         sent.len(),
         soak.poison_runs().len(),
         locked(&soak.targets).len(),
@@ -306,7 +310,7 @@
     let all: usize = statuses.values().sum();
     assert!(
         statuses.get(&200).is_some_and(|count| *count > all / scenario.min_served_divisor()),
-        "hardly anything was served: {statuses:?}\n{events}"
+        "too few requests were served: {statuses:?}\n{events}"
     );
 }
 
@@ -324,16 +328,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_under_faults_from_outside() {
+async fn invariants_hold_under_external_faults() {
     run_seeds(Scenario::AllFaults, &SEEDS).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn weights_and_retries_keep_their_bounds_beside_crashes_and_starts() {
+async fn weights_and_retries_stay_within_bounds_during_crashes_and_restarts() {
     run_seeds(Scenario::TargetVersions, &TARGET_VERSION_SEEDS).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_back_ends_say_of_themselves_is_heeded_beside_outages_and_starts() {
+async fn back_end_announcements_are_respected_during_outages_and_restarts() {
     run_seeds(Scenario::Announcements, &ANNOUNCEMENT_SEEDS).await;
 }
--- a/crates/cli/tests/forward/soak/retries.rs
+++ b/crates/cli/tests/forward/soak/retries.rs
@@ -133,21 +133,21 @@
     }
 
     #[test]
-    fn a_burst_across_the_border_of_two_windows_counts_whole() {
+    fn a_burst_across_the_border_of_two_windows_counts_completely() {
         let start = Instant::now() + Duration::from_secs(60);
         let burst = |number| 1 + u64::from((88..112).contains(&number));
         assert_eq!(run(start, 300, burst).expect("over the budget").retries, 24);
     }
 
     #[test]
-    fn a_refused_arrival_of_a_request_counts_as_often_as_it_comes() {
+    fn each_repeated_arrival_of_a_request_counts_as_a_retry() {
         let start = Instant::now() + Duration::from_secs(60);
         assert_eq!(run(start, 300, |number| if number == 150 { 24 } else { 1 }), None);
         assert!(run(start, 300, |number| if number == 150 { 25 } else { 1 }).is_some());
     }
 
     #[test]
-    fn requests_of_the_window_before_count_where_they_are_more() {
+    fn an_earlier_window_counts_if_it_has_more_requests() {
         let start = Instant::now() + Duration::from_secs(60);
         let ids: Vec<String> = (0..22).map(|number| number.to_string()).collect();
         let offered: Vec<Instant> = (0..100).map(|number| instant(start, number)).collect();
--- a/crates/cli/tests/forward/soak/targets.rs
+++ b/crates/cli/tests/forward/soak/targets.rs
@@ -31,7 +31,7 @@
     FreezeNodes,
     Kill,
     Stop,
-    Release,
+    RollingRestart,
     Overload,
     Misbehave,
     StallConnections,
@@ -54,7 +54,7 @@
     Fault::FreezeNodes,
     Fault::Kill,
     Fault::Stop,
-    Fault::Release,
+    Fault::RollingRestart,
     Fault::Overload,
     Fault::Overload,
     Fault::Misbehave,
@@ -95,7 +95,7 @@
             Fault::FreezeNodes => self.freeze_nodes(random).await,
             Fault::Kill => self.kill(node, length).await,
             Fault::Stop => self.stop(node).await,
-            Fault::Release => self.release(random, length).await,
+            Fault::RollingRestart => self.rolling_restart(random, length).await,
             Fault::Overload => self.overload(random),
             Fault::Misbehave => self.script_misbehaviour(random),
             Fault::StallConnections => self.stall_connections(random),
@@ -204,7 +204,7 @@
         let from = Instant::now();
         if planned {
             router.terminate();
-            router.until("gone after its grace period", async || router.is_gone()).await;
+            router.until("gone after its grace period", async || router.has_exited()).await;
         } else {
             router.kill();
         }
--- a/crates/cli/tests/forward/soak/weights.rs
+++ b/crates/cli/tests/forward/soak/weights.rs
@@ -51,7 +51,7 @@
             .filter(|target| target.version > started.version)
             .min_by_key(|target| target.at)?;
         let undisturbed =
-            disturbances.iter().map(|disturbance| disturbance.place_undisturbed_since(started.at));
+            disturbances.iter().map(|disturbance| disturbance.store_and_links_undisturbed_since(started.at));
         let since = undisturbed.flatten().fold(newer.at, Instant::max);
         let known_for = started.at.saturating_duration_since(since);
         let excused =
@@ -106,7 +106,7 @@
     }
 
     #[test]
-    fn further_namings_do_not_put_the_bound_off() {
+    fn later_target_versions_do_not_extend_the_bound() {
         let start = Instant::now();
         let late = late_starts(&[started(start, 1, 15)], &targets(start), &[], BOUND);
         assert_eq!(late[0].newer.version, 2);
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn a_trouble_of_the_store_puts_the_bound_off() {
+    fn a_store_outage_extends_the_bound() {
         let start = Instant::now();
         let outage = Disturbance { cause: Cause::Store, from: after(start, 11), to: after(start, 13) };
         let bound_end = after(start, 13) + SETTLE_TIME + BOUND;
@@ -127,14 +127,14 @@
     }
 
     #[test]
-    fn a_trouble_after_the_bound_excuses_nothing_before_it() {
+    fn a_disturbance_after_the_bound_excuses_nothing_before_it() {
         let start = Instant::now();
         let outage = Disturbance { cause: Cause::Link, from: after(start, 16), to: after(start, 17) };
         assert!(is_late(start, started(start, 1, 15), &[outage]));
     }
 
     #[test]
-    fn a_start_of_the_node_excuses_it_only_for_a_while() {
+    fn a_restart_of_the_node_excuses_it_for_a_limited_time() {
         let start = Instant::now();
         let restarted = Disturbance { cause: Cause::Node(1), from: after(start, 13), to: after(start, 14) };
         assert!(!is_late(start, started(start, 1, 16), &[restarted]));
@@ -142,7 +142,7 @@
     }
 
     #[test]
-    fn a_start_of_another_node_excuses_nothing() {
+    fn a_restart_of_another_node_excuses_nothing() {
         let start = Instant::now();
         let other = Disturbance { cause: Cause::Node(2), from: after(start, 13), to: after(start, 15) };
         assert!(is_late(start, started(start, 1, 15), &[other]));
--- a/crates/cli/tests/forward/unanswered.rs
+++ b/crates/cli/tests/forward/unanswered.rs
@@ -15,7 +15,7 @@
 const CALLERS: usize = 24;
 /// Time from the stop signal to the end of admission with a grace period of 6 s.
 const CLOSE_DELAY: Duration = Duration::from_millis(2_240);
-/// How long before and after that moment the node is frozen.
+/// How long before and after the close the node is frozen.
 const FREEZE_MARGIN: Duration = Duration::from_millis(350);
 
 async fn cluster_and_router() -> (Cluster, Router) {
@@ -61,8 +61,8 @@
 }
 
 #[tokio::test]
-async fn what_lies_in_resting_connections_at_a_planned_stop_is_answered() {
-    let (_place, router) = cluster_and_router().await;
+async fn requests_on_idle_connections_at_a_planned_stop_are_answered() {
+    let (_cluster, router) = cluster_and_router().await;
     let mut callers = Vec::new();
     for number in 0..CALLERS {
         let mut caller = RawCaller::connect(router.callers).await;
@@ -79,8 +79,8 @@
 }
 
 #[tokio::test]
-async fn what_waits_in_the_listeners_queue_at_a_planned_stop_is_answered() {
-    let (_place, router) = cluster_and_router().await;
+async fn requests_in_the_listen_backlog_at_a_planned_stop_are_answered() {
+    let (_cluster, router) = cluster_and_router().await;
     let callers = stop_and_freeze(&router, async {
         let mut callers = Vec::new();
         for number in 0..CALLERS {
@@ -97,7 +97,7 @@
 /// An unresponsive run must not be abandoned before another back end has accepted its stream, since the run
 /// may go on.
 #[tokio::test]
-async fn a_silent_run_is_kept_until_another_has_taken_its_stream() {
+async fn an_unresponsive_run_is_not_abandoned_until_another_accepts_its_stream() {
     let (cluster, router) = cluster_and_router().await;
     // Before a node knows that it is alone, its retry budget is 2.
     router
@@ -120,7 +120,7 @@
 
 /// A stream that cannot complete within the remaining grace period must be refused instead of cut.
 #[tokio::test]
-async fn a_planned_stop_begins_no_stream_that_it_cannot_end() {
+async fn a_planned_stop_starts_no_stream_that_cannot_complete_in_time() {
     let (cluster, router) = long_streams_and_short_grace().await;
     let mut caller = RawCaller::connect(router.callers).await;
     assert!(caller.call("/chat/1", "long-1").await.is_complete());
@@ -131,13 +131,13 @@
     let Ending::Complete { status: 503, closes: true, retry_after: Some(_), .. } = ending else {
         panic!("{ending:?}\n{:#?}", router.lines());
     };
-    assert_eq!(runs, 0, "a refusal that says when to come back has not run");
+    assert_eq!(runs, 0, "a refusal with a retry-after has not run");
 }
 
 /// A connection whose stream started before the signal stays open without `connection: close`. The next
 /// request on it after the end of admission must be refused.
 #[tokio::test]
-async fn a_planned_stop_begins_nothing_after_it_takes_callers_no_longer() {
+async fn a_planned_stop_starts_nothing_after_the_end_of_admission() {
     let (cluster, router) = long_streams_and_short_grace().await;
     let mut caller = RawCaller::connect(router.callers).await;
     caller.send("/chat/1", "before").await;
@@ -155,9 +155,9 @@
 
 /// Closing a connection with an unread request body resets it, and the reset must not overtake the refusal.
 #[tokio::test]
-async fn a_refusal_outlives_a_body_that_is_still_on_its_way() {
+async fn a_refusal_is_delivered_while_the_body_is_still_arriving() {
     const HALF: usize = 30_000;
-    let (_place, router) = cluster_and_router().await;
+    let (_cluster, router) = cluster_and_router().await;
     for number in 0..CALLERS {
         let mut caller = RawCaller::connect(router.callers).await;
         caller.send_head("/nowhere/1", &format!("refused-{number}"), 2 * HALF).await;
@@ -172,7 +172,7 @@
 
 /// A longer idle timeout in the configuration must apply to connections that are already open.
 #[tokio::test]
-async fn a_longer_rest_counts_for_connections_that_are_open() {
+async fn a_longer_idle_timeout_applies_to_open_connections() {
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure_idle(1, &[KEY], 500);
     let router = Router::start(&cluster).await;
@@ -188,7 +188,7 @@
 /// Requests that arrive before an idle connection is closed must be answered, even if the node is frozen
 /// meanwhile.
 #[tokio::test]
-async fn what_lies_in_connections_that_have_rested_for_long_is_answered() {
+async fn requests_that_arrive_before_an_idle_close_are_answered() {
     /// An advertised idle timeout of 300 ms and its slack.
     const CLOSE_DELAY: Duration = Duration::from_millis(5_300);
     let cluster = Cluster::start().await.expect("the cluster starts");
@@ -214,7 +214,7 @@
 /// The head of a stream must not be forwarded before its first event, so that an earlier failure gets a
 /// complete answer.
 #[tokio::test]
-async fn what_breaks_before_its_first_event_is_answered_whole() {
+async fn a_stream_that_breaks_before_its_first_event_gets_a_complete_answer() {
     let (cluster, router) = cluster_and_router().await;
     for engine in &cluster.engines {
         engine.script(&[Behaviour::BreaksAfterHead; 2]);
--- a/crates/cli/tests/forward/weights_named.rs
+++ b/crates/cli/tests/forward/weights_named.rs
@@ -41,7 +41,7 @@
     router.send(path, &id).await.expect("an answer")
 }
 
-async fn until_served(router: &Router) {
+async fn wait_until_served(router: &Router) {
     let served = async || send(router, "/claim/1").await.status == StatusCode::OK;
     router.until("serving", served).await;
 }
@@ -70,13 +70,13 @@
 }
 
 /// Checks that requests are refused at once with `retry-after` and do not run.
-async fn refuses_older_weights(cluster: &Cluster, router: &Router) {
+async fn assert_refuses_older_weights(cluster: &Cluster, router: &Router) {
     router.until("informed of the version", async || knows_target(router, 2)).await;
-    let known = async || {
+    let serves = async || {
         let response = send(router, "/hold/1").await;
         response.status == StatusCode::OK
     };
-    router.until("serving what has no weights", known).await;
+    router.until("serving a path without weights", serves).await;
     let before = runs(cluster);
     for path in ["/claim/1", "/chat/1", "/claim/2"] {
         let response = send(router, path).await;
@@ -88,88 +88,88 @@
 }
 
 #[tokio::test]
-async fn a_node_that_starts_alone_uses_no_weights_older_than_the_ones_that_it_finds_named() {
+async fn a_node_that_starts_alone_uses_no_weights_older_than_the_target() {
     // At its start a node cannot know how old a target version is.
     let cluster = cluster().await;
     cluster.set_target_version(2);
     let router = Router::start(&cluster).await;
-    refuses_older_weights(&cluster, &router).await;
+    assert_refuses_older_weights(&cluster, &router).await;
 }
 
 #[tokio::test]
-async fn a_node_that_stood_still_while_weights_were_named_counts_from_before() {
+async fn a_frozen_node_counts_the_bound_from_before_the_freeze() {
     let cluster = cluster().await;
     let router = Router::start_with_weights_bound(cluster.store_address, "node-1", PARTITION_BOUND_MS).await;
-    until_served(&router).await;
+    wait_until_served(&router).await;
     router.freeze();
     cluster.set_target_version(2);
     tokio::time::sleep(PARTITION_TIME).await;
     router.thaw();
-    refuses_older_weights(&cluster, &router).await;
+    assert_refuses_older_weights(&cluster, &router).await;
 }
 
 #[tokio::test]
-async fn a_node_that_was_cut_off_while_weights_were_named_counts_from_before() {
+async fn a_partitioned_node_counts_the_bound_from_before_the_partition() {
     let cluster = cluster().await;
     let link = Proxy::start(cluster.store_address).await.expect("a proxy starts");
     let router = Router::start_with_weights_bound(link.address, "node-1", PARTITION_BOUND_MS).await;
-    until_served(&router).await;
+    wait_until_served(&router).await;
     link.set(LinkFault::Silent);
     cluster.set_target_version(2);
     tokio::time::sleep(PARTITION_TIME).await;
     link.set(LinkFault::None);
-    refuses_older_weights(&cluster, &router).await;
+    assert_refuses_older_weights(&cluster, &router).await;
 }
 
 #[tokio::test]
-async fn a_node_that_starts_beside_others_is_told_how_lately_weights_were_named() {
+async fn a_starting_node_learns_the_age_of_the_target_version_from_others() {
     // Without the age from other nodes, it would refuse requests that they serve.
     let cluster = cluster().await;
     let start =
         async |name: &str| Router::start_with_weights_bound(cluster.store_address, name, LONG_BOUND_MS).await;
     let first = start("node-0").await;
     first.until("leading", async || gauge(&first, "paddlemount_forward_leads").await == Some(1.0)).await;
-    until_served(&first).await;
+    wait_until_served(&first).await;
     cluster.set_target_version(2);
     first.until("informed of the version", async || knows_target(&first, 2)).await;
     let started = start("node-1").await;
-    until_served(&started).await;
+    wait_until_served(&started).await;
 }
 
 /// Runs a node until it has recorded a target version in the store as the leader, and kills it.
 async fn kill_after_announcement(cluster: &Cluster, bound_ms: u64) {
     let router = Router::start_with_weights_bound(cluster.store_address, "node-1", bound_ms).await;
     router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
-    until_served(&router).await;
+    wait_until_served(&router).await;
     cluster.set_target_version(2);
     router.until("recorded", async || cluster.has_recorded_target()).await;
 }
 
 #[tokio::test]
-async fn where_all_nodes_start_again_soon_after_a_naming_older_weights_serve_on() {
+async fn older_weights_still_serve_after_all_nodes_restart_soon_after_a_new_target() {
     // The recorded age must keep restarted nodes from treating a recent target version as old.
     let cluster = cluster().await;
     kill_after_announcement(&cluster, LONG_BOUND_MS).await;
     let started = Router::start_with_weights_bound(cluster.store_address, "node-1", LONG_BOUND_MS).await;
-    until_served(&started).await;
+    wait_until_served(&started).await;
     started.until("informed of the version", async || knows_target(&started, 2)).await;
     assert!(logs_age_of(&started, 2), "{:#?}", started.lines());
 }
 
 #[tokio::test]
-async fn where_all_nodes_start_again_long_after_a_naming_older_weights_serve_no_more() {
+async fn older_weights_are_refused_after_all_nodes_restart_long_after_a_new_target() {
     let cluster = cluster().await;
     kill_after_announcement(&cluster, RECORDED_BOUND_MS).await;
     tokio::time::sleep(PAST_RECORDED_BOUND).await;
     let started = Router::start_with_weights_bound(cluster.store_address, "node-1", RECORDED_BOUND_MS).await;
-    refuses_older_weights(&cluster, &started).await;
+    assert_refuses_older_weights(&cluster, &started).await;
 }
 
 /// Checks that a request at an unresponsive engine is cancelled when the target version advances meanwhile.
 async fn is_cancelled(behaviour: Behaviour, path: &str) {
     let cluster = cluster().await;
     let router = Router::start_with_weights_bound(cluster.store_address, "node-1", 1_000).await;
-    until_served(&router).await;
+    wait_until_served(&router).await;
     cluster.engines.iter().for_each(|engine| engine.script(&[behaviour]));
     let announcement = async {
         let waiting = async || cluster.engines.iter().any(|engine| engine.runs("waits") > 0);
@@ -185,12 +185,12 @@
 }
 
 #[tokio::test]
-async fn a_request_that_waits_is_taken_back_where_newer_weights_are_named_meanwhile() {
+async fn a_waiting_request_is_cancelled_when_the_target_version_advances() {
     // A version that is set after the request was sent must shorten its wait.
     is_cancelled(Behaviour::Hangs, "/chat/1").await;
 }
 
 #[tokio::test]
-async fn a_stream_without_an_event_is_taken_back_where_newer_weights_are_named_meanwhile() {
+async fn a_stream_without_an_event_is_cancelled_when_the_target_version_advances() {
     is_cancelled(Behaviour::HangsAfterHead, "/chat/1").await;
 }
