--- a/crates/cli/tests/bad_input.rs
+++ b/crates/cli/tests/bad_input.rs
@@ -17,7 +17,7 @@
 
 const UNUSED: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
-fn refused(answer: &Answer, status: u16, code: &str) {
+fn assert_refused(answer: &Answer, status: u16, code: &str) {
     assert_eq!(answer.status, status, "{answer:?}");
     let body = answer.json();
     assert_eq!(body["error"]["code"], code, "{body}");
@@ -35,38 +35,42 @@
     let path = "/v1/chat/completions";
     let message = |content: &str| json!([{ "role": "user", "content": content }]);
 
-    refused(&post(address, path, &with_key, b"{\"model\": "), 400, "invalid_request");
-    refused(&post(address, path, &with_key, b"\xff\xfe"), 400, "invalid_request");
-    refused(&post(address, path, &with_key, b"[]"), 400, "invalid_request");
-    refused(&chat(address, &json!({ "model": MODEL, "messages": [] })), 400, "invalid_request");
-    refused(
+    assert_refused(&post(address, path, &with_key, b"{\"model\": "), 400, "invalid_request");
+    assert_refused(&post(address, path, &with_key, b"\xff\xfe"), 400, "invalid_request");
+    assert_refused(&post(address, path, &with_key, b"[]"), 400, "invalid_request");
+    assert_refused(&chat(address, &json!({ "model": MODEL, "messages": [] })), 400, "invalid_request");
+    assert_refused(
         &chat(address, &json!({ "model": MODEL, "messages": message("a"), "max_tokens": 0 })),
         400,
         "invalid_request",
     );
-    refused(&chat(address, &json!({ "model": "nothing", "messages": message("a") })), 404, "not_found");
-    refused(
+    assert_refused(
+        &chat(address, &json!({ "model": "nothing", "messages": message("a") })),
+        404,
+        "not_found",
+    );
+    assert_refused(
         &chat(address, &json!({ "model": MODEL, "messages": message("a"), "adapter": "none" })),
         404,
         "not_found",
     );
-    refused(&post(address, path, &[], b"{}"), 401, "unauthenticated");
-    refused(&post(address, path, &[("authorization", "Bearer wrong")], b"{}"), 401, "unauthenticated");
-    refused(
+    assert_refused(&post(address, path, &[], b"{}"), 401, "unauthenticated");
+    assert_refused(&post(address, path, &[("authorization", "Bearer wrong")], b"{}"), 401, "unauthenticated");
+    assert_refused(
         &chat(address, &json!({ "model": MODEL, "messages": message(&"p".repeat(11_000)) })),
         413,
         "too_large",
     );
-    refused(
+    assert_refused(
         &chat(address, &json!({ "model": MODEL, "messages": message(&"b".repeat(300_000)) })),
         413,
         "too_large",
     );
-    refused(&get(address, "/v1/elsewhere", &with_key), 404, "not_found");
-    refused(&get(address, path, &with_key), 405, "invalid_request");
-    refused(&post(address, "/v1/services/nothing/run", &with_key, b"{}"), 404, "not_found");
+    assert_refused(&get(address, "/v1/elsewhere", &with_key), 404, "not_found");
+    assert_refused(&get(address, path, &with_key), 405, "invalid_request");
+    assert_refused(&post(address, "/v1/services/nothing/run", &with_key, b"{}"), 404, "not_found");
     let wrong_header = [with_key[0], ("x-paddlemount-deadline-ms", "soon")];
-    refused(&post(address, path, &wrong_header, b"{}"), 400, "invalid_request");
+    assert_refused(&post(address, path, &wrong_header, b"{}"), 400, "invalid_request");
 
     let messages = conversation("all that");
     check_stream(&chat(address, &body(&messages, true, 5)), &messages, 5);
@@ -158,7 +162,7 @@
     assert_eq!(get(node.address("admin"), "/healthz", &[]).status, 200);
     assert_eq!(get(node.address("admin"), "/readyz", &[]).status, 503);
     let answer = chat(node.address("callers"), &json!({ "model": MODEL, "messages": [] }));
-    refused(&answer, 503, "unavailable");
+    assert_refused(&answer, 503, "unavailable");
     assert!(answer.header("retry-after").is_some());
 }
 
--- a/crates/cli/tests/claims.rs
+++ b/crates/cli/tests/claims.rs
@@ -30,7 +30,7 @@
     nodes: Vec<Process>,
 }
 
-fn with_claims() -> Configuration {
+fn configuration_with_claims() -> Configuration {
     let member = |number: usize| ClaimMember {
         node: format!("node-{number}").into(),
         zone: ZONES[number].into(),
@@ -50,7 +50,7 @@
 
 impl Cluster {
     fn start() -> Self {
-        let store = configuration_store(&with_claims());
+        let store = configuration_store(&configuration_with_claims());
         let booking = Process::standin(&StandinSettings::Booking(BookingSettings::new("booking-0".into())));
         let machine = |role, address, zone: usize| Machine {
             role,
--- a/crates/cli/tests/documentation.rs
+++ b/crates/cli/tests/documentation.rs
@@ -11,7 +11,7 @@
     visit::{self, Visit},
 };
 
-/// Folders of the workspace whose sources are read.
+/// Folders of the workspace whose sources are checked.
 const FOLDERS: [&str; 3] = ["crates", "platform", "specs"];
 /// Folders of a package whose files are crates of their own that export nothing.
 const UNEXPORTED: [&str; 3] = ["tests", "benches", "examples"];
@@ -79,7 +79,7 @@
             Item::Trait(item) => self.require(&item.vis, &item.attrs, "trait", &item.ident),
             Item::Type(item) => self.require(&item.vis, &item.attrs, "type", &item.ident),
             Item::Union(item) => self.require(&item.vis, &item.attrs, "union", &item.ident),
-            // The file of a module that stands apart is read on its own.
+            // A module in a file of its own is checked with that file.
             Item::Mod(item) if item.content.is_some() => {
                 self.require(&item.vis, &item.attrs, "module", &item.ident);
             }
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_crash_continues_elsewhere_where_the_request_is_repeatable() {
+fn a_repeatable_request_continues_elsewhere_after_a_crash() {
     let cluster = slow_cluster(2, "");
     let messages = conversation("a crash");
     let mut stream = begin(&cluster, &[], &body(&messages, true, 60));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_stalled_engine_is_left_for_another() {
+fn a_stream_at_a_stalled_engine_is_resumed_at_another() {
     let cluster = slow_cluster(2, "[timeouts]\nbetween_frames_ms = 250\n");
     let messages = conversation("a stall");
     let mut stream = begin(&cluster, &[], &body(&messages, true, 60));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn refusals_go_elsewhere_and_end_at_once_where_all_refuse() {
+fn a_refused_request_is_retried_elsewhere_and_fails_at_once_if_all_refuse() {
     let cluster = Cluster::start(2, 1, "");
     let address = cluster.nodes[0].address("callers");
     set_faults(&cluster.engines[0], &json!({ "refuse": "overloaded" }));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_is_passed_on_as_a_cancel() {
+fn a_disconnected_caller_cancels_its_request_at_the_engine() {
     let cluster = slow_cluster(1, "");
     let stream = begin(&cluster, &[], &body(&conversation("a caller leaves"), true, 152));
     running_engine(&cluster);
@@ -176,7 +176,7 @@
 }
 
 /// Drains the engine that serves a conversation and checks that it receives no new requests.
-fn check_leaving(announce: impl Fn(&Cluster, usize)) {
+fn check_draining(announce: impl Fn(&Cluster, usize)) {
     let cluster = Cluster::start(2, 1, "");
     let address = cluster.nodes[0].address("callers");
     let send_turn = |turn: u32| {
@@ -194,8 +194,8 @@
 }
 
 #[test]
-fn an_engine_that_leaves_by_the_machine_list_gets_nothing_new() {
-    check_leaving(|cluster, leaving| {
+fn an_engine_listed_as_leaving_gets_no_new_requests() {
+    check_draining(|cluster, leaving| {
         let address = cluster.engines[leaving].address("address");
         let mut machine = support::engine_machine(leaving, address);
         machine.state = paddlemount_protocol::platform::MachineState::Leaving;
@@ -206,8 +206,8 @@
 }
 
 #[test]
-fn an_engine_that_says_that_it_leaves_gets_nothing_new() {
-    check_leaving(|cluster, leaving| {
+fn an_engine_that_reports_draining_gets_no_new_requests() {
+    check_draining(|cluster, leaving| {
         let order = Order {
             id: "leave".into(),
             token: FencingToken(1),
@@ -220,8 +220,8 @@
 }
 
 #[test]
-fn an_engine_that_an_operator_drains_gets_nothing_new() {
-    check_leaving(|cluster, leaving| {
+fn an_engine_drained_by_an_operator_gets_no_new_requests() {
+    check_draining(|cluster, leaving| {
         let mut configuration = support::configuration();
         let drain = paddlemount_protocol::configuration::Drain { reason: "repair".into() };
         configuration.drained.insert(support::engine_name(leaving), drain);
--- a/crates/cli/tests/load.rs
+++ b/crates/cli/tests/load.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn load_reports_whole_answers_and_exits_with_success() {
+fn load_reports_complete_answers_and_exits_with_success() {
     let cluster = Cluster::start(1, 1, "");
     let node = cluster.nodes[0].address("callers").to_string();
     let engine = cluster.engines[0].address("address").to_string();
--- a/crates/cli/tests/planned_work.rs
+++ b/crates/cli/tests/planned_work.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_signal_that_settings_have_changed_ends_nothing() {
+fn a_sighup_interrupts_no_request() {
     let cluster = slow_cluster();
     check_stream_survives(&cluster, &["-HUP", "-HUP", "-HUP"]);
     let messages = conversation("what comes after");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_stop_that_is_told_again_cuts_off_no_stream() {
+fn a_repeated_stop_signal_cuts_off_no_stream() {
     let mut cluster = slow_cluster();
     check_stream_survives(&cluster, &["-TERM", "-HUP", "-TERM"]);
     assert_eq!(cluster.nodes[0].wait(), Some(0));
@@ -81,12 +81,12 @@
 /// Returns whether a connection receives a complete answer.
 fn is_answered(mut stream: TcpStream) -> bool {
     let mut first = [0];
-    let came = stream.peek(&mut first).is_ok_and(|count| count > 0);
-    came && read_answer(&mut stream).complete
+    let has_arrived = stream.peek(&mut first).is_ok_and(|count| count > 0);
+    has_arrived && read_answer(&mut stream).complete
 }
 
 #[test]
-fn what_lies_in_sockets_at_the_end_of_a_planned_stop_is_answered() {
+fn requests_in_sockets_at_the_end_of_a_planned_stop_are_answered() {
     let mut cluster = Cluster::start(1, 1, "");
     let node = &cluster.nodes[0];
     let mut streams: Vec<TcpStream> = (0..CALLERS).map(|_| connect(node)).collect();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_serving_node_answers_what_lies_in_connections_that_have_rested_for_long() {
+fn a_node_frozen_across_the_keep_alive_timeout_answers_requests_that_arrive_meanwhile() {
     const IDLE_TIME: Duration = Duration::from_millis(1_500);
     const FREEZE_MARGIN: Duration = Duration::from_millis(350);
     let cluster = Cluster::start(1, 1, "[timeouts]\nkeep_alive_ms = 1500");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn what_came_while_a_serving_node_was_held_up_across_the_end_of_a_rest_is_answered() {
+fn a_node_frozen_across_an_idle_close_answers_requests_that_arrive_meanwhile() {
     const FREEZE_MARGIN: Duration = Duration::from_millis(350);
     let cluster = cluster_with_short_keep_alive();
     let node = &cluster.nodes[0];
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_serving_node_tells_how_long_a_connection_may_rest_and_closes_it_later_without_a_reset() {
+fn a_node_advertises_its_keep_alive_timeout_and_closes_idle_connections_later_without_a_reset() {
     let cluster = cluster_with_short_keep_alive();
     let mut stream = connect(&cluster.nodes[0]);
     request_models(&mut stream);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn the_rest_of_a_head_that_came_while_a_serving_node_was_held_up_is_read() {
+fn the_remainder_of_a_head_that_arrives_while_the_node_is_frozen_is_read() {
     const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
     let cluster = Cluster::start(1, 1, &format!("[timeouts]\nhead_ms = {}", HEAD_TIMEOUT.as_millis()));
     let node = &cluster.nodes[0];
--- a/crates/cli/tests/poison.rs
+++ b/crates/cli/tests/poison.rs
@@ -37,21 +37,21 @@
     }
     let poison = conversation("crashes whatever runs it");
     let ordinary = conversation("an ordinary chat");
-    let mut last = Vec::new();
+    let mut statuses = Vec::new();
     let mut early = 0;
     for attempt in 0..ATTEMPTS {
         let node = &cluster.nodes[attempt % cluster.nodes.len()];
         let answer = chat(node.address("callers"), &body(&poison, false, POISON_TOKENS));
-        last.push(answer.status);
+        statuses.push(answer.status);
         std::thread::sleep(ATTEMPT_INTERVAL);
         if attempt < ATTEMPTS_TO_PROPAGATE {
             early = crashes(&cluster);
         }
     }
     let late = crashes(&cluster) - early;
-    assert!(late <= MAX_LATE_CRASHES, "{early} engines ended early and {late} late: {last:?}");
+    assert!(late <= MAX_LATE_CRASHES, "{early} engines ended early and {late} late: {statuses:?}");
     assert!(early >= 3, "too few crashes for the test to show anything");
-    assert!(last.ends_with(&[503, 503]), "{last:?}");
+    assert!(statuses.ends_with(&[503, 503]), "{statuses:?}");
     for node in &cluster.nodes {
         let address = node.address("callers");
         wait_until("ordinary chats are served", || chat(address, &body(&ordinary, false, 20)).status == 200);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn ordinary_chats_that_were_caught_in_lost_racks_are_not_held_back() {
+fn ordinary_chats_interrupted_by_lost_racks_are_not_held_back() {
     let slow = |engine: &mut paddlemount_standins::settings::EngineSettings| {
         engine.behaviour.speed.decode_base_ms = SLOW_STEP_MS;
     };
--- a/crates/cli/tests/support/expectations.rs
+++ b/crates/cli/tests/support/expectations.rs
@@ -93,15 +93,15 @@
 pub fn check_complete(answer: &Answer, messages: &[ChatMessage], max_tokens: u32) {
     assert_eq!(answer.status, 200, "{answer:?}");
     let expected = expected(messages, max_tokens);
-    let got: ChatResponse = serde_json::from_slice(&answer.body).unwrap();
+    let received: ChatResponse = serde_json::from_slice(&answer.body).unwrap();
     let message = ChatMessage { role: "assistant".into(), content: expected.tokens.concat() };
-    let wanted = ChatResponse {
+    let expected_response = ChatResponse {
         id: answer.header("x-request-id").unwrap().into(),
         object: "chat.completion".into(),
-        created: got.created,
+        created: received.created,
         model: MODEL.into(),
         choices: vec![ChatChoice { index: 0, message, finish_reason: Some(expected.reason.into()) }],
-        usage: usage(&expected, got.usage.prompt_tokens_details.cached_tokens),
+        usage: usage(&expected, received.usage.prompt_tokens_details.cached_tokens),
     };
-    assert_eq!(answer.body, serde_json::to_vec(&wanted).unwrap());
+    assert_eq!(answer.body, serde_json::to_vec(&expected_response).unwrap());
 }
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn streamed_and_whole_answers_are_exact_through_three_nodes() {
+fn streamed_and_unstreamed_answers_are_exact_through_three_nodes() {
     let cluster = Cluster::start(3, 3, "");
     std::thread::scope(|scope| {
         for (number, node) in cluster.nodes.iter().enumerate() {
@@ -37,8 +37,8 @@
     let address = cluster.nodes[0].address("callers");
     let answer = support::get(address, "/v1/models", &[("authorization", &authorization)]);
     assert_eq!(answer.status, 200);
-    let wanted = json!([{ "id": MODEL, "object": "model", "owned_by": "paddlemount" }]);
-    assert_eq!(answer.json()["data"], wanted);
+    let expected = json!([{ "id": MODEL, "object": "model", "owned_by": "paddlemount" }]);
+    assert_eq!(answer.json()["data"], expected);
 }
 
 #[test]
@@ -51,12 +51,12 @@
     let headers = [("authorization", authorization.as_str())];
     let mut streams: Vec<_> =
         (0..8).map(|_| support::send(address, "POST", "/v1/chat/completions", &headers, &request)).collect();
-    let started = cluster.nodes[0].address("admin");
-    while running(started) < streams.len() as u64 {
+    let admin = cluster.nodes[0].address("admin");
+    while running(admin) < streams.len() as u64 {
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
     cluster.nodes[0].terminate();
-    while support::get(started, "/readyz", &[]).status == 200 {
+    while support::get(admin, "/readyz", &[]).status == 200 {
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
     let refused = chat(address, &body(&messages, true, 60));
