--- a/crates/cli/tests/claims.rs
+++ b/crates/cli/tests/claims.rs
@@ -147,7 +147,7 @@
         assert!(runs.get(key).copied().unwrap_or(0) <= 1, "{key} ran {:?} times", runs.get(key));
         assert!(bodies.windows(2).all(|pair| pair[0] == pair[1]), "{key}: {bodies:?}");
         assert!(!bodies.is_empty(), "{key} was never answered");
-        assert_eq!(runs.get(key), Some(&1), "{key} was answered");
+        assert_eq!(runs.get(key), Some(&1), "{key} was answered, so it must have run once");
     }
 }
 
--- a/crates/cli/tests/forward/budget.rs
+++ b/crates/cli/tests/forward/budget.rs
@@ -65,11 +65,11 @@
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     let router = Router::start(&cluster).await;
-    let gone = &cluster.bookings[0];
-    let id = gone.id();
-    gone.crash();
+    let runner = &cluster.bookings[0];
+    let id = runner.id();
+    runner.crash();
     router.until("running again", async || cluster.all_running()).await;
-    cluster.register_stale(&id, gone);
+    cluster.register_stale(&id, runner);
     let reappeared = async || {
         let changes = lines_of(&router, "backend_changed");
         let appeared = |line: &&Value| line["backend"] == id.as_str() && line["change"] == "appeared";
@@ -81,13 +81,13 @@
         assert_eq!(response.status, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    let misdirected = gone.seen().into_iter().filter(|seen| seen.intended_for == id && !seen.ran).count();
-    assert!(misdirected <= 1, "{misdirected} requests were sent to a process that is gone");
-    let ran = gone.seen().into_iter().filter(|seen| seen.ran && seen.intended_for == gone.id()).count();
+    let misdirected = runner.seen().into_iter().filter(|seen| seen.intended_for == id && !seen.ran).count();
+    assert!(misdirected <= 1, "{misdirected} requests were sent to a process that has exited");
+    let ran = runner.seen().into_iter().filter(|seen| seen.ran && seen.intended_for == runner.id()).count();
     assert!(ran > 0, "the process at the address gets requests under its own name");
 }
 
-/// A request that meets a wrong address must be retried at most once.
+/// A request that meets a stale address must be retried at most once.
 #[tokio::test]
 async fn a_misdirected_request_is_retried_at_most_once() {
     let cluster = Cluster::start().await.expect("the cluster starts");
--- a/crates/cli/tests/forward/limit_check.rs
+++ b/crates/cli/tests/forward/limit_check.rs
@@ -100,19 +100,20 @@
     ends.filter_map(|end| {
         let from = end.at - WINDOW;
         let in_window: Vec<_> =
-            arrivals.iter().filter(|one| one.at > from && one.at <= end.at).copied().collect();
+            arrivals.iter().filter(|arrival| arrival.at > from && arrival.at <= end.at).copied().collect();
         // A changed limit takes as long to propagate as the first one.
         let limit = max_limit(advertised, from - PROPAGATION_TIME, end.at);
         let is_bound = |node: usize| {
-            let passed_limit_on = |one: &&Arrival| {
-                one.node == node
-                    && one.passed_on
-                    && one.limit.is_some()
-                    && one.at + PROPAGATION_TIME <= end.at
+            let passed_limit_on = |arrival: &&Arrival| {
+                arrival.node == node
+                    && arrival.passed_on
+                    && arrival.limit.is_some()
+                    && arrival.at + PROPAGATION_TIME <= end.at
             };
-            arrivals.iter().copied().any(|one| passed_limit_on(&one)) && !is_excused(node, from, end.at)
+            arrivals.iter().copied().any(|arrival| passed_limit_on(&arrival))
+                && !is_excused(node, from, end.at)
         };
-        let received = in_window.iter().filter(|one| is_bound(one.node)).count();
+        let received = in_window.iter().filter(|arrival| is_bound(arrival.node)).count();
         (received as f64 > allowed(limit)).then_some(Exceeded { at: end.at, limit, received })
     })
     .collect()
@@ -137,7 +138,7 @@
         false
     }
 
-    fn one(start: Instant) -> [AdvertisedLimit; 1] {
+    fn limit_of_one(start: Instant) -> [AdvertisedLimit; 1] {
         [(start, Some(1.0))]
     }
 
@@ -161,9 +162,9 @@
         // A limit of 1 allows 11 requests.
         let mut times: Vec<(usize, u64)> = (0..11).map(|number| (number % 2, number as u64)).collect();
         times.push((0, 2_999));
-        assert_eq!(exceeded(&arrivals(start, Some(1.0), &times), &one(start), never), []);
+        assert_eq!(exceeded(&arrivals(start, Some(1.0), &times), &limit_of_one(start), never), []);
         times.push((0, 3_000));
-        assert_eq!(exceeded(&arrivals(start, Some(1.0), &times), &one(start), never).len(), 1);
+        assert_eq!(exceeded(&arrivals(start, Some(1.0), &times), &limit_of_one(start), never).len(), 1);
     }
 
     #[test]
@@ -172,11 +173,11 @@
         let mut times: Vec<(usize, u64)> = (0..12).map(|number| (0, number)).collect();
         times.push((1, 3_100));
         let all = arrivals(start, Some(1.0), &times);
-        assert_eq!(exceeded(&all, &one(start), never).len(), 1);
-        assert_eq!(exceeded(&all, &one(start), |node, _, _| node == 0), []);
+        assert_eq!(exceeded(&all, &limit_of_one(start), never).len(), 1);
+        assert_eq!(exceeded(&all, &limit_of_one(start), |node, _, _| node == 0), []);
         let not_passed_on: Vec<Arrival> =
-            all.iter().map(|one| Arrival { passed_on: one.node == 1, ..*one }).collect();
-        assert_eq!(exceeded(&not_passed_on, &one(start), never), []);
+            all.iter().map(|arrival| Arrival { passed_on: arrival.node == 1, ..*arrival }).collect();
+        assert_eq!(exceeded(&not_passed_on, &limit_of_one(start), never), []);
     }
 
     #[test]
@@ -186,10 +187,14 @@
         let mut all = arrivals(start, Some(1.0), &times);
         let late: Vec<(usize, u64)> = (0..20).map(|number| (0, 3_100 + number)).collect();
         all.extend(arrivals(start, None, &late));
-        assert_eq!(exceeded(&all, &one(start), never), []);
+        assert_eq!(exceeded(&all, &limit_of_one(start), never), []);
         let again = arrivals(start, Some(1.0), &[(0, 3_150)]).into_iter();
-        let again: Vec<Arrival> =
-            all.iter().copied().take(12).chain(again.map(|one| Arrival { starts: 1, ..one })).collect();
-        assert_eq!(exceeded(&again, &one(start), never), []);
+        let again: Vec<Arrival> = all
+            .iter()
+            .copied()
+            .take(12)
+            .chain(again.map(|arrival| Arrival { starts: 1, ..arrival }))
+            .collect();
+        assert_eq!(exceeded(&again, &limit_of_one(start), never), []);
     }
 }
--- a/crates/cli/tests/forward/planned_soak.rs
+++ b/crates/cli/tests/forward/planned_soak.rs
@@ -198,7 +198,7 @@
             router.hang_up();
             router.terminate();
         }
-        router.until("gone after its grace period", async || router.has_exited()).await;
+        router.until("exited after its grace period", async || router.has_exited()).await;
         self.save_lines(&router);
         *locked(&self.routers[node]) = None;
         let fresh = start_node(&self.cluster, node).await;
--- a/crates/cli/tests/forward/raw_caller.rs
+++ b/crates/cli/tests/forward/raw_caller.rs
@@ -112,24 +112,25 @@
     fn complete_answer(&mut self) -> Option<Ending> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
-        let httparse::Status::Complete(head) = parsed.parse(&self.received).expect("an answer") else {
+        let httparse::Status::Complete(head) = parsed.parse(&self.received).expect("a valid response head")
+        else {
             return None;
         };
         let header = |name: &str| {
             let found = parsed.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
             Some(String::from_utf8_lossy(found.value).into_owned())
         };
-        let status = parsed.code.expect("a status");
+        let status = parsed.code.expect("a status code");
         let closes = header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         let retry_after = header("retry-after");
         let all = headers_of(&parsed);
-        let rest = &self.received[head..];
+        let body_bytes = &self.received[head..];
         let (body, length) = match header("content-length") {
             Some(length) => {
-                let length = length.parse().expect("a length");
-                (rest.get(..length)?.to_vec(), length)
+                let length = length.parse().expect("a valid content-length");
+                (body_bytes.get(..length)?.to_vec(), length)
             }
-            None => decode_chunked(rest)?,
+            None => decode_chunked(body_bytes)?,
         };
         self.received.drain(..head + length);
         let body = String::from_utf8_lossy(&body).into_owned();
--- a/crates/cli/tests/forward/soak/announced.rs
+++ b/crates/cli/tests/forward/soak/announced.rs
@@ -90,8 +90,8 @@
             continue;
         };
         let (from, to) = (announcement.seen.at + IN_FLIGHT_ALLOWANCE, announcement.seen.at + requested);
-        let within = arrivals.iter().filter(|one| one.seen.at > from && one.seen.at < to);
-        let ids: Vec<String> = within.map(|one| one.seen.id.clone()).collect();
+        let within = arrivals.iter().filter(|arrival| arrival.seen.at > from && arrival.seen.at < to);
+        let ids: Vec<String> = within.map(|arrival| arrival.seen.id.clone()).collect();
         if ids.len() > MAX_IN_BACK_OFF && !disconnected(node, announcement.seen.at - IN_FLIGHT_ALLOWANCE, to)
         {
             found.push(IgnoredAnnouncement::BackOff {
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -39,20 +39,20 @@
     pub(super) fn violations(&self, sent: &[Sent]) -> Vec<String> {
         let seen = self.seen();
         let mut by_id: BTreeMap<&str, Vec<&ReceivedRequest>> = BTreeMap::new();
-        for one in &seen {
-            by_id.entry(&one.id).or_default().push(one);
+        for request in &seen {
+            by_id.entry(&request.id).or_default().push(request);
         }
         let mut violations: Vec<String> = seen.iter().filter_map(back_end_violation).collect();
         let removed_at = *locked(&self.removed_at);
-        for one in sent {
-            let seen = by_id.get(one.id.as_str()).map_or(&[][..], Vec::as_slice);
+        for request in sent {
+            let seen = by_id.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
             let runs = seen.iter().filter(|seen| seen.ran).count();
-            if let Some(what) = caller_violation(one, runs) {
-                violations.push(format!("{what}: {one:?}, {seen:?}"));
+            if let Some(what) = caller_violation(request, runs) {
+                violations.push(format!("{what}: {request:?}, {seen:?}"));
             }
-            let late = removed_at.is_some_and(|removed| one.at > removed + REVOCATION_BOUND);
-            if one.key == REMOVED_KEY && late && runs > 0 {
-                violations.push(format!("a removed key ran: {one:?}"));
+            let late = removed_at.is_some_and(|removed| request.at > removed + REVOCATION_BOUND);
+            if request.key == REMOVED_KEY && late && runs > 0 {
+                violations.push(format!("a removed key ran: {request:?}"));
             }
         }
         let late = self.late_poison(sent);
@@ -70,7 +70,8 @@
 
     /// Returns announcements of back ends that nodes ignored.
     fn ignored_announcements(&self, sent: &[Sent]) -> Vec<IgnoredAnnouncement> {
-        let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
+        let by_id: BTreeMap<&str, &Sent> =
+            sent.iter().map(|request| (request.id.as_str(), request)).collect();
         let disturbances = locked(&self.disturbances);
         let runners = self.cluster.engines.iter().chain(&self.cluster.bookings);
         let seen_by: Vec<Vec<ReceivedRequest>> = runners.map(Runner::seen).collect();
@@ -91,7 +92,8 @@
 
     /// Returns windows in which back ends received more requests than their advertised limits allow.
     fn over_limits(&self, sent: &[Sent]) -> Vec<String> {
-        let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
+        let by_id: BTreeMap<&str, &Sent> =
+            sent.iter().map(|request| (request.id.as_str(), request)).collect();
         let disturbances = locked(&self.disturbances);
         let is_excused = |node: usize, from: Instant, to: Instant| {
             disturbances.iter().any(|disturbance| disturbance.disconnects_node(node, from - SETTLE_TIME, to))
@@ -143,7 +145,8 @@
     /// Returns requests of undisturbed nodes that started on older weights more than `bound` after newer ones
     /// could be known.
     fn started_on_older_weights(&self, sent: &[Sent], bound: Duration) -> Vec<LateStart> {
-        let nodes: BTreeMap<&str, usize> = sent.iter().map(|one| (one.id.as_str(), one.node)).collect();
+        let nodes: BTreeMap<&str, usize> =
+            sent.iter().map(|request| (request.id.as_str(), request.node)).collect();
         let ran = self.cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.ran);
         let started = ran.filter_map(|seen| {
             let node = *nodes.get(seen.id.as_str())?;
@@ -209,15 +212,15 @@
     /// them.
     fn late_poison<'a>(&self, sent: &'a [Sent]) -> Vec<&'a str> {
         let runs = self.poison_runs();
-        let mut crashing: Vec<&Sent> = sent.iter().filter(|one| runs.contains(&one.id)).collect();
-        crashing.sort_by_key(|one| one.at);
-        let Some(last_expected) = crashing.get(CRASHES_UNTIL_HELD - 1).map(|one| one.at) else {
+        let mut crashing: Vec<&Sent> = sent.iter().filter(|request| runs.contains(&request.id)).collect();
+        crashing.sort_by_key(|request| request.at);
+        let Some(last_expected) = crashing.get(CRASHES_UNTIL_HELD - 1).map(|request| request.at) else {
             return Vec::new();
         };
-        let late = crashing
-            .into_iter()
-            .filter(|one| one.at > last_expected + PROPAGATION_TIME && !self.was_disturbed(one.at));
-        late.map(|one| one.id.as_str()).collect()
+        let late = crashing.into_iter().filter(|request| {
+            request.at > last_expected + PROPAGATION_TIME && !self.was_disturbed(request.at)
+        });
+        late.map(|request| request.id.as_str()).collect()
     }
 
     fn was_disturbed(&self, at: Instant) -> bool {
--- a/crates/cli/tests/forward/soak/mod.rs
+++ b/crates/cli/tests/forward/soak/mod.rs
@@ -286,9 +286,11 @@
         let loaded: Vec<u64> = soak.cluster.engines.iter().map(|engine| engine.version()).collect();
         violations.push(format!("engines have not loaded the last target version: {loaded:?}"));
     }
-    let ordinary = sent.iter().filter(|one| one.body != POISON);
-    let statuses = ordinary.fold(BTreeMap::new(), |mut counts: BTreeMap<u16, usize>, one| {
-        *counts.entry(one.response.as_ref().map_or(0, |response| response.status.as_u16())).or_default() += 1;
+    let ordinary = sent.iter().filter(|request| request.body != POISON);
+    let statuses = ordinary.fold(BTreeMap::new(), |mut counts: BTreeMap<u16, usize>, request| {
+        *counts
+            .entry(request.response.as_ref().map_or(0, |response| response.status.as_u16()))
+            .or_default() += 1;
         counts
     });
     let events = locked(&soak.events).join("\n");
--- a/crates/cli/tests/forward/soak/targets.rs
+++ b/crates/cli/tests/forward/soak/targets.rs
@@ -88,7 +88,7 @@
             Fault::AdvanceRapidly => self.advance_several(random, 20..400).await,
             Fault::AdvanceSecondsApart => self.advance_several(random, 800..2_000).await,
             Fault::EngineOutage => self.engine_outage(random),
-            Fault::AdvanceDuringEngineOutage => self.advance_beside_engine_outage(random).await,
+            Fault::AdvanceDuringEngineOutage => self.advance_around_engine_outage(random).await,
             Fault::NodesMissAdvance => self.advance_before_node_restart(random).await,
             Fault::SerialCrashes => self.serial_crashes(random).await,
             Fault::RestartAllNodes => self.restart_all_nodes(random).await,
@@ -132,7 +132,7 @@
     }
 
     /// Advances the target version shortly before or after an engine outage.
-    async fn advance_beside_engine_outage(&self, random: &mut StdRng) {
+    async fn advance_around_engine_outage(&self, random: &mut StdRng) {
         let gap = Duration::from_millis(random.random_range(0..800));
         if random.random_range(0..2) == 0 {
             self.advance_target_version();
@@ -204,7 +204,7 @@
         let from = Instant::now();
         if planned {
             router.terminate();
-            router.until("gone after its grace period", async || router.has_exited()).await;
+            router.until("exited after its grace period", async || router.has_exited()).await;
         } else {
             router.kill();
         }
