--- a/crates/cli/tests/claims.rs
+++ b/crates/cli/tests/claims.rs
@@ -30,7 +30,7 @@
     nodes: Vec<Process>,
 }
 
-fn with_claims() -> Configuration {
+fn configuration_with_claims() -> Configuration {
     let member = |number: usize| ClaimMember {
         node: format!("node-{number}").into(),
         zone: ZONES[number].into(),
@@ -50,7 +50,7 @@
 
 impl Cluster {
     fn start() -> Self {
-        let store = configuration_store(&with_claims());
+        let store = configuration_store(&configuration_with_claims());
         let booking = Process::standin(&StandinSettings::Booking(BookingSettings::new("booking-0".into())));
         let machine = |role, address, zone: usize| Machine {
             role,
@@ -147,7 +147,7 @@
         assert!(runs.get(key).copied().unwrap_or(0) <= 1, "{key} ran {:?} times", runs.get(key));
         assert!(bodies.windows(2).all(|pair| pair[0] == pair[1]), "{key}: {bodies:?}");
         assert!(!bodies.is_empty(), "{key} was never answered");
-        assert_eq!(runs.get(key), Some(&1), "{key} was answered");
+        assert_eq!(runs.get(key), Some(&1), "{key} was answered, so it must have run once");
     }
 }
 
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -19,7 +19,7 @@
 };
 use crate::{
     delivery::COMPLETE_STREAM,
-    limit_judge,
+    limit_check,
     router::{CallerResponse, DRAIN_TIMEOUT, RETRY_PERCENT, RETRY_SLACK, RETRY_WINDOW, WEIGHTS_BOUND},
 };
 
@@ -27,7 +27,7 @@
 const REVOCATION_BOUND: Duration = Duration::from_millis(5_200);
 /// Crashes after which a request must be quarantined.
 const CRASHES_UNTIL_HELD: usize = 3;
-/// How long the quarantine takes to reach all undisturbed nodes.
+/// How long the quarantine may take to reach all undisturbed nodes.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of runs after that.
 const MAX_LATE_RUNS: usize = 3;
@@ -39,33 +39,29 @@
     pub(super) fn violations(&self, sent: &[Sent]) -> Vec<String> {
         let seen = self.seen();
         let mut by_id: BTreeMap<&str, Vec<&ReceivedRequest>> = BTreeMap::new();
-        for one in &seen {
-            by_id.entry(&one.id).or_default().push(one);
+        for request in &seen {
+            by_id.entry(&request.id).or_default().push(request);
         }
         let mut violations: Vec<String> = seen.iter().filter_map(back_end_violation).collect();
         let removed_at = *locked(&self.removed_at);
-        for one in sent {
-            let seen = by_id.get(one.id.as_str()).map_or(&[][..], Vec::as_slice);
+        for request in sent {
+            let seen = by_id.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
             let runs = seen.iter().filter(|seen| seen.ran).count();
-            if let Some(what) = caller_violation(one, runs) {
-                violations.push(format!("{what}: {one:?}, {seen:?}"));
+            if let Some(what) = caller_violation(request, runs) {
+                violations.push(format!("{what}: {request:?}, {seen:?}"));
             }
-            let late = removed_at.is_some_and(|removed| one.at > removed + REVOCATION_BOUND);
-            if one.key == REMOVED_KEY && late && runs > 0 {
-                violations.push(format!("a removed key ran: {one:?}"));
+            let late = removed_at.is_some_and(|removed| request.at > removed + REVOCATION_BOUND);
+            if request.key == REMOVED_KEY && late && runs > 0 {
+                violations.push(format!("a removed key ran: {request:?}"));
             }
         }
         let late = self.late_poison(sent);
         if late.len() > MAX_LATE_RUNS {
-            violations.push(format!("{} runs of a request that crashes came late: {late:?}", late.len()));
+            violations.push(format!("{} late runs of the request that crashes: {late:?}", late.len()));
         }
         let late = self.started_on_older_weights(sent, WEIGHTS_BOUND + IN_FLIGHT_ALLOWANCE);
         violations.extend(late.iter().map(|late| self.describe_late(late)));
-        violations.extend(
-            self.ignored_announcements(sent)
-                .iter()
-                .map(|ignored_announcements| format!("{ignored_announcements:?}")),
-        );
+        violations.extend(self.ignored_announcements(sent).iter().map(|ignored| format!("{ignored:?}")));
         violations.extend(self.over_limits(sent));
         let over = self.fullest_windows().into_iter().filter(|(_, window)| window.is_over());
         violations.extend(over.map(|(service, window)| self.describe_window(service, &window)));
@@ -74,7 +70,8 @@
 
     /// Returns announcements of back ends that nodes ignored.
     fn ignored_announcements(&self, sent: &[Sent]) -> Vec<IgnoredAnnouncement> {
-        let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
+        let by_id: BTreeMap<&str, &Sent> =
+            sent.iter().map(|request| (request.id.as_str(), request)).collect();
         let disturbances = locked(&self.disturbances);
         let runners = self.cluster.engines.iter().chain(&self.cluster.bookings);
         let seen_by: Vec<Vec<ReceivedRequest>> = runners.map(Runner::seen).collect();
@@ -95,14 +92,15 @@
 
     /// Returns windows in which back ends received more requests than their advertised limits allow.
     fn over_limits(&self, sent: &[Sent]) -> Vec<String> {
-        let by_id: BTreeMap<&str, &Sent> = sent.iter().map(|one| (one.id.as_str(), one)).collect();
+        let by_id: BTreeMap<&str, &Sent> =
+            sent.iter().map(|request| (request.id.as_str(), request)).collect();
         let disturbances = locked(&self.disturbances);
         let is_excused = |node: usize, from: Instant, to: Instant| {
             disturbances.iter().any(|disturbance| disturbance.disconnects_node(node, from - SETTLE_TIME, to))
         };
         let runners = self.cluster.engines.iter().chain(&self.cluster.bookings);
         let over = runners.flat_map(|runner| {
-            let arrivals: Vec<limit_judge::Arrival> = runner
+            let arrivals: Vec<limit_check::Arrival> = runner
                 .seen()
                 .iter()
                 .filter_map(|seen| {
@@ -110,7 +108,7 @@
                     let passed_on = seen.ran
                         && sent.response.as_ref().is_some_and(|response| response.is_answer_of(seen));
                     let limit = seen.limit.as_ref().and_then(|text| text.parse().ok());
-                    Some(limit_judge::Arrival {
+                    Some(limit_check::Arrival {
                         node: sent.node,
                         at: seen.at,
                         starts: seen.restarts,
@@ -119,11 +117,11 @@
                     })
                 })
                 .collect();
-            let over = limit_judge::exceeded(&arrivals, &limit_judge::advertised_by(runner), is_excused);
-            let describe = |over: limit_judge::Exceeded| {
-                let (at, may) = (self.second(over.at), limit_judge::allowed(over.limit));
+            let over = limit_check::exceeded(&arrivals, &limit_check::advertised_by(runner), is_excused);
+            let describe = |over: limit_check::Exceeded| {
+                let (at, allowed) = (self.second(over.at), limit_check::allowed(over.limit));
                 format!(
-                    "{at:7.3} s: {} got {} requests by a limit of {}, {may} may come",
+                    "{at:7.3} s: {} received {} requests with a limit of {}, {allowed} allowed",
                     runner.id(),
                     over.received,
                     over.limit
@@ -141,13 +139,14 @@
         let windows = self.fullest_windows().into_iter();
         let windows: Vec<String> =
             windows.map(|(service, window)| self.describe_window(service, &window)).collect();
-        format!("weights {longest:?} after newer ones at most; {}", windows.join("; "))
+        format!("older weights at most {longest:?} after newer ones; {}", windows.join("; "))
     }
 
     /// Returns requests of undisturbed nodes that started on older weights more than `bound` after newer ones
     /// could be known.
     fn started_on_older_weights(&self, sent: &[Sent], bound: Duration) -> Vec<LateStart> {
-        let nodes: BTreeMap<&str, usize> = sent.iter().map(|one| (one.id.as_str(), one.node)).collect();
+        let nodes: BTreeMap<&str, usize> =
+            sent.iter().map(|request| (request.id.as_str(), request.node)).collect();
         let ran = self.cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.ran);
         let started = ran.filter_map(|seen| {
             let node = *nodes.get(seen.id.as_str())?;
@@ -160,7 +159,7 @@
     fn describe_late(&self, late: &LateStart) -> String {
         let StartedRequest { id, node, version, at } = &late.started;
         format!(
-            "{:7.3} s: {id} of node {node} began on version {version}, {:?} after {} could be known",
+            "{:7.3} s: {id} of node {node} started on version {version}, {:?} after {} could be known",
             self.second(*at),
             late.known_for,
             late.newer.version
@@ -213,15 +212,15 @@
     /// them.
     fn late_poison<'a>(&self, sent: &'a [Sent]) -> Vec<&'a str> {
         let runs = self.poison_runs();
-        let mut crashing: Vec<&Sent> = sent.iter().filter(|one| runs.contains(&one.id)).collect();
-        crashing.sort_by_key(|one| one.at);
-        let Some(last_expected) = crashing.get(CRASHES_UNTIL_HELD - 1).map(|one| one.at) else {
+        let mut crashing: Vec<&Sent> = sent.iter().filter(|request| runs.contains(&request.id)).collect();
+        crashing.sort_by_key(|request| request.at);
+        let Some(last_expected) = crashing.get(CRASHES_UNTIL_HELD - 1).map(|request| request.at) else {
             return Vec::new();
         };
-        let late = crashing
-            .into_iter()
-            .filter(|one| one.at > last_expected + PROPAGATION_TIME && !self.was_disturbed(one.at));
-        late.map(|one| one.id.as_str()).collect()
+        let late = crashing.into_iter().filter(|request| {
+            request.at > last_expected + PROPAGATION_TIME && !self.was_disturbed(request.at)
+        });
+        late.map(|request| request.id.as_str()).collect()
     }
 
     fn was_disturbed(&self, at: Instant) -> bool {
@@ -264,9 +263,11 @@
     }
     match response.status {
         StatusCode::SERVICE_UNAVAILABLE if allowed == 1 && runs > 0 => Some("refused and ran"),
-        StatusCode::OK if !response.headers.contains_key(Cluster::SIGNATURE) => Some("no back end's answer"),
+        StatusCode::OK if !response.headers.contains_key(Cluster::SIGNATURE) => {
+            Some("an answer without a back end's signature")
+        }
         StatusCode::OK if is_stream && response.complete && response.body != COMPLETE_STREAM => {
-            Some("not the whole stream")
+            Some("an incomplete stream")
         }
         StatusCode::OK if is_stream && !COMPLETE_STREAM.starts_with(&response.body) => {
             Some("a stream out of order")
