--- a/crates/core/src/admission/pool.rs
+++ b/crates/core/src/admission/pool.rs
@@ -68,19 +68,19 @@
             return None;
         }
         let level = self.fair_level(reserved_fraction);
-        let within_common_part = f64::from(self.in_flight) < self.common_part(reserved_fraction);
+        let within_unreserved = f64::from(self.in_flight) < self.unreserved_limit(reserved_fraction);
         let by_tenant = &self.by_tenant;
-        self.queue.pop(|tenant, weight| within_common_part || below_level(by_tenant, tenant, weight, level))
+        self.queue.pop(|tenant, weight| within_unreserved || below_level(by_tenant, tenant, weight, level))
     }
 
     /// Returns the part of the limit that all tenants may use, whatever their share.
-    fn common_part(&self, reserved_fraction: f64) -> f64 {
+    fn unreserved_limit(&self, reserved_fraction: f64) -> f64 {
         let limit = f64::from(self.limit.limit());
         limit - (limit * reserved_fraction).floor()
     }
 
-    /// Returns the max-min fair level: the requests in flight per unit of weight at which the common part is
-    /// used up if each tenant gets what it wants, up to its weight times the level.
+    /// Returns the max-min fair level: the requests in flight per unit of weight at which the unreserved
+    /// limit is used up if each tenant gets what it wants, up to its weight times the level.
     fn fair_level(&self, reserved_fraction: f64) -> f64 {
         let in_flight = self.by_tenant.iter().map(|(tenant, in_flight)| {
             let wanted = in_flight.requests as usize + self.queue.len_of(tenant);
@@ -88,14 +88,14 @@
         });
         let only_waiting = self.queue.backlogs().filter(|(tenant, ..)| !self.by_tenant.contains_key(*tenant));
         let waiting = only_waiting.map(|(_, weight, waiting)| (waiting as f64, f64::from(weight)));
-        share::fair_level(self.common_part(reserved_fraction), in_flight.chain(waiting).collect())
+        share::fair_level(self.unreserved_limit(reserved_fraction), in_flight.chain(waiting).collect())
     }
 
     /// Returns the requests in flight per unit of weight if all active tenants want the same.
     fn even_level(&self, tenant: &TenantId, weight: u32, reserved_fraction: f64) -> f64 {
         let others = self.by_tenant.iter().filter(|(other, _)| *other != tenant);
         let weights = others.map(|(_, in_flight)| in_flight.weight).sum::<u32>() + weight;
-        self.common_part(reserved_fraction) / f64::from(weights)
+        self.unreserved_limit(reserved_fraction) / f64::from(weights)
     }
 
     /// Counts a started request. Returns whether its tenant is far above its even share.
--- a/crates/core/src/cache_index/eviction.rs
+++ b/crates/core/src/cache_index/eviction.rs
@@ -2,14 +2,14 @@
 
 /// Initial estimate.
 const INITIAL_AGE_SECONDS: f64 = 20.0;
-/// Weight of a new sample in the moving average.
+/// Weights of a new sample in the moving average.
 const EVICTED_WEIGHT: f64 = 0.1;
 const SURVIVED_WEIGHT: f64 = 0.1;
 /// How steeply the survival probability falls around the estimate.
 const SURVIVAL_STEEPNESS: i32 = 6;
 const MIN_AGE_SECONDS: f64 = 0.05;
 const MAX_AGE_SECONDS: f64 = 3_600.0;
-const MICROS: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The age at which an engine evicts unused blocks, estimated from answers and feeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,13 +32,13 @@
 
     /// Records that a block was evicted when it had been unused for exactly `age_micros`.
     pub fn evicted_at(&mut self, age_micros: u64) {
-        let seconds = age_micros as f64 / MICROS;
+        let seconds = age_micros as f64 / MICROS_PER_SECOND;
         self.move_towards(seconds, self.evicted_weight());
     }
 
     /// Records that a block unused for `age_micros` had been evicted at some earlier time.
     pub fn found_evicted(&mut self, age_micros: u64) {
-        let seconds = age_micros as f64 / MICROS;
+        let seconds = age_micros as f64 / MICROS_PER_SECOND;
         if seconds < self.seconds {
             self.move_towards(seconds, self.evicted_weight());
         }
@@ -51,7 +51,7 @@
 
     /// Records that a block unused for `age_micros` was still cached.
     pub fn survived(&mut self, age_micros: u64) {
-        let seconds = age_micros as f64 / MICROS;
+        let seconds = age_micros as f64 / MICROS_PER_SECOND;
         if seconds > self.seconds {
             self.move_towards(seconds, SURVIVED_WEIGHT);
         }
@@ -65,7 +65,7 @@
 
     /// Returns the probability that a block unused for `age_micros` is still cached.
     pub fn survival(&self, age_micros: u64) -> f64 {
-        let relative = age_micros as f64 / MICROS / self.seconds;
+        let relative = age_micros as f64 / MICROS_PER_SECOND / self.seconds;
         1.0 / (1.0 + relative.powi(SURVIVAL_STEEPNESS))
     }
 }
--- a/crates/core/src/cache_index/mod.rs
+++ b/crates/core/src/cache_index/mod.rs
@@ -37,7 +37,7 @@
     hash.0 as u64
 }
 
-/// The part of a prompt that one engine is expected to hold.
+/// The prefix of a prompt that one engine is expected to have cached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefixMatch {
     pub slot: Slot,
--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -11,7 +11,7 @@
 
 use super::{ClaimSettings, placement::majority, verdict};
 
-/// Fraction of the reply timeout after which the next replica is asked while one does not reply.
+/// Fraction of the reply timeout after which the next replica is contacted while one does not reply.
 const NEXT_REPLICA_DIVISOR: u32 = 4;
 
 /// A request that must run at most once.
@@ -114,10 +114,10 @@
     reply_timeout: Duration,
     phase: Phase,
     replies: BTreeMap<NodeId, Option<ClaimReply>>,
-    /// Number of replicas asked so far, in order.
+    /// Number of replicas contacted so far, in order.
     contacted: usize,
-    /// When the next replica is asked although one has not replied.
-    next_ask_at: Timestamp,
+    /// When the next replica is contacted although one has not replied.
+    next_contact_at: Timestamp,
     acknowledged: Vec<NodeId>,
     answer: Option<String>,
     wait_until: Timestamp,
@@ -126,9 +126,9 @@
 impl ClaimCoordinator {
     /// Starts to claim the key.
     ///
-    /// The replicas are asked in order until one grants; then all others are asked at once. Two attempts for
-    /// one key therefore meet at the first replica that both can reach, and one of them stops there. If all
-    /// were asked at once, each attempt could be granted one of the last two replicas and neither would win.
+    /// The replicas are contacted in order until one grants; then all others at once. Two attempts for one key
+    /// therefore meet at the first replica that both can reach, and one of them stops there. If all were
+    /// contacted at once, each attempt could be granted one of the last two replicas and neither would win.
     pub fn begin(
         request: ClaimedRequest,
         settings: &ClaimSettings,
@@ -141,13 +141,13 @@
             phase: Phase::Claiming,
             replies: BTreeMap::new(),
             contacted: 0,
-            next_ask_at: now + settings.reply_timeout / NEXT_REPLICA_DIVISOR,
+            next_contact_at: now + settings.reply_timeout / NEXT_REPLICA_DIVISOR,
             acknowledged: Vec::new(),
             answer: None,
             wait_until,
         };
-        let mut actions = coordinator.ask_next(now);
-        actions.push(ClaimAction::WakeAt(coordinator.next_ask_at.min(wait_until)));
+        let mut actions = coordinator.contact_next(now);
+        actions.push(ClaimAction::WakeAt(coordinator.next_contact_at.min(wait_until)));
         actions.extend(coordinator.conclude_claim(now));
         (coordinator, actions)
     }
@@ -189,16 +189,17 @@
             return Vec::new();
         }
         self.replies.entry(replica).or_insert(reply);
-        let mut actions = self.ask_next(now);
+        let mut actions = self.contact_next(now);
         actions.extend(self.conclude_claim(now));
         actions
     }
 
-    /// Asks one more replica while none has granted, and all of them once one has.
-    fn ask_next(&mut self, now: Timestamp) -> Vec<ClaimAction> {
+    /// Contacts one more replica while none has granted, and all of them once one has.
+    fn contact_next(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         let next = if self.count_granted() > 0 {
             self.request.replicas.len()
-        } else if self.is_in_progress() || (self.replies.len() < self.contacted && now < self.next_ask_at) {
+        } else if self.is_in_progress() || (self.replies.len() < self.contacted && now < self.next_contact_at)
+        {
             self.contacted
         } else {
             (self.contacted + 1).min(self.request.replicas.len())
@@ -207,19 +208,19 @@
         let send = |to: &NodeId| ClaimAction::Send { to: to.clone(), message: message.clone() };
         let actions = self.request.replicas[self.contacted..next].iter().map(send).collect();
         self.contacted = next;
-        if now >= self.next_ask_at {
-            self.next_ask_at = now + self.reply_timeout / NEXT_REPLICA_DIVISOR;
+        if now >= self.next_contact_at {
+            self.next_contact_at = now + self.reply_timeout / NEXT_REPLICA_DIVISOR;
         }
         actions
     }
 
     fn tick_claiming(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
-        if now >= self.next_ask_at {
-            actions.extend(self.ask_next(now));
+        if now >= self.next_contact_at {
+            actions.extend(self.contact_next(now));
         }
         if now < self.wait_until {
-            actions.push(ClaimAction::WakeAt(self.next_ask_at.min(self.wait_until)));
+            actions.push(ClaimAction::WakeAt(self.next_contact_at.min(self.wait_until)));
         }
         actions.extend(self.conclude_claim(now));
         actions
@@ -243,7 +244,7 @@
     }
 
     /// Dispatches once a majority has granted. Abandons the request when the replies show an outcome, when
-    /// all asked replicas have replied, or at the timeout.
+    /// all contacted replicas have replied, or at the timeout.
     fn conclude_claim(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         if self.phase != Phase::Claiming {
             return Vec::new();
--- a/crates/core/src/claims/key.rs
+++ b/crates/core/src/claims/key.rs
@@ -9,10 +9,12 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Length of the text form, and positions in it.
 const UUID_LENGTH: usize = 36;
 const UUID_HYPHENS: [usize; 4] = [8, 13, 18, 23];
 const UUID_VERSION: usize = 14;
 const UUID_VARIANT: usize = 19;
+/// Hexadecimal digits of the time in milliseconds, with which the UUID begins.
 const TIME_DIGITS: usize = 12;
 
 /// The idempotency key is not a UUID of version 7.
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -7,7 +7,7 @@
 //! | [`change`] | read, check, put: a change written to the store once |
 //! | [`freshness`] | the age of the confirmation of a node's revision |
 //! | [`replica`] | a node's document, and its use of the store and of peers |
-//! | [`confirmation`] | which members hold a revision |
+//! | [`confirmation`] | which members apply a revision |
 //!
 //! See `docs/design/configuration.md`.
 
--- a/crates/core/src/configuration/confirmation.rs
+++ b/crates/core/src/configuration/confirmation.rs
@@ -1,4 +1,4 @@
-//! Tracks which members hold a revision, in rounds of requests until all do or the time limit is reached.
+//! Tracks which members apply a revision, in rounds of requests until all do or the time limit is reached.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -16,14 +16,14 @@
 #[derive(Clone, Debug)]
 pub struct RegionConfirmation {
     revision: Revision,
-    holding: BTreeSet<NodeId>,
+    confirmed_members: BTreeSet<NodeId>,
     pending: BTreeSet<NodeId>,
 }
 
 impl RegionConfirmation {
-    /// Creates the confirmation of `revision`, which no member is known to hold.
+    /// Creates the confirmation of `revision`, which no member is known to apply.
     pub const fn new(revision: Revision) -> Self {
-        Self { revision, holding: BTreeSet::new(), pending: BTreeSet::new() }
+        Self { revision, confirmed_members: BTreeSet::new(), pending: BTreeSet::new() }
     }
 
     /// Returns the revision to confirm.
@@ -35,18 +35,18 @@
     /// or [`record_failure`](Self::record_failure).
     pub fn to_ask(&mut self, table: &MemberTable) -> Vec<(NodeId, SocketAddr)> {
         let own = &table.own().node;
-        let is_open = |node: &NodeId| !self.holding.contains(node) && !self.pending.contains(node);
+        let is_open = |node: &NodeId| !self.confirmed_members.contains(node) && !self.pending.contains(node);
         let open = table.live().filter(|record| record.node != *own && is_open(&record.node));
         let open: Vec<_> = open.map(|record| (record.node.clone(), record.address)).collect();
         self.pending.extend(open.iter().map(|(node, _)| node.clone()));
         open
     }
 
-    /// Records that a member holds `revision`.
+    /// Records that a member applies `revision`.
     pub fn record_answer(&mut self, node: NodeId, revision: Revision) {
         self.pending.remove(&node);
         if revision >= self.revision {
-            self.holding.insert(node);
+            self.confirmed_members.insert(node);
         }
     }
 
@@ -55,10 +55,10 @@
         self.pending.remove(node);
     }
 
-    /// Returns how far the region, of at least `base` known members, holds the revision.
+    /// Returns how many members of the region, of at least `base` known ones, apply the revision.
     pub fn status(&self, table: &MemberTable, base: usize) -> RegionStatus {
-        let known = table.known().filter(|record| self.holding.contains(&record.node));
-        let unconfirmed = table.live().filter(|record| !self.holding.contains(&record.node));
+        let known = table.known().filter(|record| self.confirmed_members.contains(&record.node));
+        let unconfirmed = table.live().filter(|record| !self.confirmed_members.contains(&record.node));
         RegionStatus {
             region: table.own().region.clone(),
             known: count(base),
@@ -69,14 +69,14 @@
     }
 }
 
-/// Whether all live members of a region hold the revision, and a majority of the known ones.
-pub fn is_in_force(holds: &RegionStatus) -> bool {
-    holds.unconfirmed.is_empty() && is_accepted(holds)
+/// Whether all live members of a region apply the revision, and a majority of the known ones.
+pub fn is_in_force(status: &RegionStatus) -> bool {
+    status.unconfirmed.is_empty() && is_accepted(status)
 }
 
-/// Whether a majority of the known members of a region hold the revision.
-pub const fn is_accepted(holds: &RegionStatus) -> bool {
-    holds.confirmed > holds.known / 2
+/// Whether a majority of the known members of a region apply the revision.
+pub const fn is_accepted(status: &RegionStatus) -> bool {
+    status.confirmed > status.known / 2
 }
 
 /// Returns the first region without a report within `max_age_ms`; a change made now could not be accepted.
--- a/crates/core/src/configuration/freshness.rs
+++ b/crates/core/src/configuration/freshness.rs
@@ -1,8 +1,8 @@
 //! Tracks when this node's revision was last confirmed to be the newest.
 //!
-//! A confirmation is either a read of the store, by this node or by a peer that passed on the time of its
-//! read; or a majority of the region's members that held nothing newer, as a change is accepted only when a
-//! majority of each region holds it. Times are counted from before the request was sent, so that neither
+//! A confirmation is either a read of the store, by this node or by a peer that reported the time of its
+//! read; or a majority of the region's members that apply nothing newer, as a change is accepted only when a
+//! majority of each region applies it. Times are counted from before the request was sent, so that neither
 //! another machine's clock nor a delay can make a confirmation too young.
 
 use std::{
@@ -59,8 +59,8 @@
         self.counts_self = true;
     }
 
-    /// Records that peer `from` held nothing newer when it answered a request sent at `requested_at`, and
-    /// passed on the confirmations in `confirmations`.
+    /// Records that peer `from` applied nothing newer when it answered a request sent at `requested_at`, and
+    /// that it relayed `confirmations`.
     pub fn confirm_by_peer(
         &mut self,
         from: &NodeId,
--- a/crates/core/src/configuration/replica.rs
+++ b/crates/core/src/configuration/replica.rs
@@ -63,7 +63,7 @@
     store_next_at: Timestamp,
     failures: u32,
     pulling: bool,
-    /// A newer revision that a peer holds, and when a read of the store confirmed it.
+    /// A newer revision that a peer applies, and when a read of the store confirmed it.
     peer_confirmation: Option<(Revision, Timestamp)>,
     jitter: Duration,
 }
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -199,14 +199,14 @@
         self.accounts.values_mut().for_each(|account| account.refill(self.sharing, now));
         self.children.expire(now);
         self.remember_count(position.counted, now);
-        let began = self.root_since.is_none() && position.is_root;
+        let became_root = self.root_since.is_none() && position.is_root;
         self.root_since = position.is_root.then(|| self.root_since.unwrap_or(now));
         self.position = Some(position);
         if self.has_parent_level(now) && !position.is_root {
             self.sharing = Sharing { shared: true, owns_level: false, ..self.sharing };
             return;
         }
-        self.own_level(position, began, now);
+        self.own_level(position, became_root, now);
         self.sum_demand(now);
     }
 
@@ -234,9 +234,9 @@
     }
 
     /// Continues with this node's fraction of the level and of the rate, without a parent.
-    fn own_level(&mut self, position: NodePosition, began: bool, now: Timestamp) {
+    fn own_level(&mut self, position: NodePosition, became_root: bool, now: Timestamp) {
         let fraction = self.covered_fraction(position, now);
-        if began && self.parent_fraction.is_none() {
+        if became_root && self.parent_fraction.is_none() {
             self.accounts.values_mut().for_each(|account| account.reset_to(self.filled));
         } else if !self.sharing.owns_level && !position.is_root {
             // The reported level was for all nodes: this node continues with its fraction.
--- a/crates/core/src/peers/changes.rs
+++ b/crates/core/src/peers/changes.rs
@@ -81,7 +81,7 @@
 #[derive(Debug, Default)]
 struct RegionState {
     pending: bool,
-    holds: Option<RegionStatus>,
+    status: Option<RegionStatus>,
 }
 
 impl Changes {
@@ -208,8 +208,8 @@
         let Phase::Confirm { regions, .. } = &mut task.phase else { return };
         let Some(state) = regions.get_mut(region) else { return };
         state.pending = false;
-        if let Some(ConfigurationAnswer::RegionStatus(holds)) = answer {
-            state.holds = Some(holds.clone());
+        if let Some(ConfigurationAnswer::RegionStatus(status)) = answer {
+            state.status = Some(status.clone());
         }
     }
 
@@ -251,14 +251,15 @@
         let Phase::Confirm { revision, check, regions } = &task.phase else { return };
         let (revision, check) = (*revision, *check);
         let own = self.check_status(check);
-        let holds: Vec<Option<&RegionStatus>> =
-            std::iter::once(own.as_ref()).chain(regions.values().map(|state| state.holds.as_ref())).collect();
+        let statuses: Vec<Option<&RegionStatus>> = std::iter::once(own.as_ref())
+            .chain(regions.values().map(|state| state.status.as_ref()))
+            .collect();
         let after_ms = u64::try_from(now.saturating_since(task.began).as_millis()).unwrap_or(u64::MAX);
-        let outcome = if holds.iter().all(|holds| holds.is_some_and(is_in_force)) {
+        let outcome = if statuses.iter().all(|status| status.is_some_and(is_in_force)) {
             Some(ChangeOutcome::InForce { revision, after_ms })
-        } else if is_over && holds.iter().all(|holds| holds.is_some_and(is_accepted)) {
+        } else if is_over && statuses.iter().all(|status| status.is_some_and(is_accepted)) {
             let unconfirmed: Vec<NodeId> =
-                holds.iter().flatten().flat_map(|holds| holds.unconfirmed.clone()).collect();
+                statuses.iter().flatten().flat_map(|status| status.unconfirmed.clone()).collect();
             Some(ChangeOutcome::Accepted { revision, unconfirmed })
         } else {
             None
@@ -279,7 +280,7 @@
         let revision = *revision;
         let mut open = Vec::new();
         for (region, state) in regions {
-            if !state.pending && !state.holds.as_ref().is_some_and(is_in_force) {
+            if !state.pending && !state.status.as_ref().is_some_and(is_in_force) {
                 state.pending = true;
                 open.push(region.clone());
             }
--- a/crates/core/src/peers/checks.rs
+++ b/crates/core/src/peers/checks.rs
@@ -1,4 +1,4 @@
-//! Checks whether the members of this region hold a revision.
+//! Checks whether the members of this region apply a revision.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -70,7 +70,7 @@
 }
 
 impl Peers {
-    /// Returns how far this region holds the revision of `check`.
+    /// Returns how many members of this region apply the revision of `check`.
     pub(super) fn check_status(&self, check: u64) -> Option<RegionStatus> {
         let check = self.checks.running.get(&check)?;
         Some(check.confirmation.status(self.members(), self.membership.quorum_base()))
@@ -110,12 +110,12 @@
     }
 
     fn answer_if_settled(&mut self, id: u64, now: Timestamp) {
-        let Some(holds) = self.check_status(id) else { return };
+        let Some(status) = self.check_status(id) else { return };
         let Some(check) = self.checks.running.get(&id) else { return };
         let is_over = check.deadline <= now + ROUND_INTERVAL;
-        let Some(call) = check.answer_to.filter(|_| is_over || is_in_force(&holds)) else { return };
+        let Some(call) = check.answer_to.filter(|_| is_over || is_in_force(&status)) else { return };
         self.checks.end(id);
-        let answer = PeerAnswer::Configuration(ConfigurationAnswer::RegionStatus(holds));
+        let answer = PeerAnswer::Configuration(ConfigurationAnswer::RegionStatus(status));
         self.actions.push(PeerAction::Answer { call, answer });
     }
 }
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -5,7 +5,7 @@
 use crate::cache_index::{ShortHash, ShortHashMap, short_hash};
 
 const HALF_LIFE_SECONDS: f64 = 10.0;
-const MICROS: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 /// Depth of the first counted prefix, in blocks.
 const FIRST_DEPTH: usize = 4;
 
@@ -28,7 +28,7 @@
 impl DecayedCount {
     /// Returns the count at `now`.
     pub fn at(&self, now: Timestamp) -> f64 {
-        let seconds = now.0.saturating_sub(self.counted_at.0) as f64 / MICROS;
+        let seconds = now.0.saturating_sub(self.counted_at.0) as f64 / MICROS_PER_SECOND;
         self.count * (-seconds / HALF_LIFE_SECONDS).exp2()
     }
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -66,7 +66,7 @@
 const MAX_SUSPICIONS: usize = 2_048;
 /// Maximum number of quarantined requests by source.
 const MAX_QUARANTINED: usize = 1_024;
-/// Maximum number of events kept for reports.
+/// Maximum number of events buffered for reports.
 const MAX_EVENTS: usize = 1_024;
 
 /// How a node learned that a request is quarantined.
--- a/crates/core/src/routing/cached_prefixes.rs
+++ b/crates/core/src/routing/cached_prefixes.rs
@@ -10,7 +10,7 @@
 
 use super::types::RouteRequest;
 
-/// At this number of transfers, the oldest one is dropped.
+/// Maximum number of indexed transfers; beyond it, the oldest ones are dropped.
 const MAX_TRANSFERS: usize = 4_096;
 /// Bytes of one block's state, until the first transfer reports its size.
 const INITIAL_BLOCK_BYTES: f64 = 2_097_152.0;
@@ -135,7 +135,7 @@
                 continue;
             };
             let blocks = index + 1;
-            let usable = fits(transfer, request.scope, request.model, request.weights)
+            let usable = is_compatible(transfer, request.scope, request.model, request.weights)
                 && transfer.blocks.get(index) == Some(block)
                 && current(&transfer.origin, transfer.origin_incarnation);
             if usable {
@@ -147,6 +147,6 @@
     }
 }
 
-fn fits(transfer: &KvTransfer, scope: CacheScope, model: &ModelId, weights: WeightsVersion) -> bool {
+fn is_compatible(transfer: &KvTransfer, scope: CacheScope, model: &ModelId, weights: WeightsVersion) -> bool {
     transfer.scope == scope && transfer.weights == weights && transfer.model == *model
 }
--- a/crates/core/src/routing/choice.rs
+++ b/crates/core/src/routing/choice.rs
@@ -80,8 +80,8 @@
         let survival =
             |slot, age_micros| self.engines.get(slot).map_or(0.0, |view| view.survival(age_micros, eviction));
         let matches = self.cache_index.matches(request.blocks, search, now, survival);
-        let best_held_tokens =
-            matches.iter().map(|held| expected_tokens(held, request.prompt_tokens)).fold(0.0, f64::max);
+        let best_cached_tokens =
+            matches.iter().map(|matched| expected_tokens(matched, request.prompt_tokens)).fold(0.0, f64::max);
         let import = self.settings.mechanisms.import;
         let current = |engine: &_, incarnation| self.is_current(engine, incarnation);
         let cached_prefix = if import { self.cached_prefixes.longest(request, current) } else { None };
@@ -92,7 +92,7 @@
             preferred,
             matches,
             cached_prefix,
-            best_held_tokens,
+            best_cached_tokens,
             copies,
             has_unread_feeds,
             now,
@@ -165,13 +165,13 @@
 }
 
 fn reason(context: &ScoringContext<'_>, chosen: &Candidate) -> ChoiceReason {
-    let best_held = context.best_held_tokens;
+    let best_cached = context.best_cached_tokens;
     let cached = f64::from(chosen.expected_cached_tokens);
     let is_preferred = chosen.affinity_rank.is_some_and(|rank| (rank as usize) < context.preferred.primary);
-    if best_held < 1.0 {
+    if best_cached < 1.0 {
         return if is_preferred { ChoiceReason::PreferredEngine } else { ChoiceReason::LowestCost };
     }
-    if cached >= LONGEST_PREFIX_SHARE * best_held {
+    if cached >= LONGEST_PREFIX_SHARE * best_cached {
         return ChoiceReason::LongestPrefix;
     }
     if is_preferred && chosen.copy_ms == 0.0 { ChoiceReason::HotCopy } else { ChoiceReason::HoldersBusy }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -197,9 +197,9 @@
         let blocks: Box<[ShortHash]> = request.blocks.iter().copied().map(short_hash).collect();
         let Some((slot, view)) = self.engines.by_id_mut(engine) else { return };
         let expected = self.cache_index.depth_at(view.epoch, &blocks, now);
-        let held = expected.map_or(0, |(depth, _)| depth) * BLOCK_TOKENS;
+        let cached = expected.map_or(0, |(depth, _)| depth) * BLOCK_TOKENS;
         let number = self.attempts.next_number();
-        view.record_send(number, f64::from(request.prompt_tokens.saturating_sub(held)), now);
+        view.record_send(number, f64::from(request.prompt_tokens.saturating_sub(cached)), now);
         if self.settings.mechanisms.answers {
             self.cache_index.record(view.epoch, blocks.iter().copied(), now);
         }
--- a/crates/core/src/routing/scoring.rs
+++ b/crates/core/src/routing/scoring.rs
@@ -32,7 +32,7 @@
     pub(super) matches: Vec<PrefixMatch>,
     pub(super) cached_prefix: Option<CachedPrefix<'a>>,
     /// Prompt tokens expected in the cache of the best holder.
-    pub(super) best_held_tokens: f64,
+    pub(super) best_cached_tokens: f64,
     /// Engines that already hold the shared prefix.
     pub(super) copies: usize,
     /// Whether this node does not read the feed of some engine.
@@ -76,7 +76,7 @@
         let (prefill_ms, import_ms) = self.prefill_or_import(context, view, missing);
         let rank = context.rank(slot);
         let copy_is_free = mechanisms.replicate_hot_prefixes && context.copy_is_justified(rank);
-        let recomputed = (context.best_held_tokens - cached).max(0.0);
+        let recomputed = (context.best_cached_tokens - cached).max(0.0);
         let copy_ms =
             if copy_is_free { 0.0 } else { copy_weight(request.reuse_weight) * view.prefill_ms(recomputed) };
         let affinity_ms = self.affinity_ms(context, rank, view, missing);
--- a/crates/core/tests/admission_queue.rs
+++ b/crates/core/tests/admission_queue.rs
@@ -176,9 +176,9 @@
             *served.entry(tenant).or_default() += f64::from(waiting.cost) / f64::from(weight);
             let share = |index: usize| served.get(&tenants[index]).copied().unwrap_or(0.0);
             let largest = |index: usize| f64::from(cost(u8::MAX)) / f64::from(weights[index]);
-            for (cancel, right) in [(0, 1), (1, 2), (0, 2)] {
-                let difference = (share(cancel) - share(right)).abs();
-                assert!(!all_wait || difference <= largest(cancel) + largest(right) + 0.1);
+            for (left, right) in [(0, 1), (1, 2), (0, 2)] {
+                let difference = (share(left) - share(right)).abs();
+                assert!(!all_wait || difference <= largest(left) + largest(right) + 0.1);
             }
         }
         assert!(queue.is_empty());
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -191,7 +191,7 @@
 }
 
 /// The replicas that receive a claim.
-fn asked(actions: &[ClaimAction]) -> Vec<&str> {
+fn contacted(actions: &[ClaimAction]) -> Vec<&str> {
     let claims = actions.iter().filter_map(|action| match action {
         ClaimAction::Send { to, message: ClaimMessage::Claim { .. } } => Some(to.as_str()),
         _ => None,
@@ -204,13 +204,13 @@
     let (mut first, _) = begin("a", seconds(10));
     let (mut second, _) = begin("b", seconds(10));
     let unreachable = || ClaimEvent::Unreachable { replica: NodeId::from("r1") };
-    assert_eq!(asked(&first.handle(unreachable(), seconds(10))), ["r2"]);
-    assert_eq!(asked(&second.handle(unreachable(), seconds(10))), ["r2"]);
-    assert_eq!(asked(&reply(&mut first, "r2", ClaimReply::Granted)), ["r3"]);
+    assert_eq!(contacted(&first.handle(unreachable(), seconds(10))), ["r2"]);
+    assert_eq!(contacted(&second.handle(unreachable(), seconds(10))), ["r2"]);
+    assert_eq!(contacted(&reply(&mut first, "r2", ClaimReply::Granted)), ["r3"]);
     let in_progress = ClaimReply::InProgress { fingerprint: Fingerprint(1) };
     let stopped = reply(&mut second, "r2", in_progress);
     assert_eq!(refusal(&stopped).0, RefusalCode::InProgress);
-    assert!(asked(&stopped).is_empty(), "the second attempt is granted nothing that the first one needs");
+    assert!(contacted(&stopped).is_empty(), "the second attempt is granted nothing that the first one needs");
     assert!(reply(&mut first, "r3", ClaimReply::Granted).contains(&ClaimAction::Dispatch));
 }
 
@@ -218,17 +218,17 @@
 fn an_unresponsive_replica_delays_a_claim_by_a_fraction_of_the_timeout() {
     let (mut coordinator, _) = begin("a", seconds(10));
     let next_replica_delay = ClaimSettings::default().reply_timeout / 4;
-    assert!(asked(&coordinator.handle(ClaimEvent::Tick, seconds(10))).is_empty());
-    assert_eq!(asked(&coordinator.handle(ClaimEvent::Tick, seconds(10) + next_replica_delay)), ["r2"]);
-    assert_eq!(asked(&reply(&mut coordinator, "r2", ClaimReply::Granted)), ["r3"]);
+    assert!(contacted(&coordinator.handle(ClaimEvent::Tick, seconds(10))).is_empty());
+    assert_eq!(contacted(&coordinator.handle(ClaimEvent::Tick, seconds(10) + next_replica_delay)), ["r2"]);
+    assert_eq!(contacted(&reply(&mut coordinator, "r2", ClaimReply::Granted)), ["r3"]);
     assert!(reply(&mut coordinator, "r3", ClaimReply::Granted).contains(&ClaimAction::Dispatch));
 }
 
 #[test]
 fn a_majority_lets_the_request_run_and_its_answer_is_recorded_first() {
     let (mut coordinator, actions) = begin("a", seconds(10));
-    assert_eq!(asked(&actions), ["r1"]);
-    assert_eq!(asked(&reply(&mut coordinator, "r1", ClaimReply::Granted)), ["r2", "r3"]);
+    assert_eq!(contacted(&actions), ["r1"]);
+    assert_eq!(contacted(&reply(&mut coordinator, "r1", ClaimReply::Granted)), ["r2", "r3"]);
     assert!(reply(&mut coordinator, "r1", ClaimReply::Granted).is_empty());
     let actions = reply(&mut coordinator, "r2", ClaimReply::Granted);
     assert!(actions.contains(&ClaimAction::Dispatch));
--- a/crates/core/tests/configuration_change.rs
+++ b/crates/core/tests/configuration_change.rs
@@ -145,10 +145,10 @@
 #[test]
 fn a_repeated_change_is_applied_once_and_answered_with_its_revision() {
     let mut store = Store::default();
-    let ask = || ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
-    run(&mut store, &mut ask(), &[]);
+    let new_change = || ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
+    run(&mut store, &mut new_change(), &[]);
     store.race(1);
-    let again = run(&mut store, &mut ask(), &[]);
+    let again = run(&mut store, &mut new_change(), &[]);
     assert_eq!(stored(&again), Some(Revision(1)));
     assert_eq!(store.applied["c1"], 1);
 }
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -147,9 +147,9 @@
     let mut read = 0;
     let mut cursor = DecisionCursor::default();
     while cursor != ring.end() {
-        let part = ring.read_after(cursor, 7);
-        read += part.lost + part.entries.len() as u64;
-        cursor = part.next;
+        let next_page = ring.read_after(cursor, 7);
+        read += next_page.lost + next_page.entries.len() as u64;
+        cursor = next_page.next;
     }
     assert_eq!(read, 100);
     assert_eq!(page.lost + page.entries.len() as u64, 100);
--- a/crates/core/tests/health_circuit.rs
+++ b/crates/core/tests/health_circuit.rs
@@ -21,12 +21,12 @@
 fn pool_of(size: u8) -> Health {
     let mut health = Health::new(HealthSettings::default());
     for number in 0..size {
-        see(&mut health, number, 1, START);
+        observe(&mut health, number, 1, START);
     }
     health
 }
 
-fn see(health: &mut Health, number: u8, incarnation: u64, now: Timestamp) {
+fn observe(health: &mut Health, number: u8, incarnation: u64, now: Timestamp) {
     let pool = PoolId::from("pool");
     let incarnation = Incarnation(incarnation);
     health.apply(&engine(number), HealthEvent::Observed { pool: &pool, incarnation }, now);
@@ -109,9 +109,9 @@
 fn a_new_incarnation_starts_slowly_without_earlier_failures() {
     let mut health = pool_of(4);
     fail(&mut health, 0, 3, START);
-    see(&mut health, 0, 2, at(100));
+    observe(&mut health, 0, 2, at(100));
     assert_eq!(health.weight(&engine(0), at(100)), 0.1);
-    see(&mut health, 0, 1, at(200));
+    observe(&mut health, 0, 1, at(200));
     assert!(health.weight(&engine(0), at(200)) > 0.1, "events of an older incarnation are ignored");
 }
 
@@ -119,7 +119,7 @@
 fn engines_known_at_node_start_skip_slow_start() {
     let mut health = pool_of(4);
     assert_eq!(health.weight(&engine(0), START), 1.0);
-    see(&mut health, 9, 1, at(60_000));
+    observe(&mut health, 9, 1, at(60_000));
     assert_eq!(health.weight(&engine(9), at(60_000)), 0.1);
 }
 
--- a/crates/core/tests/model_request_properties.rs
+++ b/crates/core/tests/model_request_properties.rs
@@ -20,7 +20,7 @@
 struct Observer {
     emitted: u32,
     endings: u32,
-    engine_touched: bool,
+    may_have_run: bool,
     repeatable: bool,
     may_send: bool,
     /// Whether the last attempt has not ended; later events of it have no effect.
@@ -41,7 +41,7 @@
             }
             Action::Refuse { refusal } => {
                 assert!(refusal.retry_after_ms.is_some());
-                assert!(refusal.outcome == Outcome::Unknown || !self.engine_touched);
+                assert!(refusal.outcome == Outcome::Unknown || !self.may_have_run);
                 self.endings += 1;
             }
             Action::Dispatch { answer_prefix, .. } => {
@@ -69,10 +69,8 @@
             {
                 self.may_send = true;
             }
-            Event::Frame(frame) if frame.attempt == attempt(attempts) => self.engine_touched = true,
-            Event::ConnectionLost { attempt: of, .. } if *of == attempt(attempts) => {
-                self.engine_touched = true
-            }
+            Event::Frame(frame) if frame.attempt == attempt(attempts) => self.may_have_run = true,
+            Event::ConnectionLost { attempt: of, .. } if *of == attempt(attempts) => self.may_have_run = true,
             _ => {}
         }
     }
@@ -105,7 +103,7 @@
             let mut observer = Observer {
                 emitted: 0,
                 endings: 0,
-                engine_touched: false,
+                may_have_run: false,
                 repeatable: *repeatable,
                 may_send: true,
                 attempt_is_open: false,
--- a/crates/core/tests/peers_start.rs
+++ b/crates/core/tests/peers_start.rs
@@ -67,11 +67,12 @@
 }
 
 fn milliseconds(age: Duration) -> u64 {
-    u64::try_from(age.as_millis()).expect("a short time")
+    u64::try_from(age.as_millis()).expect("the age fits into its field")
 }
 
 fn confirmation(number: u16, age: Duration) -> MemberConfirmation {
-    let age_steps = u8::try_from(milliseconds(age).div_ceil(CONFIRMATION_AGE_STEP_MS)).expect("a short time");
+    let age_steps = u8::try_from(milliseconds(age).div_ceil(CONFIRMATION_AGE_STEP_MS))
+        .expect("the age fits into its field");
     MemberConfirmation { member: short_hash(&record(number).node), age_steps }
 }
 
@@ -88,7 +89,8 @@
     let store_age = Some(STORE_READ_AGE + running).filter(|age| *age < STALE_AFTER);
     ConfigurationGossip {
         revision: Revision(1),
-        store_age_ms: store_age.map(|age| u32::try_from(milliseconds(age)).expect("a short time")),
+        store_age_ms: store_age
+            .map(|age| u32::try_from(milliseconds(age)).expect("the age fits into its field")),
         confirmations: MemberConfirmations(members),
     }
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -27,7 +27,7 @@
 }
 
 fn pool() -> Pool {
-    serde_json::from_value(serde_json::json!({ "model": "m", "weights": 1 })).expect("a pool")
+    serde_json::from_value(serde_json::json!({ "model": "m", "weights": 1 })).expect("the pool is valid JSON")
 }
 
 /// Engines that carry out orders at once and take [`LOAD_SECONDS`] per load.
@@ -72,7 +72,7 @@
     }
 
     fn handle_order(&mut self, engine: &EngineId, order: &Order, now: Timestamp) -> Result<(), RefusalCode> {
-        let engine = self.engines.get_mut(engine).expect("an engine");
+        let engine = self.engines.get_mut(engine).expect("the ordered engine exists");
         if order.token < engine.status.fence {
             return Err(RefusalCode::Fenced);
         }
@@ -247,8 +247,8 @@
 fn requests_are_split_by_the_share_of_engines() {
     let pool = Pool { rollout: Some(NEW), ..pool() };
     let mut engines = Engines::new(4);
-    let first = engines.engines.values_mut().next().expect("an engine");
-    first.status.loaded.as_mut().expect("a model").weights = NEW;
+    let first = engines.engines.values_mut().next().expect("there are four engines");
+    first.status.loaded.as_mut().expect("the engine has loaded a model").weights = NEW;
     let statuses: Vec<EngineStatus> = engines.engines.values().map(|engine| engine.status.clone()).collect();
     let counts = version_counts(&PoolId::from("p"), &pool, &statuses);
     assert_eq!((counts.current, counts.next), (3, 1));
--- a/crates/core/tests/quota_ledger.rs
+++ b/crates/core/tests/quota_ledger.rs
@@ -50,43 +50,43 @@
         case(
             "a third cut off, calm",
             &[(30_000, 0.56)],
-            vec![Disturbance::Cut { at: 8_000, part: 0.33, lasts: 10_000 }],
+            vec![Disturbance::Cut { at: 8_000, fraction: 0.33, lasts: 10_000 }],
             0.85,
         ),
         case(
             "a third cut off, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Disturbance::Cut { at: 10_000, part: 0.33, lasts: 10_000 }],
+            vec![Disturbance::Cut { at: 10_000, fraction: 0.33, lasts: 10_000 }],
             0.3,
         ),
         case(
             "all killed, calm",
             &[(30_000, 0.56)],
-            vec![Disturbance::Kill { at: 10_000, part: 1.0, lasts: 600 }],
+            vec![Disturbance::Kill { at: 10_000, fraction: 1.0, lasts: 600 }],
             0.9,
         ),
         case(
             "all killed, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Disturbance::Kill { at: 14_000, part: 1.0, lasts: 600 }],
+            vec![Disturbance::Kill { at: 14_000, fraction: 1.0, lasts: 600 }],
             0.3,
         ),
         case(
             "half killed, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Disturbance::Kill { at: 14_000, part: 0.55, lasts: 600 }],
+            vec![Disturbance::Kill { at: 14_000, fraction: 0.55, lasts: 600 }],
             0.3,
         ),
         case(
             "the root lost for good, 2.7 times the quota",
             &[(8_000, 0.56), (20_000, 2.7)],
-            vec![Disturbance::Kill { at: 12_000, part: 0.013, lasts: 60_000 }],
+            vec![Disturbance::Kill { at: 12_000, fraction: 0.013, lasts: 60_000 }],
             0.3,
         ),
     ]
 }
 
-fn play(strategy: Strategy, case: &Case, per_second: f64, nodes: usize, seed: u64) -> Outcome {
+fn run_case(strategy: Strategy, case: &Case, per_second: f64, nodes: usize, seed: u64) -> Outcome {
     let mut fleet = Fleet::new(strategy, nodes, per_second, seed);
     fleet.run(4_000, 0.0, &[]);
     for (lasts, factor) in case.demands {
@@ -97,7 +97,7 @@
 
 fn worst(strategy: Strategy, case: &Case, per_second: f64, nodes: usize) -> Outcome {
     let outcomes: Vec<Outcome> =
-        (0..SEEDS).map(|seed| play(strategy, case, per_second, nodes, seed)).collect();
+        (0..SEEDS).map(|seed| run_case(strategy, case, per_second, nodes, seed)).collect();
     Outcome {
         worst_window: outcomes.iter().map(|outcome| outcome.worst_window).fold(0.0, f64::max),
         served_within: outcomes.iter().map(|outcome| outcome.served_within).fold(1.0, f64::min),
@@ -107,17 +107,17 @@
 
 #[test]
 fn no_window_holds_more_than_the_bound_and_little_is_refused_below_the_limit() {
-    let mut wrong = Vec::new();
+    let mut failures = Vec::new();
     for per_second in [573_606.0, 120_000.0] {
         for case in cases(per_second) {
             let outcome = worst(Strategy::SharedLevel, &case, per_second, NODES);
             println!("{per_second} {}: {outcome:?}", case.name);
             if outcome.worst_window > MAX_BOUND_FRACTION || outcome.served_within < case.min_served {
-                wrong.push(format!("{per_second}, {}: {outcome:?}", case.name));
+                failures.push(format!("{per_second}, {}: {outcome:?}", case.name));
             }
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
 #[test]
@@ -150,15 +150,15 @@
 }
 
 fn level(ledger: &QuotaLedger, now: u64) -> f64 {
-    ledger.view(&tenant(), at(now)).expect("a quota").level
+    ledger.view(&tenant(), at(now)).expect("the tenant has a quota").level
 }
 
 #[test]
 fn grants_since_the_report_are_subtracted_from_the_received_level() {
     let mut ledger = ledger(100_000.0);
-    ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
+    ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("the request is granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
-    ledger.admit(&tenant(), 300.0, 0.5, at(210)).expect("granted");
+    ledger.admit(&tenant(), 300.0, 0.5, at(210)).expect("the request is granted");
     ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(200), at(220));
     assert_eq!(level(&ledger, 220), 49_700.0);
     assert_eq!(ledger.report(at(400))[0].spent, 300.0, "a report includes no grant twice");
@@ -178,7 +178,7 @@
 #[test]
 fn a_received_level_is_as_old_as_the_report_that_it_answers() {
     let ledger = paused(200, 1_100);
-    let age = ledger.view(&tenant(), at(1_100)).expect("a quota").report_age;
+    let age = ledger.view(&tenant(), at(1_100)).expect("the tenant has a quota").report_age;
     assert_eq!(age, Some(Duration::from_millis(900)));
 }
 
@@ -206,7 +206,7 @@
 fn a_late_answer_still_acknowledges_the_report() {
     let mut ledger = ledger(100_000.0);
     ledger.tick(WITHOUT_PARENT, at(0));
-    ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
+    ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("the request is granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
     ledger.report_answered(&digest(1.0, 50_000.0, 0.0), at(200), at(5_200));
     assert!(ledger.report(at(5_300)).iter().all(|entry| entry.spent == 0.0), "it was reported");
@@ -215,7 +215,7 @@
 #[test]
 fn an_unanswered_report_is_sent_again() {
     let mut ledger = ledger(100_000.0);
-    ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("granted");
+    ledger.admit(&tenant(), 1_000.0, 0.5, at(100)).expect("the request is granted");
     assert_eq!(ledger.report(at(200))[0].spent, 1_000.0);
     ledger.report_failed();
     assert_eq!(ledger.report(at(400))[0].spent, 1_000.0);
@@ -225,7 +225,10 @@
 fn a_request_that_did_not_run_is_refunded() {
     let mut ledger = ledger(100_000.0);
     let before = level(&ledger, 0);
-    let grant = ledger.admit(&tenant(), 1_000.0, 0.5, at(0)).expect("granted").expect("a quota");
+    let grant = ledger
+        .admit(&tenant(), 1_000.0, 0.5, at(0))
+        .expect("the request is granted")
+        .expect("the tenant has a quota");
     assert_eq!(level(&ledger, 0), before - 1_000.0);
     ledger.refund(&grant);
     assert_eq!(level(&ledger, 0), before);
@@ -246,7 +249,7 @@
     let capacity = BucketSize::of(&quota(1_000.0), &bounds()).capacity;
     // The node's share fills up at its share of the rate.
     ledger.tick(WITHOUT_PARENT, at(600_000));
-    ledger.admit(&tenant(), capacity * 2.0, 0.5, at(600_000)).expect("granted");
+    ledger.admit(&tenant(), capacity * 2.0, 0.5, at(600_000)).expect("the request is granted");
     assert!(ledger.admit(&tenant(), 1.0, 0.5, at(600_000)).is_err(), "and leaves a debt");
 }
 
@@ -258,7 +261,12 @@
     while ledger.admit(&tenant(), 10_000.0, 0.5, at(3_000)).is_ok() {}
     let refusals: Vec<_> = [0.0, 0.5, 1.0]
         .iter()
-        .map(|draw| ledger.admit(&tenant(), 10_000.0, *draw, at(3_000)).expect_err("refused").retry_after)
+        .map(|draw| {
+            ledger
+                .admit(&tenant(), 10_000.0, *draw, at(3_000))
+                .expect_err("the request is refused")
+                .retry_after
+        })
         .collect();
     assert!(refusals.iter().all(|after| after.as_millis() >= 150 && after.as_secs() <= 5), "{refusals:?}");
 }
--- a/crates/core/tests/quota_support/mod.rs
+++ b/crates/core/tests/quota_support/mod.rs
@@ -17,8 +17,8 @@
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-pub const STEP: u64 = 10;
-const PERIOD: u64 = 200;
+pub const STEP_MS: u64 = 10;
+const REPORT_INTERVAL_MS: u64 = 200;
 const ZONES: usize = 3;
 
 pub fn bounds() -> QuotaBounds {
@@ -53,7 +53,7 @@
     ledger: QuotaLedger,
     shares: Limits,
     state: NodeState,
-    cut: bool,
+    is_cut_off: bool,
     next_report: u64,
 }
 
@@ -63,13 +63,13 @@
     /// A fraction of the nodes is partitioned off for `lasts` ms.
     Cut {
         at: u64,
-        part: f64,
+        fraction: f64,
         lasts: u64,
     },
     /// A fraction of the nodes is killed and restarts after `lasts` ms.
     Kill {
         at: u64,
-        part: f64,
+        fraction: f64,
         lasts: u64,
     },
     Rate {
@@ -155,8 +155,8 @@
         let mut shares = Limits::new(limit_settings(), name, Incarnation(self.now), now);
         shares.configure([(&tenant(), &self.share_quota())].into_iter(), now);
         shares.set_members(self.weights.len() as u32, now);
-        let next_report = self.now + self.random.random_range(0..PERIOD);
-        Node { ledger, shares, state: NodeState::Up, cut: false, next_report }
+        let next_report = self.now + self.random.random_range(0..REPORT_INTERVAL_MS);
+        Node { ledger, shares, state: NodeState::Up, is_cut_off: false, next_report }
     }
 
     fn share_quota(&self) -> Quota {
@@ -173,30 +173,30 @@
         let end = self.now + lasts;
         while self.now < end {
             self.apply_disturbances(disturbances);
-            self.revive();
+            self.restart_nodes();
             self.exchange();
             self.arrivals(demand);
-            self.now += STEP;
+            self.now += STEP_MS;
         }
     }
 
     fn apply_disturbances(&mut self, disturbances: &[Disturbance]) {
         for disturbance in disturbances {
             match *disturbance {
-                Disturbance::Cut { at, part, lasts } if self.now >= at => {
-                    let number = (self.nodes.len() as f64 * part) as usize;
-                    let on = self.now < at + lasts;
-                    self.nodes.iter_mut().rev().take(number).for_each(|node| node.cut = on);
+                Disturbance::Cut { at, fraction, lasts } if self.now >= at => {
+                    let number = (self.nodes.len() as f64 * fraction) as usize;
+                    let is_cut_off = self.now < at + lasts;
+                    self.nodes.iter_mut().rev().take(number).for_each(|node| node.is_cut_off = is_cut_off);
                 }
-                Disturbance::Kill { at, part, lasts } if self.now / STEP == at / STEP => {
-                    let number = (self.nodes.len() as f64 * part) as usize;
+                Disturbance::Kill { at, fraction, lasts } if self.now / STEP_MS == at / STEP_MS => {
+                    let number = (self.nodes.len() as f64 * fraction) as usize;
                     let until = self.now + lasts;
                     self.nodes
                         .iter_mut()
                         .take(number)
                         .for_each(|node| node.state = NodeState::Down { until });
                 }
-                Disturbance::Rate { at, per_second } if self.now / STEP == at / STEP => {
+                Disturbance::Rate { at, per_second } if self.now / STEP_MS == at / STEP_MS => {
                     self.quota = quota(per_second);
                     self.rate_changed_at = Some(self.now);
                     let (now, share) = (self.time(), self.share_quota());
@@ -210,7 +210,7 @@
         }
     }
 
-    fn revive(&mut self) {
+    fn restart_nodes(&mut self) {
         for index in 0..self.nodes.len() {
             if matches!(self.nodes[index].state, NodeState::Down { until } if self.now >= until) {
                 self.nodes[index] = self.new_node(index, false);
@@ -228,7 +228,7 @@
     }
 
     fn is_up(&self, index: usize) -> bool {
-        self.nodes[index].state == NodeState::Up && !self.nodes[index].cut
+        self.nodes[index].state == NodeState::Up && !self.nodes[index].is_cut_off
     }
 
     /// The intermediate node of a zone, if one is up.
@@ -251,7 +251,7 @@
                 continue;
             }
             let delay = self.random.random_range(0..120);
-            self.nodes[index].next_report = self.now + PERIOD + delay;
+            self.nodes[index].next_report = self.now + REPORT_INTERVAL_MS + delay;
             let now = self.time();
             let is_root = index == self.root && self.is_up(index) && self.strategy != Strategy::EvenShares;
             self.nodes[index].ledger.tick(NodePosition { is_root, counted, assumed: 64 }, now);
@@ -288,7 +288,7 @@
 
     fn arrivals(&mut self, demand: f64) {
         let mean = 5_200.0;
-        let mut expected = demand * STEP as f64 / 1_000.0 / mean;
+        let mut expected = demand * STEP_MS as f64 / 1_000.0 / mean;
         while expected > 0.0 {
             if self.random.random_bool(expected.min(1.0)) {
                 let long = self.random.random_bool(0.45);
@@ -302,7 +302,7 @@
             expected -= 1.0;
         }
         let rate = self.quota.per_second;
-        self.quota_level = (self.quota_level + rate * STEP as f64 / 1_000.0).min(self.quota.burst);
+        self.quota_level = (self.quota_level + rate * STEP_MS as f64 / 1_000.0).min(self.quota.burst);
     }
 
     fn handle_request(&mut self, units: f64) {
--- a/crates/core/tests/routing_preferred_engines.rs
+++ b/crates/core/tests/routing_preferred_engines.rs
@@ -9,8 +9,8 @@
 use routing_support::{at_ms, chosen, engine, prompt, router, router_with, run_at};
 
 /// Returns the preferred engines of a prompt in rank order, without the overflow, which has a higher penalty.
-fn preferred(router: &Router, parts: &[(u32, usize)]) -> Vec<EngineId> {
-    let decision = router.preview(&prompt(parts).route(), at_ms(5));
+fn preferred(router: &Router, segments: &[(u32, usize)]) -> Vec<EngineId> {
+    let decision = router.preview(&prompt(segments).route(), at_ms(5));
     let mut ranked: Vec<_> = decision
         .candidates
         .iter()
@@ -32,11 +32,11 @@
 fn nodes_without_history_agree_regardless_of_seed_and_zone() {
     bolero::check!().with_type::<(u64, u64, u32, u8, u8)>().for_each(
         |(one_seed, other_seed, text, first, second)| {
-            let parts = [(*text, usize::from(*first % 60) + 1), (7, usize::from(*second % 60))];
+            let segments = [(*text, usize::from(*first % 60) + 1), (7, usize::from(*second % 60))];
             let one = router(12, *one_seed);
             let other = router_with(12, RouterSettings::new(ZoneId::from("b"), *other_seed));
-            let expected = preferred(&one, &parts);
-            assert_eq!(expected, preferred(&other, &parts));
+            let expected = preferred(&one, &segments);
+            assert_eq!(expected, preferred(&other, &segments));
             assert!(!expected.is_empty());
         },
     );
@@ -57,8 +57,8 @@
     };
     let (one, other) = (warm(1), warm(5_000));
     for contract in 0..10 {
-        let parts = [(1, 24), (contract, 40), (9_999, 4)];
-        let (one, other) = (preferred(&one, &parts), preferred(&other, &parts));
+        let segments = [(1, 24), (contract, 40), (9_999, 4)];
+        let (one, other) = (preferred(&one, &segments), preferred(&other, &segments));
         assert_eq!(one[0], other[0], "contract {contract}");
         assert!(one.len() <= 4 && other.len() <= 4);
     }
@@ -84,8 +84,8 @@
     after.apply(paddlemount_core::routing::RouterEvent::Removed { engine: &gone }, at_ms(1));
     let mut moved = 0;
     for text in 0..200 {
-        let parts = [(text, 50)];
-        let (old, new) = (preferred(&before, &parts), preferred(&after, &parts));
+        let segments = [(text, 50)];
+        let (old, new) = (preferred(&before, &segments), preferred(&after, &segments));
         if old[0] == gone {
             continue;
         }
--- a/crates/core/tests/routing_support/mod.rs
+++ b/crates/core/tests/routing_support/mod.rs
@@ -71,18 +71,18 @@
     pub excluded: Vec<EngineId>,
 }
 
-/// Creates a prompt of parts, each one value repeated over a number of blocks.
-pub fn prompt(parts: &[(u32, usize)]) -> Prompt {
-    prompt_of_tenant("tenant", parts)
+/// Creates a prompt of segments, each one value repeated over a number of blocks.
+pub fn prompt(segments: &[(u32, usize)]) -> Prompt {
+    prompt_of_tenant("tenant", segments)
 }
 
-pub fn prompt_of_tenant(tenant: &str, parts: &[(u32, usize)]) -> Prompt {
+pub fn prompt_of_tenant(tenant: &str, segments: &[(u32, usize)]) -> Prompt {
     let tenant = TenantId::from(tenant);
     let model = ModelId::from("model");
     let scope = CacheScope::new(&tenant, &model, WEIGHTS, None);
     let mut text = Vec::new();
-    for (part, blocks) in parts {
-        let unit = part.to_le_bytes();
+    for (segment, blocks) in segments {
+        let unit = segment.to_le_bytes();
         text.extend(unit.iter().copied().cycle().take(blocks * BLOCK_BYTES));
     }
     Prompt {
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -3,6 +3,7 @@
 //! | module | path | body → answer |
 //! |---|---|---|
 //! | [`membership`] | [`membership::PATH`] | [`MembershipRequest`](membership::MembershipRequest) → [`MembershipAnswer`](membership::MembershipAnswer) |
+//! | [`claims`] | `/peer/claims` | [`ClaimMessage`](claims::ClaimMessage) → [`ClaimReply`](claims::ClaimReply) |
 //! | [`configuration`] | [`configuration::PATH`] | [`ConfigurationRequest`](configuration::ConfigurationRequest) → [`ConfigurationAnswer`](configuration::ConfigurationAnswer) |
 //!
 //! All are `POST` requests with JSON bodies, signed as described in [`header`](crate::header).
--- a/crates/protocol/src/quota.rs
+++ b/crates/protocol/src/quota.rs
@@ -42,10 +42,10 @@
     pub granted_concurrency: u32,
 }
 
-type TenantUseFields = (TenantId, u64, u64, u32, u32);
+type TenantUsageFields = (TenantId, u64, u64, u32, u32);
 
-impl From<TenantUseFields> for TenantUsage {
-    fn from(fields: TenantUseFields) -> Self {
+impl From<TenantUsageFields> for TenantUsage {
+    fn from(fields: TenantUsageFields) -> Self {
         let (
             tenant,
             milli_requests_per_second,
@@ -63,7 +63,7 @@
     }
 }
 
-impl From<TenantUsage> for TenantUseFields {
+impl From<TenantUsage> for TenantUsageFields {
     fn from(entry: TenantUsage) -> Self {
         (
             entry.tenant,
