--- a/crates/core/src/claims/placement.rs
+++ b/crates/core/src/claims/placement.rs
@@ -1,8 +1,8 @@
 //! Selects the replicas of a key's claim.
 //!
 //! The choice depends only on the key, the tenant and the [`ClaimPlacement`], never on which nodes a node
-//! believes to be alive. Two coordinators with the same epoch therefore contact the same replicas, and any two
-//! majorities of these overlap.
+//! believes to be alive. Two coordinators with the same epoch therefore contact the same replicas, and any
+//! two majorities of these overlap.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -49,11 +49,11 @@
 const CRASH_TTL: Duration = Duration::from_secs(600);
 /// Maximum difference between two nodes' times of the same event.
 const MAX_CLOCK_SKEW: Duration = Duration::from_millis(10);
-/// Minimum age of all crashes but the last for a conclusion. By then the nodes, which report every 200 ms
-/// over two steps, have reported the engines that ended together with them.
+/// Minimum age of all crashes but the last for a conclusion. By then the nodes have reported the engines that
+/// ended together with them: nodes report every 200 ms, and a report passes two levels of the tree.
 const MIN_CRASH_AGE: Duration = Duration::from_millis(400);
 /// How long all nodes must have been asked for completed runs before a conclusion: a digest goes down and a
-/// report comes up the tree, over two steps.
+/// report comes up the tree, over two levels each.
 const INQUIRY_TIME: Duration = Duration::from_millis(600);
 /// Completions within this time are reported as one, as several nodes may report the same one at different
 /// times.
--- a/crates/core/src/routing/cached_prefixes.rs
+++ b/crates/core/src/routing/cached_prefixes.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    pub(super) fn holds(&self, block: BlockHash) -> bool {
+    pub(super) fn contains(&self, block: BlockHash) -> bool {
         self.by_block.contains_key(&block)
     }
 
--- a/crates/core/src/routing/exports.rs
+++ b/crates/core/src/routing/exports.rs
@@ -116,7 +116,7 @@
         for (last, watched) in &mut watch.by_last_block {
             let recent =
                 watched.requested_at.is_some_and(|requested| now < requested + micros(RETRY_INTERVAL_MICROS));
-            if recent || self.cached_prefixes.holds(*last) {
+            if recent || self.cached_prefixes.contains(*last) {
                 continue;
             }
             let bytes = self.cached_prefixes.block_bytes() * watched.blocks.len() as f64;
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -176,15 +176,15 @@
     coordinator.handle(ClaimEvent::Replied { replica: NodeId::from(replica), reply }, seconds(10))
 }
 
-fn ending(actions: &[ClaimAction]) -> Option<&ClaimOutcome> {
+fn outcome(actions: &[ClaimAction]) -> Option<&ClaimOutcome> {
     actions.iter().find_map(|action| match action {
-        ClaimAction::End(ending) => Some(ending),
+        ClaimAction::End(outcome) => Some(outcome),
         _ => None,
     })
 }
 
 fn refusal(actions: &[ClaimAction]) -> (RefusalCode, Outcome) {
-    match ending(actions) {
+    match outcome(actions) {
         Some(ClaimOutcome::Refused(refusal)) => (refusal.code, refusal.outcome),
         other => panic!("{other:?}"),
     }
@@ -234,11 +234,11 @@
     assert!(actions.contains(&ClaimAction::Dispatch));
     assert!(reply(&mut coordinator, "r3", ClaimReply::Granted).is_empty());
     let ran = ClaimEvent::DispatchEnded(RunResult::Completed { answer: "1".into() });
-    assert_eq!(ending(&coordinator.handle(ran, seconds(10))), None);
+    assert_eq!(outcome(&coordinator.handle(ran, seconds(10))), None);
     let acknowledged = |replica| ClaimEvent::Acknowledged { replica: NodeId::from(replica) };
-    assert_eq!(ending(&coordinator.handle(acknowledged("r1"), seconds(10))), None);
+    assert_eq!(outcome(&coordinator.handle(acknowledged("r1"), seconds(10))), None);
     let actions = coordinator.handle(acknowledged("r3"), seconds(10));
-    assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: false }));
+    assert_eq!(outcome(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: false }));
 }
 
 #[test]
@@ -272,7 +272,7 @@
     let late = ClaimEvent::DispatchEnded(RunResult::Completed { answer: "1".into() });
     let actions = coordinator.handle(late, seconds(16));
     assert_eq!(actions.len(), 3);
-    assert_eq!(ending(&actions), None);
+    assert_eq!(outcome(&actions), None);
 }
 
 #[test]
@@ -310,7 +310,7 @@
     let recorded = RecordedOutcome::Completed { answer: Some("1".into()) };
     let actions =
         reply(&mut coordinator, "r2", ClaimReply::Ended { fingerprint: Fingerprint(1), outcome: recorded });
-    assert_eq!(ending(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: true }));
+    assert_eq!(outcome(&actions), Some(&ClaimOutcome::Answered { answer: "1".into(), replayed: true }));
 }
 
 fn placement_of(nodes: &[(&str, &str, &str)]) -> ClaimPlacement {
--- a/crates/core/tests/configuration_change.rs
+++ b/crates/core/tests/configuration_change.rs
@@ -74,7 +74,7 @@
     for number in 0..100 {
         let fault = faults.next().copied().unwrap_or(Fault::None);
         let event = match &step {
-            ChangeStep::End(ending) => return ending.clone(),
+            ChangeStep::End(outcome) => return outcome.clone(),
             ChangeStep::Read | ChangeStep::RetryRead => match fault {
                 Fault::None | Fault::Raced => ChangeEvent::Read(Ok(store.document.clone())),
                 Fault::LostBefore | Fault::LostAfter => ChangeEvent::Read(Err(StoreFailure::Unclear)),
@@ -99,8 +99,8 @@
     panic!("the change does not end");
 }
 
-fn stored(ending: &StoreOutcome) -> Option<Revision> {
-    match ending {
+fn stored(outcome: &StoreOutcome) -> Option<Revision> {
+    match outcome {
         StoreOutcome::Stored { revision, .. } => Some(*revision),
         _ => None,
     }
@@ -110,8 +110,8 @@
 fn a_put_whose_reply_is_lost_is_resolved_by_reading() {
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
-    let ending = run(&mut store, &mut change, &[Fault::None, Fault::LostAfter]);
-    assert_eq!(stored(&ending), Some(Revision(1)));
+    let outcome = run(&mut store, &mut change, &[Fault::None, Fault::LostAfter]);
+    assert_eq!(stored(&outcome), Some(Revision(1)));
     assert_eq!(store.applied["c1"], 1);
 }
 
@@ -119,8 +119,8 @@
 fn a_put_lost_before_its_effect_is_retried() {
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
-    let ending = run(&mut store, &mut change, &[Fault::None, Fault::LostBefore, Fault::LostBefore]);
-    assert_eq!(stored(&ending), Some(Revision(1)));
+    let outcome = run(&mut store, &mut change, &[Fault::None, Fault::LostBefore, Fault::LostBefore]);
+    assert_eq!(stored(&outcome), Some(Revision(1)));
     assert_eq!(store.applied["c1"], 1);
 }
 
@@ -128,8 +128,8 @@
 fn a_change_is_refused_while_the_store_is_down() {
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
-    let ending = run(&mut store, &mut change, &[Fault::Refused; 50]);
-    assert!(matches!(ending, StoreOutcome::Refused { .. }), "{ending:?}");
+    let outcome = run(&mut store, &mut change, &[Fault::Refused; 50]);
+    assert!(matches!(outcome, StoreOutcome::Refused { .. }), "{outcome:?}");
     assert!(store.applied.is_empty());
 }
 
@@ -184,16 +184,16 @@
     run(&mut store, &mut ConfigurationChange::new(put_tenant("c0", "kestrel", 1), Revision(0), NOW), &[]);
     store.race(1);
     let based = ChangeRequest { if_revision: Some(Revision(1)), ..put_tenant("c1", "kestrel", 2) };
-    let ending = run(&mut store, &mut ConfigurationChange::new(based, Revision(1), NOW), &[]);
-    assert_eq!(stored(&ending), Some(Revision(3)));
+    let outcome = run(&mut store, &mut ConfigurationChange::new(based, Revision(1), NOW), &[]);
+    assert_eq!(stored(&outcome), Some(Revision(3)));
 }
 
 #[test]
 fn a_store_older_than_what_is_in_force_is_refused() {
     let mut store = Store::default();
     let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(9), NOW);
-    let ending = run(&mut store, &mut change, &[]);
-    assert!(matches!(&ending, StoreOutcome::Refused { revision: Revision(9), .. }), "{ending:?}");
+    let outcome = run(&mut store, &mut change, &[]);
+    assert!(matches!(&outcome, StoreOutcome::Refused { revision: Revision(9), .. }), "{outcome:?}");
 }
 
 #[test]
@@ -255,10 +255,10 @@
             .collect();
         let mut store = Store::default();
         let mut change = ConfigurationChange::new(put_tenant("c1", "kestrel", 2), Revision(0), NOW);
-        let ending = run(&mut store, &mut change, &faults);
+        let outcome = run(&mut store, &mut change, &faults);
         let applied = store.applied.get("c1").copied().unwrap_or(0);
         assert!(applied <= 1);
-        match ending {
+        match outcome {
             StoreOutcome::Stored { .. } => assert_eq!(applied, 1),
             StoreOutcome::Refused { .. } => assert_eq!(applied, 0),
             StoreOutcome::Unknown => {}
