--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -49,8 +49,9 @@
 
 async fn serve(settings: NodeSettings) -> Result<(), CommandError> {
     let name = settings.node.clone();
-    let failed = |error: std::io::Error| CommandError::Start(format!("cannot wait for signals: {error}"));
-    let mut signals = Signals::listen().map_err(failed)?;
+    let signal_error =
+        |error: std::io::Error| CommandError::Start(format!("cannot wait for signals: {error}"));
+    let mut signals = Signals::listen().map_err(signal_error)?;
     let node = Node::start(settings).map_err(|error| CommandError::Start(error.to_string()))?;
     print_ready(&serde_json::json!({
         "ready": "node",
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -44,7 +44,7 @@
     Syntax(#[from] paddlemount_language::SyntaxError),
     /// The node refused the query or did not answer.
     #[error(transparent)]
-    Ask(#[from] AdminClientError),
+    Client(#[from] AdminClientError),
     /// The terminal or standard output failed.
     #[error("{0}")]
     Terminal(String),
@@ -55,13 +55,13 @@
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Usage(_) | Self::KeyFile { .. } | Self::Syntax(_) => ExitCode::from(2),
-            Self::Ask(AdminClientError::Refused(problem))
+            Self::Client(AdminClientError::Refused(problem))
                 if problem.error.code == RefusalCode::InvalidRequest =>
             {
                 ExitCode::from(2)
             }
-            Self::Ask(AdminClientError::Refused(_)) => ExitCode::from(1),
-            Self::Ask(_) | Self::Terminal(_) => ExitCode::from(3),
+            Self::Client(AdminClientError::Refused(_)) => ExitCode::from(1),
+            Self::Client(_) | Self::Terminal(_) => ExitCode::from(3),
         }
     }
 }
--- a/crates/cli/tests/bad_input.rs
+++ b/crates/cli/tests/bad_input.rs
@@ -15,7 +15,8 @@
     get, node_settings, post, run,
 };
 
-const UNUSED: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
+/// An address at which nothing listens.
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
 fn assert_refused(answer: &Answer, status: u16, code: &str) {
     assert_eq!(answer.status, status, "{answer:?}");
@@ -112,7 +113,7 @@
 
 #[test]
 fn settings_with_mistakes_exit_with_2_and_name_each() {
-    let text = node_settings(0, UNUSED, UNUSED, "speed = 3\n[timeouts]\nconnect_ms = 0\n");
+    let text = node_settings(0, UNUSED_ADDRESS, UNUSED_ADDRESS, "speed = 3\n[timeouts]\nconnect_ms = 0\n");
     let file = SettingsFile::new(&text);
     let path = file.0.to_str().unwrap();
     for command in ["check", "serve"] {
@@ -130,7 +131,7 @@
 
 #[test]
 fn correct_settings_pass_the_check() {
-    let file = SettingsFile::new(&node_settings(0, UNUSED, UNUSED, ""));
+    let file = SettingsFile::new(&node_settings(0, UNUSED_ADDRESS, UNUSED_ADDRESS, ""));
     assert_eq!(run(&["check", "--settings", file.0.to_str().unwrap()]).status.code(), Some(0));
 }
 
@@ -149,7 +150,7 @@
 fn an_address_in_use_exits_with_3_and_names_it() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
-    let file = SettingsFile::new(&node_settings(0, UNUSED, UNUSED, ""));
+    let file = SettingsFile::new(&node_settings(0, UNUSED_ADDRESS, UNUSED_ADDRESS, ""));
     let output = run(&["serve", "--settings", file.0.to_str().unwrap(), "--admin", &address]);
     assert_eq!(output.status.code(), Some(3));
     let message = String::from_utf8(output.stderr).unwrap();
@@ -158,7 +159,7 @@
 
 #[test]
 fn a_node_without_its_platform_refuses_as_not_run() {
-    let node = Process::start(&["serve"], &node_settings(0, UNUSED, UNUSED, ""));
+    let node = Process::start(&["serve"], &node_settings(0, UNUSED_ADDRESS, UNUSED_ADDRESS, ""));
     assert_eq!(get(node.address("admin"), "/healthz", &[]).status, 200);
     assert_eq!(get(node.address("admin"), "/readyz", &[]).status, 503);
     let answer = chat(node.address("callers"), &json!({ "model": MODEL, "messages": [] }));
--- a/crates/cli/tests/claims.rs
+++ b/crates/cli/tests/claims.rs
@@ -20,7 +20,9 @@
 use support::{Answer, KEY, Process, ZONES, configuration, configuration_store, machine_list, node_settings};
 
 const NODES: usize = 3;
+/// Idempotency keys, each sent by a caller of its own.
 const KEYS: u64 = 30;
+/// How often each caller sends its key to all nodes.
 const ROUNDS: usize = 4;
 
 struct Cluster {
--- a/crates/cli/tests/forward/unanswered.rs
+++ b/crates/cli/tests/forward/unanswered.rs
@@ -156,14 +156,14 @@
 /// Closing a connection with an unread request body resets it, and the reset must not overtake the refusal.
 #[tokio::test]
 async fn a_refusal_is_delivered_while_the_body_is_still_arriving() {
-    const HALF: usize = 30_000;
+    const HALF_BODY_BYTES: usize = 30_000;
     let (_cluster, router) = cluster_and_router().await;
     for number in 0..CALLERS {
         let mut caller = RawCaller::connect(router.callers).await;
-        caller.send_head("/nowhere/1", &format!("refused-{number}"), 2 * HALF).await;
-        caller.write(&[b'x'; HALF]).await;
+        caller.send_head("/nowhere/1", &format!("refused-{number}"), 2 * HALF_BODY_BYTES).await;
+        caller.write(&[b'x'; HALF_BODY_BYTES]).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
-        caller.write(&[b'x'; HALF]).await;
+        caller.write(&[b'x'; HALF_BODY_BYTES]).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
         let ending = caller.ending().await;
         assert!(matches!(ending, Ending::Complete { status: 404, .. }), "{number}: {ending:?}");
--- a/crates/cli/tests/planned_work.rs
+++ b/crates/cli/tests/planned_work.rs
@@ -17,7 +17,8 @@
 
 /// Slow enough to act while an answer is in progress.
 const SLOW_STEP_MS: f64 = 20.0;
-const TOKENS: u32 = 60;
+/// `max_tokens` of the streams.
+const MAX_TOKENS: u32 = 60;
 /// Callers on persistent connections; enough that the node cannot read all their requests in one poll.
 const CALLERS: usize = 200;
 /// Callers on new connections, fewer than the listen backlog.
@@ -35,7 +36,7 @@
 fn check_stream_survives(cluster: &Cluster, signals: &[&str]) {
     let node = &cluster.nodes[0];
     let messages = conversation("a signal");
-    let request = serde_json::to_vec(&body(&messages, true, TOKENS)).expect("a body");
+    let request = serde_json::to_vec(&body(&messages, true, MAX_TOKENS)).expect("a body");
     let authorization = format!("Bearer {KEY}");
     let headers = [("authorization", authorization.as_str())];
     let mut stream = send(node.address("callers"), "POST", "/v1/chat/completions", &headers, &request);
@@ -44,7 +45,7 @@
         node.signal(signal);
         std::thread::sleep(Duration::from_millis(100));
     }
-    check_stream(&read_answer(&mut stream), &messages, TOKENS);
+    check_stream(&read_answer(&mut stream), &messages, MAX_TOKENS);
 }
 
 #[test]
@@ -53,9 +54,9 @@
     check_stream_survives(&cluster, &["-HUP", "-HUP", "-HUP"]);
     let messages = conversation("what comes after");
     check_stream(
-        &chat(cluster.nodes[0].address("callers"), &body(&messages, true, TOKENS)),
+        &chat(cluster.nodes[0].address("callers"), &body(&messages, true, MAX_TOKENS)),
         &messages,
-        TOKENS,
+        MAX_TOKENS,
     );
 }
 
--- a/crates/standins/src/engine/model/batch.rs
+++ b/crates/standins/src/engine/model/batch.rs
@@ -183,7 +183,7 @@
                 index += 1;
             }
         }
-        self.forget_ended(now);
+        self.expire_ended(now);
     }
 
     fn finish_prefill_chunk(&mut self, index: usize, now: Timestamp) {
@@ -244,7 +244,7 @@
         let reason = running.request.reason;
         let grace = Duration::from_millis(self.settings.behaviour.service.resume_grace_ms);
         self.ended.insert(attempt.clone(), tokens);
-        self.ended_order.push_back((now + grace, attempt.clone()));
+        self.ended_expiries.push_back((now + grace, attempt.clone()));
         let load = self.current_load(now);
         self.output(now, EngineEvent::Ended { attempt, tokens, reason, load });
     }
@@ -266,9 +266,9 @@
         found.is_some()
     }
 
-    fn forget_ended(&mut self, now: Timestamp) {
-        while self.ended_order.front().is_some_and(|(forget_at, _)| *forget_at <= now) {
-            if let Some((_, attempt)) = self.ended_order.pop_front() {
+    fn expire_ended(&mut self, now: Timestamp) {
+        while self.ended_expiries.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
+            if let Some((_, attempt)) = self.ended_expiries.pop_front() {
                 self.ended.remove(&attempt);
             }
         }
--- a/crates/standins/src/engine/model/cache.rs
+++ b/crates/standins/src/engine/model/cache.rs
@@ -51,11 +51,12 @@
     parent: Option<BlockHash>,
     children: u32,
     pins: u32,
+    /// Value of `BlockCache::uses` at the last use.
     last_used: u64,
 }
 
 impl Entry {
-    const fn evictable(&self) -> bool {
+    const fn is_evictable(&self) -> bool {
         self.children == 0 && self.pins == 0
     }
 }
@@ -65,8 +66,10 @@
 pub struct BlockCache {
     capacity: u32,
     reserved: u32,
+    /// Counts uses, as a logical clock for LRU eviction.
     uses: u64,
     entries: HashMap<BlockKey, Entry, BuildHasherDefault<IdentityHasher>>,
+    /// Unpinned leaves in order of their last use.
     evictable: BTreeSet<(u64, BlockKey)>,
 }
 
@@ -110,7 +113,7 @@
     /// Protects a present block and its ancestors from eviction until it is unpinned as many times.
     pub fn pin(&mut self, key: BlockKey) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        if entry.evictable() {
+        if entry.is_evictable() {
             self.evictable.remove(&(entry.last_used, key));
         }
         entry.pins += 1;
@@ -122,7 +125,7 @@
         entry.pins = entry.pins.saturating_sub(1);
         self.uses += 1;
         entry.last_used = self.uses;
-        if entry.evictable() {
+        if entry.is_evictable() {
             self.evictable.insert((entry.last_used, key));
         }
     }
@@ -162,7 +165,7 @@
         let Some(hash) = parent else { return true };
         let key = BlockKey { scope, hash };
         let Some(entry) = self.entries.get_mut(&key) else { return false };
-        if entry.evictable() {
+        if entry.is_evictable() {
             self.evictable.remove(&(entry.last_used, key));
         }
         entry.children += 1;
@@ -184,7 +187,7 @@
         entry.children = entry.children.saturating_sub(1);
         // A use of a block counts for its ancestors; it propagates when the block is evicted.
         entry.last_used = entry.last_used.max(child_last_used);
-        if entry.evictable() {
+        if entry.is_evictable() {
             self.evictable.insert((entry.last_used, parent));
         }
     }
--- a/crates/standins/src/engine/model/mod.rs
+++ b/crates/standins/src/engine/model/mod.rs
@@ -61,21 +61,29 @@
     loading: Option<Loading>,
     role: EngineRole,
     draining: bool,
+    /// Highest fencing token of an executed order.
     fence: FencingToken,
+    /// Identifiers of the latest executed orders.
     executed_orders: VecDeque<String>,
     incarnations: LatestIncarnations,
     cache: BlockCache,
     feed: EventFeed,
     history: LoadHistory,
+    /// The queue, by priority and then by arrival.
     waiting: BTreeMap<(Reverse<Priority>, u64), Waiting>,
+    /// Requests whose import is in progress, with its end.
     importing: Vec<(Timestamp, Waiting)>,
+    /// Number of requests that have entered the queue.
     arrivals: u64,
     running: Vec<Running>,
     step_ends_at: Option<Timestamp>,
+    /// Token counts of answers that ended within the resume grace period.
     ended: BTreeMap<AttemptId, u32>,
-    ended_order: VecDeque<(Timestamp, AttemptId)>,
+    /// When the entries of `ended` are removed.
+    ended_expiries: VecDeque<(Timestamp, AttemptId)>,
     outputs: Vec<EngineOutput>,
     stalled: bool,
+    /// Factor for the duration of steps.
     slowdown: f64,
 }
 
@@ -105,7 +113,7 @@
             running: Vec::new(),
             step_ends_at: None,
             ended: BTreeMap::new(),
-            ended_order: VecDeque::new(),
+            ended_expiries: VecDeque::new(),
             outputs: Vec::new(),
             stalled: false,
             slowdown: 1.0,
--- a/crates/standins/src/engine/server/mod.rs
+++ b/crates/standins/src/engine/server/mod.rs
@@ -99,7 +99,7 @@
     pub status: EngineStatus,
     /// The current faults.
     pub faults: EngineFaults,
-    /// Counters since the start.
+    /// Counters of the current incarnation.
     pub counters: EngineCounters,
     /// Number of streams, including ended ones that can still be resumed.
     pub streams: usize,
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -67,6 +67,7 @@
 #[derive(Debug)]
 struct InjectorState {
     faults: ServiceFaults,
+    /// Number of requests that the rate limit admits now.
     allowance: f64,
     refilled_at: Timestamp,
     random: SmallRng,
--- a/crates/standins/tests/engine_cache.rs
+++ b/crates/standins/tests/engine_cache.rs
@@ -4,7 +4,7 @@
 use paddlemount_protocol::prefix::{BlockHash, CacheScope};
 use paddlemount_standins::engine::model::cache::{BlockCache, BlockKey};
 
-const CAPACITY: u32 = 24;
+const CAPACITY_BLOCKS: u32 = 24;
 
 #[derive(Clone, Debug, TypeGenerator)]
 enum Operation {
@@ -27,6 +27,7 @@
         .collect()
 }
 
+/// Pins and reservations that the cache must respect.
 #[derive(Default)]
 struct Held {
     pins: Vec<BlockKey>,
@@ -88,7 +89,7 @@
 }
 
 fn check_invariants(cache: &BlockCache, held: &Held) {
-    assert!(cache.len() + cache.reserved() <= CAPACITY, "over capacity");
+    assert!(cache.len() + cache.reserved() <= CAPACITY_BLOCKS, "over capacity");
     assert_eq!(cache.reserved(), held.reserved);
     for (key, parent) in cache.blocks() {
         let parent_key = parent.map(|hash| BlockKey { scope: key.scope, hash });
@@ -102,7 +103,7 @@
 #[test]
 fn invariants_hold_under_any_operations() {
     check!().with_type::<Vec<Operation>>().for_each(|operations| {
-        let mut cache = BlockCache::new(CAPACITY);
+        let mut cache = BlockCache::new(CAPACITY_BLOCKS);
         let mut held = Held::default();
         for operation in operations {
             apply(&mut cache, &mut held, operation);
@@ -114,7 +115,7 @@
 #[test]
 fn a_scope_never_sees_the_blocks_of_another() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|stores| {
-        let mut cache = BlockCache::new(CAPACITY);
+        let mut cache = BlockCache::new(CAPACITY_BLOCKS);
         for (branch, length) in stores {
             store(&mut cache, CacheScope(1), &prefix(*branch, *length));
             assert_eq!(cache.matched(CacheScope(2), &prefix(*branch, *length)), 0);
@@ -125,7 +126,7 @@
 #[test]
 fn matching_finds_the_longest_present_prefix() {
     check!().with_type::<(Vec<(u8, u8)>, u8, u8)>().for_each(|(stores, branch, length)| {
-        let mut cache = BlockCache::new(CAPACITY);
+        let mut cache = BlockCache::new(CAPACITY_BLOCKS);
         for (branch, length) in stores {
             store(&mut cache, CacheScope(1), &prefix(*branch, *length));
         }
