--- a/crates/cli/tests/forward/announced.rs
+++ b/crates/cli/tests/forward/announced.rs
@@ -10,7 +10,7 @@
 };
 use serde_json::Value;
 
-use crate::router::{CallerResponse, DRAIN_TIMEOUT, Router, gauge};
+use crate::router::{CallerResponse, DRAIN_TIMEOUT, Router, metric_value};
 
 /// The back-off that back ends request.
 const BACK_OFF: Duration = Duration::from_secs(3);
@@ -57,7 +57,7 @@
         join_all((0..CONCURRENT_REQUESTS).map(|_| send(router, path))).await;
         first_announcement().is_some()
     };
-    router.until("announced by an answer", is_announced).await;
+    router.wait_until("announced by an answer", is_announced).await;
     runner.accept_requests();
     first_announcement().expect("an answer with the announcement").at
 }
@@ -81,7 +81,7 @@
 async fn check_draining_during_store_outage(path: &str, leaving: impl Fn(&Cluster) -> Runner) {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
-    router.until("serving", async || send(&router, path).await.status == StatusCode::OK).await;
+    router.wait_until("serving", async || send(&router, path).await.status == StatusCode::OK).await;
     let runner = leaving(&cluster);
     cluster.store.set_fault(StoreFault::Silent);
     runner.announce_leaving();
@@ -130,20 +130,20 @@
     runner.announce_leaving();
     send_until_announced(&router, "/quote/1", runner).await;
     runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
-    router.until("running again", async || cluster.all_running()).await;
+    router.wait_until("running again", async || cluster.all_running()).await;
     let back = Instant::now();
     let serves = async || {
         send(&router, "/quote/1").await;
         !arrivals_after(runner, back).is_empty()
     };
-    router.until("serving again", serves).await;
+    router.wait_until("serving again", serves).await;
 }
 
 #[tokio::test]
 async fn if_all_back_ends_drain_they_serve_until_the_timeout_and_then_requests_are_refused_at_once() {
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
-    router.until("serving", async || send(&router, "/quote/1").await.status == StatusCode::OK).await;
+    router.wait_until("serving", async || send(&router, "/quote/1").await.status == StatusCode::OK).await;
     cluster.store.set_fault(StoreFault::Silent);
     cluster.bookings.iter().for_each(Runner::announce_leaving);
     let mut announced_at = Vec::new();
@@ -178,16 +178,18 @@
     // The first node sends no requests, so it can learn of the announcement only from the other node.
     let cluster = cluster().await;
     let first = Router::start_at(cluster.store_address, "node-0").await;
-    first.until("leading", async || gauge(&first, "paddlemount_forward_leads").await == Some(1.0)).await;
+    first
+        .wait_until("leading", async || metric_value(&first, "paddlemount_forward_leads").await == Some(1.0))
+        .await;
     let second = Router::start_at(cluster.store_address, "node-1").await;
     for router in [&first, &second] {
-        router.until("serving", async || send(router, "/hold/1").await.status == StatusCode::OK).await;
+        router.wait_until("serving", async || send(router, "/hold/1").await.status == StatusCode::OK).await;
     }
-    second.until("reporting", async || second.logged("parent_changed")).await;
+    second.wait_until("reporting", async || second.logged("parent_changed")).await;
     let runner = &cluster.bookings[0];
     runner.announce_leaving();
     send_until_announced(&second, "/quote/1", runner).await;
-    first.until("logged", async || first.logged("backend_leaving")).await;
+    first.wait_until("logged", async || first.logged("backend_leaving")).await;
     let line = lines_of(&first, "backend_leaving").remove(0);
     assert_eq!(line["backend"], runner.id().as_str());
     assert_eq!(line["heard"], "told");
@@ -201,13 +203,15 @@
     // The engine gets no requests; the leader receives the announcement with the answer to an order.
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
-    router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
+    router
+        .wait_until("leading", async || metric_value(&router, "paddlemount_forward_leads").await == Some(1.0))
+        .await;
     let engine = &cluster.engines[0];
     engine.announce_leaving();
     cluster.set_target_version(2);
-    router.until("informed", async || router.logged("backend_leaving")).await;
+    router.wait_until("informed", async || router.logged("backend_leaving")).await;
     let others = async || cluster.engines[1..].iter().all(|engine| engine.version() == 2);
-    router.until("loaded elsewhere", others).await;
+    router.wait_until("loaded elsewhere", others).await;
     assert_eq!(lines_of(&router, "backend_leaving").remove(0)["backend"], engine.id().as_str());
     let before = Instant::now();
     assert!(all_ok(&send_for(&router, "/claim/1", OBSERVATION_TIME).await));
@@ -227,7 +231,7 @@
     let runner = &cluster.engines[0];
     runner.reject_requests(BACK_OFF_TEXT, MAX_TEST_TIME);
     let announced_at = send_until_announced(&router, "/claim/1", runner).await;
-    let backing_off = gauge(&router, "paddlemount_forward_backends_resting").await;
+    let backing_off = metric_value(&router, "paddlemount_forward_backends_resting").await;
     assert_eq!(backing_off, Some(1.0), "a metric counts it");
     let answers = send_for(&router, "/claim/1", BACK_OFF).await;
     assert!(all_ok(&answers), "the others serve");
@@ -236,9 +240,9 @@
         send(&router, "/claim/1").await;
         !arrivals_after(runner, announced_at + BACK_OFF).is_empty()
     };
-    router.until("sending requests again", gets_requests).await;
+    router.wait_until("sending requests again", gets_requests).await;
     assert_eq!(lines_of(&router, "backend_rests").len(), 1);
-    router.until("logged", async || router.logged("backend_rested")).await;
+    router.wait_until("logged", async || router.logged("backend_rested")).await;
 }
 
 #[tokio::test]
@@ -273,7 +277,9 @@
     for (engine, announced_at) in cluster.engines.iter().zip(&announced_at) {
         assert_eq!(arrivals_in_back_off(engine, *announced_at), Vec::<Duration>::new(), "{}", engine.id());
     }
-    router.until("serving again", async || send(&router, "/claim/1").await.status == StatusCode::OK).await;
+    router
+        .wait_until("serving again", async || send(&router, "/claim/1").await.status == StatusCode::OK)
+        .await;
 }
 
 #[tokio::test]
@@ -312,14 +318,14 @@
             send(&router, "/quote/1").await;
             runner.seen().iter().any(|seen| seen.retry_after.as_deref() == Some(text))
         };
-        router.until("rejected", rejected).await;
+        router.wait_until("rejected", rejected).await;
         runner.accept_requests();
         let before = runner.seen().len();
         let gets_requests = async || {
             send(&router, "/quote/1").await;
             runner.seen().iter().skip(before).any(|seen| seen.ran)
         };
-        router.until("sending requests again", gets_requests).await;
+        router.wait_until("sending requests again", gets_requests).await;
     }
     assert_eq!(lines_of(&router, "rest_unreadable").len(), 3, "each invalid value is logged");
 }
@@ -330,11 +336,11 @@
     let router = Router::start(&cluster).await;
     cluster.bookings.iter().for_each(|runner| runner.add_header("Server-Mood"));
     send_for(&router, "/quote/1", Duration::from_millis(200)).await;
-    router.until("logged", async || router.logged("answer_header_unknown")).await;
+    router.wait_until("logged", async || router.logged("answer_header_unknown")).await;
     let lines = lines_of(&router, "answer_header_unknown");
     assert_eq!(lines.len(), 1);
     assert_eq!(lines[0]["name"], "server-mood");
     assert!(router.lines().iter().all(|line| !line.contains("a value")));
-    let counted = gauge(&router, "paddlemount_forward_unknown_answer_headers_total").await;
+    let counted = metric_value(&router, "paddlemount_forward_unknown_answer_headers_total").await;
     assert!(counted > Some(1.0), "each answer counts");
 }
--- a/crates/cli/tests/forward/belief.rs
+++ b/crates/cli/tests/forward/belief.rs
@@ -30,7 +30,7 @@
     let refused = async || {
         router.send("/hold/1", "b2").await.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
     };
-    router.until("refused", refused).await;
+    router.wait_until("refused", refused).await;
 }
 
 #[tokio::test]
@@ -42,13 +42,15 @@
         let response = router.send("/hold/1", "c1").await;
         response.is_some_and(|response| response.status == StatusCode::SERVICE_UNAVAILABLE)
     };
-    router.until("refused", refused).await;
+    router.wait_until("refused", refused).await;
     assert_eq!(router.fetch_readiness().await, Some(StatusCode::SERVICE_UNAVAILABLE));
     cluster.store.set_fault(StoreFault::None);
     let served =
         async || router.send("/hold/1", "c2").await.is_some_and(|response| response.status == StatusCode::OK);
-    router.until("served again", served).await;
-    router.until("logged", async || router.logged("store_lost") && router.logged("store_regained")).await;
+    router.wait_until("served again", served).await;
+    router
+        .wait_until("logged", async || router.logged("store_lost") && router.logged("store_regained"))
+        .await;
 }
 
 #[tokio::test]
@@ -62,9 +64,9 @@
             .await
             .is_some_and(|response| response.status == StatusCode::OK)
     };
-    router.until("in force", newer).await;
+    router.wait_until("in force", newer).await;
     cluster.configure(4, &[KEY]);
-    router.until("ignored", async || router.logged("configuration_passed_over")).await;
+    router.wait_until("ignored", async || router.logged("configuration_passed_over")).await;
     assert_eq!(router.send("/hold/1", "d2").await.expect("an answer").status, StatusCode::UNAUTHORIZED);
 }
 
@@ -73,12 +75,12 @@
     let cluster = cluster().await;
     let router = Router::start(&cluster).await;
     cluster.configure_invalid();
-    router.until("logged", async || router.logged("item_unreadable")).await;
+    router.wait_until("logged", async || router.logged("item_unreadable")).await;
     assert_eq!(router.send("/hold/1", "e1").await.expect("an answer").status, StatusCode::OK);
     cluster.store.set_fault(StoreFault::Nonsense);
-    router.until("logged", async || router.logged("store_lost")).await;
+    router.wait_until("logged", async || router.logged("store_lost")).await;
     cluster.store.set_fault(StoreFault::None);
-    router.until("regained", async || router.logged("store_regained")).await;
+    router.wait_until("regained", async || router.logged("store_regained")).await;
     assert_eq!(router.send("/hold/1", "e2").await.expect("an answer").status, StatusCode::OK);
 }
 
@@ -94,7 +96,7 @@
     let refused = async || {
         router.send("/hold/1", "f1").await.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
     };
-    router.until("refused", refused).await;
+    router.wait_until("refused", refused).await;
 }
 
 #[tokio::test]
@@ -103,7 +105,9 @@
     let router = Router::start(&cluster).await;
     cluster.drain(&cluster.bookings[0]);
     router
-        .until("logged", async || router.lines().iter().any(|line| line.contains("\"change\":\"leaving\"")))
+        .wait_until("logged", async || {
+            router.lines().iter().any(|line| line.contains("\"change\":\"leaving\""))
+        })
         .await;
     let before = cluster.bookings[0].seen().len();
     for number in 0..10 {
@@ -122,7 +126,7 @@
     let router = Router::start(&cluster).await;
     cluster.set_target_version(2);
     let loaded = async || cluster.engines.iter().all(|engine| engine.version() == 2);
-    router.until("loaded", loaded).await;
+    router.wait_until("loaded", loaded).await;
     assert!(cluster.engines.iter().all(|engine| engine.loads() == 1), "no engine loads twice");
 }
 
@@ -133,11 +137,11 @@
     assert_eq!(router.send("/claim/1", "i1").await.expect("an answer").status, StatusCode::OK);
     cluster.set_target_version(2);
     let loaded = async || cluster.engines.iter().all(|engine| engine.version() == 2);
-    router.until("loaded", loaded).await;
+    router.wait_until("loaded", loaded).await;
     let served = async || {
         router.send("/claim/1", "i2").await.is_some_and(|response| response.status == StatusCode::OK)
     };
-    router.until("served", served).await;
+    router.wait_until("served", served).await;
     let scopes: Vec<String> = cluster
         .engines
         .iter()
@@ -157,7 +161,7 @@
         let _ = router.send_with_key("/hold/1", &format!("k{number}"), "guessed-key").await;
     }
     router
-        .until("logged", async || {
+        .wait_until("logged", async || {
             router.lines().iter().filter(|line| line.contains("\"request\"")).count() >= 10
         })
         .await;
@@ -173,9 +177,9 @@
     let router = Router::start(&cluster).await;
     router.write_settings("node = 3");
     router.hang_up();
-    router.until("logged", async || router.logged("settings_rejected")).await;
+    router.wait_until("logged", async || router.logged("settings_rejected")).await;
     assert_eq!(router.send("/hold/1", "l1").await.expect("an answer").status, StatusCode::OK);
     router.write_settings(&settings(&cluster, 4_000));
-    router.until("reloaded", async || router.logged("settings_reloaded")).await;
+    router.wait_until("reloaded", async || router.logged("settings_reloaded")).await;
     assert_eq!(router.send("/hold/1", "l2").await.expect("an answer").status, StatusCode::OK);
 }
--- a/crates/cli/tests/forward/budget.rs
+++ b/crates/cli/tests/forward/budget.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use tokio::net::TcpSocket;
 
-use crate::router::{Router, gauge};
+use crate::router::{Router, metric_value};
 
 /// Number of sequential requests in a test.
 const REQUESTS: usize = 30;
@@ -40,12 +40,14 @@
         cluster.register_at(engine, "ready", socket.local_addr().expect("an address"));
     }
     let router = Router::start_first(&cluster).await;
-    router.until("counted", async || gauge(&router, "paddlemount_forward_nodes").await == Some(1.0)).await;
+    router
+        .wait_until("counted", async || metric_value(&router, "paddlemount_forward_nodes").await == Some(1.0))
+        .await;
     for number in 0..REQUESTS {
         let response = router.send("/claim/1", &format!("refused-{number}")).await.expect("an answer");
         assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     }
-    router.until("logged", async || lines_of(&router, "request").len() >= REQUESTS).await;
+    router.wait_until("logged", async || lines_of(&router, "request").len() >= REQUESTS).await;
     let ended = lines_of(&router, "attempt_ended");
     assert!(ended.len() > REQUESTS, "requests were placed more than once: {}", ended.len());
     let max = RETRY_SLACK_ALONE + REQUESTS as u64 / 5;
@@ -68,14 +70,14 @@
     let runner = &cluster.bookings[0];
     let id = runner.id();
     runner.crash();
-    router.until("running again", async || cluster.all_running()).await;
+    router.wait_until("running again", async || cluster.all_running()).await;
     cluster.register_stale(&id, runner);
     let reappeared = async || {
         let changes = lines_of(&router, "backend_changed");
         let appeared = |line: &&Value| line["backend"] == id.as_str() && line["change"] == "appeared";
         changes.iter().filter(appeared).count() == 2
     };
-    router.until("informed of the stale entry", reappeared).await;
+    router.wait_until("informed of the stale entry", reappeared).await;
     for number in 0..REQUESTS * 2 {
         let response = router.send("/quote/1", &format!("quote-{number}")).await.expect("an answer");
         assert_eq!(response.status, StatusCode::OK);
@@ -112,7 +114,7 @@
     let served = async || {
         router.send("/claim/1", "served").await.is_some_and(|response| response.status == StatusCode::OK)
     };
-    router.until("serving", served).await;
+    router.wait_until("serving", served).await;
 }
 
 /// The first request of a node must be able to leave an unresponsive back end, so the budget must not start
--- a/crates/cli/tests/forward/delivery.rs
+++ b/crates/cli/tests/forward/delivery.rs
@@ -121,7 +121,7 @@
     // Each request may need a retry. Before a node knows that it is alone, its retry budget is 2 instead of
     // 28.
     router
-        .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
+        .wait_until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
         .await;
     script_all(&cluster.engines, &[Behaviour::BreaksInEvent]);
     for runner in &cluster.engines[1..] {
@@ -183,7 +183,7 @@
     }
     let left =
         async || router.lines().iter().filter(|line| line.contains("\"change\":\"leaving\"")).count() == 2;
-    router.until("one engine left", left).await;
+    router.wait_until("one engine left", left).await;
     cluster.engines[0].script(&[Behaviour::FallsSilent]);
     let response = router.send("/claim/1", "l1").await.expect("an answer");
     assert_eq!((response.body.as_str(), response.complete), (COMPLETE_STREAM, true));
@@ -208,5 +208,5 @@
         tokio::time::timeout(std::time::Duration::from_millis(400), router.send("/chat/1", "k1")).await;
     assert!(leaving.is_err());
     let closed = async || cluster.engines.iter().map(Runner::closed_by_caller).sum::<u32>() == 1;
-    router.until("closed at the back end", closed).await;
+    router.wait_until("closed at the back end", closed).await;
 }
--- a/crates/cli/tests/forward/ending.rs
+++ b/crates/cli/tests/forward/ending.rs
@@ -19,10 +19,12 @@
         engine.script(&[Behaviour::Slow]);
     }
     let (response, ()) = tokio::join!(router.send("/chat/1", "a1"), async {
-        router.until("running", async || cluster.engines.iter().any(|engine| engine.runs("a1") == 1)).await;
+        router
+            .wait_until("running", async || cluster.engines.iter().any(|engine| engine.runs("a1") == 1))
+            .await;
         router.terminate();
         let unready = async || router.fetch_readiness().await == Some(StatusCode::SERVICE_UNAVAILABLE);
-        router.until("unready", unready).await;
+        router.wait_until("unready", unready).await;
     });
     let response = response.expect("an answer");
     assert!(response.complete, "{response:?}");
@@ -36,7 +38,7 @@
     let cluster = Cluster::start().await.expect("the cluster starts");
     cluster.configure(1, &[KEY]);
     let mut router = Router::start(&cluster).await;
-    router.until("leading", async || router.logged("leadership_gained")).await;
+    router.wait_until("leading", async || router.logged("leadership_gained")).await;
     router.terminate();
     assert!(router.wait_for_exit().await);
     assert!(!cluster.has_leader());
@@ -53,7 +55,7 @@
             routers.push(Router::start_at(cluster.store_address, name).await);
         }
         for router in &routers {
-            router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
+            router.wait_until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         }
         // The store has accepted it, and possibly no node has observed it yet.
         let keys: &[&str] = if version % 2 == 0 { &[KEY] } else { &[KEY, REMOVED_KEY] };
@@ -69,7 +71,7 @@
             assert!(status == expected || status == StatusCode::SERVICE_UNAVAILABLE, "{version}: {status}");
             status == expected
         };
-        router.until("serving by the acknowledged configuration", answered).await;
+        router.wait_until("serving by the acknowledged configuration", answered).await;
     }
 }
 
@@ -81,7 +83,7 @@
     let mut caller = RawCaller::connect(router.callers).await;
     caller.write(b"POST /hold/1 HTTP/1.1\r\nHost: pl").await;
     let closed = async || !caller.is_open();
-    router.until("closed", closed).await;
+    router.wait_until("closed", closed).await;
 }
 
 /// Returns whether a process runs; a zombie does not.
@@ -98,7 +100,7 @@
         runtime.block_on(async {
             let cluster = Cluster::start().await.expect("the cluster starts");
             let router = Router::start_unready(&cluster).await;
-            let process = router.process();
+            let process = router.process_id();
             assert!(runs(process));
             std::mem::forget(router);
             process
--- a/crates/cli/tests/forward/fleet.rs
+++ b/crates/cli/tests/forward/fleet.rs
@@ -7,7 +7,7 @@
     proxy::{LinkFault, Proxy},
 };
 
-use crate::router::{Router, gauge};
+use crate::router::{Router, metric_value};
 
 /// Starts three nodes that know of each other, each with its own link to the store.
 pub async fn fleet() -> (Cluster, Vec<Proxy>, Vec<Router>) {
@@ -20,7 +20,11 @@
         links.push(link);
     }
     for router in &routers {
-        router.until("counted", async || gauge(router, "paddlemount_forward_nodes").await == Some(3.0)).await;
+        router
+            .wait_until("counted", async || {
+                metric_value(router, "paddlemount_forward_nodes").await == Some(3.0)
+            })
+            .await;
     }
     (cluster, links, routers)
 }
@@ -35,7 +39,7 @@
 /// Index of the leader.
 async fn leader(routers: &[Router]) -> usize {
     for (number, router) in routers.iter().enumerate() {
-        if gauge(router, "paddlemount_forward_leads").await == Some(1.0) {
+        if metric_value(router, "paddlemount_forward_leads").await == Some(1.0) {
             return number;
         }
     }
@@ -52,7 +56,7 @@
     let refused = async || {
         router.send("/hold/1", "f1").await.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
     };
-    router.until("refused", refused).await;
+    router.wait_until("refused", refused).await;
     assert_eq!(router.fetch_readiness().await, Some(StatusCode::OK));
 }
 
@@ -67,15 +71,15 @@
             let response = router.send_with_key("/hold/1", &format!("g{number}"), "another-key").await;
             response.is_some_and(|response| response.status == StatusCode::OK)
         };
-        router.until("serving by the new configuration", served).await;
+        router.wait_until("serving by the new configuration", served).await;
         assert_eq!(router.fetch_readiness().await, Some(StatusCode::OK));
     }
     let (first, second) = (&routers[0], &routers[1]);
     let led = async || {
-        let leads = async |router| gauge(router, "paddlemount_forward_leads").await == Some(1.0);
+        let leads = async |router| metric_value(router, "paddlemount_forward_leads").await == Some(1.0);
         leads(first).await || leads(second).await
     };
-    first.until("one of the others leading", led).await;
+    first.wait_until("one of the others leading", led).await;
 }
 
 #[tokio::test]
@@ -85,10 +89,10 @@
     let link = Proxy::start(cluster.store_address).await.expect("a proxy starts");
     let start = async || Router::start_with_long_lease(cluster.store_address, "node-0", &link).await;
     let killed = start().await;
-    killed.until("leading", async || killed.logged("leadership_gained")).await;
+    killed.wait_until("leading", async || killed.logged("leadership_gained")).await;
     drop(killed);
     let again = start().await;
-    again.until("leading again", async || again.logged("leadership_gained")).await;
+    again.wait_until("leading again", async || again.logged("leadership_gained")).await;
 }
 
 #[tokio::test]
@@ -102,12 +106,12 @@
             let response = router.send("/hold/1", &format!("h{number}")).await;
             response.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
         };
-        router.until("refused", refused).await;
+        router.wait_until("refused", refused).await;
     }
     let router = &routers[cut_off];
     let refused =
         async || router.send("/hold/1", "h9").await.is_some_and(|response| !response.status.is_success());
-    router.until("not served on old keys", refused).await;
+    router.wait_until("not served on old keys", refused).await;
 }
 
 #[tokio::test]
@@ -122,7 +126,7 @@
             let response = router.send("/hold/1", &format!("s{number}")).await;
             response.is_some_and(|response| response.status == StatusCode::UNAUTHORIZED)
         };
-        router.until("refused", refused).await;
+        router.wait_until("refused", refused).await;
     }
 }
 
@@ -145,7 +149,7 @@
                 .await
                 .is_some_and(|response| response.status == StatusCode::OK && response.complete)
         };
-        router.until("serving", served).await;
+        router.wait_until("serving", served).await;
     };
     for path in ["/hold/1", "/quote/1", "/chat/1", "/claim/1"] {
         serves(path, "before").await;
@@ -161,9 +165,9 @@
     let follower = &routers[(leader + 1) % routers.len()];
     let before = store_calls(follower).await;
     let reports = "paddlemount_forward_peer_calls_total{outcome=\"answered\"}";
-    let reported = gauge(follower, reports).await.unwrap_or_default();
-    let more = async || gauge(follower, reports).await.unwrap_or_default() >= reported + 15.0;
-    follower.until("reporting", more).await;
+    let reported = metric_value(follower, reports).await.unwrap_or_default();
+    let more = async || metric_value(follower, reports).await.unwrap_or_default() >= reported + 15.0;
+    follower.wait_until("reporting", more).await;
     let called = store_calls(follower).await - before;
     // A watch that started before the first gossip may still complete.
     assert!(called <= 1.0, "{called} calls to the store in 15 reports");
@@ -185,7 +189,7 @@
             .await
             .is_some_and(|response| response.status == StatusCode::OK)
     };
-    router.until("serving by the new key", served).await;
+    router.wait_until("serving by the new key", served).await;
 }
 
 #[tokio::test]
@@ -246,12 +250,13 @@
     let (cluster, _links, routers) = fleet().await;
     cluster.store.set_page_size(2);
     let started = Router::start_at(cluster.store_address, "node-9").await;
-    let taken = async || gauge(&started, "paddlemount_forward_snapshots_taken_total").await == Some(1.0);
-    started.until("supplied with the other pages", taken).await;
+    let taken =
+        async || metric_value(&started, "paddlemount_forward_snapshots_taken_total").await == Some(1.0);
+    started.wait_until("supplied with the other pages", taken).await;
     wait_until_served_by(&started, KEY).await;
     assert_eq!(calls_for(&started, "list").await, 2.0, "the node lists two of the store's pages");
-    let counted = async || gauge(&started, "paddlemount_forward_nodes").await == Some(4.0);
-    started.until("counted", counted).await;
+    let counted = async || metric_value(&started, "paddlemount_forward_nodes").await == Some(4.0);
+    started.wait_until("counted", counted).await;
     drop(routers);
 }
 
@@ -267,6 +272,6 @@
             let id = format!("p-{}", rand::random::<u64>());
             router.send(path, &id).await.is_some_and(|response| response.status == StatusCode::OK)
         };
-        router.until("serving", served).await;
+        router.wait_until("serving", served).await;
     }
 }
--- a/crates/cli/tests/forward/limit_check.rs
+++ b/crates/cli/tests/forward/limit_check.rs
@@ -7,11 +7,11 @@
 
 use paddlemount_platform_standin::Runner;
 
-/// How long after the first advertisement of a limit it is enforced by this check.
+/// How long after its first advertisement this check enforces a limit.
 pub const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// The window over which requests are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
-/// How long after passing on an answer with a limit a node is bound by it.
+/// How long after it has passed on an answer with a limit a node may exceed the limit.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Factor by which a window may exceed the limit.
 const TOLERANCE_FACTOR: f64 = 1.5;
@@ -23,7 +23,6 @@
 pub struct Arrival {
     /// The node that forwarded the request.
     pub node: usize,
-    /// When the request arrived.
     pub at: Instant,
     /// Number of earlier restarts of the back end.
     pub starts: u32,
--- a/crates/cli/tests/forward/limits.rs
+++ b/crates/cli/tests/forward/limits.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     limit_check::{Arrival, WINDOW, advertised_by, allowed, exceeded},
-    router::{CallerResponse, Router, gauge},
+    router::{CallerResponse, Router, metric_value},
 };
 
 const NODES: usize = 3;
@@ -45,13 +45,14 @@
         }
         let nodes = Self { cluster, routers };
         for router in &nodes.routers {
-            let counted = async || gauge(router, "paddlemount_forward_nodes").await == Some(NODES as f64);
-            router.until("counted", counted).await;
+            let counted =
+                async || metric_value(router, "paddlemount_forward_nodes").await == Some(NODES as f64);
+            router.wait_until("counted", counted).await;
             let serves = async || {
                 let id = format!("first-{}", rand::random::<u64>());
                 router.send(PATH, &id).await.is_some_and(|response| response.status == StatusCode::OK)
             };
-            router.until("serving", serves).await;
+            router.wait_until("serving", serves).await;
         }
         nodes
     }
@@ -83,7 +84,7 @@
             self.send_for(REQUEST_INTERVAL).await;
             is_met()
         };
-        self.routers[0].until(what, sends).await;
+        self.routers[0].wait_until(what, sends).await;
     }
 
     /// Log lines of one event from all nodes.
@@ -174,7 +175,7 @@
         nodes.send_until(&[1], Instant::now() + REQUEST_INTERVAL).await;
         nodes.lines_of("backend_limited").len() >= NODES
     };
-    nodes.routers[0].until("limited at all nodes", all_limited).await;
+    nodes.routers[0].wait_until("limited at all nodes", all_limited).await;
     let limited_at = Instant::now();
     nodes.send_until(&[0, 2], limited_at + OBSERVATION_TIME).await;
     let max = max_in_window(runner, limited_at);
@@ -215,7 +216,7 @@
     runner.advertise_limit("0");
     nodes.send_until_met("limited", || nodes.lines_of("backend_limited").len() >= NODES).await;
     runner.crash_with(RestartPlan { after: Duration::from_millis(100), identity: Identity::Same });
-    nodes.routers[0].until("running again", async || nodes.cluster.all_running()).await;
+    nodes.routers[0].wait_until("running again", async || nodes.cluster.all_running()).await;
     let back = Instant::now();
     let max = allowed(0.0) as usize;
     nodes.send_until_met("serving again", || count_after(runner, back) > max).await;
--- a/crates/cli/tests/forward/planned_soak.rs
+++ b/crates/cli/tests/forward/planned_soak.rs
@@ -198,7 +198,7 @@
             router.hang_up();
             router.terminate();
         }
-        router.until("exited after its grace period", async || router.has_exited()).await;
+        router.wait_until("exited after its grace period", async || router.has_exited()).await;
         self.save_lines(&router);
         *locked(&self.routers[node]) = None;
         let fresh = start_node(&self.cluster, node).await;
@@ -287,7 +287,9 @@
 
 async fn start_node(cluster: &Cluster, number: usize) -> Router {
     let router = Router::start_at(cluster.store_address, &format!("node-{number}")).await;
-    router.until("ready", async || router.fetch_readiness().await.is_some_and(|status| status == 200)).await;
+    router
+        .wait_until("ready", async || router.fetch_readiness().await.is_some_and(|status| status == 200))
+        .await;
     router
 }
 
--- a/crates/cli/tests/forward/poison.rs
+++ b/crates/cli/tests/forward/poison.rs
@@ -66,7 +66,7 @@
             .await
             .is_some_and(|response| response.status == StatusCode::OK && response.complete)
     };
-    router.until("serving", served).await;
+    router.wait_until("serving", served).await;
 }
 
 /// Checks the quarantine of a request that a caller repeats at all nodes.
@@ -267,7 +267,7 @@
         let id = format!("long-{round}");
         let ends = async {
             router
-                .until("running", async || cluster.engines.iter().any(|engine| engine.runs(&id) == 1))
+                .wait_until("running", async || cluster.engines.iter().any(|engine| engine.runs(&id) == 1))
                 .await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             cluster.engines.iter().for_each(Runner::crash);
--- a/crates/cli/tests/forward/quota.rs
+++ b/crates/cli/tests/forward/quota.rs
@@ -21,7 +21,9 @@
     }
     for router in &routers {
         router
-            .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 3"))
+            .wait_until("counted", async || {
+                router.fetch_metrics().await.contains("paddlemount_forward_nodes 3")
+            })
             .await;
     }
     routers
@@ -62,7 +64,7 @@
     assert!(granted > 0.0 && granted * TOKENS_PER_REQUEST <= max_tokens, "{granted} granted");
     let matches =
         |line: &String| line.contains("\"outcome\":\"over_quota\"") && line.contains("\"per_second\":");
-    routers[0].until("logged", async || has_logged(&routers[0], matches)).await;
+    routers[0].wait_until("logged", async || has_logged(&routers[0], matches)).await;
 }
 
 #[tokio::test]
@@ -74,10 +76,10 @@
         let response = router.send("/chat/1", "r1").await;
         response.is_some_and(|response| response.status == StatusCode::TOO_MANY_REQUESTS)
     };
-    router.until("refused", refused).await;
+    router.wait_until("refused", refused).await;
     cluster.configure(2, &[KEY]);
     let applied = |line: &String| line.contains("configuration_applied") && line.contains("\"version\":2");
-    router.until("applied", async || has_logged(&router, applied)).await;
+    router.wait_until("applied", async || has_logged(&router, applied)).await;
     for number in 0..20 {
         let response = router.send("/chat/1", &format!("s{number}")).await.expect("an answer");
         assert_eq!(response.status, StatusCode::OK, "{}", response.body);
--- a/crates/cli/tests/forward/raw_caller.rs
+++ b/crates/cli/tests/forward/raw_caller.rs
@@ -20,7 +20,6 @@
 /// How a request ended from the caller's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// A complete answer.
     Complete {
         status: u16,
         headers: http::HeaderMap,
@@ -36,20 +35,17 @@
 }
 
 impl Ending {
-    /// Returns whether the answer is complete.
     pub const fn is_complete(&self) -> bool {
         matches!(self, Self::Complete { .. })
     }
 }
 
-/// A connection to a node.
 pub struct RawCaller {
     stream: TcpStream,
     received: Vec<u8>,
 }
 
 impl RawCaller {
-    /// Opens a connection.
     pub async fn connect(callers: SocketAddr) -> Self {
         Self::try_connect(callers).await.expect("a connection comes up")
     }
--- a/crates/cli/tests/forward/restored.rs
+++ b/crates/cli/tests/forward/restored.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use paddlemount_platform_standin::{Cluster, Runner, cluster::KEY, store::StoreFault};
 
-use crate::router::{Router, gauge};
+use crate::router::{Router, metric_value};
 
 /// A key that the operator removes.
 const REMOVED_KEY: &str = "key-that-goes";
@@ -36,11 +36,13 @@
 }
 
 async fn wait_until_served(router: &Router, key: &str) {
-    router.until("serving", async || status(router, key).await == Some(StatusCode::OK)).await;
+    router.wait_until("serving", async || status(router, key).await == Some(StatusCode::OK)).await;
 }
 
 async fn wait_until_leading(router: &Router) {
-    router.until("leading", async || gauge(router, "paddlemount_forward_leads").await == Some(1.0)).await;
+    router
+        .wait_until("leading", async || metric_value(router, "paddlemount_forward_leads").await == Some(1.0))
+        .await;
 }
 
 /// Advances the store's revision by irrelevant changes.
@@ -62,7 +64,7 @@
     cluster.store.rewrite(&written);
     cluster.configure(2, &[KEY, LATE_KEY]);
     wait_until_served(&router, LATE_KEY).await;
-    router.until("logged", async || router.logged("store_restored")).await;
+    router.wait_until("logged", async || router.logged("store_restored")).await;
 }
 
 #[tokio::test]
@@ -93,12 +95,12 @@
     advance_revision(&cluster, LOST_REVISIONS);
     cluster.set_target_version(2);
     let loaded = |version| cluster.engines.iter().all(|engine| engine.version() == version);
-    router.until("loaded", async || loaded(2)).await;
+    router.wait_until("loaded", async || loaded(2)).await;
     for version in 3..5 {
         let written = cluster.store.restore(&backup);
         cluster.store.rewrite(&written);
         cluster.set_target_version(version);
-        router.until("loaded again", async || loaded(version)).await;
+        router.wait_until("loaded again", async || loaded(version)).await;
     }
     assert!(!router.lines().iter().any(|line| line.contains("\"fenced\"")), "no order is refused as older");
 }
@@ -112,7 +114,7 @@
     let backup = cluster.store.backup();
     cluster.configure(2, &[KEY]);
     let refused = async || status(&router, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
-    router.until("refusing the key", refused).await;
+    router.wait_until("refusing the key", refused).await;
     let written = cluster.store.restore(&backup);
     for _ in 0..20 {
         assert_eq!(status(&router, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
@@ -132,20 +134,20 @@
     let backup = cluster.store.backup();
     cluster.engines.iter().for_each(|engine| engine.crash_on(POISON.as_bytes()));
     let is_held = async || {
-        router.until("running", async || cluster.all_running()).await;
+        router.wait_until("running", async || cluster.all_running()).await;
         let id = format!("poison-{}", rand::random::<u64>());
         let response = router.send_body("/chat/1", &id, KEY, POISON).await;
         response.is_some_and(|response| response.body.contains("held_back"))
     };
-    router.until("held back", is_held).await;
-    router.until("written", async || cluster.has_quarantined_request()).await;
+    router.wait_until("held back", is_held).await;
+    router.wait_until("written", async || cluster.has_quarantined_request()).await;
     let runs = || {
         cluster.engines.iter().flat_map(Runner::seen).filter(|seen| seen.body == POISON.as_bytes()).count()
     };
     let before = runs();
     let written = cluster.store.restore(&backup);
     cluster.store.rewrite(&written);
-    router.until("written again", async || cluster.has_quarantined_request()).await;
+    router.wait_until("written again", async || cluster.has_quarantined_request()).await;
     assert!(is_held().await, "it is held back all the time");
     assert_eq!(runs(), before);
 }
@@ -157,7 +159,7 @@
     wait_until_leading(&first).await;
     let second = Router::start_at(cluster.store_address, "node-1").await;
     wait_until_served(&second, KEY).await;
-    second.until("reporting", async || second.logged("parent_changed")).await;
+    second.wait_until("reporting", async || second.logged("parent_changed")).await;
     let backup = cluster.store.backup();
     advance_revision(&cluster, LOST_REVISIONS);
     tokio::time::sleep(PROPAGATION_TIME).await;
@@ -180,10 +182,10 @@
     let backup = cluster.store.backup();
     cluster.configure(2, &[KEY]);
     let refused = async || status(&first, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
-    first.until("refusing the key", refused).await;
+    first.wait_until("refusing the key", refused).await;
     let written = cluster.store.restore(&backup);
     // Once a node leads again, nothing is written and both nodes know the same revision.
-    first.until("logged", async || first.logged("store_restored")).await;
+    first.wait_until("logged", async || first.logged("store_restored")).await;
     wait_until_leading(&first).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
     // The node serves by what it reads; an accepted change must apply within seconds.
@@ -191,7 +193,7 @@
     let started = Instant::now();
     wait_until_served(&second, KEY).await;
     let refused = async || status(&second, REMOVED_KEY).await == Some(StatusCode::UNAUTHORIZED);
-    second.until("refusing the key as well", refused).await;
+    second.wait_until("refusing the key as well", refused).await;
     assert!(started.elapsed() < MAX_CONVERGENCE_TIME, "{:?} after its start", started.elapsed());
     for _ in 0..60 {
         assert_eq!(status(&second, REMOVED_KEY).await, Some(StatusCode::UNAUTHORIZED));
--- a/crates/cli/tests/forward/router.rs
+++ b/crates/cli/tests/forward/router.rs
@@ -43,11 +43,8 @@
 pub struct Router {
     child: Mutex<Child>,
     lines: Arc<Mutex<Vec<String>>>,
-    /// Address for callers.
     pub callers: SocketAddr,
-    /// Address of the readiness probe.
     pub readiness: SocketAddr,
-    /// Address of the metrics.
     pub metrics: SocketAddr,
     /// Address for reports of other nodes.
     pub peers: SocketAddr,
@@ -76,7 +73,6 @@
     pub headers: http::HeaderMap,
     /// The received part of the body.
     pub body: String,
-    /// Whether the body is complete.
     pub complete: bool,
 }
 
@@ -84,7 +80,7 @@
     /// Starts a node and waits until it is ready.
     pub async fn start(cluster: &Cluster) -> Self {
         let router = Self::start_unready(cluster).await;
-        router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
+        router.wait_until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
@@ -92,7 +88,7 @@
     pub async fn start_first(cluster: &Cluster) -> Self {
         let text = format!("first_start = true\n{}", settings(cluster, 5_000));
         let router = Self::start_with(&text).await;
-        router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
+        router.wait_until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
@@ -116,7 +112,7 @@
     pub async fn start_with_grace(cluster: &Cluster, seconds: u64) -> Self {
         let text = settings(cluster, 5_000).replace("grace_s = 6", &format!("grace_s = {seconds}"));
         let router = Self::start_with(&text).await;
-        router.until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
+        router.wait_until("ready", async || router.fetch_readiness().await == Some(StatusCode::OK)).await;
         router
     }
 
@@ -168,7 +164,7 @@
     }
 
     /// Waits until a condition holds; `what` describes it on failure.
-    pub async fn until(&self, what: &str, mut is_met: impl AsyncFnMut() -> bool) {
+    pub async fn wait_until(&self, what: &str, mut is_met: impl AsyncFnMut() -> bool) {
         let began = Instant::now();
         while !is_met().await {
             assert!(began.elapsed() < WAIT_TIMEOUT, "not {what} in time; lines: {:#?}", self.lines());
@@ -264,12 +260,10 @@
         self.signal("-HUP");
     }
 
-    /// Reads the settings file.
     pub fn read_settings(&self) -> String {
         std::fs::read_to_string(&self.settings.0).expect("a settings file can be read")
     }
 
-    /// Replaces the settings file.
     pub fn write_settings(&self, text: &str) {
         std::fs::write(&self.settings.0, text).expect("a settings file can be written");
     }
@@ -278,12 +272,10 @@
         self.child.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The process identifier.
-    pub fn process(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child().id()
     }
 
-    /// Returns whether the process has exited.
     pub fn has_exited(&self) -> bool {
         self.child().try_wait().expect("a child can be waited for").is_some()
     }
@@ -355,7 +347,7 @@
 }
 
 /// The current value of a metric of a node.
-pub async fn gauge(router: &Router, name: &str) -> Option<f64> {
+pub async fn metric_value(router: &Router, name: &str) -> Option<f64> {
     let text = router.fetch_metrics().await;
     let line = text.lines().find(|line| line.starts_with(name))?;
     line.rsplit(' ').next()?.parse().ok()
--- a/crates/cli/tests/forward/soak/callers.rs
+++ b/crates/cli/tests/forward/soak/callers.rs
@@ -31,16 +31,12 @@
     }
 }
 
-/// A service of the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// Model engines.
     Engines,
-    /// Booking instances.
     Bookings,
 }
 
-/// The service of a path.
 pub fn service_of(path: &str) -> Service {
     if path == "/chat/1" || path == "/claim/1" { Service::Engines } else { Service::Bookings }
 }
--- a/crates/cli/tests/forward/soak/check.rs
+++ b/crates/cli/tests/forward/soak/check.rs
@@ -29,7 +29,7 @@
 const CRASHES_UNTIL_HELD: usize = 3;
 /// How long the quarantine may take to reach all undisturbed nodes.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// Maximum number of runs after that.
+/// Maximum number of runs after the quarantine has reached them.
 const MAX_LATE_RUNS: usize = 3;
 /// Allowance for forwarding a request on a busy machine.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
--- a/crates/cli/tests/forward/soak/disturbance.rs
+++ b/crates/cli/tests/forward/soak/disturbance.rs
@@ -8,15 +8,12 @@
 /// The disturbed component.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The store.
     Store,
-    /// A link between processes.
     Link,
     /// The process of a node, which was frozen, stopped or started.
     Node(usize),
 }
 
-/// A period of disturbance.
 #[derive(Clone, Copy, Debug)]
 pub struct Disturbance {
     pub cause: Cause,
--- a/crates/cli/tests/forward/soak/faults.rs
+++ b/crates/cli/tests/forward/soak/faults.rs
@@ -161,7 +161,7 @@
         self.log(format!("node {node} is stopped as planned"));
         let from = Instant::now();
         router.terminate();
-        router.until("exited after its grace period", async || router.has_exited()).await;
+        router.wait_until("exited after its grace period", async || router.has_exited()).await;
         self.set_router(node, None);
         self.restart(node).await;
         self.disturbed(Cause::Node(node), from);
@@ -231,7 +231,6 @@
 }
 
 impl Router {
-    /// Kills the process.
     pub(super) fn kill(&self) {
         self.signal("-KILL");
     }
--- a/crates/cli/tests/forward/soak/leaving.rs
+++ b/crates/cli/tests/forward/soak/leaving.rs
@@ -18,7 +18,6 @@
 /// Duration of the outage before a restore, and delay until lost writes are repeated.
 const RESTORE_DELAY: Duration = Duration::from_millis(200);
 
-/// The faults of this scenario.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Leave,
--- a/crates/cli/tests/forward/soak/mod.rs
+++ b/crates/cli/tests/forward/soak/mod.rs
@@ -65,10 +65,8 @@
 /// requested back-off.
 const ANNOUNCEMENT_SEEDS: [u64; 3] = [1, 2, 144];
 
-/// The scenarios of the soak test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scenario {
-    /// Faults of all kinds.
     AllFaults,
     /// New target versions combined with crashes, restarts and freezes.
     TargetVersions,
@@ -208,7 +206,7 @@
             self.record_offered("/hold/1", Instant::now());
             router.send("/hold/1", &id).await.is_some_and(|response| response.status == StatusCode::OK)
         };
-        router.until("serving", served).await;
+        router.wait_until("serving", served).await;
     }
 
     /// Publishes engine versions until the end of the rollout; returns whether all engines loaded the last
@@ -251,7 +249,6 @@
         sent.into_iter().flatten().collect()
     }
 
-    /// Runs all fault sequences of a scenario.
     async fn inject_faults(&self, scenario: Scenario, seed: u64) {
         let series = (0..SERIES).map(async |series| match scenario {
             Scenario::AllFaults => self.faults(seed, series).await,
--- a/crates/cli/tests/forward/soak/retries.rs
+++ b/crates/cli/tests/forward/soak/retries.rs
@@ -20,7 +20,6 @@
 pub struct Arrival<'a> {
     /// The caller's request identifier.
     pub id: &'a str,
-    /// When the request arrived.
     pub at: Instant,
 }
 
@@ -38,7 +37,6 @@
 }
 
 impl Window {
-    /// Returns whether the retries exceed the budget.
     pub const fn is_over(&self) -> bool {
         self.retries > self.allowed
     }
--- a/crates/cli/tests/forward/soak/targets.rs
+++ b/crates/cli/tests/forward/soak/targets.rs
@@ -17,7 +17,6 @@
 /// Slow streams per engine before serial crashes, so that each crash breaks many streams.
 const LONG_STREAMS: usize = 200;
 
-/// The faults of this scenario.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Advance,
@@ -204,7 +203,7 @@
         let from = Instant::now();
         if planned {
             router.terminate();
-            router.until("exited after its grace period", async || router.has_exited()).await;
+            router.wait_until("exited after its grace period", async || router.has_exited()).await;
         } else {
             router.kill();
         }
--- a/crates/cli/tests/forward/unanswered.rs
+++ b/crates/cli/tests/forward/unanswered.rs
@@ -56,7 +56,7 @@
 /// Asserts that all answers are complete, and prints the node's log otherwise.
 async fn assert_all_complete(endings: &[Ending], router: &Router) {
     let cut = endings.iter().filter(|ending| !ending.is_complete()).count();
-    router.until("stopped", async || router.logged("stopped")).await;
+    router.wait_until("stopped", async || router.logged("stopped")).await;
     assert_eq!(cut, 0, "of {}: {endings:?}\n{:#?}", endings.len(), router.lines());
 }
 
@@ -101,7 +101,7 @@
     let (cluster, router) = cluster_and_router().await;
     // Before a node knows that it is alone, its retry budget is 2.
     router
-        .until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
+        .wait_until("counted", async || router.fetch_metrics().await.contains("paddlemount_forward_nodes 1"))
         .await;
     let (first, others) = cluster.engines.split_first().expect("engines");
     first.script(&[Behaviour::FallsSilent; CALLERS]);
@@ -142,7 +142,7 @@
     let mut caller = RawCaller::connect(router.callers).await;
     caller.send("/chat/1", "before").await;
     let runs = |id: &'static str| cluster.engines.iter().map(|engine| engine.runs(id)).sum::<usize>();
-    router.until("running", async || runs("before") == 1).await;
+    router.wait_until("running", async || runs("before") == 1).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     router.terminate();
     assert!(matches!(caller.ending().await, Ending::Complete { status: 200, closes: false, .. }));
@@ -180,7 +180,7 @@
     assert!(caller.call("/quote/1", "rest-1").await.is_complete());
     cluster.configure_idle(2, &[KEY], 15_000);
     let applied = async || router.lines().iter().any(|line| line.contains("\"version\":2"));
-    router.until("applied", applied).await;
+    router.wait_until("applied", applied).await;
     tokio::time::sleep(Duration::from_millis(6_500)).await;
     assert!(caller.call("/quote/1", "rest-2").await.is_complete(), "{:#?}", router.lines());
 }
--- a/crates/cli/tests/forward/weights_named.rs
+++ b/crates/cli/tests/forward/weights_named.rs
@@ -11,7 +11,7 @@
     runner::{Behaviour, Runner},
 };
 
-use crate::router::{CallerResponse, Router, gauge};
+use crate::router::{CallerResponse, Router, metric_value};
 
 /// Longer than any test, so that engines never finish a load.
 const LOAD_TIME: Duration = Duration::from_secs(600);
@@ -43,7 +43,7 @@
 
 async fn wait_until_served(router: &Router) {
     let served = async || send(router, "/claim/1").await.status == StatusCode::OK;
-    router.until("serving", served).await;
+    router.wait_until("serving", served).await;
 }
 
 /// Number of requests that engines have run.
@@ -71,12 +71,12 @@
 
 /// Checks that requests are refused at once with `retry-after` and do not run.
 async fn assert_refuses_older_weights(cluster: &Cluster, router: &Router) {
-    router.until("informed of the version", async || knows_target(router, 2)).await;
+    router.wait_until("informed of the version", async || knows_target(router, 2)).await;
     let serves = async || {
         let response = send(router, "/hold/1").await;
         response.status == StatusCode::OK
     };
-    router.until("serving a path without weights", serves).await;
+    router.wait_until("serving a path without weights", serves).await;
     let before = runs(cluster);
     for path in ["/claim/1", "/chat/1", "/claim/2"] {
         let response = send(router, path).await;
@@ -128,10 +128,12 @@
     let start =
         async |name: &str| Router::start_with_weights_bound(cluster.store_address, name, LONG_BOUND_MS).await;
     let first = start("node-0").await;
-    first.until("leading", async || gauge(&first, "paddlemount_forward_leads").await == Some(1.0)).await;
+    first
+        .wait_until("leading", async || metric_value(&first, "paddlemount_forward_leads").await == Some(1.0))
+        .await;
     wait_until_served(&first).await;
     cluster.set_target_version(2);
-    first.until("informed of the version", async || knows_target(&first, 2)).await;
+    first.wait_until("informed of the version", async || knows_target(&first, 2)).await;
     let started = start("node-1").await;
     wait_until_served(&started).await;
 }
@@ -139,10 +141,12 @@
 /// Runs a node until it has recorded a target version in the store as the leader, and kills it.
 async fn kill_after_announcement(cluster: &Cluster, bound_ms: u64) {
     let router = Router::start_with_weights_bound(cluster.store_address, "node-1", bound_ms).await;
-    router.until("leading", async || gauge(&router, "paddlemount_forward_leads").await == Some(1.0)).await;
+    router
+        .wait_until("leading", async || metric_value(&router, "paddlemount_forward_leads").await == Some(1.0))
+        .await;
     wait_until_served(&router).await;
     cluster.set_target_version(2);
-    router.until("recorded", async || cluster.has_recorded_target()).await;
+    router.wait_until("recorded", async || cluster.has_recorded_target()).await;
 }
 
 #[tokio::test]
@@ -152,7 +156,7 @@
     kill_after_announcement(&cluster, LONG_BOUND_MS).await;
     let started = Router::start_with_weights_bound(cluster.store_address, "node-1", LONG_BOUND_MS).await;
     wait_until_served(&started).await;
-    started.until("informed of the version", async || knows_target(&started, 2)).await;
+    started.wait_until("informed of the version", async || knows_target(&started, 2)).await;
     assert!(logs_age_of(&started, 2), "{:#?}", started.lines());
 }
 
@@ -173,14 +177,14 @@
     cluster.engines.iter().for_each(|engine| engine.script(&[behaviour]));
     let announcement = async {
         let waiting = async || cluster.engines.iter().any(|engine| engine.runs("waits") > 0);
-        router.until("waiting at an engine", waiting).await;
+        router.wait_until("waiting at an engine", waiting).await;
         cluster.set_target_version(2);
     };
     let (response, ()) = tokio::join!(router.send(path, "waits"), announcement);
     assert!(response.is_some_and(|response| !response.status.is_success()));
     let is_cancelled_line =
         |line: &String| line.contains("\"waits\"") && line.contains("its weights grew too old");
-    router.until("logged", async || router.logged("attempt_ended")).await;
+    router.wait_until("logged", async || router.logged("attempt_ended")).await;
     assert!(router.lines().iter().any(is_cancelled_line), "{:#?}", router.lines());
 }
 
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -231,7 +231,6 @@
     }
 }
 
-/// Waits until a node reports that it is ready.
 pub fn wait_ready(node: &Process) {
     let start = Instant::now();
     while get(node.address("admin"), "/readyz", &[]).status != 200 {
@@ -284,7 +283,6 @@
     get(standin.address("address"), "/control/state", &[]).json()
 }
 
-/// Waits until `condition` holds.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
@@ -333,7 +331,6 @@
     stream
 }
 
-/// Reads one response.
 pub fn read_answer(stream: &mut TcpStream) -> Answer {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -5,8 +5,8 @@
     sync::atomic::{AtomicU64, Ordering},
 };
 
-/// Path of another build, which every second forwarding node then runs.
-const PRODUCTION: &str = "PADDLEMOUNT_PRODUCTION";
+/// Environment variable with the path of another build, which every second forwarding node then runs.
+const OTHER_BUILD: &str = "PADDLEMOUNT_PRODUCTION";
 
 /// Creates a command for the program, which is killed when the thread that starts it ends.
 pub fn program() -> Command {
@@ -14,12 +14,12 @@
 }
 
 /// Creates a command for a forwarding node, which alternates between this build and the one in
-/// [`PRODUCTION`].
+/// [`OTHER_BUILD`].
 #[allow(dead_code, reason = "other tests that use this file start no forwarding nodes")]
 pub fn forwarding_program() -> Command {
     static STARTED: AtomicU64 = AtomicU64::new(0);
     let number = STARTED.fetch_add(1, Ordering::Relaxed);
-    match std::env::var(PRODUCTION) {
+    match std::env::var(OTHER_BUILD) {
         Ok(path) if number % 2 == 1 => program_at(&path),
         _ => program(),
     }
@@ -27,7 +27,7 @@
 
 fn program_at(path: &str) -> Command {
     // `setpriv` makes the kernel kill the program when its parent thread ends. Otherwise nodes of a killed
-    // test would go on calling addresses that other tests use by then.
+    // test would continue to call addresses that other tests use by then.
     let mut command = Command::new("setpriv");
     command.args(["--pdeathsig", "KILL", "--", path]);
     command
