--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -265,7 +265,7 @@
 }
 
 /// Refreshes the machine list and the status of all engines, because no engine could serve a request.
-/// Concurrent calls share one refresh, at most one in each [`MIN_REFRESH_INTERVAL`]. Always returns true.
+/// Concurrent calls share one refresh, at most one in each `MIN_REFRESH_INTERVAL`. Always returns true.
 pub async fn refresh_all(state: &Arc<NodeState>) -> bool {
     let mut last = state.directory.last_refresh.lock().await;
     let now = state.clock.now();
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -3,7 +3,7 @@
 //! | module | job |
 //! |---|---|
 //! | [`authentication`] | message authentication |
-//! | [`server`] | server: authentication and handlers |
+//! | `server` | server: authentication and handlers |
 //! | [`transport`] | signed calls to other nodes |
 //! | [`driver`] | I/O driver of `core::peers` |
 //! | [`store`] | calls to the configuration store |
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -10,7 +10,7 @@
 //! | | `/lease/release` | POST | [`LeaseRenew`] → [`LeaseResult`] |
 //! | machine list | `/machines` | GET | [`MachineList`] |
 //! | weight store | `/load` | POST | [`WeightLoad`] → [`WeightLoaded`] when done |
-//! | cache store | `/put` | POST | [`KvTransfer`](crate::engine::KvTransfer) → `{}` |
+//! | cache store | `/put` | POST | [`KvTransfer`] → `{}` |
 //! | | `/find` | POST | [`CacheLookup`] → [`CacheLookupResult`] |
 //! | | `/ended` | POST | [`EndedIncarnation`](crate::engine::EndedIncarnation) → `{}` |
 //!
