--- a/crates/core/src/forwarding/choice/sources.rs
+++ b/crates/core/src/forwarding/choice/sources.rs
@@ -79,9 +79,9 @@
         holders
     }
 
-    /// The source to import from in case a back end that is believed to have the prefix cached does not; if
-    /// it does, nothing is transferred. With many nodes, this node's information on engines is outdated, while
-    /// the store evicts segments much later than engines do, so the store is used.
+    /// The source to import from in case a back end that is believed to have the prefix cached does not;
+    /// if it does, nothing is transferred. With many nodes, this node's information on engines is
+    /// outdated, while the store evicts segments much later than engines do, so the store is used.
     pub(super) fn fallback_source(
         choice: &Choice,
         placement: Placement<'_>,
--- a/crates/forward/src/access_log.rs
+++ b/crates/forward/src/access_log.rs
@@ -48,11 +48,11 @@
     pub(crate) configuration: Option<u64>,
     pub(crate) configuration_age: Option<Duration>,
     pub(crate) choice: Option<Choice>,
-    pub(crate) first_at: Option<Timestamp>,
-    pub(crate) chunk_at: Option<Timestamp>,
+    pub(crate) first_chunk_at: Option<Timestamp>,
+    pub(crate) last_chunk_at: Option<Timestamp>,
     pub(crate) longest_gap: Duration,
     /// Estimated length of the answer.
-    pub(crate) guessed_tokens: Option<u32>,
+    pub(crate) estimated_tokens: Option<u32>,
     pub(crate) resumed: u32,
 }
 
@@ -106,14 +106,14 @@
             expected_tokens: choice.map_or(0, |choice| choice.expected_tokens),
             held_tokens: choice.map_or(0, |choice| choice.cached_tokens),
             cold_tokens: choice.map_or(0, |choice| choice.uncached_tokens),
-            guessed_tokens: self.guessed_tokens,
+            guessed_tokens: self.estimated_tokens,
             subject: choice
                 .and_then(|choice| choice.last_shared_segment)
                 .map(|segment| format!("{:x}", segment.0)),
             at_home: choice.is_some_and(|choice| choice.is_preferred),
             imported: choice.is_some_and(|choice| choice.import_from.is_some()),
             weights: choice.and_then(|choice| choice.scope.as_ref()).map(|scope| scope.weights.0),
-            first_ms: self.first_at.map(since),
+            first_ms: self.first_chunk_at.map(since),
             longest_gap_ms: self.longest_gap.as_millis() as u64,
             total_ms: since(node.now()),
             resumed: self.resumed,
--- a/crates/forward/src/announcements.rs
+++ b/crates/forward/src/announcements.rs
@@ -39,9 +39,9 @@
     }
 }
 
-/// Adds jitter to a retry delay of `least`, so that refused callers do not return together.
-pub(crate) fn with_jitter(least: Duration) -> Duration {
-    back_off::with_jitter(least, rand::random())
+/// Adds jitter to a retry delay of `min`, so that refused callers do not return together.
+pub(crate) fn with_jitter(min: Duration) -> Duration {
+    back_off::with_jitter(min, rand::random())
 }
 
 impl Node {
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -189,7 +189,7 @@
             if error.is_before_sending() {
                 node.release_permit(&choice.backend);
             }
-            return Err(broken(node, choice, &error, reused));
+            return Err(connection_failure(node, choice, &error, reused));
         }
         Waited::Outdated => {
             // The request was aborted early, which says nothing about the back end's health.
@@ -245,10 +245,17 @@
     node.metrics.count(Counter::Connections);
     let now = node.now();
     let timeout = CONNECT_TIMEOUT.min(deadline.saturating_since(now));
-    Connection::open(choice.address, timeout, now).await.map_err(|error| broken(node, choice, &error, false))
+    Connection::open(choice.address, timeout, now)
+        .await
+        .map_err(|error| connection_failure(node, choice, &error, false))
 }
 
-fn broken(node: &Rc<Node>, choice: &Choice, error: &ConnectionError, reused: bool) -> AttemptFailure {
+fn connection_failure(
+    node: &Rc<Node>,
+    choice: &Choice,
+    error: &ConnectionError,
+    reused: bool,
+) -> AttemptFailure {
     let end = if error.is_before_sending() { AttemptEnd::NotSent } else { AttemptEnd::Unclear };
     // A pooled connection that the peer closed says nothing about the back end's health.
     if error.is_refusal() {
--- a/crates/forward/src/cache_feed.rs
+++ b/crates/forward/src/cache_feed.rs
@@ -83,8 +83,8 @@
         if all == self.all && nodes == self.nodes {
             return;
         }
-        let me = peers.borrow().fleet.local_member().node.clone();
-        let followed = followed_feeds(&me, nodes, all.keys());
+        let local_node = peers.borrow().fleet.local_member().node.clone();
+        let followed = followed_feeds(&local_node, nodes, all.keys());
         self.wanted = followed.into_iter().filter_map(|id| Some((id.clone(), *all.get(id)?))).collect();
         self.nodes = nodes;
         self.all = all;
@@ -119,8 +119,14 @@
 /// Follows one feed while it is selected.
 async fn follow(node: Rc<Node>, source: &Source, feeds: &RefCell<Feeds>) {
     let calls = Client::new(source.1, node.clock);
-    let mut feed =
-        Feed { node, backend: source.0.clone(), calls, incarnation: NO_INCARNATION, next: 0, working: false };
+    let mut feed = Feed {
+        node,
+        backend: source.0.clone(),
+        calls,
+        incarnation: NO_INCARNATION,
+        next: 0,
+        is_followed: false,
+    };
     while feeds.borrow().wanted.contains(source) {
         let pause = if feed.incarnation == NO_INCARNATION { feed.list().await } else { feed.poll().await };
         tokio::time::sleep(pause).await;
@@ -133,17 +139,17 @@
     calls: Client,
     incarnation: u64,
     next: u64,
-    working: bool,
+    is_followed: bool,
 }
 
 impl Feed {
     async fn poll(&mut self) -> Duration {
         let request = self.node.platform.feed_request(self.next, POLL_WAIT);
         let target = self.node.process_of(&self.backend);
-        let mut wanted_pause = None;
+        let mut requested_back_off = None;
         let answer = match self.calls.call(request, POLL_WAIT + CALL_TIMEOUT).await {
             Ok(answer) => {
-                wanted_pause = self.node.observe_call(&target, &answer, false);
+                requested_back_off = self.node.observe_call(&target, &answer, false);
                 self.node.platform.feed_answer(&answer).map_err(|error| error.to_string())
             }
             Err(error) => Err(error.to_string()),
@@ -151,13 +157,13 @@
         match answer {
             Ok(FeedAnswer::Page(page)) => self.apply_page(page).await,
             Ok(FeedAnswer::TooManyReaders) => {
-                self.record_status(false, "too many read it already".into());
+                self.record_status(false, "too many readers".into());
                 let usual = || TOO_MANY_READERS_PAUSE.mul_f64(0.5 + rand::random::<f64>());
-                wanted_pause.map_or_else(usual, |wanted| wanted.max(RETRY_PAUSE))
+                requested_back_off.map_or_else(usual, |back_off| back_off.max(RETRY_PAUSE))
             }
             Err(problem) => {
                 self.record_status(false, problem);
-                wanted_pause.map_or(RETRY_PAUSE, |wanted| wanted.max(RETRY_PAUSE))
+                requested_back_off.map_or(RETRY_PAUSE, |back_off| back_off.max(RETRY_PAUSE))
             }
         }
     }
@@ -194,10 +200,10 @@
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let prefixes = &state.chooser.prefixes;
-        let gone = page.segments.iter().filter(|segment| {
+        let evicted = page.segments.iter().filter(|segment| {
             segment.tokens == 0 && prefixes.is_partly_cached(&self.backend, segment.scope, segment.segment)
         });
-        let updates = gone.map(|segment| CachedSegmentUpdate {
+        let updates = evicted.map(|segment| CachedSegmentUpdate {
             engine: self.backend.clone(),
             scope: segment.scope.0,
             segment: segment.segment.0,
@@ -209,10 +215,10 @@
         self.node.publish(updates);
     }
 
-    fn record_status(&mut self, working: bool, detail: String) {
-        if self.working != working {
-            self.working = working;
-            let change = if working { "followed" } else { "lost" };
+    fn record_status(&mut self, is_followed: bool, detail: String) {
+        if self.is_followed != is_followed {
+            self.is_followed = is_followed;
+            let change = if is_followed { "followed" } else { "lost" };
             self.node.journal.log(&Event::FeedChanged { backend: self.backend.as_str(), change, detail });
         }
     }
--- a/crates/forward/src/caller_stream.rs
+++ b/crates/forward/src/caller_stream.rs
@@ -123,9 +123,9 @@
         // The caller may have closed already.
         let _ = self.shut_down();
         let linger = if self.host.is_stopping() { LINGER_TIMEOUT_AT_STOP } else { LINGER_TIMEOUT };
-        let crossed = Cell::new(0);
-        self.host.clock().timeout(linger, self.read_to_end(&crossed)).await;
-        let bytes = crossed.get();
+        let unread = Cell::new(0);
+        self.host.clock().timeout(linger, self.read_to_end(&unread)).await;
+        let bytes = unread.get();
         if bytes > 0 {
             let open_ms = self.now().saturating_since(self.opened_at).as_millis() as u64;
             let stopping = self.host.is_stopping();
--- a/crates/forward/src/callers.rs
+++ b/crates/forward/src/callers.rs
@@ -112,9 +112,9 @@
     /// Serves requests until the caller closes the connection or it has been idle for long enough to be
     /// closed.
     async fn serve_requests(&mut self, socket: &Rc<CallerSocket<Node>>) {
-        let (node, used, stage) = (Rc::clone(&self.node), Rc::clone(socket), self.stage.clone());
+        let (node, service_socket, stage) = (Rc::clone(&self.node), Rc::clone(socket), self.stage.clone());
         let service = service_fn(move |request: Request<Incoming>| {
-            serve_request(Rc::clone(&node), Rc::clone(&used), stage.clone(), request)
+            serve_request(Rc::clone(&node), Rc::clone(&service_socket), stage.clone(), request)
         });
         let mut connection = std::pin::pin!(
             http1::Builder::new()
@@ -122,12 +122,12 @@
                 .serve_connection(TokioIo::new(socket.stream()), service)
         );
         // Received bytes are read before the connection may close. Its end is logged by the requests on it.
-        let closes = tokio::select! {
+        let close_mode = tokio::select! {
             biased;
             _ = connection.as_mut() => return,
-            closes = socket.until_close(self.stage.clone()) => closes,
+            close_mode = socket.until_close(self.stage.clone()) => close_mode,
         };
-        if closes == CloseMode::Immediate {
+        if close_mode == CloseMode::Immediate {
             return;
         }
         connection.as_mut().graceful_shutdown();
@@ -172,9 +172,9 @@
     stage: watch::Receiver<StopStage>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
-    let served = socket.begin();
-    let leaving = PlannedStop::drain_period(node.settings().bounds.grace());
-    let keep_alive = PlannedStop::keep_alive_seconds(leaving);
+    let active_request = socket.begin();
+    let drain_period = PlannedStop::drain_period(node.settings().bounds.grace());
+    let keep_alive = PlannedStop::keep_alive_seconds(drain_period);
     let mut answer = exchange::serve(node, request).await;
     if *stage.borrow() != StopStage::Serving {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -183,5 +183,5 @@
         let value = HeaderValue::from_str(&format!("timeout={seconds}"));
         answer.headers_mut().insert(KEEP_ALIVE, value.unwrap_or(HeaderValue::from_static("timeout=1")));
     }
-    Ok(with_guard(answer, served))
+    Ok(with_guard(answer, active_request))
 }
--- a/crates/forward/src/candidates.rs
+++ b/crates/forward/src/candidates.rs
@@ -53,9 +53,9 @@
     request: RouteRequest<'a>,
     now: Timestamp,
     /// The only eligible back end, if one is to be probed.
-    only: Option<&'a BackendId>,
+    probed: Option<&'a BackendId>,
     /// Whether only healthy back ends are eligible.
-    strict: bool,
+    healthy_only: bool,
     /// The oldest version of the weights that the request may start on.
     required: Option<WeightsVersion>,
     /// The oldest version that the request prefers.
@@ -87,24 +87,24 @@
             replicate: request.copied && self.can_copy(request.service, now),
             now,
         };
-        let strict = self.view(pool, request, nodes, now);
+        let healthy_view = self.view(pool, request, nodes, now);
         let is_of_service = |id: &&BackendId| {
             self.backends.get(id).is_some_and(|backend| backend.entry.service == *request.service)
         };
         for probed in self.backends.announcements.limits_to_probe(now).filter(is_of_service) {
-            let probe = View { only: Some(probed), ..strict };
+            let probe = View { probed: Some(probed), ..healthy_view };
             if let Some(choice) = self.chooser.choose(placement, &probe) {
                 return Some(choice);
             }
         }
-        if let Some(choice) = self.chooser.choose(placement, &strict) {
+        if let Some(choice) = self.chooser.choose(placement, &healthy_view) {
             return Some(choice);
         }
         if request.healthy_only {
             return None;
         }
         // Back ends that may be unhealthy are better than none, but not those that were tried.
-        self.chooser.choose(placement, &View { strict: false, ..strict })
+        self.chooser.choose(placement, &View { healthy_only: false, ..healthy_view })
     }
 
     fn view<'a>(
@@ -120,8 +120,8 @@
             pool,
             request,
             now,
-            only: None,
-            strict: true,
+            probed: None,
+            healthy_only: true,
             required,
             preferred: request.prompt.and_then(|prompt| self.preferred(request, prompt, now)),
             max_connections: self.max_connections(request.service),
@@ -147,7 +147,7 @@
 
     /// Whether a back end's announcements allow sending it a request now.
     pub(crate) fn takes_requests(&self, backend: &Backend, now: Timestamp) -> bool {
-        self.backends.takes_requests(backend, self.departing_use, now)
+        self.backends.takes_requests(backend, self.draining_timeout, now)
     }
 
     /// When the first back end that could serve a request of `service`, for `model` if it has a prompt,
@@ -176,14 +176,14 @@
         let preferred = self.rollout.preferred(&prompt.model, now)?;
         let held = self.backends.versions_in_service(request.service, &prompt.model, now);
         let all = held.iter().map(|(_, count)| count).sum();
-        let having = held.iter().filter(|(version, _)| *version >= preferred).map(|(_, count)| count).sum();
-        prefers(request.draw, having, all).then_some(preferred)
+        let updated = held.iter().filter(|(version, _)| *version >= preferred).map(|(_, count)| count).sum();
+        prefers(request.draw, updated, all).then_some(preferred)
     }
 
     /// The maximum number of connections per back end of a service, if limited.
     fn max_connections(&self, service: &ServiceId) -> Option<u32> {
         let service = self.table.as_ref()?.service(service)?;
-        Some(service.max_connections).filter(|most| *most > 0)
+        Some(service.max_connections).filter(|max| *max > 0)
     }
 
     /// A number from 0 to 1 that is constant for a back end during this process, and differs between nodes.
@@ -209,15 +209,15 @@
 
     fn is_eligible(&self, backend: &Backend, weights: Option<WeightsVersion>) -> bool {
         let id = &backend.entry.id;
-        self.only.is_none_or(|only| only == id)
+        self.probed.is_none_or(|probed| probed == id)
             && !self.request.tried.contains(id)
             && weights >= self.required
-            && (!self.strict || self.is_healthy(backend))
+            && (!self.healthy_only || self.is_healthy(backend))
             && self.state.takes_requests(backend, self.now)
             && self.has_room(id)
     }
 
-    /// Whether nothing known speaks against a back end at the moment.
+    /// Whether a back end is ready, and neither loading, refusing, ejected nor suspect.
     fn is_healthy(&self, backend: &Backend) -> bool {
         let (state, now, id) = (self.state, self.now, &backend.entry.id);
         let loading = self.request.prompt.is_some() && backend.is_loading(now);
@@ -231,10 +231,10 @@
 
     /// Whether this node has connections left of its share for a back end.
     fn has_room(&self, id: &BackendId) -> bool {
-        self.max_connections.is_none_or(|most| {
+        self.max_connections.is_none_or(|max| {
             let share = match self.nodes.known() {
-                Some(nodes) => even_share(most, nodes, self.state.draw_for(id)),
-                None => (most / self.nodes.upper_bound()).max(MIN_CONNECTIONS_UNCOUNTED),
+                Some(nodes) => even_share(max, nodes, self.state.draw_for(id)),
+                None => (max / self.nodes.upper_bound()).max(MIN_CONNECTIONS_UNCOUNTED),
             };
             self.state.chooser.load(id).requests < share
         })
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -70,7 +70,7 @@
     let head = node.platform.read_request(&parts.headers);
     let mut record = RequestRecord {
         id: head.id.clone(),
-        guessed_tokens: head.prompt.as_ref().map(|prompt| prompt.output_tokens),
+        estimated_tokens: head.prompt.as_ref().map(|prompt| prompt.output_tokens),
         ..RequestRecord::default()
     };
     let admitted = admit(&node, &parts, &head, &mut record);
@@ -83,7 +83,7 @@
     };
     let timeout = head.deadline.unwrap_or(DEFAULT_DEADLINE).saturating_sub(DEADLINE_MARGIN);
     let deadline = arrived + timeout.min(route.timeout);
-    if !node.has_time_for(&route, record.guessed_tokens, deadline) {
+    if !node.has_time_for(&route, record.estimated_tokens, deadline) {
         record.refuse(&node, arrived, Reason::Stopping.into());
         node.refund_quota(grant);
         return error_answer(Reason::Stopping);
@@ -233,8 +233,8 @@
         if !self.may_try_another() {
             return self.deadline;
         }
-        let usual = self.node.slow_latency(&choice.backend) * 3 / 2;
-        let timeout = (self.route.target_latency * 3 / 2).max(MIN_ATTEMPT_TIMEOUT).max(usual);
+        let slow_answer_time = self.node.slow_latency(&choice.backend) * 3 / 2;
+        let timeout = (self.route.target_latency * 3 / 2).max(MIN_ATTEMPT_TIMEOUT).max(slow_answer_time);
         (now + timeout).min(self.deadline)
     }
 
@@ -271,15 +271,15 @@
 
     /// Whether another back end could take the stream over now.
     pub fn has_alternative(&mut self) -> bool {
-        let budget = self.node.retries_left(&self.service) > 0;
+        let has_budget = self.node.retries_left(&self.service) > 0;
         if let Some(choice) = self.record.choice.clone().filter(|_| !is_resumable(self.route.kind)) {
-            return budget && self.copy_of(&choice).is_some();
+            return has_budget && self.copy_of(&choice).is_some();
         }
-        let allowed = self.history.sent < self.route.attempts && budget;
+        let allowed = self.history.sent < self.route.attempts && has_budget;
         let known = self.record.choice.clone();
-        let found = allowed && self.choose_backend().is_some();
+        let is_found = allowed && self.choose_backend().is_some();
         self.record.choice = known;
-        found
+        is_found
     }
 
     async fn finish_answer(&mut self, upstream: AttemptAnswer) -> Result<Response<Bytes>, AttemptFailure> {
@@ -317,8 +317,8 @@
     /// Records that the first part of the answer's body arrived.
     pub fn record_first_chunk(&mut self, choice: &Choice) {
         let now = self.node.now();
-        if self.record.first_at.is_none() {
-            self.record.first_at = Some(now);
+        if self.record.first_chunk_at.is_none() {
+            self.record.first_chunk_at = Some(now);
             let kind = kind_label(self.route.kind);
             self.node.metrics.observe(Distribution::FirstByte(kind), now.saturating_since(self.arrived));
         }
@@ -344,7 +344,7 @@
     /// Records a further part of a stream.
     pub fn record_chunk(&mut self) {
         let now = self.node.now();
-        if let Some(before) = self.record.chunk_at.replace(now) {
+        if let Some(before) = self.record.last_chunk_at.replace(now) {
             self.record.longest_gap = self.record.longest_gap.max(now.saturating_since(before));
         }
     }
@@ -383,8 +383,9 @@
         if self.record.is_served() {
             let now = self.node.now();
             let total = now.saturating_since(self.arrived);
-            let first_chunk = self.record.first_at.map_or(total, |at| at.saturating_since(self.arrived));
-            let time = AnswerTime { first_chunk, total, estimated_tokens: self.record.guessed_tokens };
+            let first_chunk =
+                self.record.first_chunk_at.map_or(total, |at| at.saturating_since(self.arrived));
+            let time = AnswerTime { first_chunk, total, estimated_tokens: self.record.estimated_tokens };
             self.node.answer_times.borrow_mut().record(&self.route.name, time, now);
         }
         self.record.log(&self.node, self.arrived, self.history);
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -20,27 +20,27 @@
     /// Whether they are ordered updates or a listing.
     source: EntrySource,
     /// Proofs, by another node or by a leader's record in the store, of when target versions were announced.
-    targets: Vec<TargetVersionProof>,
+    target_proofs: Vec<TargetVersionProof>,
 }
 
 impl Origin {
     /// A watch shows that a record was written, but not that it still exists, so it proves nothing.
     const fn from_watch() -> Self {
-        Self { learned: LearnedFrom::Watch, source: EntrySource::Update, targets: Vec::new() }
+        Self { learned: LearnedFrom::Watch, source: EntrySource::Update, target_proofs: Vec::new() }
     }
 
     /// A listing that began at `listed_at` contains the records that exist.
     fn from_listing(learned: LearnedFrom, facts: &[Fact], listed_at: Timestamp) -> Self {
         let record = |fact: &Fact| match fact {
-            Fact::TargetRecord(targets) => Some(targets.clone()),
+            Fact::TargetRecord(target) => Some(target.clone()),
             _ => None,
         };
         let records: Vec<RecentTargetVersion> = facts.iter().filter_map(record).collect();
-        Self { learned, source: EntrySource::Listing, targets: proofs(&records, listed_at) }
+        Self { learned, source: EntrySource::Listing, target_proofs: proofs(&records, listed_at) }
     }
 
-    const fn from_node(source: EntrySource, targets: Vec<TargetVersionProof>) -> Self {
-        Self { learned: LearnedFrom::Node, source, targets }
+    const fn from_node(source: EntrySource, target_proofs: Vec<TargetVersionProof>) -> Self {
+        Self { learned: LearnedFrom::Node, source, target_proofs }
     }
 }
 
@@ -57,22 +57,22 @@
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        targets: &[RecentTargetVersion],
+        recent_targets: &[RecentTargetVersion],
     ) {
-        let origin = Origin::from_node(EntrySource::Update, proofs(targets, proved_at));
+        let origin = Origin::from_node(EntrySource::Update, proofs(recent_targets, proved_at));
         self.apply_change_set(facts, revision, proved_at, &origin);
     }
 
     fn apply_change_set(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, origin: &Origin) {
         for fact in facts {
-            let subject = fact.subject();
+            let key = fact.entry_key();
             self.apply_fact(fact, revision, origin);
-            self.record_change(subject, revision);
+            self.record_change(key, revision);
         }
         let mut state = self.state.borrow_mut();
         state.revision = Some(revision);
         state.freshness.prove(proved_at);
-        state.confirm_targets(proved_at, &origin.targets);
+        state.confirm_targets(proved_at, &origin.target_proofs);
     }
 
     /// Applies another node's facts whose versions only increase, whatever this node has read from the store.
@@ -93,7 +93,7 @@
         let mut state = self.state.borrow_mut();
         state.leader_checked = true;
         state.freshness.prove(sent_at);
-        state.merge_target_proofs(&origin.targets);
+        state.merge_target_proofs(&origin.target_proofs);
         drop(state);
         self.leader_known.notify_one();
     }
@@ -113,31 +113,32 @@
         facts: Vec<Fact>,
         revision: Revision,
         proved_at: Timestamp,
-        targets: &[RecentTargetVersion],
+        recent_targets: &[RecentTargetVersion],
     ) {
-        let origin = Origin::from_node(EntrySource::Listing, proofs(targets, proved_at));
+        let origin = Origin::from_node(EntrySource::Listing, proofs(recent_targets, proved_at));
         self.apply_complete(facts, revision, proved_at, &origin);
     }
 
     fn apply_complete(&self, facts: Vec<Fact>, revision: Revision, proved_at: Timestamp, origin: &Origin) {
         let known = self.state.borrow().revision;
         let first = known.is_none();
-        let restored = known.is_some_and(|known| known.era() < revision.era()) || self.is_restored_lately();
-        for subject in self.missing_among(&facts) {
+        let is_restored =
+            known.is_some_and(|known| known.era() < revision.era()) || self.was_restored_recently();
+        for key in self.missing_among(&facts) {
             // The hold was not released but lost by the restore, and is written again.
-            if restored && matches!(subject, EntryKey::Quarantined(_)) {
+            if is_restored && matches!(key, EntryKey::Quarantined(_)) {
                 continue;
             }
-            self.remove_entry(&subject, revision, origin);
-            self.record_change(Some(subject), revision);
+            self.remove_entry(&key, revision, origin);
+            self.record_change(Some(key), revision);
         }
-        if restored && !facts.iter().any(|fact| matches!(fact, Fact::FleetSize(_))) {
+        if is_restored && !facts.iter().any(|fact| matches!(fact, Fact::FleetSize(_))) {
             self.state.borrow_mut().fleet_size = None;
         }
         for fact in facts {
-            let subject = fact.subject().filter(|_| self.is_change(&fact));
+            let key = fact.entry_key().filter(|_| self.is_change(&fact));
             self.apply_fact(fact, revision, origin);
-            self.record_change(subject, revision);
+            self.record_change(key, revision);
         }
         {
             let mut state = self.state.borrow_mut();
@@ -147,7 +148,7 @@
             state.revision = Some(revision);
             state.leader_checked = true;
             state.freshness.prove(proved_at);
-            state.confirm_targets(proved_at, &origin.targets);
+            state.confirm_targets(proved_at, &origin.target_proofs);
         }
         self.history_lost.set(false);
         self.store_known.notify_one();
@@ -155,25 +156,25 @@
         self.leader_known.notify_one();
     }
 
-    fn record_change(&self, subject: Option<EntryKey>, revision: Revision) {
-        if let Some(subject) = subject.filter(|_| self.peers.is_some()) {
-            self.state.borrow_mut().changes.record(subject, revision);
+    fn record_change(&self, key: Option<EntryKey>, revision: Revision) {
+        if let Some(key) = key.filter(|_| self.peers.is_some()) {
+            self.state.borrow_mut().changes.record(key, revision);
         }
     }
 
     /// Known entries that are not among `facts`, which list the whole store.
     fn missing_among(&self, facts: &[Fact]) -> Vec<EntryKey> {
-        let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::subject).collect();
+        let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::entry_key).collect();
         let state = self.state.borrow();
         let backends = state.backends.iter().map(|backend| EntryKey::Backend(backend.entry.id.clone()));
         let held = state.quarantine.stored_requests().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
         let leader = state.leader.iter().map(|_| EntryKey::Leader);
-        backends.chain(held).chain(leader).filter(|subject| !present.contains(subject)).collect()
+        backends.chain(held).chain(leader).filter(|key| !present.contains(key)).collect()
     }
 
     /// Applies the removal of an entry.
-    fn remove_entry(&self, subject: &EntryKey, revision: Revision, origin: &Origin) {
-        match subject {
+    fn remove_entry(&self, key: &EntryKey, revision: Revision, origin: &Origin) {
+        match key {
             EntryKey::Backend(id) => self.remove_backend(id, revision),
             EntryKey::Quarantined(fingerprint) => {
                 self.apply_fact(Fact::Released(*fingerprint), revision, origin)
@@ -223,11 +224,11 @@
             Fact::TargetRecord(_) => {}
             Fact::Quarantined(request) => {
                 self.apply_stored_hold(&request);
-                self.state.borrow_mut().held.insert(request.fingerprint, *request);
+                self.state.borrow_mut().quarantined_requests.insert(request.fingerprint, *request);
             }
             Fact::Released(fingerprint) => {
                 self.apply_stored_release(&fingerprint);
-                self.state.borrow_mut().held.remove(&fingerprint);
+                self.state.borrow_mut().quarantined_requests.remove(&fingerprint);
             }
             Fact::Unreadable { key, problem, backend } => {
                 self.journal.log(&Event::ItemUnreadable { key: &key, problem: &problem });
@@ -250,7 +251,7 @@
         if !target_versions.record(model.clone(), version) {
             return;
         }
-        origin.targets.iter().for_each(|proof| target_versions.merge_proof(proof));
+        origin.target_proofs.iter().for_each(|proof| target_versions.merge_proof(proof));
         let now = self.now();
         let age = target_versions.newest(model).and_then(|target| target.age(now));
         // Requests that are waiting at back ends may have to be withdrawn.
--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -1,6 +1,6 @@
 //! Acquires and renews the lease under which orders are given to engines.
 //!
-//! A node requests the lease only if the store has told it that nobody holds it. The fencing token is the
+//! A node requests the lease only if the store has reported that nobody holds it. The fencing token is the
 //! store's revision of the change that made the node leader. The lease's time to live counts from when its
 //! grant or renewal was sent.
 
@@ -27,7 +27,7 @@
 /// How much longer a small machine waits, so that it leads only if no other one can.
 const SMALL_NODE_DELAY: Duration = Duration::from_millis(1_500);
 /// How long a partitioned node leaves the lease to others.
-const STAND_BACK_TIME: Duration = Duration::from_secs(10);
+const YIELD_PERIOD: Duration = Duration::from_secs(10);
 /// The maximum jitter of requests for a free lease: most other nodes should see the first holder before they
 /// request it.
 const ACQUIRE_JITTER: Duration = Duration::from_millis(200);
@@ -37,7 +37,7 @@
 /// Takes part in the leadership for the lifetime of the process.
 pub async fn run(node: Rc<Node>) {
     let settings = node.settings();
-    let ttl = Duration::from_millis(settings.bounds.lease_ms.max(settings.store.shortest_lease_ms));
+    let ttl = Duration::from_millis(settings.bounds.lease_ms.max(settings.store.min_lease_ms));
     let lease_settings = LeaseSettings { name: LEASE_NAME.into(), holder: settings.node.clone(), ttl };
     let holder = LeaseHolder::new(lease_settings, node.now());
     let mut leadership = Leadership {
@@ -118,7 +118,7 @@
         self.restored_at = self.node.restored_at.get();
         self.led_at_restore = self.holder.token(now).is_some();
         if self.led_at_restore {
-            self.stand_down("the store came back from a copy", now).await;
+            self.stand_down("the store was restored from a backup", now).await;
         }
     }
 
@@ -146,22 +146,22 @@
         self.node.state.borrow().leader.as_ref().and_then(|leader| leader.token_of(&node, peers))
     }
 
-    /// Whether nobody else leads as far as the store has told, and this node's delay is over.
+    /// Whether nobody else leads according to the store, and this node's delay is over.
     fn may_acquire(&mut self, now: Timestamp) -> bool {
         let state = self.node.state.borrow();
-        let (checked, led) = (state.leader_checked, state.leader.is_some());
+        let (is_checked, has_leader) = (state.leader_checked, state.leader.is_some());
         drop(state);
-        let free = checked && (!led || self.own_token().is_some());
-        if !free {
+        let is_free = is_checked && (!has_leader || self.own_token().is_some());
+        if !is_free {
             self.free_since = None;
             return false;
         }
         let since = *self.free_since.get_or_insert(now);
-        let small = self.node.settings().limits.is_small();
+        let is_small = self.node.settings().limits.is_small();
         let (delay, jitter) =
-            if small { (SMALL_NODE_DELAY, SMALL_NODE_JITTER) } else { (Duration::ZERO, ACQUIRE_JITTER) };
-        let stands_back = self.partitioned_at.is_some_and(|at| now.saturating_since(at) < STAND_BACK_TIME);
-        let delay = if stands_back { delay + STAND_BACK_TIME / 2 } else { delay };
+            if is_small { (SMALL_NODE_DELAY, SMALL_NODE_JITTER) } else { (Duration::ZERO, ACQUIRE_JITTER) };
+        let has_yielded = self.partitioned_at.is_some_and(|at| now.saturating_since(at) < YIELD_PERIOD);
+        let delay = if has_yielded { delay + YIELD_PERIOD / 2 } else { delay };
         now.saturating_since(since) >= delay + jitter.mul_f64(rand::random::<f64>())
     }
 
@@ -249,8 +249,8 @@
     /// Whether another node may still act as leader: one that has not noticed the restore trusts its lease to
     /// its end.
     fn awaits_old_lease(&self, now: Timestamp) -> bool {
-        let over = self.restored_at.map(|at| at + self.ttl);
-        !self.led_at_restore && over.is_some_and(|over| now < over)
+        let lease_ends_at = self.restored_at.map(|at| at + self.ttl);
+        !self.led_at_restore && lease_ends_at.is_some_and(|at| now < at)
     }
 
     async fn stop(&mut self) {
--- a/crates/forward/src/limits.rs
+++ b/crates/forward/src/limits.rs
@@ -113,12 +113,12 @@
             members.extend(children.map(|(node, offered_load)| Member::new(node.clone(), offered_load)));
         }
         let root_share = state.quotas.root_share();
-        let place = TreePosition { node: settings.node.clone(), root_share, nodes, members };
-        state.backends.announcements.divide_limits(place, now);
+        let position = TreePosition { node: settings.node.clone(), root_share, nodes, members };
+        state.backends.announcements.divide_limits(position, now);
     }
 
     /// The rate of callers' requests to this node and its descendants.
-    pub(crate) fn demand_per_second(&self) -> f64 {
+    pub(crate) fn subtree_offered_load(&self) -> f64 {
         let now = self.now();
         let own = self.state.borrow().offered_load.per_second(now);
         let children = self.peers.as_ref().map_or(0.0, |peers| {
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -37,9 +37,9 @@
     /// Reports to the parent by outcome.
     PeerCalls(&'static str),
     /// Snapshots of the store sent to other nodes.
-    SnapshotsGiven,
+    SnapshotsServed,
     /// Snapshots of the store taken from another node.
-    SnapshotsTaken,
+    SnapshotsReceived,
     /// Restores of the store from a backup.
     StoreRestores,
     /// New connections to back ends.
@@ -74,8 +74,8 @@
             Self::StoreCalls { .. } => "paddlemount_forward_store_calls_total",
             Self::Orders(_) => "paddlemount_forward_orders_total",
             Self::PeerCalls(_) => "paddlemount_forward_peer_calls_total",
-            Self::SnapshotsGiven => "paddlemount_forward_snapshots_given_total",
-            Self::SnapshotsTaken => "paddlemount_forward_snapshots_taken_total",
+            Self::SnapshotsServed => "paddlemount_forward_snapshots_given_total",
+            Self::SnapshotsReceived => "paddlemount_forward_snapshots_taken_total",
             Self::StoreRestores => "paddlemount_forward_store_restores_total",
             Self::Connections => "paddlemount_forward_connections_opened_total",
             Self::Imports => "paddlemount_forward_imports_total",
@@ -98,8 +98,8 @@
                 format!("{{outcome=\"{outcome}\"}}")
             }
             Self::Retries
-            | Self::SnapshotsGiven
-            | Self::SnapshotsTaken
+            | Self::SnapshotsServed
+            | Self::SnapshotsReceived
             | Self::Misdirected
             | Self::BackOffsRequested
             | Self::RefusedForLimits
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -75,7 +75,7 @@
     /// When this node noticed the latest restore.
     pub restored_at: Cell<Option<Timestamp>>,
     /// The number of snapshots that are being sent to other nodes.
-    pub snapshots_given: Cell<usize>,
+    pub snapshots_in_progress: Cell<usize>,
     /// Notified when the whole store is known, by a listing or a snapshot.
     pub store_known: Notify,
     /// The same, for the task that follows cache feeds.
@@ -136,7 +136,7 @@
             history_lost: Cell::new(false),
             store_era: Cell::new(None),
             restored_at: Cell::new(None),
-            snapshots_given: Cell::new(0),
+            snapshots_in_progress: Cell::new(0),
             store_known: Notify::new(),
             feeds_known: Notify::new(),
             leader_known: Notify::new(),
@@ -172,11 +172,11 @@
 
     /// Whether a request of `route` can be answered before a planned stop ends, given the estimated length of
     /// its answer and the caller's deadline.
-    pub fn has_time_for(&self, route: &Route, guessed_tokens: Option<u32>, waits_until: Timestamp) -> bool {
+    pub fn has_time_for(&self, route: &Route, estimated_tokens: Option<u32>, deadline: Timestamp) -> bool {
         let Some(stop) = self.planned_stop.get() else { return true };
         let now = self.now();
-        let expected = self.answer_times.borrow().expected(&route.name, guessed_tokens, now);
-        stop.may_start(expected, waits_until.saturating_since(now), now)
+        let expected = self.answer_times.borrow().expected(&route.name, estimated_tokens, now);
+        stop.may_start(expected, deadline.saturating_since(now), now)
     }
 
     /// Refunds the quota that was charged for a request that has not run.
@@ -243,7 +243,7 @@
     /// What is known about the number of nodes.
     pub fn nodes(&self) -> NodeCount {
         let recorded = self.peers.as_ref().and_then(|_| self.state.borrow().fleet_size);
-        NodeCount { counted: self.counted(), recorded, assumed: self.settings().limits.most_nodes }
+        NodeCount { counted: self.counted(), recorded, assumed: self.settings().limits.assumed_nodes }
     }
 
     /// Queues changes of cached segments for gossip to other nodes.
@@ -281,9 +281,9 @@
     pub fn tick_quotas(&self) {
         let nodes = self.nodes();
         let assumed = nodes.recorded.unwrap_or(nodes.assumed);
-        let place = NodePosition { is_root: self.token().is_some(), counted: nodes.counted, assumed };
+        let position = NodePosition { is_root: self.token().is_some(), counted: nodes.counted, assumed };
         let now = self.now();
-        self.state.borrow_mut().quotas.tick(place, now);
+        self.state.borrow_mut().quotas.tick(position, now);
     }
 
     /// The recent high latency of a back end. In a large fleet each node has too few samples of one back end
@@ -298,8 +298,8 @@
 
     /// Picks a service of a route by the route's weights.
     pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
-        let turn = self.state.borrow_mut().round_robin.pick(route)?;
-        route.split.get(turn).map(|share| share.service.clone())
+        let index = self.state.borrow_mut().round_robin.pick(route)?;
+        route.split.get(index).map(|share| share.service.clone())
     }
 
     /// Chooses the back end for a request.
--- a/crates/forward/src/node_state.rs
+++ b/crates/forward/src/node_state.rs
@@ -34,7 +34,7 @@
 const MIN_COPY_RETENTION: Duration = Duration::from_secs(14);
 /// The time constant with which the rate of callers' requests decays.
 const OFFERED_LOAD_DECAY: Duration = Duration::from_secs(5);
-/// The minimum margin before the bound on outdated weights from which they receive no requests.
+/// How long before the bound, at least, back ends with outdated weights stop receiving requests.
 const WEIGHTS_MARGIN: Duration = Duration::from_millis(900);
 
 /// The state of a forwarding node.
@@ -64,7 +64,7 @@
     /// Requests under which back ends crashed.
     pub quarantine: Quarantine,
     /// Quarantined requests as stored, or as this node has asked the store to hold them.
-    pub(crate) held: BTreeMap<RequestFingerprint, QuarantinedRequest>,
+    pub(crate) quarantined_requests: BTreeMap<RequestFingerprint, QuarantinedRequest>,
     pub(crate) round_robin: WeightedRoundRobin,
     pub(crate) budgets: BTreeMap<ServiceId, WindowBudget>,
     /// Recent refusals by service.
@@ -79,7 +79,7 @@
     /// Drawn uniformly from 0 to 1; decides which nodes get the remainder of an uneven division.
     pub(crate) share_draw: f64,
     /// How long a back end that announced draining is still used if no other is left.
-    pub(crate) departing_use: Duration,
+    pub(crate) draining_timeout: Duration,
 }
 
 /// The node that leads.
@@ -133,7 +133,7 @@
     pub fn new(settings: &ForwardSettings) -> Self {
         let bound = settings.bounds.weights();
         let rollout = Rollout::new(RolloutSettings {
-            min_loads: settings.limits.loads_at_once,
+            min_loads: settings.limits.min_loads,
             loads_per_mille: (settings.limits.loads_share * 1_000.0) as usize,
             bound,
             margin: WEIGHTS_MARGIN.max(bound / 10),
@@ -153,10 +153,10 @@
             quotas: QuotaLedger::new(
                 settings.bounds.quotas(),
                 settings.first_start,
-                settings.limits.most_nodes,
+                settings.limits.assumed_nodes,
             ),
             quarantine: Quarantine::default(),
-            held: BTreeMap::new(),
+            quarantined_requests: BTreeMap::new(),
             round_robin: WeightedRoundRobin::default(),
             budgets: BTreeMap::new(),
             refusals: BTreeMap::new(),
@@ -165,7 +165,7 @@
             offered_load: RecentRate::new(OFFERED_LOAD_DECAY),
             retry_schedules: BTreeMap::new(),
             share_draw: rand::random(),
-            departing_use: settings.bounds.departing_use(),
+            draining_timeout: settings.bounds.draining_timeout(),
         }
     }
 
@@ -181,11 +181,11 @@
     /// The total cache capacity of all engines, in tokens.
     pub(crate) fn cache_capacity(&self) -> u64 {
         let services = self.table.iter().flat_map(|table| table.services());
-        let rooms = services.filter_map(|(name, service)| {
+        let capacities = services.filter_map(|(name, service)| {
             let engine = service.engine.as_ref()?;
             Some(engine.cache_tokens * self.backends.pool(name)?.len() as u64)
         });
-        rooms.sum()
+        capacities.sum()
     }
 
     /// Whether a back end is ready and has these weights.
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -123,15 +123,15 @@
             return "done";
         }
     }
-    "given up for now"
+    "timed out"
 }
 
 /// The address of an engine; `None` if it is gone or leaving, since loading weights there is of no use.
 fn address_of(node: &Node, id: &BackendId) -> Option<SocketAddr> {
     let state = node.state.borrow();
     let backend = state.backends.get(id)?;
-    let stays = matches!(backend.state, BackendState::Ready | BackendState::Suspect { .. });
-    stays.then_some(backend.entry.address)
+    let is_in_use = matches!(backend.state, BackendState::Ready | BackendState::Suspect { .. });
+    is_in_use.then_some(backend.entry.address)
 }
 
 /// Waits until the registry shows the version, or until it is time to poll the engine itself.
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -172,7 +172,7 @@
     /// Relays a back end's answer.
     pub(crate) fn pass_on(&mut self, answer: Response<Bytes>, outcome: &'static str) -> Response<AnswerBody> {
         self.record.outcome = Some(outcome);
-        self.record.first_at = Some(self.node.now());
+        self.record.first_chunk_at = Some(self.node.now());
         self.pass_on_inner(answer)
     }
 
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -41,7 +41,7 @@
     let Some(peers) = &node.peers else { return };
     let mut link: Option<Link> = None;
     let mut counted = None;
-    let mut delayed = false;
+    let mut has_delayed_join = false;
     loop {
         let pause = REPORT_INTERVAL.mul_f64(0.9 + 0.2 * rand::random::<f64>());
         let _ = tokio::time::timeout(pause, node.leader_known.notified()).await;
@@ -61,8 +61,8 @@
                 link = None;
                 step_without_parent(&node, leads, now);
             }
-            NextStep::Join(_) if !delayed => {
-                delayed = true;
+            NextStep::Join(_) if !has_delayed_join => {
+                has_delayed_join = true;
                 let recorded = node.nodes().known().unwrap_or(0);
                 tokio::time::sleep(JOIN_COST.mul_f64(f64::from(recorded) * rand::random::<f64>())).await;
             }
@@ -98,11 +98,11 @@
         node.state.borrow_mut().chooser.loads.set_others(Vec::new());
     }
     node.conclude_quarantine();
-    record_size(node, leads);
+    record_fleet_size(node, leads);
 }
 
-/// Records the number of nodes if more of them share quotas and limits than starting nodes would assume.
-fn record_size(node: &Rc<Node>, leads: bool) {
+/// Records the number of nodes if it clearly exceeds the number that starting nodes would assume.
+fn record_fleet_size(node: &Rc<Node>, leads: bool) {
     let nodes = node.nodes();
     let Some(counted) = nodes.counted.filter(|_| leads) else { return };
     let known = nodes.recorded.map_or(nodes.assumed, |recorded| recorded.max(nodes.assumed));
@@ -194,7 +194,7 @@
             Err(problem) => return self.failed(node, problem),
         };
         let needs_snapshot = digest.snapshot || node.state.borrow().revision.is_none();
-        self.take(node, digest, revision, sent_at);
+        self.receive_digest(node, digest, revision, sent_at);
         self.runs_reported.set(runs_up_to);
         if let Some(peers) = node.peers.as_ref().filter(|_| sent_updates) {
             peers.borrow_mut().gossip.acknowledge();
@@ -207,7 +207,7 @@
     /// The report to the parent, and the last run event that it contains.
     fn build_report(&self, node: &Node) -> Option<(Report, u64)> {
         let now = node.now();
-        let offered_load = node.demand_per_second();
+        let offered_load = node.subtree_offered_load();
         let newer_facts =
             self.parent_versions.get().map(|theirs| node.newer_facts_for(theirs)).unwrap_or_default();
         let mut state = node.state.borrow_mut();
@@ -234,7 +234,7 @@
         Some((report, runs.last_event))
     }
 
-    fn take(&self, node: &Node, digest: Digest, revision: Option<Revision>, sent_at: Timestamp) {
+    fn receive_digest(&self, node: &Node, digest: Digest, revision: Option<Revision>, sent_at: Timestamp) {
         node.metrics.count(Counter::PeerCalls("answered"));
         self.cursor.set((digest.log, digest.cursor));
         self.parent_versions.set(Some(digest.applied));
--- a/crates/forward/src/peers/digest_updates.rs
+++ b/crates/forward/src/peers/digest_updates.rs
@@ -50,7 +50,7 @@
     /// proof's age at the other node, so that a delayed answer proves nothing recent.
     fn apply_relay(&self, relay: StoreRelay, revision: Option<Revision>, sent_at: Timestamp) {
         let age = Duration::from_millis(relay.age_ms);
-        // A node that has lost the store itself relays nothing to act on.
+        // The parent may have lost contact to the store itself.
         let is_old = age >= self.settings().bounds.max_relay_age();
         if is_old || !is_still_applicable(revision, self.state.borrow().revision) {
             return;
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -37,8 +37,13 @@
 impl Peers {
     /// The state of a node that knows no other node and accepts up to `fan_in` children; `log` is a random
     /// id.
-    pub fn new(me: Member, fan_in: usize, log: u64) -> Self {
-        Self { fleet: Fleet::new(me, fan_in), gossip: GossipLog::new(log), relayed_at: None, snapshot: None }
+    pub fn new(local: Member, fan_in: usize, log: u64) -> Self {
+        Self {
+            fleet: Fleet::new(local, fan_in),
+            gossip: GossipLog::new(log),
+            relayed_at: None,
+            snapshot: None,
+        }
     }
 }
 
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -57,7 +57,7 @@
 
 impl Drop for SnapshotPermit {
     fn drop(&mut self) {
-        self.0.snapshots_given.set(self.0.snapshots_given.get().saturating_sub(1));
+        self.0.snapshots_in_progress.set(self.0.snapshots_in_progress.get().saturating_sub(1));
     }
 }
 
@@ -65,15 +65,15 @@
 /// if too many transfers are in progress.
 pub(super) fn serve(node: &Rc<Node>) -> Response<AnswerBody> {
     let now = node.now();
-    let most = (node.settings().limits.fan_in() / CHILDREN_PER_SNAPSHOT).max(1);
-    let free = node.snapshots_given.get() < most;
-    let Some(snapshot) = current(node, now).filter(|_| free) else {
+    let max_transfers = (node.settings().limits.fan_in() / CHILDREN_PER_SNAPSHOT).max(1);
+    let has_permit = node.snapshots_in_progress.get() < max_transfers;
+    let Some(snapshot) = current(node, now).filter(|_| has_permit) else {
         let mut refusal = Response::new(full_body(Bytes::new()));
         *refusal.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         return refusal;
     };
-    node.snapshots_given.set(node.snapshots_given.get() + 1);
-    node.metrics.count(Counter::SnapshotsGiven);
+    node.snapshots_in_progress.set(node.snapshots_in_progress.get() + 1);
+    node.metrics.count(Counter::SnapshotsServed);
     let age = now.saturating_since(snapshot.proved_at).as_millis() as u64 + 1;
     let mut answer = Response::new(full_body(snapshot.body));
     answer.headers_mut().insert(AGE_MS, HeaderValue::from(age));
@@ -129,7 +129,7 @@
     node.follow_registry(content.registry);
     let proved_at = relayed_proof_time(sent_at, Duration::from_millis(age));
     node.apply_snapshot(facts, revision, proved_at, &content.recent_targets);
-    node.metrics.count(Counter::SnapshotsTaken);
+    node.metrics.count(Counter::SnapshotsReceived);
     node.journal.log(&Event::SnapshotTaken { items, revision: revision.0, age_ms: age });
     if let Some(peers) = &node.peers {
         peers.borrow_mut().relayed_at = Some(sent_at);
--- a/crates/forward/src/ports/mod.rs
+++ b/crates/forward/src/ports/mod.rs
@@ -178,8 +178,8 @@
 }
 
 impl Fact {
-    /// The entry that the fact is about; `None` if it describes no state.
-    pub fn subject(&self) -> Option<EntryKey> {
+    /// The key of the entry that the fact is about; `None` if it describes no state.
+    pub fn entry_key(&self) -> Option<EntryKey> {
         Some(match self {
             Self::Document(_) => EntryKey::Document,
             Self::Backend(entry) => EntryKey::Backend(entry.id.clone()),
@@ -260,8 +260,8 @@
     /// The HTTP request of a call to the store.
     fn store_request(&self, call: &StoreCall) -> Request<Bytes>;
 
-    /// How often the store was restored from a backup, as any of its answers tells; `None` if this one does
-    /// not.
+    /// How often the store was restored from a backup, as stated in an answer; `None` if this one does not
+    /// state it.
     fn store_era(&self, answer: &Response<Bytes>) -> Option<StoreEra>;
 
     /// Parses the store's answer to `call`.
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -69,8 +69,8 @@
         peers.as_ref().map(TcpListener::local_addr).transpose().map_err(system("addresses"))?;
     let advertised = peers_address.map(|address| listen.peers_advertised.unwrap_or(address));
     let node = Rc::new(Node::new(settings, platform, clock, journal, advertised));
-    let (stage, stage_seen) = watch::channel(StopStage::Serving);
-    let caller_server = Callers::new(Rc::clone(&node), stage_seen);
+    let (stage, stage_receiver) = watch::channel(StopStage::Serving);
+    let caller_server = Callers::new(Rc::clone(&node), stage_receiver);
     let addresses =
         Addresses::of(&callers, &readiness, metrics.as_ref(), peers_address).map_err(system("addresses"))?;
     log_start(&node, addresses);
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -81,7 +81,7 @@
     }
 
     fn release(&self, fingerprint: RequestFingerprint) {
-        self.log_release(&fingerprint, "a run came to its end");
+        self.log_release(&fingerprint, "a run completed");
         self.change(Change::Release(fingerprint));
     }
 
@@ -123,7 +123,7 @@
     pub fn apply_stored_release(&self, fingerprint: &RequestFingerprint) {
         let known = self.state.borrow_mut().quarantine.remove_stored(fingerprint, self.now());
         if known {
-            self.log_release(fingerprint, "the store holds it no longer");
+            self.log_release(fingerprint, "released in the store");
         }
     }
 
@@ -140,8 +140,8 @@
     pub fn sweep_quarantine(&self) {
         let ended = self.state.borrow_mut().quarantine.sweep(self.now());
         for fingerprint in ended {
-            self.state.borrow_mut().held.remove(&fingerprint);
-            self.log_release(&fingerprint, "its time is over");
+            self.state.borrow_mut().quarantined_requests.remove(&fingerprint);
+            self.log_release(&fingerprint, "the hold expired");
         }
     }
 
@@ -167,7 +167,7 @@
         for request in held {
             self.log_hold(&HeldLine::from(&request), QuarantineSource::Counted);
             // The store may be restored from a backup without the hold before it has confirmed it.
-            self.state.borrow_mut().held.insert(request.fingerprint, request.clone());
+            self.state.borrow_mut().quarantined_requests.insert(request.fingerprint, request.clone());
             self.change(Change::Hold(request));
         }
     }
--- a/crates/forward/src/recent_targets.rs
+++ b/crates/forward/src/recent_targets.rs
@@ -29,25 +29,25 @@
         proved_at: Timestamp,
         now: Timestamp,
     ) -> Vec<RecentTargetVersion> {
-        let targets = |proof: TargetVersionProof| RecentTargetVersion {
+        let recent_target = |proof: TargetVersionProof| RecentTargetVersion {
             model: proof.model,
             previous: proof.above,
             version: proof.version,
             // Rounded up to a whole millisecond, since an earlier time is safe.
             before_ms: proved_at.saturating_since(proof.at).as_millis() as u64 + 1,
         };
-        self.rollout.target_versions.proofs(bound, now).into_iter().map(targets).collect()
+        self.rollout.target_versions.proofs(bound, now).into_iter().map(recent_target).collect()
     }
 }
 
 /// Another node's proofs by this node's clock. They count from a moment no later than its proof, so that none
 /// is too late.
 pub(crate) fn proofs(targets: &[RecentTargetVersion], proved_at: Timestamp) -> Vec<TargetVersionProof> {
-    let proof = |targets: &RecentTargetVersion| TargetVersionProof {
-        model: targets.model.clone(),
-        above: targets.previous,
-        version: targets.version,
-        at: proved_at - Duration::from_millis(targets.before_ms),
+    let proof = |target: &RecentTargetVersion| TargetVersionProof {
+        model: target.model.clone(),
+        above: target.previous,
+        version: target.version,
+        at: proved_at - Duration::from_millis(target.before_ms),
     };
     targets.iter().map(proof).collect()
 }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -49,13 +49,14 @@
     /// The head of the answer: that of the run whose events come first.
     head: response::Parts,
     /// Events received before the head was sent to the caller.
-    opening: Option<Bytes>,
+    first_events: Option<Bytes>,
     splitter: EventSplitter,
     /// Whether the current run has sent an event.
     has_event: bool,
     /// Whether any run has sent an event.
     has_relayed: bool,
-    waits_to_end: bool,
+    /// Whether a stall is no longer acted on, as no other back end can take over.
+    waits_until_deadline: bool,
     /// When data last arrived from the back end.
     received_at: Timestamp,
     done: bool,
@@ -90,7 +91,7 @@
         match relay.next().await {
             None => Ok(relay),
             Some(Ok(events)) => {
-                relay.opening = Some(events);
+                relay.first_events = Some(events);
                 Ok(relay)
             }
             Some(Err(_)) => {
@@ -108,11 +109,11 @@
             choice,
             head: upstream.head.clone(),
             upstream: Some(upstream),
-            opening: None,
+            first_events: None,
             splitter,
             has_event: false,
             has_relayed: false,
-            waits_to_end: false,
+            waits_until_deadline: false,
             received_at,
             done: false,
         }
@@ -133,7 +134,7 @@
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, RelayError>> {
-        if let Some(events) = self.opening.take() {
+        if let Some(events) = self.first_events.take() {
             return Some(Ok(events));
         }
         if self.done {
@@ -167,10 +168,10 @@
                 Received::Slow if !self.exchange.node.is_ejected(&self.choice.backend) => {}
                 // Without an alternative back end, a stalled stream is waited for until its deadline.
                 Received::Stalled | Received::Slow if !self.exchange.has_alternative() => {
-                    self.waits_to_end = true
+                    self.waits_until_deadline = true
                 }
                 Received::Stalled | Received::Slow => {
-                    if !self.resume(AttemptFailure::unclear("silent".into())).await {
+                    if !self.resume(AttemptFailure::unclear("stalled".into())).await {
                         return Some(Err(self.abandon("stream_broken", RelayError::Broken)));
                     }
                 }
@@ -210,14 +211,14 @@
         let route = &self.exchange.route;
         let resumable = is_resumable(route.kind) && self.exchange.history.sent < route.attempts;
         let copied = self.has_event && self.choice.copy_to.is_some();
-        if self.waits_to_end || !(resumable || copied) {
+        if self.waits_until_deadline || !(resumable || copied) {
             return None;
         }
         let stall_timeout = if self.has_event {
             route.target_gap.map_or(STALL_TIMEOUT, |gap| gap * STALL_GAPS)
         } else {
-            let usual = self.exchange.node.slow_latency(&self.choice.backend) * 3 / 2;
-            (route.target_latency * FIRST_EVENT_TARGETS).max(usual)
+            let slow_answer_time = self.exchange.node.slow_latency(&self.choice.backend) * 3 / 2;
+            (route.target_latency * FIRST_EVENT_TARGETS).max(slow_answer_time)
         };
         Some(self.received_at + stall_timeout)
     }
@@ -250,8 +251,8 @@
         self.exchange.run_completed();
         let node = &self.exchange.node;
         node.pool.borrow_mut().put(&upstream.load.backend, upstream.connection, node.now());
-        let rest = self.splitter.finish();
-        Some((!rest.is_empty()).then_some(Ok(rest)))
+        let remaining = self.splitter.finish();
+        Some((!remaining.is_empty()).then_some(Ok(remaining)))
     }
 
     /// Resumes the stream elsewhere after the current run has ended or must not start any more.
@@ -276,7 +277,7 @@
         }
         // No other back end takes the stream, so the stalled run is waited for until its deadline.
         self.exchange.record.choice = known;
-        self.waits_to_end = true;
+        self.waits_until_deadline = true;
         self.upstream.is_some()
     }
 
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -12,8 +12,8 @@
 
 impl NodeState {
     /// The current state of the given entries.
-    pub(crate) fn facts_about(&self, subjects: &BTreeSet<&EntryKey>) -> Vec<Fact> {
-        subjects.iter().filter_map(|subject| self.fact_about(subject)).collect()
+    pub(crate) fn facts_about(&self, keys: &BTreeSet<&EntryKey>) -> Vec<Fact> {
+        keys.iter().filter_map(|key| self.fact_about(key)).collect()
     }
 
     /// All entries of the store, as far as known.
@@ -21,18 +21,19 @@
         let single = [self.document_fact(), self.fleet_size.map(Fact::FleetSize)].into_iter().flatten();
         let leader = self.leader.iter().map(|_| self.leader_fact());
         let weights = self.weights_facts();
-        let held = self.held.values().map(|request| Fact::Quarantined(Box::new(request.clone())));
+        let held =
+            self.quarantined_requests.values().map(|request| Fact::Quarantined(Box::new(request.clone())));
         let backends = self.backends.iter().filter_map(entry_fact);
         single.chain(leader).chain(weights).chain(held).chain(backends).collect()
     }
 
-    fn fact_about(&self, subject: &EntryKey) -> Option<Fact> {
-        match subject {
+    fn fact_about(&self, key: &EntryKey) -> Option<Fact> {
+        match key {
             EntryKey::Document => self.document_fact(),
             EntryKey::FleetSize => self.fleet_size.map(Fact::FleetSize),
             EntryKey::Leader => Some(self.leader_fact()),
             EntryKey::TargetWeights(model) => self.weights_fact(model),
-            EntryKey::Quarantined(fingerprint) => Some(match self.held.get(fingerprint) {
+            EntryKey::Quarantined(fingerprint) => Some(match self.quarantined_requests.get(fingerprint) {
                 Some(request) => Fact::Quarantined(Box::new(request.clone())),
                 None => Fact::Released(*fingerprint),
             }),
--- a/crates/forward/src/settings/mod.rs
+++ b/crates/forward/src/settings/mod.rs
@@ -50,8 +50,8 @@
 pub struct StoreSettings {
     pub address: SocketAddr,
     /// The shortest lease that it grants, in milliseconds.
-    #[serde(default, deserialize_with = "figures::whole")]
-    pub shortest_lease_ms: u64,
+    #[serde(rename = "shortest_lease_ms", default, deserialize_with = "figures::whole")]
+    pub min_lease_ms: u64,
 }
 
 /// The operator's bounds, in milliseconds unless stated otherwise, with cautious defaults. Fractions are
@@ -102,8 +102,8 @@
 pub struct LimitSettings {
     /// The number of nodes assumed to share the retry slack and the back ends' connections while it is
     /// unknown.
-    #[serde(deserialize_with = "figures::whole")]
-    pub most_nodes: u32,
+    #[serde(rename = "most_nodes", deserialize_with = "figures::whole")]
+    pub assumed_nodes: u32,
     /// The bandwidth of the machine's link, in Mbit/s.
     pub link_mbps: f64,
     /// The process's share of a processor.
@@ -113,7 +113,8 @@
     pub descriptors: u32,
     /// The minimum for the number of back ends of a pool that load weights at once, if `loads_share` gives
     /// fewer.
-    pub loads_at_once: usize,
+    #[serde(rename = "loads_at_once")]
+    pub min_loads: usize,
     /// The share of a pool's back ends that may load weights at once.
     pub loads_share: f64,
 }
@@ -121,11 +122,11 @@
 impl Default for LimitSettings {
     fn default() -> Self {
         Self {
-            most_nodes: 64,
+            assumed_nodes: 64,
             link_mbps: 1_000.0,
             processor_share: 1.0,
             descriptors: 1_024,
-            loads_at_once: 2,
+            min_loads: 2,
             loads_share: 0.2,
         }
     }
@@ -181,42 +182,42 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let wrong = |key, problem| Err(SettingsError::Value { key, problem });
+        let invalid = |key, problem| Err(SettingsError::Value { key, problem });
         if self.node.as_str().is_empty() {
-            return wrong("node", "must not be empty");
+            return invalid("node", "must not be empty");
         }
         if self.listen.callers == self.listen.readiness && self.listen.callers.port() != 0 {
-            return wrong("listen.readiness", "must differ from listen.callers");
+            return invalid("listen.readiness", "must differ from listen.callers");
         }
         if !(0.0..=1.0).contains(&self.bounds.retry_share) {
-            return wrong("bounds.retry_share", "must lie between 0 and 1");
+            return invalid("bounds.retry_share", "must lie between 0 and 1");
         }
         if self.bounds.retry_window_ms < 100 {
-            return wrong("bounds.retry_window_s", "must be 0.1 or more");
+            return invalid("bounds.retry_window_s", "must be 0.1 or more");
         }
         if self.bounds.quota_window_ms < 100 {
-            return wrong("bounds.quota_window_s", "must be 0.1 or more");
+            return invalid("bounds.quota_window_s", "must be 0.1 or more");
         }
         if !(0.0..=10.0).contains(&self.bounds.quota_overage) {
-            return wrong("bounds.quota_overage", "must lie between 0 and 10");
+            return invalid("bounds.quota_overage", "must lie between 0 and 10");
         }
         if !(self.bounds.quota_slack.is_finite() && self.bounds.quota_slack >= 0.0) {
-            return wrong("bounds.quota_slack", "must be 0 or more");
+            return invalid("bounds.quota_slack", "must be 0 or more");
         }
         if self.bounds.revocation_ms < 500 {
-            return wrong("bounds.revocation_ms", "must be 500 or more");
+            return invalid("bounds.revocation_ms", "must be 500 or more");
         }
         if self.bounds.configuration_ms < 100 {
-            return wrong("bounds.configuration_ms", "must be 100 or more");
+            return invalid("bounds.configuration_ms", "must be 100 or more");
         }
-        if self.limits.most_nodes == 0 {
-            return wrong("limits.most_nodes", "must be 1 or more");
+        if self.limits.assumed_nodes == 0 {
+            return invalid("limits.most_nodes", "must be 1 or more");
         }
-        if self.limits.loads_at_once == 0 {
-            return wrong("limits.loads_at_once", "must be 1 or more");
+        if self.limits.min_loads == 0 {
+            return invalid("limits.loads_at_once", "must be 1 or more");
         }
         if !(0.0..=1.0).contains(&self.limits.loads_share) {
-            return wrong("limits.loads_share", "must lie between 0 and 1");
+            return invalid("limits.loads_share", "must lie between 0 and 1");
         }
         Ok(())
     }
@@ -255,7 +256,7 @@
 
     /// How long a back end that is leaving may still receive requests if no other is left. The other half of
     /// its time is for the answers.
-    pub fn departing_use(&self) -> Duration {
+    pub fn draining_timeout(&self) -> Duration {
         Duration::from_millis(self.drain_ms / 2)
     }
 
--- a/crates/forward/src/store_restore.rs
+++ b/crates/forward/src/store_restore.rs
@@ -43,14 +43,14 @@
     }
 
     /// Whether the store was restored recently.
-    pub(crate) fn is_restored_lately(&self) -> bool {
+    pub(crate) fn was_restored_recently(&self) -> bool {
         let settling = |at: Timestamp| self.now().saturating_since(at) < SETTLING_TIME;
         self.restored_at.get().is_some_and(settling)
     }
 
     /// Writes all holds again, which a restored store may lack. Existing ones stay unchanged.
     pub(crate) fn rewrite_holds(&self) {
-        let held: Vec<_> = self.state.borrow().held.values().cloned().collect();
+        let held: Vec<_> = self.state.borrow().quarantined_requests.values().cloned().collect();
         held.into_iter().for_each(|request| self.change(Change::Hold(request)));
     }
 }
--- a/crates/forward/src/target_record.rs
+++ b/crates/forward/src/target_record.rs
@@ -2,11 +2,11 @@
 //! restart.
 //!
 //! A node that starts cannot know when a target version was announced, and assumes that it is old until
-//! another node says otherwise. If all nodes restart at once, none can. So the leader records each announced
-//! target version, bound to a lease of half the bound on outdated weights. A node whose listing contains the
-//! record knows, by the store's clock, that the target version is no older than that lease plus its age when
-//! the lease was granted. Without a record it counts as old. Leases may be suspended during an outage of the
-//! store, so the record proves nothing about that time.
+//! another node reports otherwise. If all nodes restart at once, none can. So the leader records each
+//! announced target version, bound to a lease of half the bound on outdated weights. A node whose listing
+//! contains the record knows, by the store's clock, that the target version is no older than that lease
+//! plus its age when the lease was granted. Without a record it counts as old. Leases may be suspended
+//! during an outage of the store, so the record proves nothing about that time.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
--- a/crates/forward/tests/leader.rs
+++ b/crates/forward/tests/leader.rs
@@ -10,8 +10,12 @@
 
 #[test]
 fn only_an_earlier_process_of_the_same_machine_is_replaced() {
-    let (me, here) = (NodeId::from("a"), Some(([127, 0, 0, 1], 1).into()));
-    assert_eq!(leader("a", 1).token_of(&me, here), Some(FencingToken(7)));
-    assert_eq!(leader("b", 1).token_of(&me, here), None, "another node leads");
-    assert_eq!(leader("a", 2).token_of(&me, here), None, "a machine of this name at another address leads");
+    let (local, address) = (NodeId::from("a"), Some(([127, 0, 0, 1], 1).into()));
+    assert_eq!(leader("a", 1).token_of(&local, address), Some(FencingToken(7)));
+    assert_eq!(leader("b", 1).token_of(&local, address), None, "another node leads");
+    assert_eq!(
+        leader("a", 2).token_of(&local, address),
+        None,
+        "a machine of this name at another address leads"
+    );
 }
