--- a/crates/core/src/forwarding/announcements/rate_limit.rs
+++ b/crates/core/src/forwarding/announcements/rate_limit.rs
@@ -65,9 +65,9 @@
 impl Advertised {
     /// The limit in a message that another node wrote at `written_at` or shortly after.
     pub fn from_gossip(gossip: &LimitGossip, written_at: Timestamp) -> Option<Self> {
-        let is_sound = gossip.per_second.is_none_or(|rate| rate.is_finite() && rate >= 0.0);
+        let is_valid = gossip.per_second.is_none_or(|rate| rate.is_finite() && rate >= 0.0);
         let at = written_at - Duration::from_millis(gossip.age_ms);
-        is_sound.then_some(Self { per_second: gossip.per_second, at })
+        is_valid.then_some(Self { per_second: gossip.per_second, at })
     }
 
     /// Whether this is newer than `known`.
@@ -148,8 +148,8 @@
 
     /// Applies an update unless it is stale. Returns a change to report.
     pub(super) fn update(&mut self, advertised: Advertised) -> Option<LimitChange> {
-        let ends_again = advertised.per_second.is_none() && self.advertised.per_second.is_none();
-        if ends_again || !advertised.supersedes(self.advertised) {
+        let is_still_unlimited = advertised.per_second.is_none() && self.advertised.per_second.is_none();
+        if is_still_unlimited || !advertised.supersedes(self.advertised) {
             return None;
         }
         self.advertised = advertised;
@@ -186,8 +186,8 @@
     /// Records what the parent sent about this process: the limit that it knows, and a grant.
     pub(super) fn apply_grant(&mut self, reported: Advertised, grant: &LimitGrant, until: Timestamp) {
         self.known_to_parent = Some(reported);
-        let is_sound = grant.slot_per_second.is_finite() && grant.slot_per_second >= 0.0;
-        let slots = grant.slots.filter(|_| is_sound).map(|slots| slots.min(MAX_SLOTS));
+        let is_valid = grant.slot_per_second.is_finite() && grant.slot_per_second >= 0.0;
+        let slots = grant.slots.filter(|_| is_valid).map(|slots| slots.min(MAX_SLOTS));
         self.grant = slots.map(|slots| Grant { slots, slot_per_second: grant.slot_per_second, until });
     }
 
--- a/crates/core/src/forwarding/registry.rs
+++ b/crates/core/src/forwarding/registry.rs
@@ -1,7 +1,7 @@
 //! Decides whether a vanished registry entry means that its back end is gone.
 //!
 //! While the store is unavailable, back ends cannot renew their entries, and these expire. They are written
-//! again within about two seconds of the store's return; an entry that is still missing then is gone.
+//! again within about two seconds after the store recovers; an entry that is still missing then is gone.
 //!
 //! | state | an entry vanishes | a call fails | a call succeeds |
 //! |---|---|---|---|
@@ -15,7 +15,7 @@
 
 use paddlemount_protocol::{fleet::RegistryState, time::Timestamp};
 
-/// How long after the store's return expired entries may still be missing: the two seconds in which they are
+/// How long after the store recovers expired entries may still be missing: the two seconds in which they are
 /// renewed, and the time for a node to receive them.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(2_300);
 
--- a/crates/forward/src/access_log.rs
+++ b/crates/forward/src/access_log.rs
@@ -26,7 +26,7 @@
 /// The request did not run; the caller may retry.
 pub(crate) const REFUSED: &str = "refused";
 /// The request is quarantined because back ends crashed repeatedly while running it.
-pub(crate) const HELD_BACK: &str = "held_back";
+pub(crate) const QUARANTINED: &str = "held_back";
 /// The request was still running when the grace period of a planned stop ended.
 const CUT_BY_STOP: &str = "cut_by_stop";
 /// The caller closed its connection before the end.
--- a/crates/forward/src/attempts.rs
+++ b/crates/forward/src/attempts.rs
@@ -231,7 +231,7 @@
     (!node.still_accepts(choice)).then_some(NOT_ACCEPTING)
 }
 
-/// The request was held back by this node, which says nothing about the back end's health.
+/// This node did not send the request, which says nothing about the back end's health.
 fn not_sent(node: &Rc<Node>, choice: &Choice, why: &str) -> AttemptFailure {
     node.record_health(&choice.backend, HealthEvent::Inconclusive, false);
     AttemptFailure { end: AttemptEnd::NotSent, ..AttemptFailure::unclear(why.into()) }
--- a/crates/forward/src/cache_feed.rs
+++ b/crates/forward/src/cache_feed.rs
@@ -118,11 +118,11 @@
 
 /// Follows one feed while it is selected.
 async fn follow(node: Rc<Node>, source: &Source, feeds: &RefCell<Feeds>) {
-    let calls = Client::new(source.1, node.clock);
+    let client = Client::new(source.1, node.clock);
     let mut feed = Feed {
         node,
         backend: source.0.clone(),
-        calls,
+        client,
         incarnation: NO_INCARNATION,
         next: 0,
         is_followed: false,
@@ -136,7 +136,7 @@
 struct Feed {
     node: Rc<Node>,
     backend: BackendId,
-    calls: Client,
+    client: Client,
     incarnation: u64,
     next: u64,
     is_followed: bool,
@@ -147,7 +147,7 @@
         let request = self.node.platform.feed_request(self.next, POLL_WAIT);
         let target = self.node.process_of(&self.backend);
         let mut requested_back_off = None;
-        let answer = match self.calls.call(request, POLL_WAIT + CALL_TIMEOUT).await {
+        let answer = match self.client.call(request, POLL_WAIT + CALL_TIMEOUT).await {
             Ok(answer) => {
                 requested_back_off = self.node.observe_call(&target, &answer, false);
                 self.node.platform.feed_answer(&answer).map_err(|error| error.to_string())
@@ -186,7 +186,7 @@
 
     /// Lists all cached segments again after entries were lost.
     async fn list(&mut self) -> Duration {
-        let answer = self.calls.call(self.node.platform.cache_list_request(), CALL_TIMEOUT).await;
+        let answer = self.client.call(self.node.platform.cache_list_request(), CALL_TIMEOUT).await;
         let page = answer.ok().and_then(|answer| self.node.platform.cache_list_answer(&answer).ok());
         let Some(page) = page else { return RETRY_PAUSE };
         self.node.state.borrow_mut().chooser.prefixes.forget(&self.backend);
--- a/crates/forward/src/candidates.rs
+++ b/crates/forward/src/candidates.rs
@@ -174,9 +174,10 @@
         now: Timestamp,
     ) -> Option<WeightsVersion> {
         let preferred = self.rollout.preferred(&prompt.model, now)?;
-        let held = self.backends.versions_in_service(request.service, &prompt.model, now);
-        let all = held.iter().map(|(_, count)| count).sum();
-        let updated = held.iter().filter(|(version, _)| *version >= preferred).map(|(_, count)| count).sum();
+        let versions = self.backends.versions_in_service(request.service, &prompt.model, now);
+        let all = versions.iter().map(|(_, count)| count).sum();
+        let updated =
+            versions.iter().filter(|(version, _)| *version >= preferred).map(|(_, count)| count).sum();
         prefers(request.draw, updated, all).then_some(preferred)
     }
 
--- a/crates/forward/src/exchange.rs
+++ b/crates/forward/src/exchange.rs
@@ -19,7 +19,7 @@
 use paddlemount_protocol::{identity::ServiceId, time::Timestamp};
 
 use crate::{
-    access_log::{ANSWERED, HELD_BACK, REFUSED, RequestRecord},
+    access_log::{ANSWERED, QUARANTINED, REFUSED, RequestRecord},
     admission::{Admitted, admit},
     answers::{AnswerBody, Reason, error_answer},
     attempts::{self, AttemptAnswer, AttemptFailure, RunKind, read_full_answer, strip_connection_headers},
@@ -130,8 +130,8 @@
 
     async fn run(mut self) -> Response<AnswerBody> {
         loop {
-            if let Some(held_for) = self.held_for() {
-                return self.hold_back(held_for);
+            if let Some(quarantined_for) = self.quarantined_for() {
+                return self.refuse_quarantined(quarantined_for);
             }
             let Some(choice) = self.choose_backend() else {
                 return self.abandon(self.no_backend_refusal(Reason::NoBackend));
@@ -357,7 +357,7 @@
 
     /// Whether no back end has run the request: it was refused, or the caller left before it was sent.
     fn has_not_run(&self) -> bool {
-        let refused = matches!(self.record.outcome, Some(REFUSED | HELD_BACK));
+        let refused = matches!(self.record.outcome, Some(REFUSED | QUARANTINED));
         refused || (self.history.sent == 0 && self.record.outcome.is_none())
     }
 
--- a/crates/forward/src/fact_updates.rs
+++ b/crates/forward/src/fact_updates.rs
@@ -125,7 +125,7 @@
         let is_restored =
             known.is_some_and(|known| known.era() < revision.era()) || self.was_restored_recently();
         for key in self.missing_among(&facts) {
-            // The hold was not released but lost by the restore, and is written again.
+            // The request was not released but lost by the restore, and is written again.
             if is_restored && matches!(key, EntryKey::Quarantined(_)) {
                 continue;
             }
@@ -167,9 +167,10 @@
         let present: BTreeSet<EntryKey> = facts.iter().filter_map(Fact::entry_key).collect();
         let state = self.state.borrow();
         let backends = state.backends.iter().map(|backend| EntryKey::Backend(backend.entry.id.clone()));
-        let held = state.quarantine.stored_requests().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
+        let quarantined =
+            state.quarantine.stored_requests().map(|fingerprint| EntryKey::Quarantined(*fingerprint));
         let leader = state.leader.iter().map(|_| EntryKey::Leader);
-        backends.chain(held).chain(leader).filter(|key| !present.contains(key)).collect()
+        backends.chain(quarantined).chain(leader).filter(|key| !present.contains(key)).collect()
     }
 
     /// Applies the removal of an entry.
@@ -223,7 +224,7 @@
             // Handled by [`Origin::from_listing`].
             Fact::TargetRecord(_) => {}
             Fact::Quarantined(request) => {
-                self.apply_stored_hold(&request);
+                self.apply_stored_quarantine(&request);
                 self.state.borrow_mut().quarantined_requests.insert(request.fingerprint, *request);
             }
             Fact::Released(fingerprint) => {
--- a/crates/forward/src/journal.rs
+++ b/crates/forward/src/journal.rs
@@ -157,10 +157,10 @@
     /// A run of a suspect request completed, as reported by a child.
     RunCleared { fingerprint: String },
     /// A request is quarantined because back ends crashed repeatedly while running it.
-    RequestHeld { held: &'a HeldLine, known_by: &'static str, for_s: u64 },
+    RequestHeld { held: &'a QuarantineLine, known_by: &'static str, for_s: u64 },
     /// A request is no longer quarantined.
     RequestReleased { fingerprint: String, why: &'static str },
-    /// A hold could not be written to the metadata store; the write is retried.
+    /// A change of the quarantine could not be written to the metadata store; the write is retried.
     QuarantineNotWritten { problem: String },
     /// A request ended.
     Request(Box<RequestLine<'a>>),
@@ -253,7 +253,7 @@
 
 /// A quarantined request, and why; only its fingerprint if nothing else is known.
 #[derive(Debug, Default, Serialize)]
-pub struct HeldLine {
+pub struct QuarantineLine {
     pub fingerprint: String,
     pub route: Option<String>,
     pub tenant: Option<String>,
@@ -263,7 +263,7 @@
     pub found_by: Option<String>,
 }
 
-impl From<&QuarantinedRequest> for HeldLine {
+impl From<&QuarantinedRequest> for QuarantineLine {
     fn from(request: &QuarantinedRequest) -> Self {
         Self {
             fingerprint: request.fingerprint.to_string(),
--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -235,7 +235,7 @@
             (None, Some(token)) => {
                 self.node.journal.log(&Event::LeadershipGained { token: token.0 });
                 if self.restored_at.is_some() {
-                    self.node.rewrite_holds();
+                    self.node.rewrite_quarantine();
                 }
             }
             (Some((token, _)), None) => {
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -349,7 +349,10 @@
             gauge("paddlemount_forward_leads", f64::from(u8::from(self.token().is_some()))),
             gauge("paddlemount_forward_held_requests", quarantine.count_quarantined() as f64),
             gauge("paddlemount_forward_suspected_requests", quarantine.count_suspected() as f64),
-            gauge("paddlemount_forward_oldest_hold_seconds", self.oldest_hold(self.now()).as_secs_f64()),
+            gauge(
+                "paddlemount_forward_oldest_hold_seconds",
+                self.oldest_quarantine(self.now()).as_secs_f64(),
+            ),
             gauge("paddlemount_forward_named_age_seconds", target_age(&state, self.now())),
             gauge("paddlemount_forward_log_lines_dropped", self.journal.dropped() as f64),
         ];
--- a/crates/forward/src/node_state.rs
+++ b/crates/forward/src/node_state.rs
@@ -63,7 +63,7 @@
     pub quotas: QuotaLedger,
     /// Requests under which back ends crashed.
     pub quarantine: Quarantine,
-    /// Quarantined requests as stored, or as this node has asked the store to hold them.
+    /// Quarantined requests as stored, or as this node has written them to the store.
     pub(crate) quarantined_requests: BTreeMap<RequestFingerprint, QuarantinedRequest>,
     pub(crate) round_robin: WeightedRoundRobin,
     pub(crate) budgets: BTreeMap<ServiceId, WindowBudget>,
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -89,7 +89,7 @@
 ) -> &'static str {
     let address = address_of(node, &target.backend);
     let Some(address) = address else { return "gone" };
-    let engine = Client::new(address, node.clock);
+    let client = Client::new(address, node.clock);
     while node.now().saturating_since(began) < MAX_UPDATE_TIME {
         if node.token() != Some(token) {
             return "leadership lost";
@@ -98,7 +98,7 @@
         if let Some(newest) = node.state.borrow().rollout.newest(&target.model) {
             target.version = newest;
         }
-        let Some(report) = fetch_report(node, &engine, &target.backend).await else {
+        let Some(report) = fetch_report(node, &client, &target.backend).await else {
             // The engine may be dead and must not block others.
             return "no report";
         };
@@ -109,7 +109,7 @@
             }
             Step::Wait | Step::Drain => tokio::time::sleep(POLL_INTERVAL).await,
             Step::Order { sequence, mode } => {
-                match send_order(node, &engine, target, token, sequence, mode).await {
+                match send_order(node, &client, target, token, sequence, mode).await {
                     Some(OrderAnswer::Accepted) => {}
                     Some(OrderAnswer::AlreadyHolds) => return "held already",
                     Some(OrderAnswer::Fenced) => return "fenced",
@@ -148,9 +148,9 @@
     backend.entry.weights.get(&target.model).is_some_and(|version| *version >= target.version)
 }
 
-async fn fetch_report(node: &Node, engine: &Client, id: &BackendId) -> Option<EngineReport> {
+async fn fetch_report(node: &Node, client: &Client, id: &BackendId) -> Option<EngineReport> {
     let process = node.process_of(id);
-    let answer = engine.call(node.platform.report_request(), CALL_TIMEOUT).await.ok()?;
+    let answer = client.call(node.platform.report_request(), CALL_TIMEOUT).await.ok()?;
     let report = node.platform.report_answer(&answer).ok();
     node.observe_call(&process, &answer, report.as_ref().is_some_and(|report| report.leaving));
     report
@@ -158,7 +158,7 @@
 
 async fn send_order(
     node: &Node,
-    engine: &Client,
+    client: &Client,
     target: &Target,
     token: FencingToken,
     sequence: u64,
@@ -176,7 +176,7 @@
         sequence,
     };
     let process = node.process_of(&target.backend);
-    let answer = engine.call(node.platform.order_request(&order), CALL_TIMEOUT).await;
+    let answer = client.call(node.platform.order_request(&order), CALL_TIMEOUT).await;
     let answer = answer.ok().map(|answer| {
         node.observe_call(&process, &answer, false);
         node.platform.order_answer(&answer)
--- a/crates/forward/src/outcomes.rs
+++ b/crates/forward/src/outcomes.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::{
-    access_log::{HELD_BACK, REFUSED},
+    access_log::{QUARANTINED, REFUSED},
     announcements::with_jitter,
     answers::{AnswerBody, Reason, Refusal, error_answer, full_body},
     attempts::{AttemptFailure, strip_connection_headers},
@@ -127,13 +127,13 @@
     }
 
     /// The answer to a quarantined request, depending on its earlier attempts.
-    pub(crate) fn hold_back(&mut self, held_for: Duration) -> Response<AnswerBody> {
+    pub(crate) fn refuse_quarantined(&mut self, quarantined_for: Duration) -> Response<AnswerBody> {
         if attempt::action_without_retry(self.route.kind, self.history) == NextAction::Fail
             || self.history.may_have_run
         {
             return self.refuse(Reason::AnswerLost);
         }
-        self.refuse(Refusal { reason: Reason::HeldBack, retry_after: Some(held_for) })
+        self.refuse(Refusal { reason: Reason::HeldBack, retry_after: Some(quarantined_for) })
     }
 
     /// The answer to an abandoned request, depending on whether it may have run.
@@ -157,7 +157,7 @@
         let answer = error_answer(refusal);
         self.record.status = Some(answer.status().as_u16());
         self.record.outcome = Some(match (refusal.reason, refusal.retry_after) {
-            (Reason::HeldBack, _) => HELD_BACK,
+            (Reason::HeldBack, _) => QUARANTINED,
             (_, Some(_)) => REFUSED,
             (_, None) => "failed",
         });
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -121,9 +121,9 @@
 /// Asks a node to admit this one.
 async fn join(node: &Node, contact: Contact) {
     let Some(peers) = &node.peers else { return };
-    let calls = Client::new(contact.address, node.clock);
+    let client = Client::new(contact.address, node.clock);
     let request = peers.borrow().fleet.join_request(node.now());
-    let answer: Result<JoinAnswer, String> = post(&calls, JOIN_PATH, &request, JOIN_TIMEOUT).await;
+    let answer: Result<JoinAnswer, String> = post(&client, JOIN_PATH, &request, JOIN_TIMEOUT).await;
     let now = node.now();
     let mut peers = peers.borrow_mut();
     let uplink = &mut peers.fleet.uplink;
@@ -143,7 +143,7 @@
 /// The connection to a parent.
 struct Link {
     parent: Contact,
-    calls: Client,
+    client: Client,
     /// The parent's log id, and the position of the last update received from it.
     cursor: Cell<(u64, u64)>,
     /// The last run event that the parent has acknowledged; a new parent gets all remembered ones.
@@ -156,10 +156,10 @@
 
 impl Link {
     fn new(parent: Contact, node: &Node) -> Self {
-        let calls = Client::new(parent.address, node.clock);
+        let client = Client::new(parent.address, node.clock);
         Self {
             parent,
-            calls,
+            client,
             cursor: Cell::new((NO_LOG, 0)),
             runs_reported: Cell::new(0),
             parent_versions: Cell::new(None),
@@ -187,7 +187,7 @@
         self.sent.set(Some((sent_at, node.running.get() > 0)));
         let Some((report, runs_up_to)) = self.build_report(node) else { return };
         let (sent_updates, revision) = (!report.cache_updates.is_empty(), report.revision);
-        let answer: Result<Digest, String> = post(&self.calls, EXCHANGE_PATH, &report, REPORT_TIMEOUT).await;
+        let answer: Result<Digest, String> = post(&self.client, EXCHANGE_PATH, &report, REPORT_TIMEOUT).await;
         node.metrics.observe(Distribution::PeerCall, node.now().saturating_since(sent_at));
         let digest = match answer {
             Ok(digest) => digest,
@@ -200,7 +200,7 @@
             peers.borrow_mut().gossip.acknowledge();
         }
         if needs_snapshot || node.history_lost.get() {
-            snapshot::fetch(node, &self.calls).await;
+            snapshot::fetch(node, &self.client).await;
         }
     }
 
@@ -267,7 +267,7 @@
 
 /// Posts a message and parses the answer.
 async fn post<A: DeserializeOwned>(
-    calls: &Client,
+    client: &Client,
     path: &'static str,
     message: &impl Serialize,
     timeout: Duration,
@@ -278,7 +278,7 @@
     *request.uri_mut() = http::Uri::from_static(path);
     let kind = HeaderValue::from_static("application/json");
     request.headers_mut().insert(header::CONTENT_TYPE, kind);
-    let answer = calls.call(request, timeout).await.map_err(|error| error.to_string())?;
+    let answer = client.call(request, timeout).await.map_err(|error| error.to_string())?;
     match answer.status() {
         StatusCode::OK => serde_json::from_slice(answer.body()).map_err(|error| error.to_string()),
         status => Err(format!("refused with status {status}")),
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -30,7 +30,7 @@
     pub gossip: GossipLog,
     /// When the last report was sent whose answer relayed the store.
     pub relayed_at: Option<Timestamp>,
-    /// The last snapshot that was made for other nodes.
+    /// The last snapshot that was created for other nodes.
     pub(crate) snapshot: Option<snapshot::Snapshot>,
 }
 
--- a/crates/forward/src/peers/server.rs
+++ b/crates/forward/src/peers/server.rs
@@ -147,7 +147,7 @@
     if ignored > 0 {
         node.metrics.add(Counter::QuotaReportsIgnored, ignored as u64);
     }
-    let own = state.chooser.loads.own_work();
+    let own_work = state.chooser.loads.own_work();
     let (cache_updates, cursor) = peers.gossip.since(report.log, report.cursor, peers.fleet.children.len());
     let bound = node.settings().bounds.weights();
     let store = store_relay(&state, report.revision, bound, now).filter(|_| !node.history_lost.get());
@@ -161,7 +161,7 @@
         log: peers.gossip.id(),
         cursor,
         nodes: peers.fleet.node_count(now),
-        work: peers.fleet.work_excluding(&child, &own, now),
+        work: peers.fleet.work_excluding(&child, &own_work, now),
         quotas: Some(state.quotas.digest(now)),
         quarantine: state.quarantine.digest(now),
         loading: state.backends.loading(now),
--- a/crates/forward/src/peers/snapshot.rs
+++ b/crates/forward/src/peers/snapshot.rs
@@ -38,7 +38,7 @@
 pub(crate) struct Snapshot {
     body: Bytes,
     proved_at: Timestamp,
-    made_at: Timestamp,
+    created_at: Timestamp,
 }
 
 /// The content of a snapshot, with facts as they are written or read.
@@ -84,15 +84,15 @@
 fn current(node: &Node, now: Timestamp) -> Option<Snapshot> {
     let peers = node.peers.as_ref()?;
     let known = peers.borrow().snapshot.clone();
-    if let Some(known) = known.filter(|known| now.saturating_since(known.made_at) < SNAPSHOT_TTL) {
+    if let Some(known) = known.filter(|known| now.saturating_since(known.created_at) < SNAPSHOT_TTL) {
         return Some(known);
     }
-    let made = make(node, now)?;
-    peers.borrow_mut().snapshot = Some(made.clone());
-    Some(made)
+    let created = create(node, now)?;
+    peers.borrow_mut().snapshot = Some(created.clone());
+    Some(created)
 }
 
-fn make(node: &Node, now: Timestamp) -> Option<Snapshot> {
+fn create(node: &Node, now: Timestamp) -> Option<Snapshot> {
     let state = node.state.borrow();
     let revision = state.revision.filter(|_| !node.history_lost.get())?;
     let within = node.settings().bounds.max_relay_age();
@@ -102,15 +102,15 @@
     let recent_targets = state.recent_targets(node.settings().bounds.weights(), proved_at, now);
     let content = Content { revision, registry, facts: state.all_facts(), recent_targets };
     let body = serde_json::to_vec(&content).ok()?;
-    Some(Snapshot { body: Bytes::from(body), proved_at, made_at: now })
+    Some(Snapshot { body: Bytes::from(body), proved_at, created_at: now })
 }
 
 /// Requests a snapshot from the parent, and applies it unless something newer is known by then.
-pub(super) async fn fetch(node: &Node, calls: &Client) {
+pub(super) async fn fetch(node: &Node, client: &Client) {
     let sent_at = node.now();
     let mut request = Request::new(Bytes::new());
     *request.uri_mut() = http::Uri::from_static(SNAPSHOT_PATH);
-    let Ok(answer) = calls.call(request, SNAPSHOT_TIMEOUT).await else { return };
+    let Ok(answer) = client.call(request, SNAPSHOT_TIMEOUT).await else { return };
     if answer.status() != StatusCode::OK {
         return;
     }
--- a/crates/forward/src/ports/mod.rs
+++ b/crates/forward/src/ports/mod.rs
@@ -76,7 +76,7 @@
         lease: StoreLease,
     },
     /// Quarantines a request at all nodes while a lease lasts, unless it is already.
-    Hold {
+    Quarantine {
         request: Box<QuarantinedRequest>,
         lease: StoreLease,
     },
@@ -97,7 +97,7 @@
             Self::Lead { .. } => "lead",
             Self::RecordFleetSize { .. } => "record_fleet_size",
             Self::RecordTarget { .. } => "record_naming",
-            Self::Hold { .. } => "hold",
+            Self::Quarantine { .. } => "hold",
             Self::Release(_) => "release",
         }
     }
@@ -167,7 +167,7 @@
     Quarantined(Box<QuarantinedRequest>),
     /// A request is no longer quarantined.
     Released(RequestFingerprint),
-    /// An entry could not be parsed. The previous state still holds, except that a back end's entry counts as
+    /// An entry could not be parsed. The previous state stays in force, except that a back end's entry counts as
     /// removed.
     Unreadable {
         key: String,
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -83,7 +83,7 @@
     tokio::task::spawn_local(quarantine::run(Rc::clone(&node)));
     tokio::task::spawn_local(target_record::run(Rc::clone(&node)));
     tokio::task::spawn_local(housekeeping(Rc::clone(&node), path, hangup));
-    let leading = tokio::task::spawn_local(leadership::run(Rc::clone(&node)));
+    let leadership_task = tokio::task::spawn_local(leadership::run(Rc::clone(&node)));
     tokio::task::spawn_local(caller_server.clone().serve(callers));
     let readiness_node = Rc::clone(&node);
     tokio::task::spawn_local(ingress::serve_simple(readiness, move || {
@@ -101,7 +101,7 @@
     }
     stop(&node, &stage, &caller_server).await;
     // The lease has been released by then if the store answers.
-    leading.abort();
+    leadership_task.abort();
     Ok(())
 }
 
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -26,7 +26,7 @@
 
 use crate::{
     connection::Connection,
-    journal::{Event, HeldLine},
+    journal::{Event, QuarantineLine},
     metrics::Counter,
     node::Node,
     ports::{StoreAnswer, StoreCall},
@@ -44,10 +44,10 @@
 /// share them with each other.
 const MAX_PENDING: usize = 64;
 
-/// A change of the holds in the metadata store.
+/// A change of the quarantined requests in the metadata store.
 #[derive(Clone, Debug)]
 pub(crate) enum Change {
-    Hold(QuarantinedRequest),
+    Quarantine(QuarantinedRequest),
     Release(RequestFingerprint),
 }
 
@@ -64,8 +64,8 @@
     /// Handles a connection to a back end that broke during a run.
     pub fn report_broken_run(self: &Rc<Self>, crash: Crash, address: SocketAddr) {
         let mut probing = self.quarantine_work.probing.borrow_mut();
-        if let Some(others) = probing.get_mut(&crash.engine) {
-            others.push(crash);
+        if let Some(crashes) = probing.get_mut(&crash.engine) {
+            crashes.push(crash);
             return;
         }
         let backend = crash.engine.clone();
@@ -102,33 +102,33 @@
 
     /// Applies the parent's quarantine.
     pub fn apply_quarantine_digest(&self, digest: QuarantineDigest) {
-        let new = self.state.borrow_mut().quarantine.receive_digest(digest, self.now());
-        for fingerprint in new {
-            self.log_hold(
-                &HeldLine { fingerprint: fingerprint.to_string(), ..HeldLine::default() },
+        let added = self.state.borrow_mut().quarantine.receive_digest(digest, self.now());
+        for fingerprint in added {
+            self.log_quarantine(
+                &QuarantineLine { fingerprint: fingerprint.to_string(), ..QuarantineLine::default() },
                 QuarantineSource::Parent,
             );
         }
     }
 
-    /// Applies a hold from the metadata store.
-    pub fn apply_stored_hold(&self, request: &QuarantinedRequest) {
-        let new = self.state.borrow_mut().quarantine.add_stored(request.fingerprint, self.now());
-        if new {
-            self.log_hold(&HeldLine::from(request), QuarantineSource::Stored);
+    /// Applies the quarantine of a request from the metadata store.
+    pub fn apply_stored_quarantine(&self, request: &QuarantinedRequest) {
+        let is_new = self.state.borrow_mut().quarantine.add_stored(request.fingerprint, self.now());
+        if is_new {
+            self.log_quarantine(&QuarantineLine::from(request), QuarantineSource::Stored);
         }
     }
 
     /// Applies a release from the metadata store.
     pub fn apply_stored_release(&self, fingerprint: &RequestFingerprint) {
-        let known = self.state.borrow_mut().quarantine.remove_stored(fingerprint, self.now());
-        if known {
+        let was_quarantined = self.state.borrow_mut().quarantine.remove_stored(fingerprint, self.now());
+        if was_quarantined {
             self.log_release(fingerprint, "released in the store");
         }
     }
 
-    /// Releases all stored holds that a listing of the metadata store does not contain.
-    pub fn apply_listed_holds(&self, present: &[RequestFingerprint]) {
+    /// Releases all stored requests that a listing of the metadata store does not contain.
+    pub fn apply_listed_quarantine(&self, present: &[RequestFingerprint]) {
         let known: Vec<RequestFingerprint> =
             self.state.borrow().quarantine.stored_requests().copied().collect();
         for fingerprint in known.iter().filter(|fingerprint| !present.contains(fingerprint)) {
@@ -136,12 +136,12 @@
         }
     }
 
-    /// Removes expired crashes and holds.
+    /// Removes expired crashes and quarantines.
     pub fn sweep_quarantine(&self) {
         let ended = self.state.borrow_mut().quarantine.sweep(self.now());
         for fingerprint in ended {
             self.state.borrow_mut().quarantined_requests.remove(&fingerprint);
-            self.log_release(&fingerprint, "the hold expired");
+            self.log_release(&fingerprint, "the quarantine expired");
         }
     }
 
@@ -163,12 +163,12 @@
     /// Quarantines requests if this node receives the crashes of all nodes.
     pub(crate) fn conclude_quarantine(&self) {
         let node = self.settings().node.clone();
-        let held = self.state.borrow_mut().quarantine.conclude(&node, self.now());
-        for request in held {
-            self.log_hold(&HeldLine::from(&request), QuarantineSource::Counted);
-            // The store may be restored from a backup without the hold before it has confirmed it.
+        let quarantined = self.state.borrow_mut().quarantine.conclude(&node, self.now());
+        for request in quarantined {
+            self.log_quarantine(&QuarantineLine::from(&request), QuarantineSource::Counted);
+            // The store may be restored from a backup without the request before it has confirmed it.
             self.state.borrow_mut().quarantined_requests.insert(request.fingerprint, request.clone());
-            self.change(Change::Hold(request));
+            self.change(Change::Quarantine(request));
         }
     }
 
@@ -181,7 +181,7 @@
         self.quarantine_work.changed.notify_one();
     }
 
-    fn log_hold(&self, line: &HeldLine, by: QuarantineSource) {
+    fn log_quarantine(&self, line: &QuarantineLine, by: QuarantineSource) {
         self.metrics.count(Counter::RequestsHeld);
         self.journal.log(&Event::RequestHeld {
             held: line,
@@ -195,14 +195,14 @@
     }
 
     /// How long a request stays quarantined; `None` if it is not.
-    pub fn held_for(&self, fingerprint: &RequestFingerprint) -> Option<Duration> {
+    pub fn quarantined_for(&self, fingerprint: &RequestFingerprint) -> Option<Duration> {
         let now = self.now();
-        let held = self.state.borrow().quarantine.quarantined(fingerprint, now)?;
-        Some(held.until.saturating_since(now))
+        let status = self.state.borrow().quarantine.quarantined(fingerprint, now)?;
+        Some(status.until.saturating_since(now))
     }
 
-    /// How long the oldest hold has lasted.
-    pub(crate) fn oldest_hold(&self, now: Timestamp) -> Duration {
+    /// How long the longest quarantine has lasted.
+    pub(crate) fn oldest_quarantine(&self, now: Timestamp) -> Duration {
         let oldest = self.state.borrow().quarantine.oldest_quarantined();
         oldest.map_or(Duration::ZERO, |since| now.saturating_since(since))
     }
@@ -211,13 +211,13 @@
 /// Probes a back end. If it still accepts connections, the runs broke for another reason.
 async fn probe(node: Rc<Node>, backend: BackendId, address: SocketAddr) {
     let connection = open_probe(&node, address).await;
-    let broken = node.quarantine_work.probing.borrow_mut().remove(&backend).unwrap_or_default();
+    let broken_runs = node.quarantine_work.probing.borrow_mut().remove(&backend).unwrap_or_default();
     match connection {
         Some(connection) => node.pool.borrow_mut().put(&backend, connection, node.now()),
         None => {
             node.record_health(&backend, HealthEvent::Failed, true);
             node.pool.borrow_mut().close(&backend);
-            broken.into_iter().for_each(|crash| node.record_crash(crash));
+            broken_runs.into_iter().for_each(|crash| node.record_crash(crash));
         }
     }
 }
@@ -250,14 +250,14 @@
 /// Whether a failed change should still be made.
 fn is_wanted(node: &Node, change: &Change) -> bool {
     match change {
-        Change::Hold(request) => node.held_for(&request.fingerprint).is_some(),
-        Change::Release(fingerprint) => node.held_for(fingerprint).is_none(),
+        Change::Quarantine(request) => node.quarantined_for(&request.fingerprint).is_some(),
+        Change::Release(fingerprint) => node.quarantined_for(fingerprint).is_none(),
     }
 }
 
 async fn write(node: &Node, change: &Change) -> Result<(), StoreError> {
     let request = match change {
-        Change::Hold(request) => request.clone(),
+        Change::Quarantine(request) => request.clone(),
         Change::Release(fingerprint) => {
             call_store(node, &StoreCall::Release(*fingerprint), CALL_TIMEOUT).await?;
             return Ok(());
@@ -265,12 +265,12 @@
     };
     let granted = call_store(node, &StoreCall::Grant { ttl: QUARANTINE_DURATION }, CALL_TIMEOUT).await?;
     let StoreAnswer::Lease { lease, .. } = granted else { return Err(StoreError::Unexpected) };
-    let hold = StoreCall::Hold { request: Box::new(request), lease };
-    // Without an answer the hold may have been stored, so its lease is left alone: ending it would release
+    let call = StoreCall::Quarantine { request: Box::new(request), lease };
+    // Without an answer the request may have been stored, so its lease is left alone: ending it would release
     // the request at all nodes.
-    match call_store(node, &hold, CALL_TIMEOUT).await? {
+    match call_store(node, &call, CALL_TIMEOUT).await? {
         StoreAnswer::Done { .. } => Ok(()),
-        // The hold exists already, so this lease has nothing bound to it.
+        // The request is stored already, so this lease has nothing bound to it.
         StoreAnswer::Conflict => call_store(node, &StoreCall::End(lease), CALL_TIMEOUT).await.map(|_| ()),
         _ => Err(StoreError::Unexpected),
     }
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -287,7 +287,7 @@
             if self.exchange.decide(&tried, &failure) != NextAction::Retry {
                 return false;
             }
-            if self.exchange.held_for().is_some() {
+            if self.exchange.quarantined_for().is_some() {
                 return false;
             }
             let Some(choice) = self.exchange.choose_backend() else { return false };
@@ -308,7 +308,7 @@
         };
         let failure = AttemptFailure { end: AttemptEnd::Copied, ..failure };
         let may_retry = self.exchange.decide(&self.choice, &failure) == NextAction::Retry;
-        if !may_retry || self.exchange.held_for().is_some() {
+        if !may_retry || self.exchange.quarantined_for().is_some() {
             return false;
         }
         let resume = Resume { after: self.splitter.last_id(), continues: Some(run) };
--- a/crates/forward/src/replica.rs
+++ b/crates/forward/src/replica.rs
@@ -21,10 +21,10 @@
         let single = [self.document_fact(), self.fleet_size.map(Fact::FleetSize)].into_iter().flatten();
         let leader = self.leader.iter().map(|_| self.leader_fact());
         let weights = self.weights_facts();
-        let held =
+        let quarantined =
             self.quarantined_requests.values().map(|request| Fact::Quarantined(Box::new(request.clone())));
         let backends = self.backends.iter().filter_map(entry_fact);
-        single.chain(leader).chain(weights).chain(held).chain(backends).collect()
+        single.chain(leader).chain(weights).chain(quarantined).chain(backends).collect()
     }
 
     fn fact_about(&self, key: &EntryKey) -> Option<Fact> {
--- a/crates/forward/src/runs.rs
+++ b/crates/forward/src/runs.rs
@@ -13,14 +13,14 @@
 
 impl Exchange {
     /// How long this request stays quarantined; `None` if it is not.
-    pub(crate) fn held_for(&mut self) -> Option<Duration> {
+    pub(crate) fn quarantined_for(&mut self) -> Option<Duration> {
         if !self.node.state.borrow().quarantine.may_be_quarantined(self.origin().hash()) {
             return None;
         }
         let fingerprint = self.fingerprint();
-        let held_for = self.node.held_for(&fingerprint)?;
+        let quarantined_for = self.node.quarantined_for(&fingerprint)?;
         self.record.fingerprint = Some(fingerprint);
-        Some(held_for)
+        Some(quarantined_for)
     }
 
     /// Reports a completed run, which clears the request.
--- a/crates/forward/src/store_restore.rs
+++ b/crates/forward/src/store_restore.rs
@@ -4,7 +4,7 @@
 //! A node detects it by the era in any answer. Protective state is kept: versions of the document and of
 //! weights only increase, and quarantined requests stay quarantined. The leader's lease is no longer certain,
 //! so it stands down; the next leader waits until the lease of a leader that has not noticed the restore is
-//! over, and writes the holds again. Knowledge of an older era is continued by a listing, never by the same
+//! over, and writes the quarantined requests again. Knowledge of an older era is continued by a listing, never by the same
 //! revision number.
 
 use std::time::Duration;
@@ -48,9 +48,9 @@
         self.restored_at.get().is_some_and(settling)
     }
 
-    /// Writes all holds again, which a restored store may lack. Existing ones stay unchanged.
-    pub(crate) fn rewrite_holds(&self) {
-        let held: Vec<_> = self.state.borrow().quarantined_requests.values().cloned().collect();
-        held.into_iter().for_each(|request| self.change(Change::Hold(request)));
+    /// Writes all quarantined requests again, which a restored store may lack. Existing ones stay unchanged.
+    pub(crate) fn rewrite_quarantine(&self) {
+        let requests: Vec<_> = self.state.borrow().quarantined_requests.values().cloned().collect();
+        requests.into_iter().for_each(|request| self.change(Change::Quarantine(request)));
     }
 }
