--- a/crates/core/src/forwarding/announcements/limits.rs
+++ b/crates/core/src/forwarding/announcements/limits.rs
@@ -43,7 +43,7 @@
 
 impl Announcements {
     /// Records the limit that a process has advertised, or that it has dropped its limit. All nodes together
-    /// sent it `sent_per_second` requests lately. Returns a change to report.
+    /// recently sent it `sent_per_second` requests. Returns a change to report.
     pub fn observe_limit(
         &mut self,
         process: &BackendProcess,
@@ -105,9 +105,9 @@
         self.limited = limits.map(|(process, _)| process.clone()).collect();
     }
 
-    /// Limited back ends whose limit no answer has confirmed lately and to which this node may send a request
-    /// now. The answer shows whether the limit still holds; without such a request, a back end that is never
-    /// the best choice would stay limited.
+    /// Limited back ends whose limit no answer has confirmed recently and to which this node may send a
+    /// request now. The answer shows whether the limit still holds; without such a request, a back end that
+    /// is never the best choice would stay limited.
     pub fn limits_to_probe(&self, now: Timestamp) -> impl Iterator<Item = &BackendId> {
         self.limited.iter().filter_map(move |process| {
             let limit = self.by_process.get(process)?.limit.as_ref()?;
--- a/crates/core/src/forwarding/children.rs
+++ b/crates/core/src/forwarding/children.rs
@@ -88,8 +88,8 @@
     /// Accepts a node, or refers it to another one.
     pub fn admit(&mut self, request: &JoinRequest, now: Timestamp) -> Admission {
         let joiner = &request.sender;
-        let stays = |child: &Child| child.referred_to.is_none() && child.is_fresh(now);
-        if self.by_node.get(&joiner.node).is_some_and(stays) {
+        let is_staying = |child: &Child| child.referred_to.is_none() && child.is_fresh(now);
+        if self.by_node.get(&joiner.node).is_some_and(is_staying) {
             return self.accept(request, now);
         }
         let has_room =
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -236,14 +236,14 @@
     }
 
     /// The number of nodes as counted by the root, if a recent count is known.
-    pub fn counted(&self) -> Option<u32> {
+    pub fn counted_nodes(&self) -> Option<u32> {
         self.peers.as_ref()?.borrow().fleet.node_count(self.now())
     }
 
     /// What is known about the number of nodes.
     pub fn nodes(&self) -> NodeCount {
         let recorded = self.peers.as_ref().and_then(|_| self.state.borrow().fleet_size);
-        NodeCount { counted: self.counted(), recorded, assumed: self.settings().limits.assumed_nodes }
+        NodeCount { counted: self.counted_nodes(), recorded, assumed: self.settings().limits.assumed_nodes }
     }
 
     /// Queues changes of cached segments for gossip to other nodes.
@@ -290,7 +290,7 @@
     /// and uses those of all, because retries while all are busy would add to the load.
     pub fn slow_latency(&self, backend: &BackendId) -> Duration {
         let (now, state) = (self.now(), self.state.borrow());
-        match self.counted() {
+        match self.counted_nodes() {
             Some(nodes) if nodes as usize > FULL_SCAN_MAX_NODES => state.chooser.loads.slowest(now),
             _ => state.chooser.load(backend).slowest(now),
         }
@@ -340,7 +340,7 @@
         let gauges = vec![
             gauge("paddlemount_forward_configuration_age_seconds", age),
             gauge("paddlemount_forward_configuration_version", version as f64),
-            gauge("paddlemount_forward_nodes", self.counted().map_or(f64::NAN, f64::from)),
+            gauge("paddlemount_forward_nodes", self.counted_nodes().map_or(f64::NAN, f64::from)),
             gauge("paddlemount_forward_level", self.depth()),
             gauge("paddlemount_forward_children", self.children() as f64),
             gauge("paddlemount_forward_root_age_seconds", self.root_age()),
--- a/crates/forward/src/peers/client.rs
+++ b/crates/forward/src/peers/client.rs
@@ -50,7 +50,7 @@
         peers.borrow_mut().fleet.tick(leads, now);
         node.tick_quotas();
         node.divide_limits();
-        let before = std::mem::replace(&mut counted, node.counted());
+        let before = std::mem::replace(&mut counted, node.counted_nodes());
         if counted != before {
             node.journal.log(&Event::NodesCounted { nodes: counted, before });
         }
--- a/crates/forward/src/ports/mod.rs
+++ b/crates/forward/src/ports/mod.rs
@@ -167,8 +167,8 @@
     Quarantined(Box<QuarantinedRequest>),
     /// A request is no longer quarantined.
     Released(RequestFingerprint),
-    /// An entry could not be parsed. The previous state stays in force, except that a back end's entry counts as
-    /// removed.
+    /// An entry could not be parsed. The previous state stays in force, except that a back end's entry
+    /// counts as removed.
     Unreadable {
         key: String,
         problem: String,
--- a/crates/forward/src/process.rs
+++ b/crates/forward/src/process.rs
@@ -141,8 +141,8 @@
     });
 }
 
-/// Readiness is withdrawn first; connections are accepted until callers have gone elsewhere; running requests
-/// get the grace period.
+/// Stops the node: withdraws readiness, accepts connections until callers have moved to other nodes, and
+/// gives running requests the grace period.
 async fn stop(node: &Rc<Node>, stage: &watch::Sender<StopStage>, callers: &Callers) {
     let began = node.now();
     let planned = PlannedStop::with_grace_period(began, node.settings().bounds.grace());
--- a/crates/forward/src/relay.rs
+++ b/crates/forward/src/relay.rs
@@ -365,7 +365,7 @@
 
     fn take_over(&mut self, choice: Choice, upstream: AttemptAnswer) {
         self.exchange.record_resume();
-        // A copy continues the run whose events the caller has; any other run starts anew.
+        // A copy continues the run whose events the caller has; any other run starts from the beginning.
         self.has_event &= !is_resumable(self.exchange.route.kind);
         if !self.has_relayed {
             self.head = upstream.head.clone();
--- a/crates/forward/src/store_restore.rs
+++ b/crates/forward/src/store_restore.rs
@@ -1,11 +1,11 @@
 //! Handles a metadata store that was restored from a backup.
 //!
-//! The restore loses everything written since the backup, including leases, and revisions are assigned again.
-//! A node detects it by the era in any answer. Protective state is kept: versions of the document and of
-//! weights only increase, and quarantined requests stay quarantined. The leader's lease is no longer certain,
-//! so it stands down; the next leader waits until the lease of a leader that has not noticed the restore is
-//! over, and writes the quarantined requests again. Knowledge of an older era is continued by a listing, never by the same
-//! revision number.
+//! The restore loses everything written since the backup, including leases, and revisions are assigned
+//! again. A node detects it by the era in any answer. Protective state is kept: versions of the document and
+//! of weights only increase, and quarantined requests stay quarantined. The leader's lease is no longer
+//! certain, so it stands down; the next leader waits until the lease of a leader that has not noticed the
+//! restore is over, and writes the quarantined requests again. Knowledge of an older era is continued by a
+//! listing, never by the same revision number.
 
 use std::time::Duration;
 
