--- a/crates/forward/src/leadership.rs
+++ b/crates/forward/src/leadership.rs
@@ -118,7 +118,7 @@
         self.restored_at = self.node.restored_at.get();
         self.led_at_restore = self.holder.token(now).is_some();
         if self.led_at_restore {
-            self.stand_down("the store was restored from a backup", now).await;
+            self.stand_down("the store came back from a copy", now).await;
         }
     }
 
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -123,7 +123,7 @@
             return "done";
         }
     }
-    "timed out"
+    "given up for now"
 }
 
 /// The address of an engine; `None` if it is gone or leaving, since loading weights there is of no use.
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -81,7 +81,7 @@
     }
 
     fn release(&self, fingerprint: RequestFingerprint) {
-        self.log_release(&fingerprint, "a run completed");
+        self.log_release(&fingerprint, "a run came to its end");
         self.change(Change::Release(fingerprint));
     }
 
@@ -123,7 +123,7 @@
     pub fn apply_stored_release(&self, fingerprint: &RequestFingerprint) {
         let was_quarantined = self.state.borrow_mut().quarantine.remove_stored(fingerprint, self.now());
         if was_quarantined {
-            self.log_release(fingerprint, "released in the store");
+            self.log_release(fingerprint, "the store holds it no longer");
         }
     }
 
@@ -141,7 +141,7 @@
         let ended = self.state.borrow_mut().quarantine.sweep(self.now());
         for fingerprint in ended {
             self.state.borrow_mut().quarantined_requests.remove(&fingerprint);
-            self.log_release(&fingerprint, "the quarantine expired");
+            self.log_release(&fingerprint, "its time is over");
         }
     }
 
