--- a/crates/core/src/forwarding/feed_selection.rs
+++ b/crates/core/src/forwarding/feed_selection.rs
@@ -2,7 +2,7 @@
 //!
 //! Engines serve a limited number of readers, and following a feed costs a small node time that its requests
 //! need. So each node follows a bounded number of feeds. With few nodes, each follows all feeds. With many,
-//! each selects feeds by a hash of its own name and the engine's, so that a feed has [`AVERAGE_READERS`]
+//! each selects feeds by a hash of its own name and the engine's, so that a feed has `AVERAGE_READERS`
 //! readers on average; this needs only the number of nodes, not their names. About one feed in twenty then
 //! has no reader, and what its engine evicts is learned from the request that misses it.
 
--- a/crates/core/src/forwarding/registry.rs
+++ b/crates/core/src/forwarding/registry.rs
@@ -7,7 +7,7 @@
 //! |---|---|---|---|
 //! | serving | its back end is gone | unavailable | serving |
 //! | unavailable | its back end is a suspect | unavailable | recovering |
-//! | recovering, for [`RENEWAL_TIMEOUT`] | its back end is a suspect | unavailable | recovering or serving |
+//! | recovering, for `RENEWAL_TIMEOUT` | its back end is a suspect | unavailable | recovering or serving |
 //!
 //! A back end that is still a suspect when the registry serves again is gone.
 
--- a/crates/forward/src/peers/mod.rs
+++ b/crates/forward/src/peers/mod.rs
@@ -5,7 +5,7 @@
 //! | [`client`] | finds a place in the tree of nodes, and reports to the parent several times a second |
 //! | [`server`] | admits other nodes, and answers their reports |
 //! | [`digest_updates`] | applies what the parent answers |
-//! | [`newer_facts`] | exchanges newer facts after the store was restored from a backup |
+//! | `newer_facts` | exchanges newer facts after the store was restored from a backup |
 //! | [`snapshot`] | transfers the whole known state of the store |
 //!
 //! The store's state is relayed as facts, with the age of their proof. A node without a recent relay queries
