--- a/specs/src/claims.rs
+++ b/specs/src/claims.rs
@@ -2,8 +2,7 @@
 //!
 //! The model has one key, two attempts of the caller at two nodes, and three replicas. Messages are
 //! reordered, delayed or lost, and so are replies. Replicas restart without memory, with a clock that is
-//! behind that of their first incarnation by the maximum skew. Coordinators crash or pause at any point: a
-//! timer may fire late or never.
+//! behind that of their first incarnation by the maximum skew. Coordinators crash, or pause past timers.
 //!
 //! A run begins with the first attempt; the time since the key was issued is a bound. Replicas are symmetric,
 //! so they restart in order of their number, and only if they hold an entry.
